--- a/crates/millpass-consensus/src/log.rs
+++ b/crates/millpass-consensus/src/log.rs
@@ -101,7 +101,7 @@
                 membership: membership.clone(),
             });
         }
-        if entry.payload.binds_gateways() {
+        if entry.payload.is_required_by_gateways() {
             self.binding.push(entry.position.index);
         }
         self.entries.push_back(entry);
--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -10,7 +10,7 @@
 use millpass_fleet::{CallAnswer, FleetOutput, GatewayContext};
 use millpass_proto::{
     Command, ControlToRouter, CrashReport, Duration, EngineInstruction, GatewayReport,
-    InstanceDeparture, InstanceId, InstanceRecord, InstructionNote, LogPosition, PermitRequest,
+    InstanceDeparture, InstanceId, InstanceRecord, InstructionIntent, LogPosition, PermitRequest,
     PutDocument, RequestFingerprint, Timestamp,
 };
 use millpass_state::State;
@@ -207,7 +207,7 @@
         if let Some(fleet) = &mut self.fleet {
             fleet.lift(&request);
         }
-        let command = Command::LiftRequest(request);
+        let command = Command::LiftQuarantine(request);
         self.propose(now, Waiter::Call(call), command, out);
     }
 
@@ -253,20 +253,20 @@
             match output {
                 FleetOutput::Instruct(instruction) => instructions.push(instruction),
                 FleetOutput::Note(note) => {
-                    let command = Command::NoteInstances(note);
+                    let command = Command::RecordInstances(note);
                     self.propose_internal(now, InternalKey::NoteInstances, command, out);
                 }
                 FleetOutput::NoteStoreCapacity(capacity) => {
-                    let command = Command::NoteStoreCapacity(capacity);
+                    let command = Command::RecordStoreCapacity(capacity);
                     self.propose_internal(now, InternalKey::NoteStoreCapacity, command, out);
                 }
                 FleetOutput::NoteHeldRequest(note) => {
                     let key = InternalKey::HeldRequest(note.request.clone());
-                    self.propose_internal(now, key, Command::NoteHeldRequest(note), out);
+                    self.propose_internal(now, key, Command::QuarantineRequest(note), out);
                 }
                 FleetOutput::LiftRequest(request) => {
                     let key = InternalKey::HeldRequest(request.clone());
-                    self.propose_internal(now, key, Command::LiftRequest(request), out);
+                    self.propose_internal(now, key, Command::LiftQuarantine(request), out);
                 }
                 FleetOutput::Crashes { connection, update } => {
                     out.send_router(ConnectionId(connection), ControlToRouter::Crashes(update));
@@ -315,14 +315,14 @@
             return;
         }
         let loads = instructions.iter().filter(|found| found.from_store);
-        let note = InstructionNote {
+        let note = InstructionIntent {
             store_loads: u32::try_from(loads.count()).unwrap_or(u32::MAX),
             instances: instructions
                 .iter()
                 .map(|instruction| instruction.instance.clone())
                 .collect(),
         };
-        let command = Command::NoteInstructions(note);
+        let command = Command::RecordInstructionIntent(note);
         let waiter = Waiter::Instructions {
             decided_at: now,
             instructions,
--- a/crates/millpass-control-plane/src/interface.rs
+++ b/crates/millpass-control-plane/src/interface.rs
@@ -6,8 +6,8 @@
     AuditRecord, BackendName, BackendState, CallId, ConfigurationRevision, ControlToRouter,
     Duration, EngineInstruction, EngineOrder, InstanceDeparture, InstanceId, InstanceRecord,
     LogPosition, MemberAddress, ObjectChange, ObjectChangeOutcome, ObjectKey, ObjectKind,
-    OrderAnswer, PeerEnvelope, PlatformList, PutDocument, RequestFingerprint, RouterToControl,
-    ShareAnswer, ShareReport, Snapshot, StoredObject, Timestamp,
+    OrderResponse, PeerEnvelope, PlatformList, PutDocument, RequestFingerprint, RouterToControl,
+    ShareReport, ShareResponse, Snapshot, StoredObject, Timestamp,
 };
 use millpass_scheduler::SchedulerSettings;
 
@@ -79,7 +79,7 @@
         /// Fence of the order.
         fence: LogPosition,
         /// The engine's answer; none when there was none (it may have arrived all the same).
-        answer: Option<OrderAnswer>,
+        answer: Option<OrderResponse>,
     },
     /// The platform's list was read.
     PlatformListed(PlatformList),
@@ -102,7 +102,7 @@
     /// Another member says what it hears of instances.
     Share(ShareReport),
     /// Answer to this member's own report.
-    ShareAnswer(ShareAnswer),
+    ShareResponse(ShareResponse),
 }
 
 /// A call of the administration API.
@@ -243,7 +243,7 @@
         /// Where the member listens.
         address: String,
         /// Answer.
-        answer: ShareAnswer,
+        answer: ShareResponse,
     },
     /// Give an engine an instruction and answer [`ControlInput::InstructionAnswered`]; the leader
     /// lease was checked just before.
--- a/crates/millpass-control-plane/src/news.rs
+++ b/crates/millpass-control-plane/src/news.rs
@@ -32,7 +32,7 @@
         }
         self.told = Some(newest);
         for connection in self.sessions.behind(newest.configuration, newest.placement) {
-            out.send_router(connection, ControlToRouter::News);
+            out.send_router(connection, ControlToRouter::ChangesAvailable);
         }
     }
 }
--- a/crates/millpass-control-plane/src/orders.rs
+++ b/crates/millpass-control-plane/src/orders.rs
@@ -8,7 +8,7 @@
 //! checked by the caller in the same step.
 
 use millpass_proto::{
-    BackendName, Duration, EngineOrder, LogPosition, OrderAction, OrderAnswer, Timestamp,
+    BackendName, Duration, EngineOrder, LogPosition, OrderAction, OrderResponse, Timestamp,
 };
 use millpass_state::State;
 use std::collections::BTreeMap;
@@ -150,7 +150,7 @@
         now: Timestamp,
         backend: &BackendName,
         fence: LogPosition,
-        answer: Option<&OrderAnswer>,
+        answer: Option<&OrderResponse>,
     ) {
         let Some(delivery) = self.deliveries.get_mut(backend) else {
             return;
@@ -160,7 +160,7 @@
         }
         let first = match answer {
             None => UNANSWERED_BACKOFF,
-            Some(OrderAnswer::Accepted) => ACCEPTED_BACKOFF,
+            Some(OrderResponse::Accepted) => ACCEPTED_BACKOFF,
             Some(_) => REFUSED_BACKOFF,
         };
         let doublings = delivery.attempts.saturating_sub(1).min(MAXIMUM_DOUBLINGS);
--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -22,7 +22,7 @@
 use crate::watch::WatchShares;
 use millpass_consensus::{Consensus, ConsensusInput, ConsensusStatus, RestoredLog, Role};
 use millpass_fleet::{DocumentHistory, Fleet, InstructionHistory};
-use millpass_proto::{Command, Duration, ExpireClaims, OrderAnswer, Snapshot, Timestamp};
+use millpass_proto::{Command, Duration, ExpireClaims, OrderResponse, Snapshot, Timestamp};
 use millpass_scheduler::Scheduler;
 use millpass_state::State;
 use millpass_tenancy::CreditLedger;
@@ -243,7 +243,7 @@
                 self.instruction_answered(now, &answer);
             }
             ControlInput::Share(report) => self.take_share(now, &report, out),
-            ControlInput::ShareAnswer(answer) => self.take_share_answer(&answer),
+            ControlInput::ShareResponse(answer) => self.take_share_answer(&answer),
             ControlInput::Drain => {
                 out.event("drain-started", Vec::new());
                 self.drain.get_or_insert_with(|| Drain::new(now));
@@ -297,7 +297,7 @@
         now: Timestamp,
         backend: &millpass_proto::BackendName,
         fence: millpass_proto::LogPosition,
-        answer: Option<OrderAnswer>,
+        answer: Option<OrderResponse>,
         out: &mut Outputs,
     ) {
         self.orders.delivered(now, backend, fence, answer.as_ref());
@@ -306,17 +306,17 @@
             ("fence", fence.to_string()),
         ];
         match answer {
-            Some(OrderAnswer::Accepted) => out.event("order-accepted", pairs),
-            Some(OrderAnswer::StaleFence(highest)) => {
+            Some(OrderResponse::Accepted) => out.event("order-accepted", pairs),
+            Some(OrderResponse::StaleFence(highest)) => {
                 pairs.push(("highest", highest.to_string()));
                 out.event("order-stale", pairs);
             }
-            Some(OrderAnswer::WrongIncarnation(run)) => {
+            Some(OrderResponse::WrongIncarnation(run)) => {
                 self.observations.run_confirmed(backend, run);
                 pairs.push(("run", run.to_string()));
                 out.event("order-wrong-incarnation", pairs);
             }
-            Some(OrderAnswer::Rejected(reason)) => {
+            Some(OrderResponse::Rejected(reason)) => {
                 pairs.push(("reason", reason));
                 out.event("order-rejected", pairs);
             }
@@ -454,9 +454,9 @@
     fn expire_claims(&mut self, now: Timestamp, unix_millis: u64, out: &mut Outputs) {
         let retention = self.settings.claim_retention.as_millis() as u64;
         let expiry = ExpireClaims {
-            born_before_unix_millis: unix_millis.saturating_sub(retention),
+            created_before_unix_millis: unix_millis.saturating_sub(retention),
         };
-        if expiry.born_before_unix_millis > self.state.claims_born_after() {
+        if expiry.created_before_unix_millis > self.state.claims_born_after() {
             let command = Command::ExpireClaims(expiry);
             self.propose_internal(now, InternalKey::ExpireClaims, command, out);
         }
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -12,7 +12,7 @@
 };
 use millpass_fleet::{Fleet, InstructionHistory};
 use millpass_proto::{
-    ClaimAnswer, Command, CommandOutcome, ControlToRouter, EntryPayload, LogEntry, MemberAddress,
+    ClaimResponse, Command, CommandOutcome, ControlToRouter, EntryPayload, LogEntry, MemberAddress,
     Membership, PeerEnvelope, Snapshot, Timestamp,
 };
 use millpass_scheduler::Scheduler;
@@ -116,8 +116,8 @@
                     Command::DepartInstance(departure) => {
                         self.departure_applied(now, at, departure);
                     }
-                    Command::NoteInstructions(note) => self.instructions.note(now, note),
-                    Command::NoteStoreCapacity(capacity) => {
+                    Command::RecordInstructionIntent(note) => self.instructions.note(now, note),
+                    Command::RecordStoreCapacity(capacity) => {
                         self.instructions.note_store_capacity(*capacity);
                     }
                     _ => {}
@@ -185,7 +185,7 @@
                 attempt,
             } => {
                 if let CommandOutcome::Claim(decision) = outcome {
-                    let answer = ClaimAnswer { attempt, decision };
+                    let answer = ClaimResponse { attempt, decision };
                     out.send_router(connection, ControlToRouter::Claim(answer));
                 }
             }
--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -10,7 +10,7 @@
 use millpass_consensus::Role;
 use millpass_proto::{
     AbandonClaims, BackendName, BackendObservation, ClaimBegin, ClaimFinish, ClaimRequest, Command,
-    ControlToRouter, Incarnation, LoadOutlook, PlacementDelta, PlacementRevision, RouterHello,
+    ControlToRouter, Incarnation, LoadEstimate, PlacementDelta, PlacementRevision, RouterHello,
     RouterName, RouterReport, RouterToControl, RouterUpdate, Timestamp, WatchList,
 };
 
@@ -268,8 +268,8 @@
             configuration: self.state.configuration_since(report.configuration),
             placement: self.placement_for(report.placement),
             watch: self.watch_change(router),
-            outlook: self.outlook(now, report),
-            claims_born_after_unix_millis: self.state.claims_born_after(),
+            load_estimates: self.outlook(now, report),
+            claims_created_after_unix_millis: self.state.claims_born_after(),
         }
     }
 
@@ -299,7 +299,7 @@
         })
     }
 
-    fn outlook(&self, now: Timestamp, report: &RouterReport) -> Vec<LoadOutlook> {
+    fn outlook(&self, now: Timestamp, report: &RouterReport) -> Vec<LoadEstimate> {
         let mut models: Vec<_> = report
             .demand
             .iter()
--- a/crates/millpass-control-plane/src/shares.rs
+++ b/crates/millpass-control-plane/src/shares.rs
@@ -5,7 +5,7 @@
 use crate::plane::ControlPlane;
 use millpass_consensus::Role;
 use millpass_fleet::{Fleet, FleetSizes};
-use millpass_proto::{MemberAddress, ShareAnswer, ShareReport, Timestamp};
+use millpass_proto::{MemberAddress, ShareReport, ShareResponse, Timestamp};
 
 /// Whom this member reports its instances to.
 #[derive(Default)]
@@ -81,7 +81,7 @@
         &mut self,
         now: Timestamp,
         report: &ShareReport,
-    ) -> Option<ShareAnswer> {
+    ) -> Option<ShareResponse> {
         self.begin_fleet(now);
         let own = self.settings.address.clone();
         let state = &self.state;
@@ -90,26 +90,26 @@
         Some(fleet.take_share(now, report, own, &departed))
     }
 
-    fn name_leader(&self, report: &ShareReport) -> ShareAnswer {
-        ShareAnswer {
+    fn name_leader(&self, report: &ShareReport) -> ShareResponse {
+        ShareResponse {
             run: report.run,
             number: report.number,
             leader: self.leader(),
-            known: None,
+            acknowledged_revision: None,
             active_revision: 0,
             active: None,
         }
     }
 
     /// Takes the answer to this member's report.
-    pub(crate) fn take_share_answer(&mut self, answer: &ShareAnswer) {
+    pub(crate) fn take_share_answer(&mut self, answer: &ShareResponse) {
         if let Some(fleet) = &mut self.fleet {
             fleet.share_answered(answer);
         }
         let own = self.settings.address.member;
         let named = answer.leader.as_ref();
         self.share_link.leader = named.filter(|leader| leader.member != own).cloned();
-        match answer.known {
+        match answer.acknowledged_revision {
             Some(_) => self.share_link.in_vain = 0,
             // The next report goes to the leader that is named; where none is, to another seed.
             None if named.is_some() => self.share_link.in_vain += self.share_link.in_vain % 2,
--- a/crates/millpass-control-plane/src/snapshots.rs
+++ b/crates/millpass-control-plane/src/snapshots.rs
@@ -39,7 +39,7 @@
     pub(crate) fn applied(&mut self, at: LogPosition, payload: &EntryPayload) {
         self.last = at;
         self.weight += match payload {
-            EntryPayload::Command(Command::NoteInstructions(_)) => 1,
+            EntryPayload::Command(Command::RecordInstructionIntent(_)) => 1,
             _ => NOTES_PER_ENTRY,
         };
     }
--- a/crates/millpass-control-plane/tests/claims.rs
+++ b/crates/millpass-control-plane/tests/claims.rs
@@ -230,7 +230,7 @@
     assert_eq!(second.claims[0].decision, ClaimDecision::Expired);
     second.report(&mut world);
     let update = second.updates.last().unwrap();
-    assert!(update.claims_born_after_unix_millis > born);
+    assert!(update.claims_created_after_unix_millis > born);
 }
 
 #[rstest]
--- a/crates/millpass-control-plane/tests/deployment.rs
+++ b/crates/millpass-control-plane/tests/deployment.rs
@@ -361,9 +361,9 @@
             models: Vec::new(),
             in_memory: Vec::new(),
             on_disk: Vec::new(),
-            coming: Vec::new(),
+            loading_adapters: Vec::new(),
         };
-        world.answer_reads(leader, &engine.into(), InstructionAnswer::State(state));
+        world.answer_reads(leader, &engine.into(), InstructionResult::State(state));
     }
 }
 
@@ -377,7 +377,7 @@
         zone: "zone-1".into(),
         sequence: 1,
         version: 2,
-        needs: vec![ModelNeed {
+        demand: vec![GatewayModelDemand {
             service: "web".into(),
             model: model.into(),
             adapter: None,
@@ -387,10 +387,10 @@
             priority: 0,
             unread_tokens: 0,
         }],
-        doubted: Vec::new(),
-        sent: Vec::new(),
+        inconsistent: Vec::new(),
+        in_flight: Vec::new(),
         as_of: 0,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     };
     world.router_sends(connection, RouterToControl::Gateway(report));
     world.run(std::time::Duration::from_millis(100));
@@ -641,5 +641,6 @@
 /// What a member answers a gateway that asks.
 fn binding(world: &World, member: MemberId) -> u64 {
     let core = &world.members[&member].plane;
-    core.freshness(&core.freshness_mark(world.now)).binding
+    core.freshness(&core.freshness_mark(world.now))
+        .required_index
 }
--- a/crates/millpass-control-plane/tests/gateway_updates.rs
+++ b/crates/millpass-control-plane/tests/gateway_updates.rs
@@ -85,7 +85,7 @@
     assert_eq!((change.base, change.version), (1, 2));
     assert_eq!(change.services.len(), 1);
     assert_eq!(update.document, None);
-    assert_eq!(update.answers, 41);
+    assert_eq!(update.acknowledged_report, 41);
 }
 
 #[test]
--- a/crates/millpass-control-plane/tests/harness/announced.rs
+++ b/crates/millpass-control-plane/tests/harness/announced.rs
@@ -28,11 +28,11 @@
         zone: "zone-1".into(),
         sequence: 1,
         version: 0,
-        needs: Vec::new(),
-        doubted: Vec::new(),
-        sent: Vec::new(),
+        demand: Vec::new(),
+        inconsistent: Vec::new(),
+        in_flight: Vec::new(),
         as_of,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     }
 }
 
--- a/crates/millpass-control-plane/tests/harness/engine.rs
+++ b/crates/millpass-control-plane/tests/harness/engine.rs
@@ -34,7 +34,7 @@
     }
 
     /// Takes an order; none when it does not answer.
-    pub fn order(&mut self, order: &EngineOrder) -> Option<OrderAnswer> {
+    pub fn order(&mut self, order: &EngineOrder) -> Option<OrderResponse> {
         if !self.answers {
             return None;
         }
@@ -42,19 +42,19 @@
         (!self.loses_answers).then_some(answer)
     }
 
-    fn take(&mut self, order: &EngineOrder) -> OrderAnswer {
+    fn take(&mut self, order: &EngineOrder) -> OrderResponse {
         if order.incarnation != self.incarnation {
-            return OrderAnswer::WrongIncarnation(self.incarnation);
+            return OrderResponse::WrongIncarnation(self.incarnation);
         }
         if order.fence < self.highest {
-            return OrderAnswer::StaleFence(self.highest);
+            return OrderResponse::StaleFence(self.highest);
         }
         if order.fence > self.highest {
             self.highest = order.fence;
             self.accepted.push(order.clone());
             self.begin(order);
         }
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     }
 
     fn begin(&mut self, order: &EngineOrder) {
--- a/crates/millpass-control-plane/tests/harness/mod.rs
+++ b/crates/millpass-control-plane/tests/harness/mod.rs
@@ -385,7 +385,7 @@
         &mut self,
         member: MemberId,
         instance: &InstanceId,
-        answer: InstructionAnswer,
+        answer: InstructionResult,
     ) {
         let reads = std::mem::take(&mut self.engine_reads).into_iter();
         let (answered, others): (Vec<_>, Vec<_>) =
@@ -402,7 +402,7 @@
         member: MemberId,
         instance: &InstanceId,
         call: CallId,
-        answer: InstructionAnswer,
+        answer: InstructionResult,
     ) {
         let answer = CallAnswer {
             instance: instance.clone(),
@@ -495,7 +495,7 @@
                 self.send_share(id, &address, ControlInput::Share(report));
             }
             ControlOutput::AnswerShare { address, answer } => {
-                self.send_share(id, &address, ControlInput::ShareAnswer(answer));
+                self.send_share(id, &address, ControlInput::ShareResponse(answer));
             }
             ControlOutput::Instruct {
                 instruction,
--- a/crates/millpass-control-plane/tests/harness/router.rs
+++ b/crates/millpass-control-plane/tests/harness/router.rs
@@ -17,7 +17,7 @@
     pub watch: Vec<WatchedBackend>,
     pub updates: Vec<RouterUpdate>,
     pub not_leader: Vec<NotLeader>,
-    pub claims: Vec<ClaimAnswer>,
+    pub claims: Vec<ClaimResponse>,
     pub finished: Vec<u64>,
     pub demand: Vec<ModelDemand>,
     pub draining: bool,
@@ -119,7 +119,7 @@
                 ControlToRouter::Claim(answer) => self.claims.push(answer),
                 ControlToRouter::ClaimFinished(attempt) => self.finished.push(attempt),
                 ControlToRouter::NotLeader(answer) => self.not_leader.push(answer),
-                ControlToRouter::News => self.news += 1,
+                ControlToRouter::ChangesAvailable => self.news += 1,
                 ControlToRouter::Gateway(_)
                 | ControlToRouter::Credit(_)
                 | ControlToRouter::Crashes(_)
@@ -193,7 +193,7 @@
             tenant: TenantName::from("tenant"),
             key: ClaimKey::from(key),
             digest: digest.to_owned(),
-            born_unix_millis: born,
+            created_unix_millis: born,
             router: self.name.clone(),
             router_incarnation: self.incarnation,
             attempt,
--- a/crates/millpass-control-plane/tests/permits.rs
+++ b/crates/millpass-control-plane/tests/permits.rs
@@ -17,23 +17,23 @@
 
 /// A gateway's ask for a permit of an instance that stated a limit of two requests a second.
 fn ask(world: &mut World, connection: ConnectionId) {
-    let word = LimitWord {
+    let word = LimitObservation {
         instance: "i-1".into(),
         milli_per_second: Some(2_000),
-        sent_millis_ago: 5,
-        heard_millis_ago: 1,
+        request_age_millis: 5,
+        response_age_millis: 1,
     };
-    let ask = PermitAsk {
+    let ask = InstancePermitRequest {
         instance: "i-1".into(),
-        wanted: 1,
-        ahead: 0,
+        waiting: 1,
+        prefetch: 0,
         refused: 0,
     };
     let request = PermitRequest {
         gateway: "gateway".to_owned(),
         sequence: 1,
-        words: vec![word],
-        asks: vec![ask],
+        observations: vec![word],
+        instances: vec![ask],
     };
     world.router_sends(connection, RouterToControl::Permits(request));
 }
--- a/crates/millpass-control/src/connections.rs
+++ b/crates/millpass-control/src/connections.rs
@@ -300,10 +300,10 @@
             connection,
             message,
         },
-        LinkMessage::Greeting(address) => ControlInput::PeerGreeting(address),
+        LinkMessage::MemberHello(address) => ControlInput::PeerGreeting(address),
         LinkMessage::Join(address) => ControlInput::Join(address),
         LinkMessage::Share(report) => ControlInput::Share(report),
-        LinkMessage::ShareAnswer(answer) => ControlInput::ShareAnswer(answer),
+        LinkMessage::ShareResponse(answer) => ControlInput::ShareResponse(answer),
     }
 }
 
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -13,7 +13,7 @@
 use crate::settings::ProcessLimits;
 use millpass_control_plane::{CallAnswer, ControlInput};
 use millpass_proto::{
-    CallId, Duration, EngineInstruction, EngineOrder, InstanceId, InstructionAnswer, OrderAnswer,
+    CallId, Duration, EngineInstruction, EngineOrder, InstanceId, InstructionResult, OrderResponse,
     PlatformList, Timestamp,
 };
 use millpass_telemetry::ProcessClock;
@@ -77,7 +77,7 @@
         Some(ControlInput::InstructionAnswered(CallAnswer {
             instance,
             call,
-            answer: InstructionAnswer::NotSent,
+            answer: InstructionResult::NotSent,
             waited,
             took: Duration::ZERO,
         }))
@@ -354,13 +354,13 @@
         instance: &InstanceId,
         call: CallId,
         waited: Duration,
-        make: impl FnOnce(&dyn EngineCalls) -> InstructionAnswer,
+        make: impl FnOnce(&dyn EngineCalls) -> InstructionResult,
     ) -> CallEnd {
-        let unanswered = InstructionAnswer::Unanswered;
+        let unanswered = InstructionResult::Unanswered;
         let left_at = self.shared.clock.now();
         let answer = self.engines.as_deref().map_or(unanswered, make);
         let end = match answer {
-            InstructionAnswer::Unanswered => CallEnd::Silent,
+            InstructionResult::Unanswered => CallEnd::Silent,
             _ => CallEnd::Answered,
         };
         let answer = CallAnswer {
@@ -396,7 +396,7 @@
         end
     }
 
-    fn post(&self, address: &str, order: &EngineOrder) -> Result<OrderAnswer, ureq::Error> {
+    fn post(&self, address: &str, order: &EngineOrder) -> Result<OrderResponse, ureq::Error> {
         let url = format!("http://{address}/engine/orders");
         let mut response = self.agent.post(url).send_json(order)?;
         response.body_mut().read_json()
--- a/crates/millpass-control/src/interface.rs
+++ b/crates/millpass-control/src/interface.rs
@@ -3,7 +3,7 @@
 
 use crate::administration::AdministrationCalls;
 use millpass_http::{Request, Response};
-use millpass_proto::{Duration, EngineInstruction, InstanceId, InstructionAnswer};
+use millpass_proto::{Duration, EngineInstruction, InstanceId, InstructionResult};
 use std::sync::Arc;
 
 /// Calls answered on the administration API's address before the API's own.
@@ -20,10 +20,10 @@
         agent: &ureq::Agent,
         instruction: &EngineInstruction,
         within: Duration,
-    ) -> InstructionAnswer;
+    ) -> InstructionResult;
 
     /// Reads the state of a run at an address.
-    fn read(&self, agent: &ureq::Agent, instance: &InstanceId, address: &str) -> InstructionAnswer;
+    fn read(&self, agent: &ureq::Agent, instance: &InstanceId, address: &str) -> InstructionResult;
 }
 
 /// Both.
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -219,7 +219,8 @@
                 self.peers.send(&address, LinkMessage::Share(report));
             }
             ControlOutput::AnswerShare { address, answer } => {
-                self.peers.send(&address, LinkMessage::ShareAnswer(answer));
+                self.peers
+                    .send(&address, LinkMessage::ShareResponse(answer));
             }
             ControlOutput::Instruct {
                 instruction,
--- a/crates/millpass-control/src/peers.rs
+++ b/crates/millpass-control/src/peers.rs
@@ -135,7 +135,7 @@
         };
         let queue = SharedQueue::new(self.queue_length);
         let sending = queue.clone();
-        let greeting = LinkMessage::Greeting(self.own.clone());
+        let greeting = LinkMessage::MemberHello(self.own.clone());
         let spawned = thread::Builder::new()
             .name("control-peer".to_owned())
             .stack_size(STACK_BYTES)
--- a/crates/millpass-control/src/urgency.rs
+++ b/crates/millpass-control/src/urgency.rs
@@ -62,7 +62,7 @@
             // A member's share is its sign of life, on the connection that carries its consensus. An answer that waits for
             // two seconds counts as lost, and comes in place of a later one's.
             ControlInput::Share(_)
-            | ControlInput::ShareAnswer(_)
+            | ControlInput::ShareResponse(_)
             | ControlInput::OrderDelivered { .. }
             | ControlInput::InstructionAnswered { .. } => Urgency::Credit,
         }
--- a/crates/millpass-control/tests/backlog.rs
+++ b/crates/millpass-control/tests/backlog.rs
@@ -219,14 +219,14 @@
     let credit = RouterToControl::Credit(CreditRequest {
         gateway: "gateway".to_owned(),
         sequence: 1,
-        asks: Vec::new(),
-        lent_in: 0,
+        tenants: Vec::new(),
+        granted_in_term: 0,
     });
     let permits = RouterToControl::Permits(PermitRequest {
         gateway: "gateway".to_owned(),
         sequence: 1,
-        words: Vec::new(),
-        asks: Vec::new(),
+        observations: Vec::new(),
+        instances: Vec::new(),
     });
     for (input, class) in [
         (ControlInput::Persisted { write: 1 }, Urgency::Consensus),
--- a/crates/millpass-control/tests/slow_gateway.rs
+++ b/crates/millpass-control/tests/slow_gateway.rs
@@ -70,11 +70,11 @@
         zone: "zone-0".into(),
         sequence,
         version,
-        needs: Vec::new(),
-        doubted: Vec::new(),
-        sent: Vec::new(),
+        demand: Vec::new(),
+        inconsistent: Vec::new(),
+        in_flight: Vec::new(),
         as_of: 0,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     };
     let message = LinkMessage::Router(RouterToControl::Gateway(report));
     write_frame(stream, &message).expect("report");
--- a/crates/millpass-dispatch/src/crashes.rs
+++ b/crates/millpass-dispatch/src/crashes.rs
@@ -6,7 +6,7 @@
 //! gateway goes by the leader's last word and by what it sees itself.
 
 use millpass_proto::{
-    CrashReport, CrashUpdate, Duration, EndedRun, InstanceId, RequestFingerprint, Timestamp,
+    CrashReport, CrashUpdate, Duration, InstanceCrash, InstanceId, RequestFingerprint, Timestamp,
 };
 use millpass_quarantine::Quarantine;
 use std::collections::{BTreeMap, BTreeSet};
@@ -169,7 +169,7 @@
             if !ended.has_news() {
                 continue;
             }
-            runs.push(EndedRun {
+            runs.push(InstanceCrash {
                 instance: instance.clone(),
                 requests: ended.requests[ended.told..].to_vec(),
             });
@@ -177,7 +177,7 @@
             ended.is_told = true;
         }
         Some(CrashReport {
-            ended: runs,
+            crashes: runs,
             served: std::mem::take(&mut self.served),
         })
     }
@@ -201,8 +201,8 @@
         self.term = update.term;
         let before = std::mem::take(&mut self.told);
         for held in &update.requests {
-            let until = now + Duration::from_millis(held.held_millis);
-            let until = (held.held_millis > 0).then_some(until);
+            let until = now + Duration::from_millis(held.remaining_millis);
+            let until = (held.remaining_millis > 0).then_some(until);
             self.told.insert(held.request.clone(), until);
         }
         for (request, until) in before {
--- a/crates/millpass-dispatch/src/credit.rs
+++ b/crates/millpass-dispatch/src/credit.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::request::{StatedTokens, Ticket};
-use millpass_proto::{CreditAnswer, CreditRequest, QuotaUnit, TenantAccess, Timestamp};
+use millpass_proto::{CreditRequest, CreditResponse, QuotaUnit, TenantAccess, Timestamp};
 use millpass_tenancy::{CreditClaim, CreditOutcome, TenantLimit};
 
 /// A request of a tenant whose quota counts tokens states them in a way that cannot be read.
@@ -52,7 +52,7 @@
     }
 
     /// Takes the leader's answer.
-    pub fn take_credit(&mut self, now: Timestamp, answer: &CreditAnswer) {
+    pub fn take_credit(&mut self, now: Timestamp, answer: &CreditResponse) {
         self.credit.answer(now, answer);
     }
 
--- a/crates/millpass-dispatch/src/dispatcher.rs
+++ b/crates/millpass-dispatch/src/dispatcher.rs
@@ -11,7 +11,7 @@
 use millpass_limits::PermitPool;
 use millpass_proto::{
     AdapterName, CrashReport, CrashUpdate, Duration, EngineSpec, GatewayReport, InstanceId,
-    InstanceLoad, ModelName, ModelOutlook, RouteSpec, ServiceName, TenantAccess, Timestamp,
+    InstanceLoad, ModelName, ModelReadyEstimate, RouteSpec, ServiceName, TenantAccess, Timestamp,
     ZoneName,
 };
 use millpass_tenancy::{CreditPool, PresentedKey, QuotaTerms};
@@ -123,7 +123,7 @@
     pub(crate) splits: HashMap<String, f64>,
     pub(crate) needs: Needs,
     pub(crate) doubted: BTreeSet<InstanceId>,
-    pub(crate) outlook: Vec<(ModelOutlook, Timestamp)>,
+    pub(crate) outlook: Vec<(ModelReadyEstimate, Timestamp)>,
     /// Loads as last told on the connection to the leader.
     pub(crate) told_loads: Vec<InstanceLoad>,
     /// Whether a report on that connection has said which instances are known here.
@@ -410,11 +410,11 @@
             zone: self.settings.zone.clone(),
             sequence: self.reports,
             version: self.version(),
-            needs: self.needs.take(),
-            doubted: std::mem::take(&mut self.doubted).into_iter().collect(),
-            sent: self.in_flight_by_instance(),
+            demand: self.needs.take(),
+            inconsistent: std::mem::take(&mut self.doubted).into_iter().collect(),
+            in_flight: self.in_flight_by_instance(),
             as_of: self.freshness.as_of(),
-            known_instances: self.instances_to_tell(),
+            known_instance_digests: self.instances_to_tell(),
         };
         self.freshness.reported(now, &report);
         report
--- a/crates/millpass-dispatch/src/freshness.rs
+++ b/crates/millpass-dispatch/src/freshness.rs
@@ -268,7 +268,7 @@
     fn agreed_at(&self, voters: &[MemberId]) -> Option<Timestamp> {
         let agrees = |voter: &MemberId| {
             let found = self.answers.get(voter)?;
-            (found.response.binding <= self.as_of).then_some(found.asked_at)
+            (found.response.required_index <= self.as_of).then_some(found.asked_at)
         };
         let mut moments: Vec<Timestamp> = voters.iter().filter_map(agrees).collect();
         moments.sort_unstable_by(|left, right| right.cmp(left));
@@ -320,7 +320,7 @@
     pub(crate) fn newest_heard(&self) -> u64 {
         let answers = self.answers.values();
         answers
-            .map(|found| found.response.binding)
+            .map(|found| found.response.required_index)
             .max()
             .unwrap_or(0)
     }
--- a/crates/millpass-dispatch/src/limits.rs
+++ b/crates/millpass-dispatch/src/limits.rs
@@ -3,7 +3,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::statements::{Stated, Statement, StatementChange};
 use millpass_limits::{HeardLimit, LimitChange};
-use millpass_proto::{InstanceId, LimitUpdate, PermitAnswer, PermitRequest, Timestamp};
+use millpass_proto::{InstanceId, LimitUpdate, PermitRequest, PermitResponse, Timestamp};
 
 impl Dispatcher {
     /// Takes what an instance stated in the head of its answer to a request that was sent at `sent_at`.
@@ -56,7 +56,7 @@
     }
 
     /// Takes the leader's answer to one.
-    pub fn take_permits(&mut self, now: Timestamp, answer: &PermitAnswer) {
+    pub fn take_permits(&mut self, now: Timestamp, answer: &PermitResponse) {
         self.permits.answer(now, answer);
     }
 
--- a/crates/millpass-dispatch/src/needs.rs
+++ b/crates/millpass-dispatch/src/needs.rs
@@ -1,6 +1,6 @@
 //! Demand to report: arrivals, requests without an engine, requests in flight.
 
-use millpass_proto::{AdapterName, ModelName, ModelNeed, ServiceName};
+use millpass_proto::{AdapterName, GatewayModelDemand, ModelName, ServiceName};
 use std::collections::BTreeMap;
 
 type Key = (ServiceName, ModelName, Option<AdapterName>);
@@ -59,12 +59,12 @@
     }
 
     /// What to report; counts begin anew.
-    pub(crate) fn take(&mut self) -> Vec<ModelNeed> {
+    pub(crate) fn take(&mut self) -> Vec<GatewayModelDemand> {
         self.urgent = false;
         let needs = self
             .entries
             .iter()
-            .map(|((service, model, adapter), entry)| ModelNeed {
+            .map(|((service, model, adapter), entry)| GatewayModelDemand {
                 service: service.clone(),
                 model: model.clone(),
                 adapter: adapter.clone(),
--- a/crates/millpass-dispatch/src/updates.rs
+++ b/crates/millpass-dispatch/src/updates.rs
@@ -4,7 +4,7 @@
 use crate::instances::Instance;
 use crate::table::RoutingTable;
 use millpass_proto::{
-    DeploymentDocument, Duration, GatewayUpdate, InstanceId, InstanceRecord, ModelOutlook,
+    DeploymentDocument, Duration, GatewayUpdate, InstanceId, InstanceRecord, ModelReadyEstimate,
     Timestamp,
 };
 use std::collections::BTreeSet;
@@ -61,7 +61,7 @@
         // An update whose change did not fit, or that went before, leaves this gateway without what binds it.
         if self.version() >= update.document_version {
             self.freshness.told(update.as_of);
-            self.freshness.answered(update.answers);
+            self.freshness.answered(update.acknowledged_report);
         }
         outcome.changed = update.instances.len();
         if update.first {
@@ -70,7 +70,7 @@
         if let Some(named) = &mut self.named {
             let instances = update.instances.iter();
             named.extend(instances.map(|record| record.instance.clone()));
-            let kept: BTreeSet<u64> = update.kept_instances.into_iter().collect();
+            let kept: BTreeSet<u64> = update.unchanged_instance_digests.into_iter().collect();
             let held = self.instances.iter();
             let held = held.filter(|(_, instance)| kept.contains(&instance.digest));
             named.extend(held.map(|(id, _)| id.clone()));
@@ -92,7 +92,7 @@
         for instance in &update.removed {
             outcome.removed += usize::from(self.instances.remove(instance).is_some());
         }
-        if !update.loads_same {
+        if !update.loads_unchanged {
             self.told_loads = update.loads;
         }
         for load in &self.told_loads {
@@ -100,10 +100,10 @@
                 instance.told_in_flight(now, load.in_flight);
             }
         }
-        if !update.outlook_same {
+        if !update.ready_estimates_unchanged {
             let ready =
-                |outlook: &ModelOutlook| now + Duration::from_millis(outlook.ready_in_millis);
-            let outlook = update.outlook.into_iter();
+                |outlook: &ModelReadyEstimate| now + Duration::from_millis(outlook.ready_in_millis);
+            let outlook = update.ready_estimates.into_iter();
             self.outlook = outlook
                 .map(|entry| (entry.clone(), ready(&entry)))
                 .collect();
--- a/crates/millpass-dispatch/tests/crashes.rs
+++ b/crates/millpass-dispatch/tests/crashes.rs
@@ -90,17 +90,17 @@
         document: Some(document),
         instances: (0..8).map(|it| record(&format!("i-{it}"))).collect(),
         removed: Vec::new(),
-        outlook: Vec::new(),
+        ready_estimates: Vec::new(),
         gateways: 2,
         members: Vec::new(),
         provisional: false,
         loads: Vec::new(),
-        answers: dispatcher.report(at(0)).sequence,
+        acknowledged_report: dispatcher.report(at(0)).sequence,
         as_of: 0,
         document_change: None,
-        kept_instances: Vec::new(),
-        outlook_same: false,
-        loads_same: false,
+        unchanged_instance_digests: Vec::new(),
+        ready_estimates_unchanged: false,
+        loads_unchanged: false,
         document_version: 0,
     };
     dispatcher.update(at(0), update);
@@ -151,9 +151,9 @@
 }
 
 fn told(term: u64, held: &[(&str, u64)]) -> CrashUpdate {
-    let requests = held.iter().map(|(body, held_millis)| HeldRequest {
+    let requests = held.iter().map(|(body, held_millis)| QuarantinedRequest {
         request: fingerprint(body),
-        held_millis: *held_millis,
+        remaining_millis: *held_millis,
     });
     CrashUpdate {
         term,
@@ -212,9 +212,9 @@
     assert_eq!(dispatcher.crash_report(), None);
     let ended = end_under(&mut dispatcher, 100, "deadly");
     let report = dispatcher.crash_report().expect("a report");
-    assert_eq!(report.ended.len(), 1);
-    assert_eq!(report.ended[0].instance, ended);
-    assert!(report.ended[0].requests.contains(&fingerprint("deadly")));
+    assert_eq!(report.crashes.len(), 1);
+    assert_eq!(report.crashes[0].instance, ended);
+    assert!(report.crashes[0].requests.contains(&fingerprint("deadly")));
     assert_eq!(dispatcher.crash_report(), None, "told once");
     dispatcher.connection_ended();
     assert!(
--- a/crates/millpass-dispatch/tests/dispatch.rs
+++ b/crates/millpass-dispatch/tests/dispatch.rs
@@ -125,17 +125,17 @@
         document,
         instances,
         removed: Vec::new(),
-        outlook: Vec::new(),
+        ready_estimates: Vec::new(),
         gateways: 2,
         members: Vec::new(),
         provisional: false,
         loads: Vec::new(),
-        answers: 1,
+        acknowledged_report: 1,
         as_of: 0,
         document_change: None,
-        kept_instances: Vec::new(),
-        outlook_same: false,
-        loads_same: false,
+        unchanged_instance_digests: Vec::new(),
+        ready_estimates_unchanged: false,
+        loads_unchanged: false,
         document_version: 0,
     }
 }
@@ -303,15 +303,18 @@
     assert!(retry_after >= Duration::from_millis(900), "{retry_after:?}");
     assert!(dispatcher.is_report_urgent());
     let report = dispatcher.report(at(0));
-    assert_eq!(report.needs.len(), 1);
-    assert_eq!((report.needs[0].unserved, report.needs[0].arrivals), (1, 1));
+    assert_eq!(report.demand.len(), 1);
+    assert_eq!(
+        (report.demand[0].unserved, report.demand[0].arrivals),
+        (1, 1)
+    );
 }
 
 #[test]
 fn a_cold_model_is_waited_for_when_it_comes_in_time() {
     let mut dispatcher = dispatcher(vec![record("e-1", "text", &["b"])]);
     let mut loading = update(1, None, Vec::new());
-    loading.outlook = vec![ModelOutlook {
+    loading.ready_estimates = vec![ModelReadyEstimate {
         service: "text".into(),
         model: "a".into(),
         adapter: None,
@@ -442,7 +445,7 @@
     ));
     dispatcher.ended(at(1), &ticket.record(&"e-1".into()), SendEnd::Replaced);
     assert_eq!(dispatcher.instance_count(), 0);
-    assert_eq!(dispatcher.report(at(0)).doubted, ["e-1".into()]);
+    assert_eq!(dispatcher.report(at(0)).inconsistent, ["e-1".into()]);
 }
 
 #[test]
@@ -611,7 +614,7 @@
         instance: "i-1".into(),
         in_flight: sent,
     };
-    assert_eq!(report.sent, vec![load.clone()]);
+    assert_eq!(report.in_flight, vec![load.clone()]);
     let mut told = update(1, None, Vec::new());
     told.loads = vec![load];
     dispatcher.update(at(10), told);
@@ -657,7 +660,7 @@
     let mut digests: Vec<u64> = known.iter().map(InstanceRecord::digest).collect();
     digests.sort_unstable();
     let told = |dispatcher: &mut Dispatcher| {
-        let mut told = dispatcher.report(at(0)).known_instances;
+        let mut told = dispatcher.report(at(0)).known_instance_digests;
         told.sort_unstable();
         told
     };
@@ -676,7 +679,7 @@
     let kept = GatewayUpdate {
         first: true,
         complete: false,
-        kept_instances: vec![known[0].digest(), known[2].digest()],
+        unchanged_instance_digests: vec![known[0].digest(), known[2].digest()],
         ..update(2, None, Vec::new())
     };
     dispatcher.update(at(1), kept);
@@ -743,9 +746,9 @@
     }];
     dispatcher.update(at(0), told);
     let same = GatewayUpdate {
-        loads_same: heard,
+        loads_unchanged: heard,
         document_version: 0,
-        outlook_same: true,
+        ready_estimates_unchanged: true,
         ..update(1, None, Vec::new())
     };
     dispatcher.update(at(20_000), same);
@@ -766,7 +769,7 @@
     dispatcher.update(at(0), told);
     dispatcher.connection_ended();
     let same = GatewayUpdate {
-        loads_same: true,
+        loads_unchanged: true,
         document_version: 0,
         ..update(1, None, Vec::new())
     };
@@ -782,19 +785,19 @@
 #[case::told_anew(false, 0)]
 fn an_outlook_that_is_the_same_stays(#[case] outlook_same: bool, #[case] expected: usize) {
     let mut dispatcher = dispatcher(Vec::new());
-    let outlook = ModelOutlook {
+    let outlook = ModelReadyEstimate {
         service: "text".into(),
         model: "m".into(),
         adapter: None,
         ready_in_millis: 500,
     };
     let told = GatewayUpdate {
-        outlook: vec![outlook],
+        ready_estimates: vec![outlook],
         ..update(1, None, Vec::new())
     };
     dispatcher.update(at(0), told);
     let next = GatewayUpdate {
-        outlook_same,
+        ready_estimates_unchanged: outlook_same,
         ..update(1, None, Vec::new())
     };
     dispatcher.update(at(100), next);
--- a/crates/millpass-dispatch/tests/limits.rs
+++ b/crates/millpass-dispatch/tests/limits.rs
@@ -6,7 +6,7 @@
 use millpass_dispatch::{
     Choice, Dispatcher, RefusalReason, RequestRate, SendEnd, Stated, Statement, StatementChange,
 };
-use millpass_proto::{Duration, PermitAnswer, PermitGrant};
+use millpass_proto::{Duration, PermitGrant, PermitResponse};
 use rstest::rstest;
 
 /// Length of the window in which requests are counted, in milliseconds.
@@ -74,12 +74,12 @@
 /// The leader's answer that it lends so many permits for the only instance, or has none for this long.
 fn lend(dispatcher: &mut Dispatcher, now: u64, permits: u32, wait_millis: u64) {
     let request = dispatcher.permit_request(at(now)).expect("an ask");
-    let grants = request.asks.iter().map(|ask| PermitGrant {
+    let grants = request.instances.iter().map(|ask| PermitGrant {
         instance: ask.instance.clone(),
         permits,
         wait_millis,
     });
-    let answer = PermitAnswer {
+    let answer = PermitResponse {
         term: 1,
         sequence: request.sequence,
         grants: grants.collect(),
@@ -92,8 +92,8 @@
     let mut dispatcher = gateway("g-1", 7, &[record("i-1", service)]);
     exchange(&mut dispatcher, 0, &format!("/{service}/"), &limited(1_000)).expect("sent");
     let told = dispatcher.permit_request(at(5)).expect("the limit is told");
-    assert_eq!(told.words.len(), 1);
-    let answer = PermitAnswer {
+    assert_eq!(told.observations.len(), 1);
+    let answer = PermitResponse {
         term: 1,
         sequence: told.sequence,
         grants: Vec::new(),
--- a/crates/millpass-dispatch/tests/tenants.rs
+++ b/crates/millpass-dispatch/tests/tenants.rs
@@ -63,17 +63,17 @@
         document,
         instances: Vec::new(),
         removed: Vec::new(),
-        outlook: Vec::new(),
+        ready_estimates: Vec::new(),
         gateways: 1,
         members: Vec::new(),
         provisional,
         loads: Vec::new(),
-        answers: 0,
+        acknowledged_report: 0,
         as_of: 0,
         document_change: None,
-        kept_instances: Vec::new(),
-        outlook_same: false,
-        loads_same: false,
+        unchanged_instance_digests: Vec::new(),
+        ready_estimates_unchanged: false,
+        loads_unchanged: false,
         document_version: 0,
     }
 }
@@ -105,7 +105,7 @@
 fn leader_says(dispatcher: &mut Dispatcher, now: Timestamp, document: Option<DeploymentDocument>) {
     let report = dispatcher.report(now);
     let answer = GatewayUpdate {
-        answers: report.sequence,
+        acknowledged_report: report.sequence,
         ..update(document, false)
     };
     dispatcher.update(now, answer);
@@ -227,7 +227,7 @@
     let report = dispatcher.report(Timestamp::from_millis(990));
     let known = GatewayUpdate {
         gateways: 10,
-        answers: report.sequence,
+        acknowledged_report: report.sequence,
         ..update(Some(document(1, vec![limited])), false)
     };
     dispatcher.update(Timestamp::from_millis(1_000), known);
--- a/crates/millpass-fleet/examples/leader_cost.rs
+++ b/crates/millpass-fleet/examples/leader_cost.rs
@@ -91,7 +91,7 @@
 }
 
 fn report(gateway: u64, needs: usize, models: usize) -> GatewayReport {
-    let need = |number: usize| ModelNeed {
+    let need = |number: usize| GatewayModelDemand {
         service: "text".into(),
         model: format!("model-{}", number * 7 % models).into(),
         adapter: None,
@@ -106,11 +106,11 @@
         zone: "z".into(),
         sequence: 1,
         version: 1,
-        needs: (0..needs).map(need).collect(),
-        doubted: Vec::new(),
-        sent: Vec::new(),
+        demand: (0..needs).map(need).collect(),
+        inconsistent: Vec::new(),
+        in_flight: Vec::new(),
         as_of: 0,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     }
 }
 
@@ -235,7 +235,7 @@
     let reports = (0..gateways).map(|gateway| {
         let mut report = report(gateway, 0, 1);
         report.version = version;
-        report.known_instances = held.to_vec();
+        report.known_instance_digests = held.to_vec();
         (first_connection + gateway, report)
     });
     reports.collect()
@@ -295,7 +295,7 @@
         );
         let mut busy = reports(gateways, 1_000, 1, &[]);
         for (_, report) in &mut busy {
-            report.sent = (0..64).map(load).collect();
+            report.in_flight = (0..64).map(load).collect();
         }
         told.exchange(&busy, &first);
         show("loads as before", &told.exchange(&busy, &first));
@@ -333,7 +333,7 @@
                 models: record.models.clone(),
                 in_memory: Vec::new(),
                 on_disk: record.on_disk.clone(),
-                coming: Vec::new(),
+                loading_adapters: Vec::new(),
             };
             let instance = record.instance.clone();
             fleet.announce(begin, record, false);
@@ -347,7 +347,7 @@
             let answer = CallAnswer {
                 instance,
                 call,
-                answer: InstructionAnswer::State(state),
+                answer: InstructionResult::State(state),
                 waited: Duration::ZERO,
                 took: Duration::ZERO,
             };
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -7,8 +7,8 @@
 use crate::fleet::Fleet;
 use crate::interface::FleetOutput;
 use millpass_proto::{
-    CrashReport, CrashUpdate, Duration, HeldModel, HeldRequest, HeldRequestNote, InstanceId,
-    InstructionOperation, RequestFingerprint, ServiceName, Timestamp,
+    CrashReport, CrashUpdate, Duration, HeldModel, InstanceId, InstructionOperation,
+    QuarantineRecord, QuarantinedRequest, RequestFingerprint, ServiceName, Timestamp,
 };
 use millpass_quarantine::{HeldItem, Quarantine};
 
@@ -38,13 +38,13 @@
     /// What gateways are told.
     fn update(&self, now: Timestamp, term: u64) -> CrashUpdate {
         let held = self.requests.held().filter(|(_, held)| !held.lapsed);
-        let held = held.map(|(request, held)| HeldRequest {
+        let held = held.map(|(request, held)| QuarantinedRequest {
             request: request.clone(),
-            held_millis: held.until.since(now).as_millis().max(1) as u64,
+            remaining_millis: held.until.since(now).as_millis().max(1) as u64,
         });
-        let suspects = self.requests.suspects().map(|request| HeldRequest {
+        let suspects = self.requests.suspects().map(|request| QuarantinedRequest {
             request: request.clone(),
-            held_millis: 0,
+            remaining_millis: 0,
         });
         CrashUpdate {
             term,
@@ -58,11 +58,11 @@
     pub(crate) fn restore_held(
         &mut self,
         now: Timestamp,
-        held: impl Iterator<Item = HeldRequestNote>,
+        held: impl Iterator<Item = QuarantineRecord>,
     ) {
         for note in held {
             let requests = &mut self.crashes.requests;
-            requests.restore(now, note.request, note.ends, note.lapsed);
+            requests.restore(now, note.request, note.crashes, note.expired);
         }
     }
 
@@ -74,7 +74,7 @@
                 self.out.push(FleetOutput::LiftRequest(request.clone()));
             }
         }
-        for ended in &report.ended {
+        for ended in &report.crashes {
             let leaves = self.registry.get(&ended.instance);
             if leaves.is_some_and(|record| record.draining) {
                 continue;
@@ -187,11 +187,12 @@
     }
 
     fn note_held(&mut self, request: RequestFingerprint, held: &HeldItem) {
-        self.out.push(FleetOutput::NoteHeldRequest(HeldRequestNote {
-            request,
-            ends: held.ends,
-            lapsed: held.lapsed,
-        }));
+        self.out
+            .push(FleetOutput::NoteHeldRequest(QuarantineRecord {
+                request,
+                crashes: held.ends,
+                expired: held.lapsed,
+            }));
     }
 
     fn log_lifted(&mut self, request: &RequestFingerprint, reason: &str) {
--- a/crates/millpass-fleet/src/demand.rs
+++ b/crates/millpass-fleet/src/demand.rs
@@ -1,6 +1,8 @@
 //! How much each model, and each adapter of it, is asked for over all gateways.
 
-use millpass_proto::{AdapterName, Duration, ModelName, ModelNeed, ServiceName, Timestamp};
+use millpass_proto::{
+    AdapterName, Duration, GatewayModelDemand, ModelName, ServiceName, Timestamp,
+};
 use std::collections::BTreeMap;
 
 /// Time over which the rate of arrivals is averaged, in seconds.
@@ -95,7 +97,7 @@
 
 impl Demand {
     /// Takes what a gateway reports; a model that it leaves out has nothing in flight there.
-    pub(crate) fn report(&mut self, now: Timestamp, gateway: &str, needs: &[ModelNeed]) {
+    pub(crate) fn report(&mut self, now: Timestamp, gateway: &str, needs: &[GatewayModelDemand]) {
         self.forget_in_flight(gateway);
         let mut in_flight = Vec::new();
         for need in needs {
--- a/crates/millpass-fleet/src/engine_answers.rs
+++ b/crates/millpass-fleet/src/engine_answers.rs
@@ -4,7 +4,7 @@
 use crate::engines::Heard;
 use crate::fleet::Fleet;
 use crate::interface::CallAnswer;
-use millpass_proto::{CallId, InstanceId, InstructionAnswer, Timestamp};
+use millpass_proto::{CallId, InstanceId, InstructionResult, Timestamp};
 use std::collections::BTreeSet;
 
 impl Fleet {
@@ -25,19 +25,19 @@
         };
         let before = belief::held(engine);
         let under_way = engine.pending.as_ref().map(|pending| pending.call.0);
-        if *answer == InstructionAnswer::OtherRun && engine.awaits(answered.call) {
+        if *answer == InstructionResult::OtherRun && engine.awaits(answered.call) {
             self.load_ended(now, instance);
             self.forget(instance, "replaced");
             return;
         }
         let heard = engine.answered(now, answered.call, answer);
-        if matches!(answer, InstructionAnswer::State(_)) {
+        if matches!(answer, InstructionResult::State(_)) {
             engine.rests_on(now, word);
         }
         self.registry.serves(instance, engine.serving());
         self.dirty = true;
         let outcome = match answer {
-            InstructionAnswer::State(state) => format!("state:{}", state.revision),
+            InstructionResult::State(state) => format!("state:{}", state.revision),
             other => format!("{other:?}"),
         };
         let pairs = vec![
--- a/crates/millpass-fleet/src/engines/calls.rs
+++ b/crates/millpass-fleet/src/engines/calls.rs
@@ -3,7 +3,7 @@
 use super::{CALL_LIMIT, Engine, REPORT_LAG, Reading, adapters, lists};
 use crate::pending::Pending;
 use millpass_proto::{
-    CallId, Duration, EngineState, InstructionAnswer, InstructionOperation, ModelName, Timestamp,
+    CallId, Duration, EngineState, InstructionOperation, InstructionResult, ModelName, Timestamp,
 };
 
 /// Time added to the expected end of an instruction before the engine's state is read.
@@ -38,7 +38,7 @@
         &mut self,
         now: Timestamp,
         call: CallId,
-        answer: &InstructionAnswer,
+        answer: &InstructionResult,
     ) -> Heard {
         if let Some(reading) = self.reading.take_if(|reading| reading.call == call) {
             self.read_answered(now, reading.since, answer);
@@ -52,7 +52,7 @@
             self.order_answered(now, answer);
             return Heard::Awaited;
         }
-        if *answer != InstructionAnswer::NotSent {
+        if *answer != InstructionResult::NotSent {
             self.doubt(now);
         }
         Heard::NotAwaited
@@ -85,9 +85,9 @@
     }
 
     /// Takes the answer to an unload that was ordered once more.
-    fn confirmed(&mut self, now: Timestamp, answer: &InstructionAnswer) {
+    fn confirmed(&mut self, now: Timestamp, answer: &InstructionResult) {
         match answer {
-            InstructionAnswer::AlreadySo => {
+            InstructionResult::AlreadySo => {
                 // What is done already is no order taken. If the engine counts it, it refuses the next one.
                 let Some(pending) = self.pending.take() else {
                     return;
@@ -95,15 +95,15 @@
                 self.held.retain(|held| held.model != pending.model);
                 self.forget_moving(&pending.model);
             }
-            InstructionAnswer::Accepted => {
+            InstructionResult::Accepted => {
                 // The model was there all the same, and goes by this order.
                 if let Some(pending) = &mut self.pending {
                     pending.expected_revision += 1;
                 }
                 self.accepted(now);
             }
-            InstructionAnswer::Conflict | InstructionAnswer::NotSent => self.read_after = now,
-            InstructionAnswer::Refused(_) => self.give_up(now),
+            InstructionResult::Conflict | InstructionResult::NotSent => self.read_after = now,
+            InstructionResult::Refused(_) => self.give_up(now),
             _ => {
                 self.give_up(now);
                 self.read_after = now + READ_PAUSE;
@@ -117,10 +117,10 @@
         reading || self.awaits_order(call)
     }
 
-    fn read_answered(&mut self, now: Timestamp, asked_at: Timestamp, answer: &InstructionAnswer) {
+    fn read_answered(&mut self, now: Timestamp, asked_at: Timestamp, answer: &InstructionResult) {
         match answer {
-            InstructionAnswer::State(state) => self.read(now, asked_at, state),
-            InstructionAnswer::NotSent => self.read_after = now + READ_PAUSE,
+            InstructionResult::State(state) => self.read(now, asked_at, state),
+            InstructionResult::NotSent => self.read_after = now + READ_PAUSE,
             _ => {
                 self.unreachable = true;
                 self.give_up(now);
@@ -135,16 +135,16 @@
         (READ_PAUSE * 2_u32.pow(doublings)).min(LONGEST_READ_PAUSE)
     }
 
-    fn order_answered(&mut self, now: Timestamp, answer: &InstructionAnswer) {
+    fn order_answered(&mut self, now: Timestamp, answer: &InstructionResult) {
         match answer {
-            InstructionAnswer::Accepted => self.accepted(now),
-            InstructionAnswer::AlreadySo => self.already_so(now),
-            InstructionAnswer::NotSent => {
+            InstructionResult::Accepted => self.accepted(now),
+            InstructionResult::AlreadySo => self.already_so(now),
+            InstructionResult::NotSent => {
                 // Nothing has left: what is known holds.
                 self.pending = None;
                 self.reserved = None;
             }
-            InstructionAnswer::Conflict | InstructionAnswer::Refused(_) => self.give_up(now),
+            InstructionResult::Conflict | InstructionResult::Refused(_) => self.give_up(now),
             _ => {
                 // It may have been taken, or be taken later.
                 self.note_lost(now);
@@ -208,8 +208,8 @@
         self.held.clone_from(&state.models);
         self.in_memory.clone_from(&state.in_memory);
         self.on_disk.clone_from(&state.on_disk);
-        let coming =
-            adapters(&state.coming).filter(|(model, name)| !lists(&state.models, model, name));
+        let coming = adapters(&state.loading_adapters)
+            .filter(|(model, name)| !lists(&state.models, model, name));
         self.coming = coming
             .map(|(model, name)| (model.clone(), name.clone()))
             .collect();
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -22,9 +22,9 @@
 use crate::updates::GatewayContext;
 use millpass_limits::PermitLedger;
 use millpass_proto::{
-    CallId, DeploymentDocument, Duration, EngineInstruction, GatewayReport, HeldRequestNote,
-    InstanceId, InstanceLoad, InstanceNote, InstanceRecord, InstructionOperation, ModelName,
-    ModelOutlook, ServiceName, Timestamp,
+    CallId, DeploymentDocument, Duration, EngineInstruction, GatewayReport, InstanceChanges,
+    InstanceId, InstanceLoad, InstanceRecord, InstructionOperation, ModelName, ModelReadyEstimate,
+    QuarantineRecord, ServiceName, Timestamp,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,7 +72,7 @@
     /// By how much longer than usual planning and updates wait, as this member has little processor.
     pub(crate) pace: u32,
     pub(crate) term: u64,
-    pub(crate) outlook: Vec<ModelOutlook>,
+    pub(crate) outlook: Vec<ModelReadyEstimate>,
     pub(crate) outlook_revision: u64,
     /// When each entry of the outlook was told to be ready, and a revision that grows when those times move.
     pub(crate) told_times: Vec<Timestamp>,
@@ -166,7 +166,7 @@
         &mut self,
         now: Timestamp,
         records: impl Iterator<Item = InstanceRecord>,
-        held: impl Iterator<Item = HeldRequestNote>,
+        held: impl Iterator<Item = QuarantineRecord>,
         history: &InstructionHistory,
     ) {
         if self.has_begun() {
@@ -207,7 +207,7 @@
         if revision == self.noted || now.since(self.noted_at) < NOTE_INTERVAL {
             return;
         }
-        let note = InstanceNote {
+        let note = InstanceChanges {
             instances: self.registry.changed_since(self.noted),
             removed: self.registry.removed_since(self.noted),
         };
@@ -247,11 +247,11 @@
         }
         self.reached(now, before, report.version);
         self.departures_reached(now, told, report.as_of);
-        self.demand.report(now, &report.gateway, &report.needs);
-        self.traffic.report(&report.gateway, &report.sent);
-        self.dirty |= report.needs.iter().any(|need| need.unserved > 0);
-        self.dirty |= !report.doubted.is_empty();
-        for instance in &report.doubted {
+        self.demand.report(now, &report.gateway, &report.demand);
+        self.traffic.report(&report.gateway, &report.in_flight);
+        self.dirty |= report.demand.iter().any(|need| need.unserved > 0);
+        self.dirty |= !report.inconsistent.is_empty();
+        for instance in &report.inconsistent {
             if let Some(engine) = self.engines.engines.get_mut(instance)
                 && engine.pending.is_none()
             {
@@ -417,7 +417,7 @@
     }
 
     /// Logs which models have begun to wait.
-    fn log_waiting(&mut self, awaited: &[ModelOutlook]) {
+    fn log_waiting(&mut self, awaited: &[ModelReadyEstimate]) {
         let before = std::mem::take(&mut self.waiting);
         for outlook in awaited {
             let key = (outlook.service.clone(), outlook.model.clone());
@@ -502,7 +502,7 @@
             model,
             adapter,
             expected_revision,
-            holder: self.settings.holder.clone(),
+            issuer: self.settings.holder.clone(),
             fence: self.term,
             from_store: step.from_store,
             call,
--- a/crates/millpass-fleet/src/gateways.rs
+++ b/crates/millpass-fleet/src/gateways.rs
@@ -77,7 +77,7 @@
     fn heard(&mut self, now: Timestamp, report: &GatewayReport) {
         self.heard_at = now;
         self.owed = true;
-        if report.needs.iter().any(|need| need.unserved > 0) {
+        if report.demand.iter().any(|need| need.unserved > 0) {
             self.awaits_until = now + AWAITING_TIME;
         }
         self.answers = report.sequence;
@@ -191,7 +191,7 @@
             reported_version: report.version,
             sent_version: 0,
             unreported: None,
-            held_instances: report.known_instances.iter().copied().collect(),
+            held_instances: report.known_instance_digests.iter().copied().collect(),
             answers: report.sequence,
             sent_outlook: 0,
             sent_times: 0,
--- a/crates/millpass-fleet/src/handover.rs
+++ b/crates/millpass-fleet/src/handover.rs
@@ -4,7 +4,7 @@
 //! instruction is noted in the replicated log before it leaves, so a new leader knows which engines
 //! nobody has instructed lately, and steers those at once.
 
-use millpass_proto::{Duration, InstanceId, InstructionNote, Timestamp};
+use millpass_proto::{Duration, InstanceId, InstructionIntent, Timestamp};
 use std::collections::BTreeMap;
 
 /// Instructions as the replicated log told them, by the clock of this member. A note is applied
@@ -35,7 +35,7 @@
     }
 
     /// Takes a note that was committed.
-    pub fn note(&mut self, now: Timestamp, note: &InstructionNote) {
+    pub fn note(&mut self, now: Timestamp, note: &InstructionIntent) {
         let keep = self.keep;
         self.last.retain(|_, at| now.since(*at) < keep);
         self.store_loads.retain(|at| now.since(*at) < keep);
--- a/crates/millpass-fleet/src/interface.rs
+++ b/crates/millpass-fleet/src/interface.rs
@@ -1,8 +1,8 @@
 //! Settings of the core, and what it wants of its host.
 
 use millpass_proto::{
-    CallId, CrashUpdate, Duration, EngineInstruction, GatewayUpdate, HeldRequestNote, InstanceId,
-    InstanceNote, InstructionAnswer, LimitUpdate, RequestFingerprint,
+    CallId, CrashUpdate, Duration, EngineInstruction, GatewayUpdate, InstanceChanges, InstanceId,
+    InstructionResult, LimitUpdate, QuarantineRecord, RequestFingerprint,
 };
 use millpass_tenancy::QuotaTerms;
 
@@ -65,7 +65,7 @@
     /// The call that it answers.
     pub call: CallId,
     /// Answer.
-    pub answer: InstructionAnswer,
+    pub answer: InstructionResult,
     /// For how long the call waited before it left.
     pub waited: Duration,
     /// Time from then to the answer.
@@ -97,7 +97,7 @@
         update: LimitUpdate,
     },
     /// Keep a request that is held back in the replicated log.
-    NoteHeldRequest(HeldRequestNote),
+    NoteHeldRequest(QuarantineRecord),
     /// Take it from there.
     LiftRequest(RequestFingerprint),
     /// Give an engine an instruction.
@@ -112,7 +112,7 @@
         call: CallId,
     },
     /// Keep what changed in the replicated log.
-    Note(InstanceNote),
+    Note(InstanceChanges),
     /// Keep in the replicated log how many loads from the weight store at once go at full speed, in
     /// hundredths.
     NoteStoreCapacity(u32),
--- a/crates/millpass-fleet/src/limits.rs
+++ b/crates/millpass-fleet/src/limits.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::interface::FleetOutput;
 use millpass_limits::{LimitChange, PermitsExhausted};
-use millpass_proto::{PermitAnswer, PermitRequest, Timestamp};
+use millpass_proto::{PermitRequest, PermitResponse, Timestamp};
 
 impl Fleet {
     /// Answers a gateway that tells of limits, or asks for permits.
@@ -12,8 +12,8 @@
         now: Timestamp,
         term: u64,
         request: &PermitRequest,
-    ) -> PermitAnswer {
-        for change in self.limits.take_words(now, &request.words) {
+    ) -> PermitResponse {
+        for change in self.limits.take_words(now, &request.observations) {
             self.log_limit(&request.gateway, &change);
         }
         let (answer, exhausted) = self.limits.answer(now, term, request);
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -17,8 +17,8 @@
 use crate::updates::model_outlook;
 use millpass_limits::PermitLedger;
 use millpass_proto::{
-    AdapterName, Duration, EngineSpec, InstanceId, InstructionOperation, ModelName, ModelOutlook,
-    ServiceName, Timestamp, WeightsSource,
+    AdapterName, Duration, EngineSpec, InstanceId, InstructionOperation, ModelName,
+    ModelReadyEstimate, ServiceName, Timestamp, WeightsSource,
 };
 
 /// Time a model is kept at least after its load began.
@@ -68,7 +68,7 @@
     /// Limits that engines state.
     pub(crate) limits: &'a PermitLedger,
     /// Takes when models that wait for an engine or a permit of the weight store are expected to serve.
-    pub(crate) awaited: &'a mut Vec<ModelOutlook>,
+    pub(crate) awaited: &'a mut Vec<ModelReadyEstimate>,
     /// Instructions of earlier leaders, and how long engines are left alone after them.
     pub(crate) history: &'a InstructionHistory,
     pub(crate) handover: Duration,
--- a/crates/millpass-fleet/src/share.rs
+++ b/crates/millpass-fleet/src/share.rs
@@ -7,8 +7,8 @@
 use crate::hearing::HearingClock;
 use crate::registry::{Announced, same_but_sequence};
 use millpass_proto::{
-    Duration, InstanceId, InstanceRecord, InstanceSeen, MemberAddress, ShareAnswer, ShareReport,
-    Timestamp,
+    Duration, InstanceHeartbeat, InstanceId, InstanceRecord, MemberAddress, ShareReport,
+    ShareResponse, Timestamp,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -135,7 +135,7 @@
         Some(entry.record)
     }
 
-    fn fall_silent(&mut self, instance: &InstanceId) -> Option<InstanceSeen> {
+    fn fall_silent(&mut self, instance: &InstanceId) -> Option<InstanceHeartbeat> {
         let record = self.forget(instance)?;
         self.revision += 1;
         self.changes.insert(self.revision, instance.clone());
@@ -144,14 +144,14 @@
             revision: self.revision,
         };
         self.silent.insert(instance.clone(), silent);
-        Some(InstanceSeen {
+        Some(InstanceHeartbeat {
             instance: record.instance,
             sequence: record.sequence,
         })
     }
 
     /// Drops instances that were not heard of for longer than `silence`, and names them.
-    pub(crate) fn sweep(&mut self, now: Timestamp, silence: Duration) -> Vec<InstanceSeen> {
+    pub(crate) fn sweep(&mut self, now: Timestamp, silence: Duration) -> Vec<InstanceHeartbeat> {
         if now < self.next_sweep {
             return Vec::new();
         }
@@ -257,20 +257,20 @@
             base: self.known,
             revision: self.known,
             instances: Vec::new(),
-            silent: Vec::new(),
-            seen: Vec::new(),
+            expired: Vec::new(),
+            heartbeats: Vec::new(),
             active_revision: self.active_revision,
         };
         if to_leader {
-            report.seen = self.take_seen();
+            report.heartbeats = self.take_seen();
             self.put_changes(&mut report);
         }
         report
     }
 
-    fn take_seen(&mut self) -> Vec<InstanceSeen> {
+    fn take_seen(&mut self) -> Vec<InstanceHeartbeat> {
         let seen = std::mem::take(&mut self.seen).into_iter();
-        let seen = seen.map(|(instance, sequence)| InstanceSeen { instance, sequence });
+        let seen = seen.map(|(instance, sequence)| InstanceHeartbeat { instance, sequence });
         seen.collect()
     }
 
@@ -281,7 +281,7 @@
             if let Some(entry) = self.entries.get(instance) {
                 report.instances.push(entry.record.clone());
             } else if let Some(silent) = self.silent.get(instance) {
-                report.silent.push(InstanceSeen {
+                report.expired.push(InstanceHeartbeat {
                     instance: instance.clone(),
                     sequence: silent.sequence,
                 });
@@ -290,15 +290,15 @@
     }
 
     /// Takes the answer to the report under way; any other changes nothing.
-    pub(crate) fn answered(&mut self, answer: &ShareAnswer) {
+    pub(crate) fn answered(&mut self, answer: &ShareResponse) {
         let awaited = self
             .under_way
             .take_if(|report| report.number == answer.number);
         if awaited.is_none() || answer.run != self.run {
             return;
         }
-        self.is_leaderless = answer.known.is_none();
-        match answer.known {
+        self.is_leaderless = answer.acknowledged_revision.is_none();
+        match answer.acknowledged_revision {
             Some(0) if self.known > 0 => self.begin_anew(),
             Some(known) => self.confirmed(known.min(self.revision)),
             None => {}
--- a/crates/millpass-fleet/src/share_words.rs
+++ b/crates/millpass-fleet/src/share_words.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::shares::{Admission, Holder};
 use millpass_proto::{
-    InstanceId, InstanceSeen, MemberAddress, ShareAnswer, ShareReport, Timestamp,
+    InstanceHeartbeat, InstanceId, MemberAddress, ShareReport, ShareResponse, Timestamp,
 };
 
 impl Fleet {
@@ -15,7 +15,7 @@
         report: &ShareReport,
         own: MemberAddress,
         departed: &dyn Fn(&InstanceId) -> Option<bool>,
-    ) -> ShareAnswer {
+    ) -> ShareResponse {
         let member = report.from.member;
         let begins = report.base == 0 && !report.instances.is_empty();
         let admission = self.shares.admit(self.hearing.now(), report);
@@ -35,11 +35,11 @@
             Admission::Unfit => 0,
         };
         let outdated = report.active_revision != self.active_revision;
-        ShareAnswer {
+        ShareResponse {
             run: report.run,
             number: report.number,
             leader: Some(own),
-            known: Some(known),
+            acknowledged_revision: Some(known),
             active_revision: self.active_revision,
             active: outdated.then(|| self.active_of(report)),
         }
@@ -64,18 +64,18 @@
             record.draining |= departed.is_some();
             self.hear(now, holder, record, departed == Some(true));
         }
-        for seen in &report.seen {
+        for seen in &report.heartbeats {
             let Some(mut record) = self.registry.announced(&seen.instance) else {
                 continue;
             };
             record.sequence = seen.sequence;
             self.hear(now, holder, record, false);
         }
-        self.fell_silent(now, holder, &report.silent);
+        self.fell_silent(now, holder, &report.expired);
     }
 
-    fn fell_silent(&mut self, now: Timestamp, holder: Holder, silent: &[InstanceSeen]) {
-        let newest_here = |seen: &&InstanceSeen| {
+    fn fell_silent(&mut self, now: Timestamp, holder: Holder, silent: &[InstanceHeartbeat]) {
+        let newest_here = |seen: &&InstanceHeartbeat| {
             let record = self.registry.get(&seen.instance);
             let record = record.or_else(|| self.standby.get(&seen.instance));
             record.is_none_or(|record| record.sequence <= seen.sequence)
@@ -149,7 +149,7 @@
     }
 
     /// Takes the answer to the last report.
-    pub fn share_answered(&mut self, answer: &ShareAnswer) {
+    pub fn share_answered(&mut self, answer: &ShareResponse) {
         self.share.answered(answer);
     }
 }
--- a/crates/millpass-fleet/src/shares.rs
+++ b/crates/millpass-fleet/src/shares.rs
@@ -4,7 +4,7 @@
 //! says nothing once another member has heard it since; and a member that is silent itself says nothing of its instances:
 //! those that live call another member within seconds.
 
-use millpass_proto::{Duration, InstanceId, InstanceSeen, MemberId, ShareReport, Timestamp};
+use millpass_proto::{Duration, InstanceHeartbeat, InstanceId, MemberId, ShareReport, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where an instance announces itself.
@@ -148,9 +148,9 @@
     pub(crate) fn silent<'a>(
         &'a self,
         holder: Holder,
-        silent: &'a [InstanceSeen],
-    ) -> impl Iterator<Item = &'a InstanceSeen> {
-        let held = move |seen: &&InstanceSeen| self.is_held_by(&seen.instance, holder);
+        silent: &'a [InstanceHeartbeat],
+    ) -> impl Iterator<Item = &'a InstanceHeartbeat> {
+        let held = move |seen: &&InstanceHeartbeat| self.is_held_by(&seen.instance, holder);
         silent.iter().filter(held)
     }
 
--- a/crates/millpass-fleet/src/updates.rs
+++ b/crates/millpass-fleet/src/updates.rs
@@ -8,7 +8,7 @@
 use crate::registry::Registry;
 use millpass_proto::{
     AdapterName, DeploymentDocument, Duration, GatewayUpdate, InstanceId, InstructionOperation,
-    ModelName, ModelOutlook, ServiceName, ServiceSpec, Timestamp,
+    ModelName, ModelReadyEstimate, ServiceName, ServiceSpec, Timestamp,
 };
 
 /// How far an estimate may be off what gateways were told; beyond a tenth of the time that is left it counts too.
@@ -51,7 +51,7 @@
         &mut self,
         now: Timestamp,
         document: &DeploymentDocument,
-        awaited: Vec<ModelOutlook>,
+        awaited: Vec<ModelReadyEstimate>,
     ) {
         let mut outlook = Vec::new();
         for service in &document.services {
@@ -83,7 +83,7 @@
     }
 
     /// Whether an estimate is off what was told by more than gateways' waits can bear.
-    fn times_moved(&self, now: Timestamp, outlook: &[ModelOutlook]) -> bool {
+    fn times_moved(&self, now: Timestamp, outlook: &[ModelReadyEstimate]) -> bool {
         outlook.iter().zip(&self.told_times).any(|(entry, told)| {
             let ready = ready_at(now, entry);
             // What is past due serves now, for gateways as well.
@@ -198,17 +198,17 @@
             document: None,
             instances: Vec::new(),
             removed: Vec::new(),
-            outlook: kept_unless(outlook_same, &self.outlook),
+            ready_estimates: kept_unless(outlook_same, &self.outlook),
             gateways: 0,
             members: Vec::new(),
             provisional: false,
             loads: kept_unless(loads_same, &self.told_loads),
-            answers: session.answers,
+            acknowledged_report: session.answers,
             as_of: context.as_of,
             document_change: None,
-            kept_instances: Vec::new(),
-            outlook_same,
-            loads_same,
+            unchanged_instance_digests: Vec::new(),
+            ready_estimates_unchanged: outlook_same,
+            loads_unchanged: loads_same,
             document_version: document.map_or(0, |document| document.version),
         };
         if first {
@@ -249,7 +249,7 @@
             update.removed = departed_elsewhere(&self.registry, context, session.as_of);
         }
         update.instances = lacking.records;
-        update.kept_instances = lacking.kept;
+        update.unchanged_instance_digests = lacking.kept;
     }
 
     /// The document, or what changed since the one that the gateway will have when this arrives. What was sent counts
@@ -282,12 +282,12 @@
     if same { Vec::new() } else { items.to_vec() }
 }
 
-fn ready_at(now: Timestamp, entry: &ModelOutlook) -> Timestamp {
+fn ready_at(now: Timestamp, entry: &ModelReadyEstimate) -> Timestamp {
     now + Duration::from_millis(entry.ready_in_millis)
 }
 
 /// What an engine is bringing, and when it will be there.
-fn outlook_of(now: Timestamp, service: &ServiceSpec, engine: &Engine) -> Vec<ModelOutlook> {
+fn outlook_of(now: Timestamp, service: &ServiceSpec, engine: &Engine) -> Vec<ModelReadyEstimate> {
     let Some(specification) = &service.engine else {
         return Vec::new();
     };
@@ -321,8 +321,8 @@
     model: &ModelName,
     adapter: Option<AdapterName>,
     ready_in: Duration,
-) -> ModelOutlook {
-    ModelOutlook {
+) -> ModelReadyEstimate {
+    ModelReadyEstimate {
         service: service.clone(),
         model: model.clone(),
         adapter,
--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -105,13 +105,13 @@
                 }
             }
             Act::Read(number, models) => {
-                let state = InstructionAnswer::State(EngineState {
+                let state = InstructionResult::State(EngineState {
                     revision: 1,
                     busy: false,
                     models: held(*models),
                     in_memory: Vec::new(),
                     on_disk: Vec::new(),
-                    coming: Vec::new(),
+                    loading_adapters: Vec::new(),
                 });
                 let instance = record(*number).instance;
                 self.leader.answered(self.now, &instance, &state);
@@ -136,7 +136,7 @@
         let greeting = self.exchange().expect("a first update");
         assert!(greeting.instances.is_empty(), "{:?}", greeting.instances);
         assert!(greeting.document.is_none() && greeting.document_change.is_none());
-        assert_eq!(greeting.kept_instances.len(), before);
+        assert_eq!(greeting.unchanged_instance_digests.len(), before);
         assert_eq!(self.gateway.instance_count(), before, "all count as named");
     }
 }
--- a/crates/millpass-fleet/tests/crashes.rs
+++ b/crates/millpass-fleet/tests/crashes.rs
@@ -38,23 +38,23 @@
     }
 }
 
-fn report(gateway: &str, needs: Vec<ModelNeed>) -> GatewayReport {
+fn report(gateway: &str, needs: Vec<GatewayModelDemand>) -> GatewayReport {
     GatewayReport {
         gateway: gateway.to_owned(),
         zone: "z".into(),
         sequence: 1,
         version: 1,
-        needs,
-        doubted: Vec::new(),
-        sent: Vec::new(),
+        demand: needs,
+        inconsistent: Vec::new(),
+        in_flight: Vec::new(),
         as_of: 0,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     }
 }
 
 fn ended(instance: &str, requests: &[u64]) -> CrashReport {
     CrashReport {
-        ended: vec![EndedRun {
+        crashes: vec![InstanceCrash {
             instance: instance.into(),
             requests: requests.iter().copied().map(request).collect(),
         }],
@@ -75,7 +75,7 @@
 
 impl Leader {
     /// A leader with two gateways, that begins with what the log holds back.
-    fn new(held: Vec<HeldRequestNote>) -> Leader {
+    fn new(held: Vec<QuarantineRecord>) -> Leader {
         let mut fleet = Fleet::new(FleetSettings {
             order_handover: Duration::ZERO,
             ..FleetSettings::default()
@@ -95,7 +95,7 @@
     }
 
     /// The newest call to an engine is answered.
-    fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionAnswer) {
+    fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
         let answer = self.1.answer(instance, answer);
         self.0.answered(at(now), &answer);
     }
@@ -107,7 +107,10 @@
             _ => None,
         });
         told.map(|update| {
-            let held = update.requests.into_iter().filter(|it| it.held_millis > 0);
+            let held = update
+                .requests
+                .into_iter()
+                .filter(|it| it.remaining_millis > 0);
             held.map(|it| it.request).collect()
         })
         .collect()
@@ -143,7 +146,7 @@
 fn what_is_certain_goes_to_the_log_and_the_next_leader_begins_with_it() {
     let mut leader = Leader::new(Vec::new());
     three_ends(&mut leader);
-    let noted = |leader: &mut Leader, now| -> Vec<HeldRequestNote> {
+    let noted = |leader: &mut Leader, now| -> Vec<QuarantineRecord> {
         let notes = leader
             .run(now)
             .into_iter()
@@ -159,7 +162,10 @@
     );
     let notes = noted(&mut leader, 5_000);
     assert_eq!(notes.len(), 1);
-    assert_eq!((notes[0].request.clone(), notes[0].ends), (request(1), 3));
+    assert_eq!(
+        (notes[0].request.clone(), notes[0].crashes),
+        (request(1), 3)
+    );
     let mut next = Leader::new(notes);
     assert_eq!(next.told(10), vec![vec![request(1)], vec![request(1)]]);
 }
@@ -169,11 +175,11 @@
 fn a_leader_that_knows_nothing_learns_it_from_what_gateways_remember() {
     let mut leader = Leader::new(Vec::new());
     let mut remembered = CrashReport {
-        ended: Vec::new(),
+        crashes: Vec::new(),
         served: Vec::new(),
     };
     for instance in ["i-1", "i-2", "i-3"] {
-        remembered.ended.extend(ended(instance, &[1]).ended);
+        remembered.crashes.extend(ended(instance, &[1]).crashes);
     }
     leader.0.crashes_reported(at(10), &remembered);
     assert_eq!(leader.told(11), vec![vec![request(1)], vec![request(1)]]);
@@ -209,7 +215,7 @@
             assert!(!leader.0.lift(&request(2)));
         } else {
             let served = CrashReport {
-                ended: Vec::new(),
+                crashes: Vec::new(),
                 served: vec![request(1)],
             };
             leader.0.crashes_reported(at(5_001), &served);
@@ -233,12 +239,12 @@
             models: Vec::new(),
             in_memory: Vec::new(),
             on_disk: Vec::new(),
-            coming: Vec::new(),
+            loading_adapters: Vec::new(),
         };
         let id: InstanceId = name.as_str().into();
         leader.run(now);
-        leader.answered(now, &id, &InstructionAnswer::State(state));
-        let need = ModelNeed {
+        leader.answered(now, &id, &InstructionResult::State(state));
+        let need = GatewayModelDemand {
             service: "text".into(),
             model: "a".into(),
             adapter: None,
@@ -255,11 +261,11 @@
             .any(|output| matches!(output, FleetOutput::Instruct(_)));
         if loads {
             ends += 1;
-            leader.answered(now + 210, &id, &InstructionAnswer::Accepted);
+            leader.answered(now + 210, &id, &InstructionResult::Accepted);
         }
         // The load is overdue: its engine's state is read.
         leader.run(now + 3_000);
-        leader.answered(now + 3_010, &id, &InstructionAnswer::OtherRun);
+        leader.answered(now + 3_010, &id, &InstructionResult::OtherRun);
         now += 4_000;
     }
     assert_eq!(ends, 3);
--- a/crates/millpass-fleet/tests/engine_model/engine.rs
+++ b/crates/millpass-fleet/tests/engine_model/engine.rs
@@ -181,13 +181,13 @@
         now: u64,
         order: &EngineInstruction,
         random: &mut ChaCha8Rng,
-    ) -> InstructionAnswer {
+    ) -> InstructionResult {
         self.pass_time(now);
         if order.instance.name() != self.name {
-            return InstructionAnswer::OtherRun;
+            return InstructionResult::OtherRun;
         }
         if self.busy.is_some() || order.expected_revision != self.revision {
-            return InstructionAnswer::Conflict;
+            return InstructionResult::Conflict;
         }
         let there = self.holds(&order.model, order.adapter.as_ref());
         let loads = order.operation == InstructionOperation::Load;
@@ -195,9 +195,9 @@
             (None, false) if !there => {
                 // The contract does not say whether what is done already counts.
                 self.revision += u64::from(self.counts_what_is_done);
-                InstructionAnswer::AlreadySo
+                InstructionResult::AlreadySo
             }
-            _ if there == loads => InstructionAnswer::AlreadySo,
+            _ if there == loads => InstructionResult::AlreadySo,
             (None, _) => self.order_model(now, order, random),
             (Some(adapter), true) => self.load_adapter(now, order, adapter, random),
             (Some(adapter), false) => self.unload_adapter(now, &order.model, adapter, random),
@@ -211,7 +211,7 @@
         now: u64,
         order: &EngineInstruction,
         random: &mut ChaCha8Rng,
-    ) -> InstructionAnswer {
+    ) -> InstructionResult {
         self.check_room(now, order, MODEL_KILOBYTES, 0);
         self.revision += 1;
         let takes = match order.operation {
@@ -224,7 +224,7 @@
             model: order.model.clone(),
             done_at: now + takes,
         });
-        InstructionAnswer::Accepted
+        InstructionResult::Accepted
     }
 
     fn check_room(&mut self, now: u64, order: &EngineInstruction, kilobytes: u64, places: u64) {
@@ -244,14 +244,14 @@
         order: &EngineInstruction,
         adapter: &AdapterName,
         random: &mut ChaCha8Rng,
-    ) -> InstructionAnswer {
+    ) -> InstructionResult {
         let model = &order.model;
         if !self.holds(model, None) {
-            return InstructionAnswer::Refused("no such model".to_owned());
+            return InstructionResult::Refused("no such model".to_owned());
         }
         let mut coming = self.coming.iter();
         if coming.any(|moving| moving.model == *model && moving.adapter == *adapter) {
-            return InstructionAnswer::AlreadySo;
+            return InstructionResult::AlreadySo;
         }
         self.check_room(now, order, ADAPTER_KILOBYTES, 1);
         self.revision += 1;
@@ -262,7 +262,7 @@
             adapter: adapter.clone(),
             done_at: now + random.random_range(takes),
         });
-        InstructionAnswer::Accepted
+        InstructionResult::Accepted
     }
 
     fn unload_adapter(
@@ -271,18 +271,18 @@
         model: &ModelName,
         adapter: &AdapterName,
         random: &mut ChaCha8Rng,
-    ) -> InstructionAnswer {
+    ) -> InstructionResult {
         self.revision += 1;
         if random.random_bool(0.6) {
             self.drop_adapter(model, adapter);
-            return InstructionAnswer::AlreadySo;
+            return InstructionResult::AlreadySo;
         }
         self.going.push(Moving {
             model: model.clone(),
             adapter: adapter.clone(),
             done_at: now + random.random_range(50..3_000),
         });
-        InstructionAnswer::Accepted
+        InstructionResult::Accepted
     }
 
     fn note_state(&mut self, now: u64) {
@@ -300,7 +300,7 @@
             models: self.held.clone(),
             in_memory: Vec::new(),
             on_disk: self.on_disk.clone(),
-            coming: self
+            loading_adapters: self
                 .coming
                 .iter()
                 .map(|moving| HeldModel {
--- a/crates/millpass-fleet/tests/engine_model/mod.rs
+++ b/crates/millpass-fleet/tests/engine_model/mod.rs
@@ -244,13 +244,13 @@
             Message::Read(number, instance, call) => {
                 let state = self.engines[number].report(now, &mut self.random);
                 let answer = match instance.name() == self.engines[number].name {
-                    true => InstructionAnswer::State(state),
-                    false => InstructionAnswer::OtherRun,
+                    true => InstructionResult::State(state),
+                    false => InstructionResult::OtherRun,
                 };
                 self.answer(number, instance, call, answer);
             }
             Message::Answer(term, answer) if term == self.term => {
-                let is_silence = answer.answer == InstructionAnswer::Unanswered;
+                let is_silence = answer.answer == InstructionResult::Unanswered;
                 if !is_silence {
                     self.answered.insert(answer.call);
                 } else if self.answered.contains(&answer.call) {
@@ -272,7 +272,7 @@
         number: usize,
         instance: InstanceId,
         call: CallId,
-        answer: InstructionAnswer,
+        answer: InstructionResult,
     ) {
         if self.now < self.cut_until[number] {
             return;
@@ -294,7 +294,7 @@
         } else {
             0
         };
-        let unanswered = calls::to(call, instance, &InstructionAnswer::Unanswered);
+        let unanswered = calls::to(call, instance, &InstructionResult::Unanswered);
         self.send_in(waits + CALL_TIMEOUT, Message::Answer(self.term, unanswered));
         let mut engines = self.engines.iter();
         let found = engines.position(|engine| {
@@ -363,7 +363,7 @@
     }
 
     fn instruct(&mut self, order: EngineInstruction) {
-        let note = InstructionNote {
+        let note = InstructionIntent {
             instances: vec![order.instance.clone()],
             store_loads: 0,
         };
@@ -385,14 +385,14 @@
             zone: "z".into(),
             sequence: self.now,
             version: 1,
-            needs: self.wanted.iter().cloned().map(need).collect(),
-            doubted: doubted
+            demand: self.wanted.iter().cloned().map(need).collect(),
+            inconsistent: doubted
                 .then(|| self.engines[any].id())
                 .into_iter()
                 .collect(),
-            sent: Vec::new(),
+            in_flight: Vec::new(),
             as_of: 0,
-            known_instances: Vec::new(),
+            known_instance_digests: Vec::new(),
         };
         self.fleet.report(at(self.now), 1, &report);
     }
@@ -416,8 +416,8 @@
     InstructionHistory::new(Timestamp::ZERO, Duration::from_secs(600))
 }
 
-fn need((model, adapter): (ModelName, Option<AdapterName>)) -> ModelNeed {
-    ModelNeed {
+fn need((model, adapter): (ModelName, Option<AdapterName>)) -> GatewayModelDemand {
+    GatewayModelDemand {
         service: "text".into(),
         model,
         adapter,
--- a/crates/millpass-fleet/tests/fleet.rs
+++ b/crates/millpass-fleet/tests/fleet.rs
@@ -56,8 +56,8 @@
     }
 }
 
-fn need(model: &str, adapter: Option<&str>) -> ModelNeed {
-    ModelNeed {
+fn need(model: &str, adapter: Option<&str>) -> GatewayModelDemand {
+    GatewayModelDemand {
         service: "text".into(),
         model: model.into(),
         adapter: adapter.map(Into::into),
@@ -69,33 +69,33 @@
     }
 }
 
-fn report(needs: Vec<ModelNeed>) -> GatewayReport {
+fn report(needs: Vec<GatewayModelDemand>) -> GatewayReport {
     GatewayReport {
         gateway: "g".to_owned(),
         zone: "z".into(),
         sequence: 1,
         version: 1,
-        needs,
-        doubted: Vec::new(),
-        sent: Vec::new(),
+        demand: needs,
+        inconsistent: Vec::new(),
+        in_flight: Vec::new(),
         as_of: 0,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     }
 }
 
-fn state(revision: u64, models: &[&str]) -> InstructionAnswer {
+fn state(revision: u64, models: &[&str]) -> InstructionResult {
     state_with_copies(revision, models, &[])
 }
 
 /// A state with copies of weights in host memory.
-fn state_with_copies(revision: u64, models: &[&str], in_memory: &[&str]) -> InstructionAnswer {
-    InstructionAnswer::State(EngineState {
+fn state_with_copies(revision: u64, models: &[&str], in_memory: &[&str]) -> InstructionResult {
+    InstructionResult::State(EngineState {
         revision,
         busy: false,
         models: held(models),
         in_memory: in_memory.iter().map(|name| (*name).into()).collect(),
         on_disk: Vec::new(),
-        coming: Vec::new(),
+        loading_adapters: Vec::new(),
     })
 }
 
@@ -125,7 +125,7 @@
     }
 
     /// An engine's state is read, now or as soon as the leader looks again; this is the answer.
-    fn is_read(&mut self, now: u64, instance: &str, answer: &InstructionAnswer) {
+    fn is_read(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
         let before = self.calls.newest(instance);
         for now in (now..now + 500).step_by(9) {
             self.run(now);
@@ -137,7 +137,7 @@
     }
 
     /// The newest call to an engine is answered.
-    fn answered(&mut self, now: u64, instance: &str, answer: &InstructionAnswer) {
+    fn answered(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
         let answer = self.calls.answer(&instance.into(), answer);
         self.fleet.answered(at(now), &answer);
     }
@@ -163,7 +163,7 @@
     fn makes_room(&mut self) -> &'static str {
         let first = self.instructions(1_100);
         assert_eq!(first[0].operation, InstructionOperation::Unload);
-        self.answered(1_110, "e-1", &InstructionAnswer::Accepted);
+        self.answered(1_110, "e-1", &InstructionResult::Accepted);
         if first[0].model == "a".into() {
             "b"
         } else {
@@ -213,7 +213,7 @@
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].operation, InstructionOperation::Unload);
     assert_eq!(first[0].model, "b".into());
-    bench.answered(1_110, "e-1", &InstructionAnswer::Accepted);
+    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
     assert!(
         bench.instructions(1_250).is_empty(),
         "room is not there yet"
@@ -227,7 +227,7 @@
     assert_eq!(asked[0].operation, InstructionOperation::Unload);
     assert_eq!(asked[0].expected_revision, 1, "the unload counts");
     assert!(bench.instructions(1_390).is_empty(), "nor is room yet");
-    bench.answered(1_400, "e-1", &InstructionAnswer::AlreadySo);
+    bench.answered(1_400, "e-1", &InstructionResult::AlreadySo);
     let second = bench.instructions(1_450);
     assert_eq!(second.len(), 1, "{second:?}");
     assert_eq!(second[0].operation, InstructionOperation::Load);
@@ -243,7 +243,7 @@
         .fleet
         .report(at(1_050), 1, &report(vec![need("c", None)]));
     assert_eq!(bench.instructions(1_100).len(), 1);
-    bench.answered(2_000, "e-1", &InstructionAnswer::Unanswered);
+    bench.answered(2_000, "e-1", &InstructionResult::Unanswered);
     assert!(bench.instructions(2_100).is_empty());
     let reads = bench
         .run(2_600)
@@ -293,7 +293,7 @@
         (given[0].instance.clone(), given[0].adapter.clone()),
         ("e-2".into(), Some("x".into()))
     );
-    bench.answered(1_110, "e-2", &InstructionAnswer::Accepted);
+    bench.answered(1_110, "e-2", &InstructionResult::Accepted);
     // An announcement that was under way does not know of it yet.
     bench
         .fleet
@@ -315,10 +315,10 @@
         .fleet
         .report(at(1_050), 1, &report(vec![need("a", Some("x"))]));
     assert_eq!(bench.instructions(1_100).len(), 1);
-    bench.answered(1_110, "e-1", &InstructionAnswer::Accepted);
+    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
     bench.run(1_200);
     let mut doubts = report(vec![need("a", Some("y"))]);
-    doubts.doubted = vec!["e-1".into()];
+    doubts.inconsistent = vec!["e-1".into()];
     bench.fleet.report(at(1_210), 1, &doubts);
     bench.is_read(1_220, "e-1", &state(0, &["a"]));
     assert!(
@@ -364,7 +364,7 @@
     first.in_memory = vec!["c".into()];
     bench.fleet.announce(at(1_000), first, false);
     bench.is_read(1_000, "e-1", &state(0, &["a", "b"]));
-    let busy = |model: &str| ModelNeed {
+    let busy = |model: &str| GatewayModelDemand {
         unserved: 0,
         arrivals: 40,
         in_flight: 5,
@@ -383,11 +383,11 @@
     bench.engine(1_000, "e-1", &["a"]);
     bench.engine(1_000, "e-2", &["b"]);
     let mut doubts = report(vec![need("a", None)]);
-    doubts.doubted = vec!["e-1".into()];
+    doubts.inconsistent = vec!["e-1".into()];
     bench.fleet.report(at(1_050), 1, &doubts);
     bench.run(1_100);
     bench.run(1_400);
-    bench.answered(1_500, "e-1", &InstructionAnswer::Unanswered);
+    bench.answered(1_500, "e-1", &InstructionResult::Unanswered);
     bench
         .fleet
         .report(at(1_510), 1, &report(vec![need("a", None)]));
@@ -401,7 +401,7 @@
     bench
         .fleet
         .announce(at(1_700), record("e-1", 3_000, &["a"]), false);
-    bench.answered(1_710, "e-2", &InstructionAnswer::Accepted);
+    bench.answered(1_710, "e-2", &InstructionResult::Accepted);
     bench
         .fleet
         .report(at(1_720), 1, &report(vec![need("a", None)]));
@@ -449,7 +449,7 @@
         1,
         "it is asked whether it is done"
     );
-    bench.answered(1_260, "e-1", &InstructionAnswer::AlreadySo);
+    bench.answered(1_260, "e-1", &InstructionResult::AlreadySo);
     bench
         .fleet
         .report(at(1_270), 1, &report(vec![need("c", None)]));
@@ -595,7 +595,7 @@
         // The old leader saves its permits and takes them at once, right before it falls.
         if now >= change - 500 && first.take(at(now), MILLILOADS) {
             begun.push(now);
-            let note = InstructionNote {
+            let note = InstructionIntent {
                 instances: Vec::new(),
                 store_loads: 1,
             };
@@ -677,7 +677,7 @@
         1,
         "it is asked whether it is done"
     );
-    bench.answered(1_360, "e-1", &InstructionAnswer::AlreadySo);
+    bench.answered(1_360, "e-1", &InstructionResult::AlreadySo);
     bench
         .fleet
         .report(at(1_410), 1, &report(vec![need(left, Some("x"))]));
@@ -708,13 +708,13 @@
 fn adapters_on_their_way_take_their_places() {
     let mut bench = Bench::new();
     bench.engine(1_000, "e-1", &["a"]);
-    let coming = InstructionAnswer::State(EngineState {
+    let coming = InstructionResult::State(EngineState {
         revision: 2,
         busy: false,
         models: held(&["a"]),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        coming: vec![HeldModel {
+        loading_adapters: vec![HeldModel {
             model: "a".into(),
             adapters: vec!["x".into(), "y".into()],
         }],
@@ -736,7 +736,7 @@
         .fleet
         .report(at(1_050), 1, &report(vec![need("b", None)]));
     assert_eq!(bench.instructions(1_100).len(), 1);
-    bench.answered(1_110, "e-1", &InstructionAnswer::Accepted);
+    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
     bench
         .fleet
         .announce(at(3_200), record("e-1", 5_000, &["a", "b"]), false);
@@ -815,7 +815,7 @@
         .fleet
         .report(at(1_050), 1, &report(vec![need("b", None)]));
     assert_eq!(bench.instructions(1_100)[0].model, "b".into());
-    bench.answered(1_110, "e-1", &InstructionAnswer::Accepted);
+    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
     bench
         .fleet
         .report(at(1_300), 1, &report(vec![need("c", None)]));
@@ -823,7 +823,7 @@
     let outlook = outputs
         .iter()
         .find_map(|output| match output {
-            FleetOutput::Update { update, .. } => Some(&update.outlook),
+            FleetOutput::Update { update, .. } => Some(&update.ready_estimates),
             _ => None,
         })
         .expect("an update");
@@ -874,9 +874,9 @@
         models: Vec::new(),
         in_memory: Vec::new(),
         on_disk: vec!["m-8".into()],
-        coming: Vec::new(),
+        loading_adapters: Vec::new(),
     };
-    bench.is_read(1_200, "e-8", &InstructionAnswer::State(read));
+    bench.is_read(1_200, "e-8", &InstructionResult::State(read));
     bench
         .fleet
         .report(at(1_260), 1, &report(vec![need("m-8", None)]));
@@ -938,7 +938,7 @@
     let with = |gateway: &str, in_flight| {
         let mut report = report(Vec::new());
         report.gateway = gateway.to_owned();
-        report.sent = vec![InstanceLoad {
+        report.in_flight = vec![InstanceLoad {
             instance: "e-1".into(),
             in_flight,
         }];
@@ -977,7 +977,7 @@
 fn an_update_names_a_bounded_number_of_busy_instances() {
     let mut bench = Bench::new();
     let mut full = report(Vec::new());
-    full.sent = (0..500)
+    full.in_flight = (0..500)
         .map(|index| InstanceLoad {
             instance: format!("e-{index}").into(),
             in_flight: index,
@@ -1010,7 +1010,7 @@
     let begun = bench.instructions(1_100);
     assert_eq!(begun.len(), StoreCapacity::default().limit());
     for instruction in &begun {
-        let accepted = InstructionAnswer::Accepted;
+        let accepted = InstructionResult::Accepted;
         bench.answered(1_110, instruction.instance.name(), &accepted);
     }
     bench.run(1_250);
--- a/crates/millpass-fleet/tests/harness/calls.rs
+++ b/crates/millpass-fleet/tests/harness/calls.rs
@@ -1,7 +1,7 @@
 //! Calls that a leader made to engines, and answers that name them.
 
 use millpass_fleet::{CallAnswer, FleetOutput};
-use millpass_proto::{CallId, Duration, InstanceId, InstructionAnswer};
+use millpass_proto::{CallId, Duration, InstanceId, InstructionResult};
 use std::collections::BTreeMap;
 
 /// The newest call to each engine.
@@ -27,14 +27,14 @@
     }
 
     /// An answer to the newest call to an engine, or to none that was made.
-    pub fn answer(&self, instance: &InstanceId, answer: &InstructionAnswer) -> CallAnswer {
+    pub fn answer(&self, instance: &InstanceId, answer: &InstructionResult) -> CallAnswer {
         let call = self.newest.get(instance).copied().unwrap_or(CallId(0));
         to(call, instance, answer)
     }
 }
 
 /// An answer to a call.
-pub fn to(call: CallId, instance: &InstanceId, answer: &InstructionAnswer) -> CallAnswer {
+pub fn to(call: CallId, instance: &InstanceId, answer: &InstructionResult) -> CallAnswer {
     CallAnswer {
         instance: instance.clone(),
         call,
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -154,7 +154,7 @@
     /// A report of gateway g-N, at which a request waits.
     pub fn report_need(&mut self, now: u64, connection: u64) {
         let mut report = self.report_with(&format!("g-{connection}"), 1, Vec::new());
-        report.needs.push(ModelNeed {
+        report.demand.push(GatewayModelDemand {
             service: "service-3".into(),
             model: "m".into(),
             adapter: Some("a1".into()),
@@ -186,11 +186,11 @@
             zone: "zone-a".into(),
             sequence: self.sequence,
             version,
-            needs: Vec::new(),
-            doubted: Vec::new(),
-            sent: Vec::new(),
+            demand: Vec::new(),
+            inconsistent: Vec::new(),
+            in_flight: Vec::new(),
             as_of: 0,
-            known_instances,
+            known_instance_digests: known_instances,
         }
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// The newest call to an engine is answered.
-    pub fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionAnswer) {
+    pub fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
         let answer = self.calls.answer(instance, answer);
         self.fleet.answered(at(now), &answer);
     }
--- a/crates/millpass-fleet/tests/harness/shares.rs
+++ b/crates/millpass-fleet/tests/harness/shares.rs
@@ -83,7 +83,7 @@
 
 enum Word {
     Report(ShareReport),
-    Answer(usize, ShareAnswer),
+    Answer(usize, ShareResponse),
 }
 
 /// The group.
@@ -385,13 +385,13 @@
             let answer = millpass_fleet::CallAnswer {
                 instance,
                 call,
-                answer: InstructionAnswer::State(EngineState {
+                answer: InstructionResult::State(EngineState {
                     revision: 0,
                     busy: false,
                     models: found.record().models,
                     in_memory: Vec::new(),
                     on_disk: Vec::new(),
-                    coming: Vec::new(),
+                    loading_adapters: Vec::new(),
                 }),
                 waited: Duration::ZERO,
                 took: Duration::ZERO,
@@ -403,7 +403,7 @@
     fn demand_report(&self, number: u64, tokens: u64) -> GatewayReport {
         let needs = match tokens {
             0 => Vec::new(),
-            _ => vec![ModelNeed {
+            _ => vec![GatewayModelDemand {
                 service: "text".into(),
                 model: model(number),
                 adapter: None,
@@ -419,11 +419,11 @@
             zone: "zone-0".into(),
             sequence: self.now,
             version: 1,
-            needs,
-            doubted: Vec::new(),
-            sent: Vec::new(),
+            demand: needs,
+            inconsistent: Vec::new(),
+            in_flight: Vec::new(),
             as_of: 0,
-            known_instances: Vec::new(),
+            known_instance_digests: Vec::new(),
         }
     }
 
--- a/crates/millpass-fleet/tests/harness/steering.rs
+++ b/crates/millpass-fleet/tests/harness/steering.rs
@@ -46,7 +46,7 @@
         models.iter().map(held).collect()
     }
 
-    fn report(&mut self, instances: Vec<InstanceRecord>, seen: Vec<InstanceSeen>) {
+    fn report(&mut self, instances: Vec<InstanceRecord>, seen: Vec<InstanceHeartbeat>) {
         self.number += 1;
         let base = self.known;
         self.known += u64::from(!instances.is_empty());
@@ -63,8 +63,8 @@
             base,
             revision: self.known,
             instances,
-            silent: Vec::new(),
-            seen,
+            expired: Vec::new(),
+            heartbeats: seen,
             active_revision: 0,
         };
         let now = at(self.number);
@@ -91,21 +91,21 @@
 
     /// It announces itself unchanged there.
     pub fn sees(&mut self, sequence: u64) {
-        let seen = InstanceSeen {
+        let seen = InstanceHeartbeat {
             instance: "e-1".into(),
             sequence,
         };
         self.report(Vec::new(), vec![seen]);
     }
 
-    pub fn state(&self, revision: u64, models: &[&str]) -> InstructionAnswer {
-        InstructionAnswer::State(EngineState {
+    pub fn state(&self, revision: u64, models: &[&str]) -> InstructionResult {
+        InstructionResult::State(EngineState {
             revision,
             busy: false,
             models: Steering::held(models),
             in_memory: Vec::new(),
             on_disk: Vec::new(),
-            coming: Vec::new(),
+            loading_adapters: Vec::new(),
         })
     }
 
@@ -116,7 +116,7 @@
             zone: "z".into(),
             sequence: 1,
             version: 1,
-            needs: vec![ModelNeed {
+            demand: vec![GatewayModelDemand {
                 service: "text".into(),
                 model: model.into(),
                 adapter: None,
@@ -126,10 +126,10 @@
                 priority: 1,
                 unread_tokens: 0,
             }],
-            doubted: Vec::new(),
-            sent: Vec::new(),
+            inconsistent: Vec::new(),
+            in_flight: Vec::new(),
             as_of: 0,
-            known_instances: Vec::new(),
+            known_instance_digests: Vec::new(),
         };
         self.fleet.report(at(now), 1, &report);
     }
@@ -149,7 +149,7 @@
     }
 
     /// The newest call is answered.
-    pub fn answers(&mut self, now: u64, answer: InstructionAnswer) {
+    pub fn answers(&mut self, now: u64, answer: InstructionResult) {
         let answer = self.calls.answer(&"e-1".into(), &answer);
         self.fleet.answered(at(now), &answer);
     }
--- a/crates/millpass-fleet/tests/limits.rs
+++ b/crates/millpass-fleet/tests/limits.rs
@@ -31,22 +31,22 @@
     }
 }
 
-fn report(gateway: &str, sequence: u64, needs: Vec<ModelNeed>) -> GatewayReport {
+fn report(gateway: &str, sequence: u64, needs: Vec<GatewayModelDemand>) -> GatewayReport {
     GatewayReport {
         gateway: gateway.to_owned(),
         zone: "z".into(),
         sequence,
         version: 1,
-        needs,
-        doubted: Vec::new(),
-        sent: Vec::new(),
+        demand: needs,
+        inconsistent: Vec::new(),
+        in_flight: Vec::new(),
         as_of: 0,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     }
 }
 
-fn unserved(model: &str) -> ModelNeed {
-    ModelNeed {
+fn unserved(model: &str) -> GatewayModelDemand {
+    GatewayModelDemand {
         service: "text".into(),
         model: model.into(),
         adapter: None,
@@ -75,7 +75,7 @@
         models,
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        coming: Vec::new(),
+        loading_adapters: Vec::new(),
     }
 }
 
@@ -112,7 +112,7 @@
                 "i-1" => record("i-1", &["a"]).models,
                 _ => Vec::new(),
             };
-            let state = InstructionAnswer::State(idle(held));
+            let state = InstructionResult::State(idle(held));
             let answer = self.1.answer(instance, &state);
             self.0.answered(at(now), &answer);
         }
@@ -120,17 +120,17 @@
     }
 
     fn hear_limit(&mut self, now: u64, milli_per_second: Option<u64>) {
-        let word = LimitWord {
+        let word = LimitObservation {
             instance: "i-1".into(),
             milli_per_second,
-            sent_millis_ago: 5,
-            heard_millis_ago: 0,
+            request_age_millis: 5,
+            response_age_millis: 0,
         };
         let request = PermitRequest {
             gateway: "g-1".to_owned(),
             sequence: now,
-            words: vec![word],
-            asks: Vec::new(),
+            observations: vec![word],
+            instances: Vec::new(),
         };
         self.0.permit_request(at(now), 3, &request);
     }
@@ -153,7 +153,7 @@
     /// Limits that each gateway is told with the next run.
     fn told(&mut self, now: u64) -> Vec<Vec<Option<u64>>> {
         let told = self.run(now).into_iter().filter_map(|output| match output {
-            FleetOutput::Limits { update, .. } => Some(update.words),
+            FleetOutput::Limits { update, .. } => Some(update.limits),
             _ => None,
         });
         told.map(|words| words.iter().map(|word| word.milli_per_second).collect())
--- a/crates/millpass-fleet/tests/room.rs
+++ b/crates/millpass-fleet/tests/room.rs
@@ -42,14 +42,14 @@
     }
 }
 
-fn state(revision: u64, models: &[HeldModel]) -> InstructionAnswer {
-    InstructionAnswer::State(EngineState {
+fn state(revision: u64, models: &[HeldModel]) -> InstructionResult {
+    InstructionResult::State(EngineState {
         revision,
         busy: false,
         models: models.to_vec(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        coming: Vec::new(),
+        loading_adapters: Vec::new(),
     })
 }
 
@@ -68,7 +68,7 @@
     }
 
     /// The engine announces itself with these models, and its state is read.
-    fn with(held: &[HeldModel], read: &InstructionAnswer) -> Leader {
+    fn with(held: &[HeldModel], read: &InstructionResult) -> Leader {
         let settings = FleetSettings {
             order_handover: Duration::ZERO,
             ..FleetSettings::default()
@@ -121,13 +121,13 @@
     }
 
     /// The newest call is answered.
-    fn answered(&mut self, now: u64, answer: &InstructionAnswer) {
+    fn answered(&mut self, now: u64, answer: &InstructionResult) {
         let answer = self.calls.answer(&"e".into(), answer);
         self.fleet.answered(at(now), &answer);
     }
 
     /// This call is answered.
-    fn call_answered(&mut self, now: u64, call: CallId, answer: &InstructionAnswer) {
+    fn call_answered(&mut self, now: u64, call: CallId, answer: &InstructionResult) {
         let answer = calls::to(call, &"e".into(), answer);
         self.fleet.answered(at(now), &answer);
     }
@@ -142,7 +142,7 @@
     ) -> Vec<EngineInstruction> {
         let mut given = Vec::new();
         for now in (now..now + 1_000).step_by(100) {
-            let need = ModelNeed {
+            let need = GatewayModelDemand {
                 service: "text".into(),
                 model: model.into(),
                 adapter: adapter.map(Into::into),
@@ -157,11 +157,11 @@
                 zone: "z".into(),
                 sequence: now,
                 version: 1,
-                needs: vec![need],
-                doubted: Vec::new(),
-                sent: Vec::new(),
+                demand: vec![need],
+                inconsistent: Vec::new(),
+                in_flight: Vec::new(),
                 as_of: 0,
-                known_instances: Vec::new(),
+                known_instance_digests: Vec::new(),
             };
             self.fleet.report(at(now), 1, &report);
             let outputs = self.run(now).into_iter();
@@ -184,11 +184,11 @@
     let mut leader = Leader::new(&[held("a", &[])]);
     let first = leader.asked_for(1_100, "b", None);
     assert_eq!(loads(&first), 1);
-    leader.call_answered(2_010, first[0].call, &InstructionAnswer::Unanswered);
+    leader.call_answered(2_010, first[0].call, &InstructionResult::Unanswered);
     // The state is read before the engine has taken the order.
     let read = leader.read(2_500);
     leader.call_answered(2_510, read, &state(0, &[held("a", &[])]));
-    leader.call_answered(2_800, first[0].call, &InstructionAnswer::Accepted);
+    leader.call_answered(2_800, first[0].call, &InstructionResult::Accepted);
     let next = leader.asked_for(2_810, "c", None);
     assert_eq!(loads(&next), 0, "b is on its way: {next:?}");
     // The engine says itself what it holds.
@@ -203,7 +203,7 @@
 fn the_silence_of_a_read_that_was_given_up_does_not_end_an_order() {
     let mut leader = Leader::new(&[held("a", &[])]);
     let first = leader.asked_for(1_100, "b", None);
-    leader.call_answered(2_010, first[0].call, &InstructionAnswer::Conflict);
+    leader.call_answered(2_010, first[0].call, &InstructionResult::Conflict);
     let old = leader.read(2_500);
     // Nothing is heard for so long that it is read again.
     let new = leader.read(4_600);
@@ -211,8 +211,8 @@
     leader.call_answered(4_650, new, &state(0, &[held("a", &[])]));
     let second = leader.asked_for(4_700, "b", None);
     assert_eq!(loads(&second), 1);
-    leader.call_answered(5_700, old, &InstructionAnswer::Unanswered);
-    leader.call_answered(5_710, second[0].call, &InstructionAnswer::Accepted);
+    leader.call_answered(5_700, old, &InstructionResult::Unanswered);
+    leader.call_answered(5_710, second[0].call, &InstructionResult::Accepted);
     let next = leader.asked_for(5_720, "c", None);
     assert_eq!(loads(&next), 0, "b is on its way: {next:?}");
 }
@@ -225,7 +225,7 @@
         let now = if adapter == "x" { 1_100 } else { 2_200 };
         let given = leader.asked_for(now, "a", Some(adapter));
         assert_eq!(loads(&given), 1, "{given:?}");
-        leader.call_answered(now + 1_010, given[0].call, &InstructionAnswer::Accepted);
+        leader.call_answered(now + 1_010, given[0].call, &InstructionResult::Accepted);
         leader.run(now + 1_050);
     }
     leader.announced(6_500, &[held("a", &[])]);
@@ -240,7 +240,7 @@
     let mut leader = Leader::new(&full);
     let given = leader.asked_for(1_100, "a", Some("z"));
     assert_eq!(given[0].operation, InstructionOperation::Unload);
-    leader.call_answered(2_110, given[0].call, &InstructionAnswer::Accepted);
+    leader.call_answered(2_110, given[0].call, &InstructionResult::Accepted);
     let next = leader.asked_for(2_200, "a", Some("z"));
     assert_eq!(loads(&next), 0, "its runs go on: {next:?}");
     leader.answered(3_300, &state(1, &full));
@@ -254,13 +254,13 @@
 /// Adapters on their way are in no heartbeat, and may take seconds.
 #[test]
 fn adapters_on_their_way_keep_their_places_until_a_report_shows_otherwise() {
-    let coming = InstructionAnswer::State(EngineState {
+    let coming = InstructionResult::State(EngineState {
         revision: 2,
         busy: false,
         models: vec![held("a", &[])],
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        coming: vec![held("a", &["x", "y"])],
+        loading_adapters: vec![held("a", &["x", "y"])],
     });
     let mut leader = Leader::with(&[held("a", &[])], &coming);
     leader.announced(5_000, &[held("a", &[])]);
@@ -291,13 +291,13 @@
     } else {
         "a"
     };
-    leader.call_answered(2_110, given[0].call, &InstructionAnswer::Accepted);
+    leader.call_answered(2_110, given[0].call, &InstructionResult::Accepted);
     leader.announced(2_200, &[held(left, &[])]);
     let asked = leader.asked_for(2_210, "c", None);
     assert_eq!(asked.len(), 1, "{asked:?}");
     assert_eq!(asked[0].operation, InstructionOperation::Unload);
     // Its runs go on: another order is under way there.
-    leader.call_answered(3_300, asked[0].call, &InstructionAnswer::Conflict);
+    leader.call_answered(3_300, asked[0].call, &InstructionResult::Conflict);
     let next = leader.asked_for(3_310, "c", None);
     assert!(next.is_empty(), "{next:?}");
     leader.answered(4_400, &state(1, &[held(left, &[])]));
@@ -312,7 +312,7 @@
     let mut leader = Leader::new(&[held("a", &["x", "y"])]);
     let given = leader.asked_for(1_100, "a", Some("z"));
     assert_eq!(given[0].operation, InstructionOperation::Unload);
-    leader.call_answered(2_110, given[0].call, &InstructionAnswer::AlreadySo);
+    leader.call_answered(2_110, given[0].call, &InstructionResult::AlreadySo);
     let next = leader.asked_for(2_120, "a", Some("z"));
     assert!(next.is_empty(), "{next:?}");
     let left = if given[0].adapter == Some("x".into()) {
--- a/crates/millpass-fleet/tests/shares.rs
+++ b/crates/millpass-fleet/tests/shares.rs
@@ -187,7 +187,7 @@
         matches!(unload[..], [FleetOutput::Instruct(_)]),
         "{unload:?}"
     );
-    leader.answers(5_020, InstructionAnswer::Accepted);
+    leader.answers(5_020, InstructionResult::Accepted);
     leader.sees(2);
     leader.sees(3);
     let calls = leader.run(5_400);
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -49,7 +49,7 @@
     assert!(update.first);
     assert!(update.instances.is_empty() && update.removed.is_empty());
     assert!(update.document.is_none() && update.document_change.is_none());
-    let mut kept = update.kept_instances.clone();
+    let mut kept = update.unchanged_instance_digests.clone();
     let mut known = known;
     kept.sort_unstable();
     known.sort_unstable();
@@ -102,8 +102,12 @@
         .map(|record| record.instance.as_str())
         .collect();
     assert_eq!(named, ["i-000000003"]);
-    assert_eq!(update.kept_instances.len(), known.len() - 2);
-    assert!(!update.kept_instances.contains(&record(4).digest()));
+    assert_eq!(update.unchanged_instance_digests.len(), known.len() - 2);
+    assert!(
+        !update
+            .unchanged_instance_digests
+            .contains(&record(4).digest())
+    );
 }
 
 #[test]
@@ -245,11 +249,11 @@
         zone: "zone-a".into(),
         sequence: now,
         version: 1,
-        needs: Vec::new(),
-        doubted: Vec::new(),
-        sent: (0..INSTANCES).map(load).collect(),
+        demand: Vec::new(),
+        inconsistent: Vec::new(),
+        in_flight: (0..INSTANCES).map(load).collect(),
         as_of: 0,
-        known_instances: Vec::new(),
+        known_instance_digests: Vec::new(),
     };
     leader.fleet.report(at(now), 1, &report);
 }
@@ -261,16 +265,16 @@
     settled(&mut leader, COMPLETE);
     with_loads(&mut leader, COMPLETE + 100, 3);
     let news = only(leader.updates(COMPLETE + 100));
-    assert!(!news.loads_same);
+    assert!(!news.loads_unchanged);
     assert_eq!(news.loads.len(), 64);
     with_loads(&mut leader, COMPLETE + 500, 3);
     let answer = only(leader.updates(COMPLETE + 500));
-    assert!(answer.loads_same && answer.outlook_same);
-    assert!(answer.loads.is_empty() && answer.outlook.is_empty());
+    assert!(answer.loads_unchanged && answer.ready_estimates_unchanged);
+    assert!(answer.loads.is_empty() && answer.ready_estimates.is_empty());
     assert!(bytes(&answer) <= 32, "{} bytes", bytes(&answer));
     with_loads(&mut leader, COMPLETE + 900, 4);
     let news = only(leader.updates(COMPLETE + 900));
-    assert!(!news.loads_same && news.outlook_same);
+    assert!(!news.loads_unchanged && news.ready_estimates_unchanged);
     assert_eq!(news.loads[0].in_flight, 4);
 }
 
@@ -282,7 +286,7 @@
     leader.updates(COMPLETE + 100);
     leader.report(COMPLETE + 200, 2, 1);
     let first = only(leader.updates(COMPLETE + 200));
-    assert!(!first.loads_same && !first.outlook_same);
+    assert!(!first.loads_unchanged && !first.ready_estimates_unchanged);
     assert_eq!(first.loads.len(), 64);
 }
 
@@ -296,7 +300,7 @@
     let answers: Vec<u64> = leader
         .updates(COMPLETE)
         .iter()
-        .map(|(_, update)| update.answers)
+        .map(|(_, update)| update.acknowledged_report)
         .collect();
     assert_eq!(answers, [newest, newest + 1]);
 }
--- a/crates/millpass-hollow/src/engines.rs
+++ b/crates/millpass-hollow/src/engines.rs
@@ -133,19 +133,19 @@
 
 impl Engines {
     /// Takes an order as an engine would.
-    pub fn order(&self, order: &EngineOrder) -> OrderAnswer {
+    pub fn order(&self, order: &EngineOrder) -> OrderResponse {
         let Some(mut engine) = self.engine(&order.backend) else {
-            return OrderAnswer::Rejected("no such engine".to_owned());
+            return OrderResponse::Rejected("no such engine".to_owned());
         };
         if order.fence < engine.highest_fence {
-            return OrderAnswer::StaleFence(engine.highest_fence);
+            return OrderResponse::StaleFence(engine.highest_fence);
         }
         if order.fence > engine.highest_fence {
             engine.highest_fence = order.fence;
             engine.carry_out(order, Instant::now() + self.load_time);
             self.orders.fetch_add(1, Ordering::Relaxed);
         }
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     }
 
     /// An engine's report as read now.
--- a/crates/millpass-hollow/src/router.rs
+++ b/crates/millpass-hollow/src/router.rs
@@ -84,7 +84,7 @@
             tenant: TENANT.into(),
             key,
             digest: "d".repeat(64),
-            born_unix_millis: now,
+            created_unix_millis: now,
             router: self.name(),
             router_incarnation: Incarnation(1),
             attempt,
@@ -211,7 +211,7 @@
                     self.take_update(routers, update);
                 }
                 // Hollow routers keep to their interval.
-                ControlToRouter::News
+                ControlToRouter::ChangesAvailable
                 | ControlToRouter::Gateway(_)
                 | ControlToRouter::Credit(_)
                 | ControlToRouter::Crashes(_)
@@ -256,7 +256,7 @@
         }
     }
 
-    fn take_claim(&self, routers: &Routers, answer: ClaimAnswer) {
+    fn take_claim(&self, routers: &Routers, answer: ClaimResponse) {
         if answer.decision != ClaimDecision::Granted {
             routers.claim_refused();
             return;
--- a/crates/millpass-hollow/tests/engines.rs
+++ b/crates/millpass-hollow/tests/engines.rs
@@ -28,10 +28,13 @@
 fn an_order_below_the_highest_fence_does_nothing() {
     let handle = engines::start(1, Duration::ZERO, 0).expect("engines");
     let engines = &handle.engines;
-    assert_eq!(engines.order(&load(7, 7)), OrderAnswer::Accepted);
-    assert_eq!(engines.order(&load(7, 7)), OrderAnswer::Accepted);
+    assert_eq!(engines.order(&load(7, 7)), OrderResponse::Accepted);
+    assert_eq!(engines.order(&load(7, 7)), OrderResponse::Accepted);
     let highest = LogPosition { term: 1, index: 7 };
-    assert_eq!(engines.order(&load(5, 5)), OrderAnswer::StaleFence(highest));
+    assert_eq!(
+        engines.order(&load(5, 5)),
+        OrderResponse::StaleFence(highest)
+    );
     let name = "engine-00000".into();
     let report = engines.report(&name, "zone-0".into()).expect("report");
     let slots: Vec<SlotId> = report.slots.iter().map(|slot| slot.slot).collect();
--- a/crates/millpass-limits/src/ledger.rs
+++ b/crates/millpass-limits/src/ledger.rs
@@ -7,8 +7,8 @@
 use crate::rate::RequestRate;
 use crate::word::{HeardLimit, LimitChange, Words};
 use millpass_proto::{
-    Duration, InstanceId, LimitUpdate, LimitWord, PermitAnswer, PermitAsk, PermitGrant,
-    PermitRequest, Timestamp,
+    Duration, InstanceId, InstancePermitRequest, LimitObservation, LimitUpdate, PermitGrant,
+    PermitRequest, PermitResponse, Timestamp,
 };
 use std::collections::BTreeMap;
 
@@ -109,7 +109,7 @@
     }
 
     /// Takes what gateways heard; gives the limits in force that changed by it.
-    pub fn take_words(&mut self, now: Timestamp, words: &[LimitWord]) -> Vec<LimitChange> {
+    pub fn take_words(&mut self, now: Timestamp, words: &[LimitObservation]) -> Vec<LimitChange> {
         let mut changes = Vec::new();
         for word in words {
             let heard = HeardLimit::received(now, word);
@@ -141,11 +141,11 @@
         now: Timestamp,
         term: u64,
         request: &PermitRequest,
-    ) -> (PermitAnswer, Vec<PermitsExhausted>) {
+    ) -> (PermitResponse, Vec<PermitsExhausted>) {
         let mut events = Vec::new();
-        let asks = request.asks.iter();
+        let asks = request.instances.iter();
         let grants = asks.map(|ask| self.grant(now, ask, &mut events));
-        let answer = PermitAnswer {
+        let answer = PermitResponse {
             term,
             sequence: request.sequence,
             grants: grants.collect(),
@@ -156,12 +156,12 @@
     fn grant(
         &mut self,
         now: Timestamp,
-        ask: &PermitAsk,
+        ask: &InstancePermitRequest,
         events: &mut Vec<PermitsExhausted>,
     ) -> PermitGrant {
         let mut grant = PermitGrant {
             instance: ask.instance.clone(),
-            permits: ask.wanted,
+            permits: ask.waiting,
             wait_millis: 0,
         };
         let Some(rate) = self.words.rate(&ask.instance) else {
@@ -171,11 +171,11 @@
         let account = account.or_insert_with(|| Account::new(now));
         account.fill(now, rate);
         account.promise(now, rate, ask.refused);
-        grant.permits = account.take(ask.wanted);
-        let lacking = ask.wanted - grant.permits;
+        grant.permits = account.take(ask.waiting);
+        let lacking = ask.waiting - grant.permits;
         if lacking == 0 {
             let plenty = (account.level - capacity(rate) / 2.0).max(0.0) as u32;
-            grant.permits += account.take(ask.ahead.min(plenty));
+            grant.permits += account.take(ask.prefetch.min(plenty));
             return grant;
         }
         let wait = account.wait(now, rate);
@@ -198,7 +198,7 @@
         let words = self.words.iter();
         LimitUpdate {
             term,
-            words: words
+            limits: words
                 .map(|(instance, word)| word.message(now, instance))
                 .collect(),
         }
--- a/crates/millpass-limits/src/pool.rs
+++ b/crates/millpass-limits/src/pool.rs
@@ -5,8 +5,8 @@
 use crate::slots::Slots;
 use crate::word::{HeardLimit, LimitChange, Words};
 use millpass_proto::{
-    Duration, InstanceId, LimitUpdate, LimitWord, PermitAnswer, PermitAsk, PermitGrant,
-    PermitRequest, Timestamp,
+    Duration, InstanceId, InstancePermitRequest, LimitObservation, LimitUpdate, PermitGrant,
+    PermitRequest, PermitResponse, Timestamp,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -152,7 +152,7 @@
     /// Takes what the leader tells; gives the limits in force that changed by it.
     pub fn told(&mut self, now: Timestamp, update: &LimitUpdate) -> Vec<LimitChange> {
         let mut changes = Vec::new();
-        for word in &update.words {
+        for word in &update.limits {
             let heard = HeardLimit::received(now, word);
             changes.extend(self.words.take(now, &word.instance, heard));
             match self.words.rate(&word.instance) == heard.rate {
@@ -282,7 +282,7 @@
             let word = self.words.get(instance)?;
             Some(word.message(now, instance))
         });
-        let words: Vec<LimitWord> = words.collect();
+        let words: Vec<LimitObservation> = words.collect();
         let mut asks = Vec::new();
         for (instance, account) in &mut self.accounts {
             if !account.is_due(now) {
@@ -291,10 +291,10 @@
             account.expire(now);
             account.is_asked_for = true;
             account.unanswered_since.get_or_insert(now);
-            asks.push(PermitAsk {
+            asks.push(InstancePermitRequest {
                 instance: instance.clone(),
-                wanted: u32::try_from(account.wants.len()).unwrap_or(u32::MAX),
-                ahead: u32::try_from(account.sent.len()).unwrap_or(u32::MAX),
+                waiting: u32::try_from(account.wants.len()).unwrap_or(u32::MAX),
+                prefetch: u32::try_from(account.sent.len()).unwrap_or(u32::MAX),
                 refused: std::mem::take(&mut account.refused),
             });
         }
@@ -306,13 +306,13 @@
         Some(PermitRequest {
             gateway: self.gateway.clone(),
             sequence: self.sequence,
-            words,
-            asks,
+            observations: words,
+            instances: asks,
         })
     }
 
     /// Takes the leader's answer. One to an earlier message is too late: its permits count as lost.
-    pub fn answer(&mut self, now: Timestamp, answer: &PermitAnswer) {
+    pub fn answer(&mut self, now: Timestamp, answer: &PermitResponse) {
         let asked = self
             .asked
             .take_if(|asked| asked.sequence == answer.sequence);
--- a/crates/millpass-limits/src/word.rs
+++ b/crates/millpass-limits/src/word.rs
@@ -1,7 +1,7 @@
 //! What an instance was last heard to state, and which of two words holds.
 
 use crate::rate::RequestRate;
-use millpass_proto::{Duration, InstanceId, LimitWord, Timestamp};
+use millpass_proto::{Duration, InstanceId, LimitObservation, Timestamp};
 use std::collections::BTreeMap;
 
 /// Time for which it is remembered that an instance states no limit any more: older words may still come.
@@ -31,24 +31,24 @@
 
 impl HeardLimit {
     /// From a message, with its ages.
-    pub(crate) fn received(now: Timestamp, word: &LimitWord) -> HeardLimit {
+    pub(crate) fn received(now: Timestamp, word: &LimitObservation) -> HeardLimit {
         let ago = |millis| now.earlier(Duration::from_millis(millis));
         HeardLimit {
             rate: word
                 .milli_per_second
                 .map(|milli_per_second| RequestRate { milli_per_second }),
-            sent_at: ago(word.sent_millis_ago),
-            heard_at: ago(word.heard_millis_ago),
+            sent_at: ago(word.request_age_millis),
+            heard_at: ago(word.response_age_millis),
         }
     }
 
     /// For a message.
-    pub(crate) fn message(&self, now: Timestamp, instance: &InstanceId) -> LimitWord {
-        LimitWord {
+    pub(crate) fn message(&self, now: Timestamp, instance: &InstanceId) -> LimitObservation {
+        LimitObservation {
             instance: instance.clone(),
             milli_per_second: self.rate.map(|rate| rate.milli_per_second),
-            sent_millis_ago: now.since(self.sent_at).as_millis() as u64,
-            heard_millis_ago: now.since(self.heard_at).as_millis() as u64,
+            request_age_millis: now.since(self.sent_at).as_millis() as u64,
+            response_age_millis: now.since(self.heard_at).as_millis() as u64,
         }
     }
 
--- a/crates/millpass-limits/tests/over_all_gateways.rs
+++ b/crates/millpass-limits/tests/over_all_gateways.rs
@@ -1,7 +1,7 @@
 //! What all gateways send to an instance that states a limit, with a leader and without one.
 
 use millpass_limits::{HeardLimit, PermitLedger, PermitPool, RequestRate};
-use millpass_proto::{InstanceId, LimitUpdate, PermitAnswer, PermitRequest, Timestamp};
+use millpass_proto::{InstanceId, LimitUpdate, PermitRequest, PermitResponse, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::VecDeque;
@@ -38,7 +38,7 @@
 
 enum Message {
     Request(usize, PermitRequest),
-    Answer(usize, PermitAnswer),
+    Answer(usize, PermitResponse),
     Limits(usize, LimitUpdate),
 }
 
@@ -160,7 +160,7 @@
         }
         match message {
             Message::Request(_, request) => {
-                self.ledger.take_words(at(now), &request.words);
+                self.ledger.take_words(at(now), &request.observations);
                 let (answer, _) = self.ledger.answer(at(now), self.term, &request);
                 let answer = Message::Answer(gateway, answer);
                 self.on_the_way.push((now + self.delay, answer));
--- a/crates/millpass-proto/src/generated.rs
+++ b/crates/millpass-proto/src/generated.rs
@@ -206,7 +206,7 @@
     pub digest: String,
 
     /// When the key was born, as the key itself says.
-    pub born_unix_millis: u64,
+    pub created_unix_millis: u64,
 
     /// Router that will dispatch.
     pub router: RouterName,
@@ -285,36 +285,7 @@
 pub struct ExpireClaims {
 
     /// Threshold; never goes back.
-    pub born_before_unix_millis: u64,
-}
-
-
-/// What the tries of one request share: a hash of caller, method, host, path and body, as two halves of 128 bits. All zero where it is not known.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[derive(Hash)]
-pub struct RequestFingerprint {
-
-    /// First half.
-    pub high: u64,
-
-    /// Second half.
-    pub low: u64,
-}
-
-
-/// A request that ends the instances that run it. Kept in the log, so that it stays held back over a change of leader and a loss of power.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[derive(Hash)]
-pub struct HeldRequestNote {
-
-    /// Request.
-    pub request: RequestFingerprint,
-
-    /// Ends that count against it; the time for which it is held back follows.
-    pub ends: u32,
-
-    /// That time is over; one more end holds it back anew.
-    pub lapsed: bool,
+    pub created_before_unix_millis: u64,
 }
 
 
@@ -324,19 +295,6 @@
 pub struct InstanceId(pub String);
 
 
-/// Records that an instance leaves or has left. It never takes new work again.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[derive(Hash)]
-pub struct InstanceDeparture {
-
-    /// Instance.
-    pub instance: InstanceId,
-
-    /// It has ended; otherwise it still works on what it has.
-    pub ended: bool,
-}
-
-
 /// Name of a model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
@@ -405,7 +363,7 @@
 /// What changed in the leader's view of instances. Kept so that a new leader, or a gateway that starts while there is none, begins with something; never a promise.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct InstanceNote {
+pub struct InstanceChanges {
 
     /// New or changed.
     pub instances: Vec<InstanceRecord>,
@@ -415,10 +373,23 @@
 }
 
 
+/// Records that an instance leaves or has left. It never takes new work again.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(Hash)]
+pub struct InstanceDeparture {
+
+    /// Instance.
+    pub instance: InstanceId,
+
+    /// It has ended; otherwise it still works on what it has.
+    pub ended: bool,
+}
+
+
 /// Engines that the leader is about to instruct. Kept in the log before the instructions leave, so that a new leader knows which engines may still hear from the one before.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct InstructionNote {
+pub struct InstructionIntent {
 
     /// Engines.
     pub instances: Vec<InstanceId>,
@@ -1029,6 +1000,35 @@
 }
 
 
+/// What the tries of one request share: a hash of caller, method, host, path and body, as two halves of 128 bits. All zero where it is not known.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(Hash)]
+pub struct RequestFingerprint {
+
+    /// First half.
+    pub high: u64,
+
+    /// Second half.
+    pub low: u64,
+}
+
+
+/// A request that ends the instances that run it. Kept in the log, so that it stays held back over a change of leader and a loss of power.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(Hash)]
+pub struct QuarantineRecord {
+
+    /// Request.
+    pub request: RequestFingerprint,
+
+    /// Ends that count against it; the time for which it is held back follows.
+    pub crashes: u32,
+
+    /// That time is over; one more end holds it back anew.
+    pub expired: bool,
+}
+
+
 /// Decides to unload a replica. Its memory stays reserved until the engine confirms.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
@@ -1109,19 +1109,19 @@
     DepartInstance(InstanceDeparture),
 
     /// Keep the leader's view of instances.
-    NoteInstances(InstanceNote),
+    RecordInstances(InstanceChanges),
 
     /// Say which engines are about to be instructed.
-    NoteInstructions(InstructionNote),
+    RecordInstructionIntent(InstructionIntent),
 
     /// Keep how many loads from the weight store at once go at full speed as far as the leader knows, in hundredths.
-    NoteStoreCapacity(u32),
+    RecordStoreCapacity(u32),
 
     /// Keep a request that ends the instances that run it.
-    NoteHeldRequest(HeldRequestNote),
+    QuarantineRequest(QuarantineRecord),
 
     /// Let such a request go.
-    LiftRequest(RequestFingerprint),
+    LiftQuarantine(RequestFingerprint),
 }
 
 
@@ -1218,7 +1218,7 @@
 /// Answer to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct ClaimAnswer {
+pub struct ClaimResponse {
 
     /// Attempt it answers.
     pub attempt: u64,
@@ -1231,13 +1231,13 @@
 /// A request that is held back, or suspected.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct HeldRequest {
+pub struct QuarantinedRequest {
 
     /// Request.
     pub request: RequestFingerprint,
 
     /// How much longer it is refused; 0 if it is sent apart from others instead.
-    pub held_millis: u64,
+    pub remaining_millis: u64,
 }
 
 
@@ -1250,7 +1250,7 @@
     pub term: u64,
 
     /// Requests; those left out are neither any more.
-    pub requests: Vec<HeldRequest>,
+    pub requests: Vec<QuarantinedRequest>,
 }
 
 
@@ -1263,23 +1263,23 @@
     pub tenant: TenantName,
 
     /// How many of the requests that wait, from the first, may go.
-    pub covered: u32,
+    pub granted_requests: u32,
 
     /// Units for requests to come.
-    pub reserve: u64,
+    pub prefetched_units: u64,
 
     /// Time until the first request that is not covered may be; 0 when all are.
     pub wait_millis: u64,
 
     /// More than half of what the tenant may use at once is there.
-    pub plenty: bool,
+    pub over_half_available: bool,
 }
 
 
 /// Answer of the leader to a `CreditRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct CreditAnswer {
+pub struct CreditResponse {
 
     /// Leader's term.
     pub term: u64,
@@ -1355,7 +1355,7 @@
 /// When a model, or model with adapter, that is being loaded will be ready.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct ModelOutlook {
+pub struct ModelReadyEstimate {
 
     /// Service.
     pub service: ServiceName,
@@ -1395,7 +1395,7 @@
     pub removed: Vec<InstanceId>,
 
     /// Models being loaded now.
-    pub outlook: Vec<ModelOutlook>,
+    pub ready_estimates: Vec<ModelReadyEstimate>,
 
     /// Gateways that report to this leader; 0 while it has not led for long enough to know.
     pub gateways: u32,
@@ -1410,7 +1410,7 @@
     pub loads: Vec<InstanceLoad>,
 
     /// Number of the newest report that was taken on this connection before the update was made; 0 for none.
-    pub answers: u64,
+    pub acknowledged_report: u64,
 
     /// Log index up to which the gateway has, with this update, been told what binds it: the document and departures; 0 where the member does not say.
     pub as_of: u64,
@@ -1419,13 +1419,13 @@
     pub document_change: Option<DocumentChange>,
 
     /// In the first update on a connection: those of the digests that the gateway reported whose records stand as they are; they count as named.
-    pub kept_instances: Vec<u64>,
+    pub unchanged_instance_digests: Vec<u64>,
 
     /// `outlook` is left out: what was told last on this connection still holds.
-    pub outlook_same: bool,
+    pub ready_estimates_unchanged: bool,
 
     /// `loads` is left out: they are as told last on this connection.
-    pub loads_same: bool,
+    pub loads_unchanged: bool,
 
     /// Version of the document in force at `as_of`; 0 for none. A gateway that holds an older one lacks what binds it.
     pub document_version: u64,
@@ -1435,7 +1435,7 @@
 /// What an instance was last heard to state of its limit. Ages, as clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct LimitWord {
+pub struct LimitObservation {
 
     /// Instance.
     pub instance: InstanceId,
@@ -1444,10 +1444,10 @@
     pub milli_per_second: Option<u64>,
 
     /// Age of the request whose answer stated it.
-    pub sent_millis_ago: u64,
+    pub request_age_millis: u64,
 
     /// Age of that answer.
-    pub heard_millis_ago: u64,
+    pub response_age_millis: u64,
 }
 
 
@@ -1460,7 +1460,7 @@
     pub term: u64,
 
     /// Limits, and those withdrawn lately.
-    pub words: Vec<LimitWord>,
+    pub limits: Vec<LimitObservation>,
 }
 
 
@@ -1493,7 +1493,7 @@
 /// Answer of the leader to a `PermitRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct PermitAnswer {
+pub struct PermitResponse {
 
     /// Leader's term.
     pub term: u64,
@@ -1556,7 +1556,7 @@
 /// What the leader expects of a model that has waiting requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct LoadOutlook {
+pub struct LoadEstimate {
 
     /// Model.
     pub model: ModelName,
@@ -1678,10 +1678,10 @@
     pub watch: Option<WatchList>,
 
     /// Outlook of the models the report has waiting requests for.
-    pub outlook: Vec<LoadOutlook>,
+    pub load_estimates: Vec<LoadEstimate>,
 
     /// Keys born before are expired.
-    pub claims_born_after_unix_millis: u64,
+    pub claims_created_after_unix_millis: u64,
 }
 
 
@@ -1694,7 +1694,7 @@
     Update(RouterUpdate),
 
     /// Answer to a claim; committed before it is sent.
-    Claim(ClaimAnswer),
+    Claim(ClaimResponse),
 
     /// The end of this attempt's claim is committed.
     ClaimFinished(u64),
@@ -1703,19 +1703,19 @@
     NotLeader(NotLeader),
 
     /// There is something newer than the router's last report knew: report at once.
-    News,
+    ChangesAvailable,
 
     /// To a gateway: what changed.
     Gateway(GatewayUpdate),
 
     /// To a gateway: what it gets of tenants' quotas.
-    Credit(CreditAnswer),
+    Credit(CreditResponse),
 
     /// To a gateway: requests that end instances.
     Crashes(CrashUpdate),
 
     /// To a gateway: permits to send to instances that state a limit.
-    Permits(PermitAnswer),
+    Permits(PermitResponse),
 
     /// To a gateway: limits that instances state.
     Limits(LimitUpdate),
@@ -1816,7 +1816,7 @@
 /// A run of an instance that has ended, and the requests of one gateway that were in flight there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct EndedRun {
+pub struct InstanceCrash {
 
     /// Run.
     pub instance: InstanceId,
@@ -1832,7 +1832,7 @@
 pub struct CrashReport {
 
     /// Runs that ended.
-    pub ended: Vec<EndedRun>,
+    pub crashes: Vec<InstanceCrash>,
 
     /// Requests with such an end that were answered whole since.
     pub served: Vec<RequestFingerprint>,
@@ -1842,16 +1842,16 @@
 /// What a gateway asks of one tenant's quota, and what it says of its use.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct CreditAsk {
+pub struct TenantCreditRequest {
 
     /// Tenant.
     pub tenant: TenantName,
 
     /// Units of each request that waits, the oldest first.
-    pub needed: Vec<u64>,
+    pub queued_units: Vec<u64>,
 
     /// Units wished for requests to come, if there is plenty.
-    pub reserve: u64,
+    pub prefetch_units: u64,
 
     /// Units granted before and not used: they may be granted anew.
     pub returned: u64,
@@ -1873,17 +1873,17 @@
     pub sequence: u64,
 
     /// By tenant.
-    pub asks: Vec<CreditAsk>,
+    pub tenants: Vec<TenantCreditRequest>,
 
     /// Term of the leader that this gateway's use was lent by; 0 for none yet.
-    pub lent_in: u64,
+    pub granted_in_term: u64,
 }
 
 
 /// Demand for one model, or model with adapter, at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct ModelNeed {
+pub struct GatewayModelDemand {
 
     /// Service.
     pub service: ServiceName,
@@ -1929,35 +1929,35 @@
     pub version: u64,
 
     /// Demand since the last report.
-    pub needs: Vec<ModelNeed>,
+    pub demand: Vec<GatewayModelDemand>,
 
     /// Instances whose state differs from what they announced: unreachable, or without a model they should hold.
-    pub doubted: Vec<InstanceId>,
+    pub inconsistent: Vec<InstanceId>,
 
     /// What this gateway has in flight, by instance.
-    pub sent: Vec<InstanceLoad>,
+    pub in_flight: Vec<InstanceLoad>,
 
     /// Log index up to which the gateway has been told what binds it; 0 before the first.
     pub as_of: u64,
 
     /// Digests of the instance records that the gateway holds; in the first report on a connection only.
-    pub known_instances: Vec<u64>,
+    pub known_instance_digests: Vec<u64>,
 }
 
 
 /// What a gateway asks of one instance's limit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct PermitAsk {
+pub struct InstancePermitRequest {
 
     /// Instance.
     pub instance: InstanceId,
 
     /// Requests that wait for a permit.
-    pub wanted: u32,
+    pub waiting: u32,
 
     /// Permits wished for requests to come, if there is plenty.
-    pub ahead: u32,
+    pub prefetch: u32,
 
     /// Requests refused since the last ask, and told when to come back.
     pub refused: u32,
@@ -1976,10 +1976,10 @@
     pub sequence: u64,
 
     /// What this gateway heard and has not told on this connection.
-    pub words: Vec<LimitWord>,
+    pub observations: Vec<LimitObservation>,
 
     /// By instance.
-    pub asks: Vec<PermitAsk>,
+    pub instances: Vec<InstancePermitRequest>,
 }
 
 
@@ -2537,7 +2537,7 @@
     pub expected_revision: u64,
 
     /// Process that gives the order.
-    pub holder: String,
+    pub issuer: String,
 
     /// Term of the leader that gives the order.
     pub fence: u64,
@@ -2572,35 +2572,10 @@
 }
 
 
-/// Answers a share report.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[derive(Hash)]
-pub struct ShareAnswer {
-
-    /// Echo.
-    pub run: u64,
-
-    /// Echo.
-    pub number: u64,
-
-    /// Who leads, as far as the answering member knows.
-    pub leader: Option<MemberAddress>,
-
-    /// Revision of the share that the leader knows now; none from a member that does not lead.
-    pub known: Option<u64>,
-
-    /// Revision of the list of active instances.
-    pub active_revision: u64,
-
-    /// Active instances of the share, where the member holds another revision of the list: their unchanged announcements are passed on.
-    pub active: Option<Vec<InstanceId>>,
-}
-
-
 /// An instance, and how new the newest word of it is that a member has heard.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub struct InstanceSeen {
+pub struct InstanceHeartbeat {
 
     /// Identity of the run.
     pub instance: InstanceId,
@@ -2634,16 +2609,41 @@
     pub instances: Vec<InstanceRecord>,
 
     /// Not heard of any more. Another member may have heard them since.
-    pub silent: Vec<InstanceSeen>,
+    pub expired: Vec<InstanceHeartbeat>,
 
     /// Active instances that announced themselves unchanged since the last report.
-    pub seen: Vec<InstanceSeen>,
+    pub heartbeats: Vec<InstanceHeartbeat>,
 
     /// Revision of the list of active instances held here; 0 for none.
     pub active_revision: u64,
 }
 
 
+/// Answers a share report.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(Hash)]
+pub struct ShareResponse {
+
+    /// Echo.
+    pub run: u64,
+
+    /// Echo.
+    pub number: u64,
+
+    /// Who leads, as far as the answering member knows.
+    pub leader: Option<MemberAddress>,
+
+    /// Revision of the share that the leader knows now; none from a member that does not lead.
+    pub acknowledged_revision: Option<u64>,
+
+    /// Revision of the list of active instances.
+    pub active_revision: u64,
+
+    /// Active instances of the share, where the member holds another revision of the list: their unchanged announcements are passed on.
+    pub active: Option<Vec<InstanceId>>,
+}
+
+
 /// Any first message on a control member's port: from a peer or from a router.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
@@ -2659,13 +2659,13 @@
     Join(MemberAddress),
 
     /// First message on a member's connection: who sends, and where it can be answered.
-    Greeting(MemberAddress),
+    MemberHello(MemberAddress),
 
     /// From a member: instances that announce themselves there.
     Share(ShareReport),
 
     /// Answer to a share report.
-    ShareAnswer(ShareAnswer),
+    ShareResponse(ShareResponse),
 }
 
 
@@ -3088,14 +3088,14 @@
     pub on_disk: Vec<ModelName>,
 
     /// Adapters on their way, by model; they take places, and serve nothing yet.
-    pub coming: Vec<HeldModel>,
+    pub loading_adapters: Vec<HeldModel>,
 }
 
 
 /// An engine's answer to an order. Acceptance is not completion: the report tells.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
 
     /// Taken, now or earlier.
     Accepted,
@@ -3123,7 +3123,7 @@
     pub member: MemberId,
 
     /// Index of the last entry of its log that binds gateways; 0 for none.
-    pub binding: u64,
+    pub required_index: u64,
 
     /// Index of the last entry that it has applied.
     pub applied: u64,
@@ -3164,7 +3164,7 @@
 /// What became of an instruction or of reading an engine's state.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
-pub enum InstructionAnswer {
+pub enum InstructionResult {
 
     /// It is being carried out.
     Accepted,
--- a/crates/millpass-proto/src/lib.rs
+++ b/crates/millpass-proto/src/lib.rs
@@ -4,9 +4,9 @@
 //! types in [`generated`], encoded with postcard. The types of the engine, weight-store and
 //! platform interfaces are the same kind of types, encoded as JSON.
 
-mod binding;
 pub mod codec;
 mod differences;
+mod required_entries;
 #[rustfmt::skip]
 #[allow(missing_docs, clippy::all)]
 pub mod generated;
--- a/crates/millpass-router/examples/router_bench/roles.rs
+++ b/crates/millpass-router/examples/router_bench/roles.rs
@@ -3,7 +3,7 @@
 use crate::common::ENGINE_RUN;
 use anyhow::{Result, ensure};
 use millpass_proto::{
-    BackendName, EngineOrder, LoadModelOrder, LogPosition, OrderAction, OrderAnswer, SlotId,
+    BackendName, EngineOrder, LoadModelOrder, LogPosition, OrderAction, OrderResponse, SlotId,
 };
 use millpass_router::RouterProcessSettings;
 use millpass_standin::engine::{EngineFront, EngineHandle, EngineSettings, start};
@@ -66,8 +66,11 @@
         }),
     };
     let url = format!("http://{}/engine/orders", engine.address());
-    let answer: OrderAnswer = ureq::post(&url).send_json(&order)?.body_mut().read_json()?;
-    ensure!(answer == OrderAnswer::Accepted, "the order got {answer:?}");
+    let answer: OrderResponse = ureq::post(&url).send_json(&order)?.body_mut().read_json()?;
+    ensure!(
+        answer == OrderResponse::Accepted,
+        "the order got {answer:?}"
+    );
     while engine.audit().model_loads == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
--- a/crates/millpass-router/src/link.rs
+++ b/crates/millpass-router/src/link.rs
@@ -159,7 +159,7 @@
                     return LinkEnd::NotLeader(leader.and_then(|text| text.parse().ok()));
                 }
                 Ok(ControlToRouter::Update(update)) => RoutingInput::Update(update),
-                Ok(ControlToRouter::News) => RoutingInput::News,
+                Ok(ControlToRouter::ChangesAvailable) => RoutingInput::News,
                 // For gateways only.
                 Ok(
                     ControlToRouter::Gateway(_)
--- a/crates/millpass-router/tests/common/control.rs
+++ b/crates/millpass-router/tests/common/control.rs
@@ -19,7 +19,7 @@
     pub web: Vec<WebRoute>,
     pub placement: u64,
     pub watch: Vec<WatchedBackend>,
-    pub outlook: Vec<LoadOutlook>,
+    pub outlook: Vec<LoadEstimate>,
     pub claims: BTreeMap<ClaimKey, (String, Option<ClaimConclusion>)>,
     /// Claims and ends of claims are not answered.
     pub mute_claims: bool,
@@ -208,7 +208,7 @@
     }
 }
 
-fn begin_claim(state: &mut State, claim: ClaimBegin) -> ClaimAnswer {
+fn begin_claim(state: &mut State, claim: ClaimBegin) -> ClaimResponse {
     let decision = match state.claims.get(&claim.key) {
         None => {
             let entry = (claim.digest, None);
@@ -222,7 +222,7 @@
         }
         Some(_) => ClaimDecision::MayHaveRun,
     };
-    ClaimAnswer {
+    ClaimResponse {
         attempt: claim.attempt,
         decision,
     }
@@ -255,8 +255,8 @@
         configuration: (report.configuration.0 < state.configuration).then_some(configuration),
         placement: (report.placement.0 < state.placement).then_some(placement),
         watch: Some(watch),
-        outlook: state.outlook.clone(),
-        claims_born_after_unix_millis: 1_000,
+        load_estimates: state.outlook.clone(),
+        claims_created_after_unix_millis: 1_000,
     }
 }
 
--- a/crates/millpass-router/tests/standin.rs
+++ b/crates/millpass-router/tests/standin.rs
@@ -54,8 +54,8 @@
     };
     let url = format!("http://{}/engine/orders", engine.address());
     let mut answer = common::agent().post(&url).send_json(order).unwrap();
-    let answer: OrderAnswer = answer.body_mut().read_json().unwrap();
-    assert_eq!(answer, OrderAnswer::Accepted);
+    let answer: OrderResponse = answer.body_mut().read_json().unwrap();
+    assert_eq!(answer, OrderResponse::Accepted);
     wait_until("loaded", || {
         engine.current_report().slots[0].phase == EngineSlotPhase::Loaded
     });
--- a/crates/millpass-routing/examples/steps.rs
+++ b/crates/millpass-routing/examples/steps.rs
@@ -152,8 +152,8 @@
             removed_backends: Vec::new(),
         }),
         watch: None,
-        outlook: Vec::new(),
-        claims_born_after_unix_millis: 0,
+        load_estimates: Vec::new(),
+        claims_created_after_unix_millis: 0,
     }
 }
 
--- a/crates/millpass-routing/src/outlook.rs
+++ b/crates/millpass-routing/src/outlook.rs
@@ -1,6 +1,6 @@
 //! What the leader expects of models that have no replica to serve them yet.
 
-use millpass_proto::{Duration, LoadOutlook, ModelName, Timestamp};
+use millpass_proto::{Duration, LoadEstimate, ModelName, Timestamp};
 use std::collections::BTreeMap;
 
 /// How long a model may be unplaceable before its requests are refused: long enough for one
@@ -24,7 +24,7 @@
 
 impl Outlooks {
     /// Replaces all expectations; how long a model has been unplaceable is kept.
-    pub fn replace(&mut self, outlooks: &[LoadOutlook], now: Timestamp) {
+    pub fn replace(&mut self, outlooks: &[LoadEstimate], now: Timestamp) {
         let mut models = BTreeMap::new();
         for outlook in outlooks {
             let before = self.models.get(&outlook.model);
--- a/crates/millpass-routing/src/reporting.rs
+++ b/crates/millpass-routing/src/reporting.rs
@@ -176,7 +176,7 @@
         self.observations.acknowledge(update.sequence);
         self.claims_born_after = self
             .claims_born_after
-            .max(update.claims_born_after_unix_millis);
+            .max(update.claims_created_after_unix_millis);
         let catalog_changed = match self.apply_deltas(&update, step) {
             Some(changed) => {
                 self.extend_lease(sent, update.lease_millis, step);
@@ -188,7 +188,7 @@
                 false
             }
         };
-        self.outlooks.replace(&update.outlook, step.now);
+        self.outlooks.replace(&update.load_estimates, step.now);
         if let Some(list) = &update.watch {
             let share = self.observations.watch(&list.backends);
             step.outputs.push(RoutingOutput::Watch(share));
--- a/crates/millpass-routing/tests/claims.rs
+++ b/crates/millpass-routing/tests/claims.rs
@@ -167,7 +167,7 @@
     let (mut driver, _) = asked();
     driver.tick(1_000);
     let mut update = driver.update();
-    update.claims_born_after_unix_millis = UNIX_MILLIS + 1;
+    update.claims_created_after_unix_millis = UNIX_MILLIS + 1;
     driver.step(RoutingInput::Update(update));
     let mut arrival = driver.arrival("t1", web_target("/publish/8", false));
     arrival.idempotency = key("old");
--- a/crates/millpass-routing/tests/common/mod.rs
+++ b/crates/millpass-routing/tests/common/mod.rs
@@ -240,8 +240,8 @@
             configuration: None,
             placement: None,
             watch: None,
-            outlook: Vec::new(),
-            claims_born_after_unix_millis: 0,
+            load_estimates: Vec::new(),
+            claims_created_after_unix_millis: 0,
         }
     }
 
@@ -278,7 +278,7 @@
     pub fn outlook(&mut self, ready_in_millis: u64, placeable: bool) -> Vec<RoutingOutput> {
         self.tick(60);
         let mut update = self.update();
-        update.outlook = vec![LoadOutlook {
+        update.load_estimates = vec![LoadEstimate {
             model: "m1".into(),
             ready_in_millis,
             placeable,
--- a/crates/millpass-routing/tests/properties.rs
+++ b/crates/millpass-routing/tests/properties.rs
@@ -373,8 +373,8 @@
             let delta = self.driver.full_routes(replicas, webs);
             update.placement = Some(delta);
         }
-        update.outlook = ready
-            .map(|ready_in_millis| LoadOutlook {
+        update.load_estimates = ready
+            .map(|ready_in_millis| LoadEstimate {
                 model: "m1".into(),
                 ready_in_millis,
                 placeable,
--- a/crates/millpass-scheduler/examples/slopes.rs
+++ b/crates/millpass-scheduler/examples/slopes.rs
@@ -178,7 +178,7 @@
         tenant: format!("tenant-{}", number % 16).into(),
         key: format!("key-{number:032}").into(),
         digest: "d".repeat(64),
-        born_unix_millis: number,
+        created_unix_millis: number,
         router: format!("router-{}", number % 490).into(),
         router_incarnation: Incarnation(1),
         attempt: number,
--- a/crates/millpass-scheduler/src/outlook.rs
+++ b/crates/millpass-scheduler/src/outlook.rs
@@ -5,7 +5,7 @@
 use crate::round::Round;
 use crate::view::ModelView;
 use millpass_proto::{
-    BackendState, CheckpointTier, Duration, LoadOutlook, ModelName, Replica, ReplicaPhase,
+    BackendState, CheckpointTier, Duration, LoadEstimate, ModelName, Replica, ReplicaPhase,
     Timestamp,
 };
 use millpass_state::State;
@@ -54,9 +54,9 @@
 
 impl Scheduler {
     /// When a model is expected to serve.
-    pub fn outlook(&self, now: Timestamp, state: &State, model: &ModelName) -> LoadOutlook {
+    pub fn outlook(&self, now: Timestamp, state: &State, model: &ModelName) -> LoadEstimate {
         let (wait, placeable) = self.expect(now, state, model);
-        LoadOutlook {
+        LoadEstimate {
             model: model.clone(),
             ready_in_millis: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
             placeable,
--- a/crates/millpass-scheduler/tests/retiring.rs
+++ b/crates/millpass-scheduler/tests/retiring.rs
@@ -325,7 +325,7 @@
     assert_eq!(retired(&harness.round()), [old]);
 }
 
-fn outlook(harness: &Harness, model: &str) -> LoadOutlook {
+fn outlook(harness: &Harness, model: &str) -> LoadEstimate {
     let state = &harness.fixture.state;
     harness.scheduler.outlook(harness.now, state, &model.into())
 }
--- a/crates/millpass-sim/src/control_host.rs
+++ b/crates/millpass-sim/src/control_host.rs
@@ -6,7 +6,7 @@
 use millpass_checkers::ProcessName;
 use millpass_control_plane::{AdministrationRequest, ConnectionId, ControlInput, ControlOutput};
 use millpass_proto::{
-    ControlToRouter, EngineOrder, OrderAnswer, PeerEnvelope, PeerMessage, RouterToControl,
+    ControlToRouter, EngineOrder, OrderResponse, PeerEnvelope, PeerMessage, RouterToControl,
 };
 
 const SYNC_MICROS: u64 = 800;
@@ -302,7 +302,7 @@
     }
 
     /// The first answer to a delivery counts.
-    fn order_answered(&mut self, place: usize, delivery: u64, answer: Option<OrderAnswer>) {
+    fn order_answered(&mut self, place: usize, delivery: u64, answer: Option<OrderResponse>) {
         let Some((backend, fence)) = self.control[place].deliveries.remove(&delivery) else {
             return;
         };
--- a/crates/millpass-sim/src/engine.rs
+++ b/crates/millpass-sim/src/engine.rs
@@ -6,7 +6,7 @@
 use millpass_proto::{
     AdapterName, BackendName, CheckpointReport, CheckpointTier, EngineAdapterReport, EngineOrder,
     EngineReport, EngineRole, EngineSlotPhase, EngineSlotReport, Incarnation, LoadModelOrder,
-    LogPosition, ModelName, OrderAction, OrderAnswer, SlotId, VersionLabel, ZoneName,
+    LogPosition, ModelName, OrderAction, OrderResponse, SlotId, VersionLabel, ZoneName,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -101,7 +101,7 @@
     protections: EngineProtections,
     role: EngineRole,
     highest_fence: LogPosition,
-    answers: BTreeMap<LogPosition, OrderAnswer>,
+    answers: BTreeMap<LogPosition, OrderResponse>,
     slots: BTreeMap<SlotId, SlotState>,
     checkpoints: BTreeSet<String>,
     sequence: u64,
@@ -141,25 +141,28 @@
     }
 
     /// Takes an order.
-    pub fn take_order(&mut self, order: &EngineOrder) -> (OrderAnswer, Vec<EngineEffect>) {
+    pub fn take_order(&mut self, order: &EngineOrder) -> (OrderResponse, Vec<EngineEffect>) {
         if self.protections.fences {
             if order.incarnation != self.incarnation {
                 self.refused_orders += 1;
-                return (OrderAnswer::WrongIncarnation(self.incarnation), Vec::new());
+                return (
+                    OrderResponse::WrongIncarnation(self.incarnation),
+                    Vec::new(),
+                );
             }
             if let Some(answer) = self.answers.get(&order.fence) {
                 return (answer.clone(), Vec::new());
             }
             if order.fence <= self.highest_fence {
                 self.refused_orders += 1;
-                return (OrderAnswer::StaleFence(self.highest_fence), Vec::new());
+                return (OrderResponse::StaleFence(self.highest_fence), Vec::new());
             }
         }
         self.sequence += 1;
         self.highest_fence = self.highest_fence.max(order.fence);
         let (answer, effects) = match self.carry_out(order) {
-            Ok(effects) => (OrderAnswer::Accepted, effects),
-            Err(reason) => (OrderAnswer::Rejected(reason), Vec::new()),
+            Ok(effects) => (OrderResponse::Accepted, effects),
+            Err(reason) => (OrderResponse::Rejected(reason), Vec::new()),
         };
         self.answers.insert(order.fence, answer.clone());
         self.forget_gone_slots();
--- a/crates/millpass-sim/src/engine_host.rs
+++ b/crates/millpass-sim/src/engine_host.rs
@@ -9,7 +9,7 @@
 use crate::settings::MILLIS;
 use crate::world::World;
 use millpass_checkers::{Event, RunEnding};
-use millpass_proto::{BackendObservation, EngineOrder, OrderAnswer};
+use millpass_proto::{BackendObservation, EngineOrder, OrderResponse};
 use millpass_routing::{AttemptFailure, RoutingInput};
 
 const TOKENS_PER_STEP: u64 = 4;
@@ -85,7 +85,7 @@
         }
     }
 
-    fn answer_order(&mut self, engine: usize, reply_to: OrderReply, answer: Option<OrderAnswer>) {
+    fn answer_order(&mut self, engine: usize, reply_to: OrderReply, answer: Option<OrderResponse>) {
         let from = self.engines[engine].zone;
         let to = self.control[reply_to.place].zone;
         if let Some(delay) = self.network.delay(&mut self.random, from, to) {
--- a/crates/millpass-sim/src/event.rs
+++ b/crates/millpass-sim/src/event.rs
@@ -7,7 +7,7 @@
 use millpass_checkers::{AnswerOutcome, RequestId, ScopedKey};
 use millpass_control_plane::{AdministrationAnswer, ConnectionId, ControlInput, ControlOutput};
 use millpass_proto::{
-    AdapterName, ControlToRouter, EngineOrder, LogPosition, OrderAnswer, RouterToControl, SlotId,
+    AdapterName, ControlToRouter, EngineOrder, LogPosition, OrderResponse, RouterToControl, SlotId,
     Snapshot,
 };
 use millpass_routing::{AttemptFailure, Dispatch, RoutingInput, Target};
@@ -75,7 +75,7 @@
     /// A process that is no member yet asks to join.
     AskToJoin,
     /// The answer to a delivery of an order; none when there was none in time.
-    OrderAnswered(u64, Option<OrderAnswer>),
+    OrderAnswered(u64, Option<OrderResponse>),
 }
 
 /// What a router gets.
--- a/crates/millpass-sim/src/router_link.rs
+++ b/crates/millpass-sim/src/router_link.rs
@@ -141,7 +141,7 @@
             ControlToRouter::Update(update) => {
                 self.router_step(router, RoutingInput::Update(update));
             }
-            ControlToRouter::News => self.router_step(router, RoutingInput::News),
+            ControlToRouter::ChangesAvailable => self.router_step(router, RoutingInput::News),
             // For gateways only.
             ControlToRouter::Gateway(_)
             | ControlToRouter::Credit(_)
--- a/crates/millpass-standin/src/engine/fences.rs
+++ b/crates/millpass-standin/src/engine/fences.rs
@@ -1,6 +1,6 @@
 //! Fences of orders: the highest seen, and the answers given, for resends.
 
-use millpass_proto::{EngineOrder, LogPosition, OrderAnswer};
+use millpass_proto::{EngineOrder, LogPosition, OrderResponse};
 use std::collections::BTreeMap;
 
 /// What the ledger says of an arriving order.
@@ -9,7 +9,7 @@
     /// Not seen before and not stale: carry it out.
     New,
     /// Seen before: the answer given then.
-    Resent(OrderAnswer),
+    Resent(OrderResponse),
     /// The same fence with another order: a defect of the sender.
     Conflict,
     /// Below the highest fence.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct FenceLedger {
     highest: LogPosition,
-    answers: BTreeMap<LogPosition, (EngineOrder, OrderAnswer)>,
+    answers: BTreeMap<LogPosition, (EngineOrder, OrderResponse)>,
     bound: usize,
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// Records the answer to a new order.
-    pub fn record(&mut self, order: EngineOrder, answer: OrderAnswer) {
+    pub fn record(&mut self, order: EngineOrder, answer: OrderResponse) {
         self.highest = self.highest.max(order.fence);
         self.answers.insert(order.fence, (order, answer));
         while self.answers.len() > self.bound {
--- a/crates/millpass-standin/src/engine/front/service.rs
+++ b/crates/millpass-standin/src/engine/front/service.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use millpass_http::{Handler, Request, Responder, Response};
-use millpass_proto::{EngineOrder, OrderAnswer, SlotId, Timestamp};
+use millpass_proto::{EngineOrder, OrderResponse, SlotId, Timestamp};
 use std::sync::Arc;
 
 /// Largest KV cache body.
@@ -261,9 +261,9 @@
     text.parse().ok().map(SlotId)
 }
 
-fn log_order(summary: &str, answer: &OrderAnswer) {
+fn log_order(summary: &str, answer: &OrderResponse) {
     match answer {
-        OrderAnswer::Accepted => log::info!("event=order_accepted {summary}"),
+        OrderResponse::Accepted => log::info!("event=order_accepted {summary}"),
         refused => log::warn!("event=order_refused {summary} answer={refused:?}"),
     }
 }
--- a/crates/millpass-standin/src/engine/messages.rs
+++ b/crates/millpass-standin/src/engine/messages.rs
@@ -1,7 +1,7 @@
 //! Inputs and outputs of the engine model.
 
 use millpass_proto::{
-    AdapterName, Duration, EngineOrder, Incarnation, OrderAnswer, SlotId, TenantName, Timestamp,
+    AdapterName, Duration, EngineOrder, Incarnation, OrderResponse, SlotId, TenantName, Timestamp,
     Urgency,
 };
 
@@ -128,7 +128,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
     /// Answer to the order of this step.
-    OrderAnswered(OrderAnswer),
+    OrderAnswered(OrderResponse),
     /// The request did not run.
     Refused(RequestHandle, Refusal),
     /// The request entered the running batch for the first time; it now counts as executed.
--- a/crates/millpass-standin/src/engine/orders.rs
+++ b/crates/millpass-standin/src/engine/orders.rs
@@ -7,7 +7,7 @@
 use super::slots::{Part, Slot};
 use millpass_proto::{
     AdapterName, EngineOrder, EngineSlotPhase, LoadAdapterOrder, LoadModelOrder, LogPosition,
-    OrderAction, OrderAnswer, SlotId, Timestamp, UnloadAdapterOrder,
+    OrderAction, OrderResponse, SlotId, Timestamp, UnloadAdapterOrder,
 };
 use std::collections::BTreeMap;
 
@@ -21,42 +21,42 @@
         self.outputs.push(EngineOutput::OrderAnswered(answer));
     }
 
-    fn judge_order(&mut self, now: Timestamp, order: EngineOrder) -> OrderAnswer {
+    fn judge_order(&mut self, now: Timestamp, order: EngineOrder) -> OrderResponse {
         if order.backend != self.settings.backend {
             self.counters.orders_rejected += 1;
-            return OrderAnswer::Rejected(format!(
+            return OrderResponse::Rejected(format!(
                 "this is engine {}; read the platform list again",
                 self.settings.backend
             ));
         }
         if order.incarnation != self.settings.incarnation {
             self.counters.wrong_incarnations += 1;
-            return OrderAnswer::WrongIncarnation(self.settings.incarnation);
+            return OrderResponse::WrongIncarnation(self.settings.incarnation);
         }
         match self.fences.judge(&order) {
             FenceVerdict::New => self.carry_out_and_record(now, order),
             FenceVerdict::Resent(answer) => answer,
             FenceVerdict::Stale(highest) => {
                 self.counters.stale_fences += 1;
-                OrderAnswer::StaleFence(highest)
+                OrderResponse::StaleFence(highest)
             }
             FenceVerdict::Conflict => {
                 self.counters.conflicting_fences += 1;
-                OrderAnswer::Rejected("another order came with this fence; use a new one".into())
+                OrderResponse::Rejected("another order came with this fence; use a new one".into())
             }
         }
     }
 
-    fn carry_out_and_record(&mut self, now: Timestamp, order: EngineOrder) -> OrderAnswer {
+    fn carry_out_and_record(&mut self, now: Timestamp, order: EngineOrder) -> OrderResponse {
         self.mark_changed(now);
         let answer = match self.carry_out(now, &order) {
             Ok(()) => {
                 self.counters.orders_accepted += 1;
-                OrderAnswer::Accepted
+                OrderResponse::Accepted
             }
             Err(reason) => {
                 self.counters.orders_rejected += 1;
-                OrderAnswer::Rejected(reason)
+                OrderResponse::Rejected(reason)
             }
         };
         self.fences.record(order, answer.clone());
--- a/crates/millpass-standin/tests/common/mod.rs
+++ b/crates/millpass-standin/tests/common/mod.rs
@@ -128,7 +128,7 @@
     }
 
     /// Sends an order; gives its answer.
-    pub fn send(&mut self, order: EngineOrder) -> OrderAnswer {
+    pub fn send(&mut self, order: EngineOrder) -> OrderResponse {
         let outputs = self.input(EngineInput::Order(order));
         outputs
             .into_iter()
--- a/crates/millpass-standin/tests/engine_front.rs
+++ b/crates/millpass-standin/tests/engine_front.rs
@@ -16,12 +16,12 @@
     front.front.time_scale = SCALE;
     let engine = start(small_settings(), &front).unwrap();
     let answer = send_order(&engine, &order(1, load(1, 500, 400)));
-    assert_eq!(answer, OrderAnswer::Accepted);
+    assert_eq!(answer, OrderResponse::Accepted);
     wait_until(|| engine.current_report().slots[0].phase == EngineSlotPhase::Loaded);
     engine
 }
 
-fn send_order(engine: &EngineHandle, order: &EngineOrder) -> OrderAnswer {
+fn send_order(engine: &EngineHandle, order: &EngineOrder) -> OrderResponse {
     let url = format!("http://{}/engine/orders", engine.address());
     let mut answer = agent().post(&url).send_json(order).unwrap();
     answer.body_mut().read_json().unwrap()
@@ -179,7 +179,7 @@
     assert_eq!(ask().status(), 409);
     assert_eq!(
         send_order(&engine, &order(2, adapter)),
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     );
     wait_until(|| engine.audit().adapter_loads == 1);
     let json: serde_json::Value = ask().body_mut().read_json().unwrap();
@@ -255,7 +255,7 @@
     send_order(&engines[0], &order(1, load(1, 500, 400)));
     wait_until(|| engines[0].audit().model_loads == 1);
     let answer = send_order(&engines[1], &order(1, load(1, 500, 400)));
-    assert!(matches!(answer, OrderAnswer::Rejected(_)));
+    assert!(matches!(answer, OrderResponse::Rejected(_)));
     let (text, is_done) = stream_text(complete(&engines[0], 3, true, &[]));
     assert!(is_done && expected().is_whole(0, 3, &text));
     let loads: u64 = engines
--- a/crates/millpass-standin/tests/engine_model.rs
+++ b/crates/millpass-standin/tests/engine_model.rs
@@ -12,7 +12,7 @@
     let mut driver = Driver::new(small_settings());
     assert_eq!(
         driver.send(order(1, load(1, 500, 400))),
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     );
     assert_eq!(driver.phase(1), Some(EngineSlotPhase::Loading));
     assert_eq!(driver.engine.current_report().used_bytes, vec![900]);
@@ -25,7 +25,7 @@
 fn order_beyond_memory_is_a_counted_breach_and_does_nothing() {
     let mut driver = Driver::loaded(small_settings());
     let answer = driver.send(order(2, load(2, 101, 0)));
-    assert!(matches!(answer, OrderAnswer::Rejected(_)));
+    assert!(matches!(answer, OrderResponse::Rejected(_)));
     let audit = driver.engine.audit(driver.now);
     assert_eq!(audit.memory_overcommits, 1);
     assert_eq!(audit.peak_used_bytes, vec![900]);
@@ -37,7 +37,7 @@
     let mut driver = Driver::loaded(small_settings());
     let too_much = order(2, load(2, 600, 0));
     let first = driver.send(too_much.clone());
-    assert!(matches!(first, OrderAnswer::Rejected(_)));
+    assert!(matches!(first, OrderResponse::Rejected(_)));
     driver.send(order(3, OrderAction::UnloadModel(SlotId(1))));
     driver.run_dry();
     assert_eq!(driver.send(too_much), first);
@@ -45,13 +45,13 @@
 }
 
 #[rstest]
-#[case::lower(order(4, load(2, 1, 1)), OrderAnswer::StaleFence(fence(5)))]
-#[case::resent(order(5, load(1, 500, 400)), OrderAnswer::Accepted)]
-fn fences_decide(#[case] second: EngineOrder, #[case] expected: OrderAnswer) {
+#[case::lower(order(4, load(2, 1, 1)), OrderResponse::StaleFence(fence(5)))]
+#[case::resent(order(5, load(1, 500, 400)), OrderResponse::Accepted)]
+fn fences_decide(#[case] second: EngineOrder, #[case] expected: OrderResponse) {
     let mut driver = Driver::new(small_settings());
     assert_eq!(
         driver.send(order(5, load(1, 500, 400))),
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     );
     assert_eq!(driver.send(second), expected);
     assert_eq!(driver.engine.audit(driver.now).orders_accepted, 1);
@@ -64,7 +64,7 @@
     foreign.incarnation = Incarnation(7);
     assert_eq!(
         driver.send(foreign),
-        OrderAnswer::WrongIncarnation(Incarnation(1))
+        OrderResponse::WrongIncarnation(Incarnation(1))
     );
     let audit = driver.engine.audit(driver.now);
     assert_eq!((audit.wrong_incarnations, audit.orders_accepted), (1, 0));
@@ -74,7 +74,7 @@
 fn one_fence_with_two_orders_is_a_counted_breach() {
     let mut driver = Driver::loaded(small_settings());
     let answer = driver.send(order(1, load(9, 1, 1)));
-    assert!(matches!(answer, OrderAnswer::Rejected(_)));
+    assert!(matches!(answer, OrderResponse::Rejected(_)));
     assert_eq!(driver.engine.audit(driver.now).conflicting_fences, 1);
 }
 
@@ -191,7 +191,7 @@
         bytes: 50,
         checkpoint: "dealer-1".to_owned(),
     });
-    assert_eq!(driver.send(order(2, adapter)), OrderAnswer::Accepted);
+    assert_eq!(driver.send(order(2, adapter)), OrderResponse::Accepted);
     driver.run_dry();
     let mut with_adapter = request(1, 1, 2);
     with_adapter.adapter = Some(AdapterName::from("dealer"));
--- a/crates/millpass-standin/tests/engine_properties.rs
+++ b/crates/millpass-standin/tests/engine_properties.rs
@@ -172,7 +172,7 @@
                 let index = self.next_fence.saturating_sub(FENCE_GAP * (back + 1) + 1);
                 let role = OrderAction::ChangeRole(EngineRole::Prefill);
                 let outputs = self.step(EngineInput::Order(order(index, role)));
-                let stale = EngineOutput::OrderAnswered(OrderAnswer::StaleFence(highest));
+                let stale = EngineOutput::OrderAnswered(OrderResponse::StaleFence(highest));
                 assert!(outputs.contains(&stale));
             }
             Action::Submit(submission) => self.submit(submission),
--- a/crates/millpass-state/src/claims.rs
+++ b/crates/millpass-state/src/claims.rs
@@ -128,7 +128,7 @@
     }
 
     fn refuse_new(&self, begin: &ClaimBegin) -> Option<ClaimDecision> {
-        let born = begin.born_unix_millis;
+        let born = begin.created_unix_millis;
         let oldest = self
             .latest_unix_millis
             .saturating_sub(MAXIMUM_CLAIM_AGE_MILLIS);
@@ -153,13 +153,13 @@
         let claim = Claim {
             tenant: begin.tenant.clone(),
             digest: *blake3::hash(begin.digest.as_bytes()).as_bytes(),
-            born_unix_millis: begin.born_unix_millis,
+            born_unix_millis: begin.created_unix_millis,
             holder: holder_of(begin),
             phase: Phase::Open,
             decided: vec![holder_of(begin)],
         };
         self.claims.insert(id, claim);
-        self.by_birth.insert((begin.born_unix_millis, id));
+        self.by_birth.insert((begin.created_unix_millis, id));
         self.usage.entry(begin.tenant.clone()).or_default().claims += 1;
         self.open_claim(id, begin);
     }
@@ -237,10 +237,10 @@
     }
 
     pub(crate) fn expire(&mut self, expire: &ExpireClaims) -> Result<(), Refusal> {
-        if expire.born_before_unix_millis <= self.born_after_unix_millis {
+        if expire.created_before_unix_millis <= self.born_after_unix_millis {
             return Err(Refusal::NoChange);
         }
-        self.born_after_unix_millis = expire.born_before_unix_millis;
+        self.born_after_unix_millis = expire.created_before_unix_millis;
         while let Some((born, id)) = self.by_birth.first().copied() {
             if born >= self.born_after_unix_millis {
                 break;
@@ -290,7 +290,7 @@
     fn decide(&self, begin: &ClaimBegin) -> Option<ClaimDecision> {
         let same_digest = self.digest == *blake3::hash(begin.digest.as_bytes()).as_bytes();
         // A key says itself when it was born: another birth is another request.
-        if !same_digest || self.born_unix_millis != begin.born_unix_millis {
+        if !same_digest || self.born_unix_millis != begin.created_unix_millis {
             return Some(ClaimDecision::DigestMismatch);
         }
         let same_holder = self.holder == holder_of(begin);
--- a/crates/millpass-state/src/deployment.rs
+++ b/crates/millpass-state/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The deployment document in force, and the instances that leave or have left.
 
 use millpass_proto::{
-    DeploymentDocument, InstanceDeparture, InstanceId, InstanceNote, InstanceRecord, PutDocument,
+    DeploymentDocument, InstanceChanges, InstanceDeparture, InstanceId, InstanceRecord, PutDocument,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -50,7 +50,7 @@
     }
 
     /// Takes a leader's view of instances. What has departed stays so.
-    pub(crate) fn note(&mut self, note: &InstanceNote) {
+    pub(crate) fn note(&mut self, note: &InstanceChanges) {
         for record in &note.instances {
             let departed = self.departed(&record.instance);
             let known = self.noted.contains_key(&record.instance);
--- a/crates/millpass-state/src/held_requests.rs
+++ b/crates/millpass-state/src/held_requests.rs
@@ -1,6 +1,6 @@
 //! Requests that end the instances that run them, and are held back.
 
-use millpass_proto::{HeldRequestNote, RequestFingerprint};
+use millpass_proto::{QuarantineRecord, RequestFingerprint};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -9,11 +9,11 @@
 
 /// Requests held back, the one noted first in front.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct HeldRequests(VecDeque<HeldRequestNote>);
+pub(crate) struct HeldRequests(VecDeque<QuarantineRecord>);
 
 impl HeldRequests {
     /// Keeps a request; a later word of it replaces the earlier one.
-    pub(crate) fn note(&mut self, note: &HeldRequestNote) {
+    pub(crate) fn note(&mut self, note: &QuarantineRecord) {
         self.lift(&note.request);
         if self.0.len() >= MAXIMUM_HELD_REQUESTS {
             self.0.pop_front();
@@ -26,7 +26,7 @@
         self.0.retain(|note| note.request != *request);
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &HeldRequestNote> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &QuarantineRecord> {
         self.0.iter()
     }
 }
--- a/crates/millpass-state/src/lib.rs
+++ b/crates/millpass-state/src/lib.rs
@@ -43,9 +43,9 @@
 
 use millpass_proto::{
     BackendName, BackendState, Command, CommandOutcome, ConfigurationDelta, ConfigurationRevision,
-    DeploymentDocument, HeldRequestNote, Incarnation, InstanceId, InstanceRecord, LogPosition,
-    ModelName, ObjectChange, ObjectChangeOutcome, ObjectKey, ObjectKind, ObjectSpec,
-    PlacementRevision, Replica, RouterName, SlotId, StoredObject,
+    DeploymentDocument, Incarnation, InstanceId, InstanceRecord, LogPosition, ModelName,
+    ObjectChange, ObjectChangeOutcome, ObjectKey, ObjectKind, ObjectSpec, PlacementRevision,
+    QuarantineRecord, Replica, RouterName, SlotId, StoredObject,
 };
 use serde::{Deserialize, Serialize};
 
@@ -69,7 +69,7 @@
 impl State {
     /// Applies one committed command.
     pub fn apply(&mut self, at: LogPosition, command: &Command) -> CommandOutcome {
-        if command.binds_gateways() {
+        if command.is_required_by_gateways() {
             self.binding_index = at.index;
         }
         let outcome = match command {
@@ -106,17 +106,17 @@
                 self.deployment.put(put);
                 Ok(())
             }
-            Command::NoteInstances(note) => {
+            Command::RecordInstances(note) => {
                 self.deployment.note(note);
                 Ok(())
             }
             // Each member keeps what it tells with the time at which it came.
-            Command::NoteInstructions(_) | Command::NoteStoreCapacity(_) => Ok(()),
-            Command::NoteHeldRequest(note) => {
+            Command::RecordInstructionIntent(_) | Command::RecordStoreCapacity(_) => Ok(()),
+            Command::QuarantineRequest(note) => {
                 self.held_requests.note(note);
                 Ok(())
             }
-            Command::LiftRequest(request) => {
+            Command::LiftQuarantine(request) => {
                 self.held_requests.lift(request);
                 Ok(())
             }
@@ -151,7 +151,7 @@
     }
 
     /// Requests that end the instances that run them.
-    pub fn held_requests(&self) -> impl Iterator<Item = &HeldRequestNote> {
+    pub fn held_requests(&self) -> impl Iterator<Item = &QuarantineRecord> {
         self.held_requests.iter()
     }
 
--- a/crates/millpass-state/tests/claims.rs
+++ b/crates/millpass-state/tests/claims.rs
@@ -18,7 +18,7 @@
         tenant: "t".into(),
         key: key.into(),
         digest: "digest".to_owned(),
-        born_unix_millis: NOW,
+        created_unix_millis: NOW,
         router: router.into(),
         router_incarnation: Incarnation(1),
         attempt,
@@ -46,7 +46,7 @@
 
 fn expire(born_before_unix_millis: u64) -> Command {
     Command::ExpireClaims(ExpireClaims {
-        born_before_unix_millis,
+        created_before_unix_millis: born_before_unix_millis,
     })
 }
 
@@ -88,7 +88,7 @@
     other.digest = "other".to_owned();
     assert_eq!(decide(&mut fixture, &other), ClaimDecision::DigestMismatch);
     let mut reborn = begin("k", "r1", 1);
-    reborn.born_unix_millis += 1;
+    reborn.created_unix_millis += 1;
     assert_eq!(decide(&mut fixture, &reborn), ClaimDecision::DigestMismatch);
     let mut neighbour = begin("k", "r1", 1);
     neighbour.tenant = "u".into();
@@ -177,10 +177,10 @@
 fn keys_born_too_early_or_too_late_are_refused() {
     let mut fixture = Fixture::default();
     let mut old = begin("old", "r1", 1);
-    old.born_unix_millis = NOW - MAXIMUM_CLAIM_AGE_MILLIS - 1;
+    old.created_unix_millis = NOW - MAXIMUM_CLAIM_AGE_MILLIS - 1;
     assert_eq!(decide(&mut fixture, &old), ClaimDecision::Expired);
     let mut young = begin("young", "r1", 2);
-    young.born_unix_millis = NOW + MAXIMUM_CLOCK_SKEW_MILLIS + 1;
+    young.created_unix_millis = NOW + MAXIMUM_CLOCK_SKEW_MILLIS + 1;
     assert_eq!(decide(&mut fixture, &young), ClaimDecision::BornInFuture);
     assert_eq!(fixture.state.claim_count(), 0);
 }
@@ -290,7 +290,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let begin = (0..3_u64, 0..3_u64, 0..3_u64).prop_map(|(key, router, attempt)| ClaimBegin {
-        born_unix_millis: NOW + key,
+        created_unix_millis: NOW + key,
         ..begin(&format!("k{key}"), &format!("r{router}"), attempt)
     });
     let conclusion = prop_oneof![
--- a/crates/millpass-state/tests/held_requests.rs
+++ b/crates/millpass-state/tests/held_requests.rs
@@ -16,12 +16,12 @@
 }
 
 fn held(state: &mut State, index: u64, number: u64, ends: u32) {
-    let note = HeldRequestNote {
+    let note = QuarantineRecord {
         request: request(number),
-        ends,
-        lapsed: false,
+        crashes: ends,
+        expired: false,
     };
-    apply(state, index, &Command::NoteHeldRequest(note));
+    apply(state, index, &Command::QuarantineRequest(note));
 }
 
 #[test]
@@ -29,9 +29,9 @@
     let mut state = State::default();
     held(&mut state, 1, 5, 3);
     held(&mut state, 2, 5, 4);
-    let ends: Vec<u32> = state.held_requests().map(|note| note.ends).collect();
+    let ends: Vec<u32> = state.held_requests().map(|note| note.crashes).collect();
     assert_eq!(ends, vec![4]);
-    apply(&mut state, 3, &Command::LiftRequest(request(5)));
+    apply(&mut state, 3, &Command::LiftQuarantine(request(5)));
     assert_eq!(state.held_requests().count(), 0);
 }
 
--- a/crates/millpass-tenancy/src/ledger.rs
+++ b/crates/millpass-tenancy/src/ledger.rs
@@ -8,8 +8,8 @@
 use crate::account::QuotaTerms;
 use crate::limit::{TenantLimit, UnitBucket};
 use millpass_proto::{
-    CreditAnswer, CreditAsk, CreditGrant, CreditRequest, DeploymentDocument, Duration, TenantName,
-    Timestamp,
+    CreditGrant, CreditRequest, CreditResponse, DeploymentDocument, Duration, TenantCreditRequest,
+    TenantName, Timestamp,
 };
 use std::collections::HashMap;
 
@@ -91,14 +91,14 @@
         now: Timestamp,
         term: u64,
         request: &CreditRequest,
-    ) -> (CreditAnswer, Vec<QuotaExhausted>) {
+    ) -> (CreditResponse, Vec<QuotaExhausted>) {
         let mut events = Vec::new();
         let grants = request
-            .asks
+            .tenants
             .iter()
-            .map(|ask| self.grant(now, ask, request.lent_in == term, &mut events))
+            .map(|ask| self.grant(now, ask, request.granted_in_term == term, &mut events))
             .collect();
-        let answer = CreditAnswer {
+        let answer = CreditResponse {
             term,
             sequence: request.sequence,
             grants,
@@ -109,23 +109,23 @@
     fn grant(
         &mut self,
         now: Timestamp,
-        ask: &CreditAsk,
+        ask: &TenantCreditRequest,
         lent_here: bool,
         events: &mut Vec<QuotaExhausted>,
     ) -> CreditGrant {
-        let waiting = u32::try_from(ask.needed.len()).unwrap_or(u32::MAX);
+        let waiting = u32::try_from(ask.queued_units.len()).unwrap_or(u32::MAX);
         let mut grant = CreditGrant {
             tenant: ask.tenant.clone(),
-            covered: waiting,
-            reserve: 0,
+            granted_requests: waiting,
+            prefetched_units: 0,
             wait_millis: 0,
-            plenty: true,
+            over_half_available: true,
         };
         let limit = match self.limits.get(&ask.tenant) {
             Some(Some(limit)) => *limit,
             Some(None) => return grant,
             None => {
-                grant.covered = 0;
+                grant.granted_requests = 0;
                 grant.wait_millis = UNKNOWN_WAIT_MILLIS;
                 return grant;
             }
@@ -147,15 +147,18 @@
             // What was used while another led came out of that one's bucket, which this one began without.
             bucket.charge(ask.overdrawn);
         }
-        let covered = ask.needed.iter().take_while(|units| bucket.take(**units));
-        grant.covered = u32::try_from(covered.count()).unwrap_or(u32::MAX);
-        grant.plenty = bucket.has_plenty();
-        if grant.covered == waiting {
-            grant.reserve = bucket.take_plenty(ask.reserve);
+        let covered = ask
+            .queued_units
+            .iter()
+            .take_while(|units| bucket.take(**units));
+        grant.granted_requests = u32::try_from(covered.count()).unwrap_or(u32::MAX);
+        grant.over_half_available = bucket.has_plenty();
+        if grant.granted_requests == waiting {
+            grant.prefetched_units = bucket.take_plenty(ask.prefetch_units);
             return grant;
         }
         grant.wait_millis = bucket.wait_millis().max(1);
-        account.denied += u64::from(waiting - grant.covered);
+        account.denied += u64::from(waiting - grant.granted_requests);
         if account
             .event_at
             .is_none_or(|at| now.since(at) >= EVENT_INTERVAL)
--- a/crates/millpass-tenancy/src/pool.rs
+++ b/crates/millpass-tenancy/src/pool.rs
@@ -4,7 +4,8 @@
 use crate::ledger::MAXIMUM_NEEDED;
 use crate::limit::TenantLimit;
 use millpass_proto::{
-    CreditAnswer, CreditAsk, CreditGrant, CreditRequest, Duration, TenantName, Timestamp,
+    CreditGrant, CreditRequest, CreditResponse, Duration, TenantCreditRequest, TenantName,
+    Timestamp,
 };
 use std::collections::{BTreeMap, HashMap};
 
@@ -237,10 +238,10 @@
                 tenant: tenant.clone(),
                 claims,
             });
-            asks.push(CreditAsk {
+            asks.push(TenantCreditRequest {
                 tenant: tenant.clone(),
-                needed,
-                reserve,
+                queued_units: needed,
+                prefetch_units: reserve,
                 returned: std::mem::take(&mut account.returned),
                 overdrawn: std::mem::take(&mut account.overdrawn),
             });
@@ -254,13 +255,13 @@
         Some(CreditRequest {
             gateway: gateway.to_owned(),
             sequence: self.sequence,
-            asks,
-            lent_in: self.lent_in,
+            tenants: asks,
+            granted_in_term: self.lent_in,
         })
     }
 
     /// Takes the leader's answer.
-    pub fn answer(&mut self, now: Timestamp, answer: &CreditAnswer) {
+    pub fn answer(&mut self, now: Timestamp, answer: &CreditResponse) {
         self.lent_in = answer.term;
         let Some(asked) = self.asked.remove(&answer.sequence) else {
             return;
@@ -276,7 +277,7 @@
     fn take_grant(&mut self, now: Timestamp, asked: &TenantAsked, grant: &CreditGrant) {
         let account = self.accounts.entry(asked.tenant.clone()).or_default();
         let until = now + Duration::from_millis(grant.wait_millis);
-        let covered = grant.covered as usize;
+        let covered = grant.granted_requests as usize;
         for (place, (claim, units)) in asked.claims.iter().enumerate() {
             let lent = place < covered;
             match self.claims.get_mut(claim) {
@@ -292,8 +293,12 @@
                 _ => {}
             }
         }
-        account.keep(now, grant.reserve);
-        account.answered(now, grant.plenty, (grant.wait_millis > 0).then_some(until));
+        account.keep(now, grant.prefetched_units);
+        account.answered(
+            now,
+            grant.over_half_available,
+            (grant.wait_millis > 0).then_some(until),
+        );
     }
 
     /// Whether the leader owes an answer for longer than one takes, and nothing was heard of it since.
--- a/crates/millpass-tenancy/tests/quota.rs
+++ b/crates/millpass-tenancy/tests/quota.rs
@@ -49,7 +49,7 @@
 
 enum Message {
     ToLeader(usize, CreditRequest),
-    ToGateway(usize, CreditAnswer),
+    ToGateway(usize, CreditResponse),
 }
 
 struct Request {
@@ -365,7 +365,7 @@
     // Answers that take 200 ms make it a slow one.
     let mut answered = first;
     for turn in 1..20 {
-        let answer = CreditAnswer {
+        let answer = CreditResponse {
             term: 1,
             sequence: answered.sequence,
             grants: Vec::new(),
@@ -405,7 +405,7 @@
         let asked = 50_000 + turn * 100;
         pool.open(at(asked), &tenant, LARGE_TENANT, 9_800, PATIENCE);
         let message = pool.message(at(asked), "g", false);
-        let answer = CreditAnswer {
+        let answer = CreditResponse {
             term: 1,
             sequence: message.expect("something to ask").sequence,
             grants: Vec::new(),
