--- a/crates/millpass-config/src/generated.rs
+++ b/crates/millpass-config/src/generated.rs
@@ -4,27 +4,27 @@
     FileSpecification, KeyKind, KeySpecification, Rounding, SectionSpecification,
 };
 use serde::{Deserialize, Serialize};
-/// Who this member is and where it listens.
+/// Identity and listen addresses of this member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlMemberSection {
-    /// Consensus group; the same for all members and routers of a deployment.
+    /// Consensus group ID; must be the same for all members and routers of a deployment.
     pub group: u64,
     /// Zone this member runs in.
     pub zone: String,
-    /// Address for members and routers. Port 0 picks a free one.
+    /// Listen address for members and routers. Port 0 selects a free port.
     pub peer_listen: String,
-    /// Address that others reach `peer_listen` at, where it differs (a relay); empty for the same.
+    /// Address at which others reach `peer_listen`, if different (for example behind a relay); empty for the same address.
     pub peer_address: String,
-    /// Address of the administration API and metrics.
+    /// Listen address of the administration API and metrics.
     pub administration_listen: String,
-    /// Folder for log, snapshots and identity. Only one process may use it.
+    /// Folder for the log, snapshots and member identity. Must not be shared between processes.
     pub data_folder: String,
-    /// BLAKE3 hash (hex) of a key that counts as administrator while no operator account exists.
+    /// BLAKE3 hash (hex) of a key that has administrator access while no operator account exists.
     pub bootstrap_key_hash: String,
-    /// Administration addresses of members to find the group through; they listen for members at the port of this member's `peer_listen`.
+    /// Administration addresses of members used to discover the group. Seeds must accept peer connections at the port of this member's `peer_listen`.
     pub seeds: Vec<String>,
-    /// Whether seeds with empty data folders form the group together; others join it.
+    /// Whether seeds with empty data folders form a new group together; other members join it.
     pub form_group: String,
 }
 impl Default for ControlMemberSection {
@@ -42,23 +42,23 @@
         }
     }
 }
-/// Instances that announce themselves, under a configuration that is one document.
+/// Self-announcing instances, configured by a deployment document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlFleetSection {
-    /// Whether instances announce themselves; otherwise the platform lists machines.
+    /// `announced` if instances announce themselves; `off` if the platform lists machines.
     pub mode: String,
-    /// Time between two announcements of an instance.
+    /// Interval between announcements of an instance.
     pub announce_interval_ms: u64,
-    /// Time after which an instance that is not heard of is gone.
+    /// Time without announcements after which an instance is considered gone.
     pub instance_silence_ms: u64,
-    /// Longest wait for an engine's answer to an order; without one, its state is read.
+    /// Timeout for an engine's response to an instruction. After a timeout, the engine's state is queried.
     pub call_timeout_ms: u64,
-    /// Most calls to engines at once, each on a thread that is started when it is needed. A quarter of them may be to engines that did not answer their last call.
+    /// Maximum concurrent calls to engines, each on its own thread, started on demand. At most a quarter of them may be to engines that did not answer their last call.
     pub calls_at_once: u64,
-    /// Time from the last byte of an engine's last instruction for which no other leader instructs it. The next leader adds order_lifetime_ms.
+    /// Time after the last byte of an engine's last instruction during which no other leader instructs that engine. A new leader adds `order_lifetime_ms`.
     pub order_handover_ms: u64,
-    /// Time from the commit of an instruction's note within which its last byte leaves, or it does not leave. Longer: fewer instructions are decided anew where engines are slow to take connections; shorter: the next leader steers sooner. Instructions wait 15 ms at most on an ordinary day.
+    /// Time after the intent of an instruction is committed within which the instruction must be sent completely; otherwise it is not sent. Higher values avoid repeated scheduling decisions when engines accept connections slowly; lower values let a new leader instruct engines sooner.
     pub order_lifetime_ms: u64,
 }
 impl Default for ControlFleetSection {
@@ -74,15 +74,15 @@
         }
     }
 }
-/// What the contract bears above tenants' limits. Gateways that no leader answers use a part of it, and a new leader begins with a part.
+/// Allowed overrun of tenants' limits. Gateways without a reachable leader use a part of it, and a new leader starts with a part of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlQuotaSection {
-    /// Length of the window in which use is summed.
+    /// Length of the window over which use is summed.
     pub window_ms: u64,
-    /// Part of the limit that is borne above it.
+    /// Allowed overrun, as a fraction of the limit.
     pub overage: String,
-    /// Units borne beyond that in a window.
+    /// Additional units allowed per window.
     pub slack_units: u64,
 }
 impl Default for ControlQuotaSection {
@@ -94,15 +94,15 @@
         }
     }
 }
-/// The initial members, the same list in the same order on each; a member that joins later needs at least one that lives.
+/// Initial members, identical and in the same order on every member. A member that joins later needs at least one reachable member in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlMembersSection {
     /// Zone of the member.
     pub zone: String,
-    /// Address others reach it at (IP:port).
+    /// Peer address of the member (IP:port).
     pub peer_address: String,
-    /// Address of its administration API (IP:port).
+    /// Administration API address of the member (IP:port).
     pub administration_address: String,
 }
 impl Default for ControlMembersSection {
@@ -114,23 +114,23 @@
         }
     }
 }
-/// Timing of the control group. The lease must be shorter than the election timeout by more than clocks drift.
+/// Consensus timing. `lease_ms` must be shorter than `election_timeout_ms` by more than the clock drift.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlConsensusSection {
-    /// Shortest time without a leader before a member asks for votes.
+    /// Minimum time without a leader before a member starts an election.
     pub election_timeout_ms: u64,
-    /// Time between heartbeats of the leader.
+    /// Interval between leader heartbeats.
     pub heartbeat_ms: u64,
-    /// Time the leader may act alone after a heartbeat that a quorum acknowledged.
+    /// Duration of the leader lease after a heartbeat acknowledged by a quorum.
     pub lease_ms: u64,
-    /// Time for which the leader's disk may finish no write while a majority syncs more than it holds, before it hands leadership over. Above what a slow disk takes (120 ms at sixty times two), or it costs elections.
+    /// Time without a completed write on the leader's disk, while a majority has synced more entries, after which the leader transfers leadership. Values below the write latency of a slow disk cause unnecessary elections.
     pub stalled_disk_ms: u64,
-    /// Most log entries in one message.
+    /// Maximum log entries per message.
     pub maximum_append_entries: u64,
     /// Applied entries after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// Bytes in one piece of a snapshot.
+    /// Size of a snapshot chunk.
     pub snapshot_chunk_bytes: u64,
 }
 impl Default for ControlConsensusSection {
@@ -146,15 +146,15 @@
         }
     }
 }
-/// What a member's data folder may hold: three log segments, each with one write beyond its size, and two snapshots beside that write. A start is refused where that is more than the disk.
+/// Disk space for a member's data folder: three log segments, each exceeded by at most one write, plus two snapshots and one such write. A member refuses to start if this exceeds `disk_mb`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlStorageSection {
-    /// Size of a log segment in megabytes, from which the next is started and a snapshot is taken.
+    /// Log segment size in megabytes at which a new segment is started and a snapshot is taken.
     pub segment_mb: u64,
-    /// Largest replicated state to be expected, in megabytes; so large is a snapshot, and a write at most. The log warns from three quarters of it on.
+    /// Maximum expected size of the replicated state in megabytes, which also bounds a snapshot and a single write. A warning is logged above three quarters of it.
     pub largest_state_mb: u64,
-    /// Size of the disk in megabytes; 0 where it is not known.
+    /// Disk size in megabytes; 0 if unknown.
     pub disk_mb: u64,
 }
 impl Default for ControlStorageSection {
@@ -166,11 +166,11 @@
         }
     }
 }
-/// Leases given to routers.
+/// Leases granted to routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlRoutersSection {
-    /// Time a router may use its catalog and routes after a report that was answered. Bounds how long a leaving back end gets new work and how long a cut-off router serves.
+    /// Time for which a router may use its catalog and routes after an acknowledged report. Limits how long a draining backend receives new work and how long a partitioned router serves requests.
     pub lease_ms: u64,
 }
 impl Default for ControlRoutersSection {
@@ -178,19 +178,19 @@
         Self { lease_ms: 3000u64 }
     }
 }
-/// Which models are loaded, and for how long.
+/// Model placement and keep-alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlSchedulingSection {
-    /// Time between scheduling rounds.
+    /// Interval between scheduling rounds.
     pub interval_ms: u64,
-    /// Weight of a second of cold start.
+    /// Cost of one second of cold start.
     pub cold_start_weight: u64,
-    /// Weight of an accelerator second spent loaded and idle.
+    /// Cost of one accelerator-second spent loaded and idle.
     pub idle_weight: u64,
-    /// How long an idle replica stays loaded.
+    /// Keep-alive policy for idle replicas.
     pub keep_alive: String,
-    /// Time for `keep_alive = "fixed"`.
+    /// Keep-alive time with `keep_alive = "fixed"`.
     pub fixed_keep_alive_ms: u64,
 }
 impl Default for ControlSchedulingSection {
@@ -204,15 +204,15 @@
         }
     }
 }
-/// What the weight store allows.
+/// Capacity of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlStoreSection {
-    /// Loads that may start a second.
+    /// Maximum loads started per second.
     pub loads_per_second: u64,
-    /// Loads at once at full speed.
+    /// Maximum concurrent loads that run at full speed.
     pub concurrent_loads: u64,
-    /// Speed of one load, to estimate waits.
+    /// Throughput of one load, used for wait estimates.
     pub bytes_per_second: u64,
 }
 impl Default for ControlStoreSection {
@@ -224,11 +224,11 @@
         }
     }
 }
-/// Requests that may not be repeated.
+/// Non-repeatable requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlClaimsSection {
-    /// How long a key and its answer are kept; an older key is refused.
+    /// Retention time of an idempotency key and its response; older keys are refused.
     pub retention_ms: u64,
 }
 impl Default for ControlClaimsSection {
@@ -236,15 +236,15 @@
         Self { retention_ms: 86400000u64 }
     }
 }
-/// Replacing what is lost.
+/// Replacement of lost members and machines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlRepairSection {
-    /// Silence after which a member is replaced by a waiting one.
+    /// Time without contact after which a member is replaced by a standby member.
     pub member_replacement_delay_ms: u64,
-    /// Members that may be lost at once: waiting members are promoted until there are twice as many voters and one more. 0 keeps their number.
+    /// Number n of simultaneous member losses to tolerate: standby members are promoted until there are 2n+1 voters. 0 keeps the current number of voters.
     pub tolerated_losses: u64,
-    /// Time a machine must be missing from the platform's list before its memory counts as gone.
+    /// Time for which a machine must be missing from the platform's list before its memory is considered released.
     pub machine_gone_delay_ms: u64,
 }
 impl Default for ControlRepairSection {
@@ -256,11 +256,11 @@
         }
     }
 }
-/// The platform's list of machines.
+/// Machine list of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlPlatformSection {
-    /// Where the list is read.
+    /// Address of the machine list.
     pub address: String,
 }
 impl Default for ControlPlatformSection {
@@ -270,13 +270,13 @@
         }
     }
 }
-/// Logs: one line of key=value pairs per event.
+/// Logging: one line of key=value pairs per event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlLogSection {
-    /// Least severe level written.
+    /// Minimum severity of logged events.
     pub level: String,
-    /// File to append to; empty for standard error.
+    /// Log file, opened for appending; empty for standard error.
     pub file: String,
 }
 impl Default for ControlLogSection {
@@ -291,31 +291,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlSettings {
-    /// Who this member is and where it listens.
+    /// Identity and listen addresses of this member.
     pub member: ControlMemberSection,
-    /// Instances that announce themselves, under a configuration that is one document.
+    /// Self-announcing instances, configured by a deployment document.
     pub fleet: ControlFleetSection,
-    /// What the contract bears above tenants' limits. Gateways that no leader answers use a part of it, and a new leader begins with a part.
+    /// Allowed overrun of tenants' limits. Gateways without a reachable leader use a part of it, and a new leader starts with a part of it.
     pub quota: ControlQuotaSection,
-    /// The initial members, the same list in the same order on each; a member that joins later needs at least one that lives.
+    /// Initial members, identical and in the same order on every member. A member that joins later needs at least one reachable member in the list.
     pub members: Vec<ControlMembersSection>,
-    /// Timing of the control group. The lease must be shorter than the election timeout by more than clocks drift.
+    /// Consensus timing. `lease_ms` must be shorter than `election_timeout_ms` by more than the clock drift.
     pub consensus: ControlConsensusSection,
-    /// What a member's data folder may hold: three log segments, each with one write beyond its size, and two snapshots beside that write. A start is refused where that is more than the disk.
+    /// Disk space for a member's data folder: three log segments, each exceeded by at most one write, plus two snapshots and one such write. A member refuses to start if this exceeds `disk_mb`.
     pub storage: ControlStorageSection,
-    /// Leases given to routers.
+    /// Leases granted to routers.
     pub routers: ControlRoutersSection,
-    /// Which models are loaded, and for how long.
+    /// Model placement and keep-alive.
     pub scheduling: ControlSchedulingSection,
-    /// What the weight store allows.
+    /// Capacity of the weight store.
     pub store: ControlStoreSection,
-    /// Requests that may not be repeated.
+    /// Non-repeatable requests.
     pub claims: ControlClaimsSection,
-    /// Replacing what is lost.
+    /// Replacement of lost members and machines.
     pub repair: ControlRepairSection,
-    /// The platform's list of machines.
+    /// Machine list of the platform.
     pub platform: ControlPlatformSection,
-    /// Logs: one line of key=value pairs per event.
+    /// Logging: one line of key=value pairs per event.
     pub log: ControlLogSection,
 }
 /// Keys of the `control` settings file.
@@ -768,19 +768,19 @@
         },
     ],
 };
-/// Who this router is and where it listens.
+/// Identity and listen addresses of this router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterRouterSection {
-    /// Name, unique in the deployment.
+    /// Router name, unique in the deployment.
     pub name: String,
-    /// Consensus group of the control members.
+    /// Consensus group ID of the control members.
     pub group: u64,
-    /// Zone it runs in; back ends of the zone are preferred.
+    /// Zone the router runs in; backends in the same zone are preferred.
     pub zone: String,
-    /// Address of the caller API.
+    /// Listen address of the caller API.
     pub listen: String,
-    /// Address of metrics, health and `explain`.
+    /// Listen address for metrics, health checks and `explain`.
     pub metrics_listen: String,
 }
 impl Default for RouterRouterSection {
@@ -794,11 +794,11 @@
         }
     }
 }
-/// The control group.
+/// Control group connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterControlSection {
-    /// Peer addresses of control members (IP:port).
+    /// Peer addresses of the control members (IP:port).
     pub members: Vec<String>,
 }
 impl Default for RouterControlSection {
@@ -806,23 +806,23 @@
         Self { members: Vec::new() }
     }
 }
-/// Limits towards callers. Each refusal names its limit.
+/// Limits for callers. A refusal names the exceeded limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterLimitsSection {
-    /// Open connections.
+    /// Maximum open connections.
     pub maximum_connections: u64,
-    /// Size of a request body.
+    /// Maximum size of a request body.
     pub maximum_body_bytes: u64,
-    /// Time to send a header.
+    /// Timeout for receiving request headers.
     pub header_timeout_ms: u64,
-    /// Time to send a body.
+    /// Timeout for receiving a request body.
     pub body_timeout_ms: u64,
-    /// Deadline of a request that states none.
+    /// Deadline of requests that state none.
     pub default_deadline_ms: u64,
-    /// Longest deadline a request may state.
+    /// Maximum deadline a request may state.
     pub maximum_deadline_ms: u64,
-    /// Requests waiting for a replica.
+    /// Maximum requests waiting for a replica.
     pub maximum_waiting: u64,
 }
 impl Default for RouterLimitsSection {
@@ -838,17 +838,17 @@
         }
     }
 }
-/// Attempts at back ends.
+/// Retries and circuit breaking.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterRetriesSection {
-    /// Attempts of one request, the first included.
+    /// Maximum attempts per request, including the first.
     pub maximum_attempts: u64,
-    /// Retries per hundred first attempts.
+    /// Retries allowed per hundred first attempts.
     pub budget_percent: u64,
-    /// Consecutive failures after which a back end is left out.
+    /// Consecutive failures that open a backend's circuit breaker.
     pub circuit_failures: u64,
-    /// How long it is left out.
+    /// Time for which an open circuit breaker excludes the backend.
     pub circuit_open_ms: u64,
 }
 impl Default for RouterRetriesSection {
@@ -865,11 +865,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterReportsSection {
-    /// Time between reports. Keep it below a third of the lease.
+    /// Interval between reports. Should be less than a third of the lease.
     pub interval_ms: u64,
-    /// Shortest time between reports when a request starts to wait.
+    /// Minimum interval between reports sent because a request started to wait.
     pub minimum_interval_ms: u64,
-    /// Time between reads of a watched back end.
+    /// Interval between polls of a watched backend.
     pub watch_interval_ms: u64,
 }
 impl Default for RouterReportsSection {
@@ -881,13 +881,13 @@
         }
     }
 }
-/// Requests that may not be repeated.
+/// Non-repeatable requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterClaimsSection {
-    /// Wait for the control group before such a request is refused.
+    /// Timeout for the control group's response, after which the request is refused.
     pub timeout_ms: u64,
-    /// Largest answer kept for repeats; a larger one is kept as `may have run`.
+    /// Maximum size of a recorded response. For a larger one, only `may have run` is recorded.
     pub maximum_answer_bytes: u64,
 }
 impl Default for RouterClaimsSection {
@@ -898,11 +898,11 @@
         }
     }
 }
-/// Planned stop.
+/// Graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterDrainSection {
-    /// Time for requests in flight to end; those cut off after it are counted and logged.
+    /// Time for requests in flight to complete; remaining requests are aborted, counted and logged.
     pub grace_ms: u64,
 }
 impl Default for RouterDrainSection {
@@ -910,13 +910,13 @@
         Self { grace_ms: 600000u64 }
     }
 }
-/// Logs: one line of key=value pairs per event.
+/// Logging: one line of key=value pairs per event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterLogSection {
-    /// Least severe level written.
+    /// Minimum severity of logged events.
     pub level: String,
-    /// File to append to; empty for standard error.
+    /// Log file, opened for appending; empty for standard error.
     pub file: String,
 }
 impl Default for RouterLogSection {
@@ -931,21 +931,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterSettings {
-    /// Who this router is and where it listens.
+    /// Identity and listen addresses of this router.
     pub router: RouterRouterSection,
-    /// The control group.
+    /// Control group connection.
     pub control: RouterControlSection,
-    /// Limits towards callers. Each refusal names its limit.
+    /// Limits for callers. A refusal names the exceeded limit.
     pub limits: RouterLimitsSection,
-    /// Attempts at back ends.
+    /// Retries and circuit breaking.
     pub retries: RouterRetriesSection,
     /// Reports to the control group.
     pub reports: RouterReportsSection,
-    /// Requests that may not be repeated.
+    /// Non-repeatable requests.
     pub claims: RouterClaimsSection,
-    /// Planned stop.
+    /// Graceful shutdown.
     pub drain: RouterDrainSection,
-    /// Logs: one line of key=value pairs per event.
+    /// Logging: one line of key=value pairs per event.
     pub log: RouterLogSection,
 }
 /// Keys of the `router` settings file.
@@ -1199,19 +1199,19 @@
         },
     ],
 };
-/// Who this gateway is and where it listens.
+/// Identity and listen addresses of this gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayGatewaySection {
-    /// Name, unique in the deployment.
+    /// Gateway name, unique in the deployment.
     pub name: String,
-    /// Zone it runs in; instances of the zone are preferred.
+    /// Zone the gateway runs in; instances in the same zone are preferred.
     pub zone: String,
-    /// Address for callers.
+    /// Listen address for callers.
     pub listen: String,
-    /// Address where readiness is asked.
+    /// Listen address of the readiness check.
     pub ready_listen: String,
-    /// Address of metrics.
+    /// Listen address for metrics.
     pub metrics_listen: String,
 }
 impl Default for GatewayGatewaySection {
@@ -1225,19 +1225,19 @@
         }
     }
 }
-/// The control group.
+/// Control group connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayControlSection {
-    /// Administration addresses of control members to begin with.
+    /// Administration addresses of control members used for discovery.
     pub seeds: Vec<String>,
-    /// Port at which control members listen for gateways.
+    /// Port at which control members accept gateway connections.
     pub peer_port: u64,
-    /// Time between reports to the leader.
+    /// Interval between reports to the leader.
     pub report_interval_ms: u64,
-    /// Silence of the leader after which another member is asked.
+    /// Time without messages from the leader after which another member is contacted.
     pub leader_silence_ms: u64,
-    /// Longest wait for a connection to a member.
+    /// Timeout for connecting to a member.
     pub connect_timeout_ms: u64,
 }
 impl Default for GatewayControlSection {
@@ -1251,15 +1251,15 @@
         }
     }
 }
-/// Sends to instances.
+/// Requests to instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayInstancesSection {
-    /// Longest wait for a connection to an instance.
+    /// Timeout for connecting to an instance.
     pub connect_timeout_ms: u64,
-    /// Prompt tokens that an engine reads in a second.
+    /// Prompt tokens an engine processes per second.
     pub prompt_tokens_per_second: u64,
-    /// How long a caller that states no deadline waits.
+    /// Maximum wait of callers that state no deadline.
     pub default_patience_ms: u64,
 }
 impl Default for GatewayInstancesSection {
@@ -1271,15 +1271,15 @@
         }
     }
 }
-/// What is answered by a configuration of some age.
+/// Maximum age of the configuration used to answer requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayFreshnessSection {
-    /// Time after an acknowledgement by which a change is in force at each gateway: for so long after its last confirmation what a gateway knows counts as the newest. Afterwards it refuses, with 503, if it reaches a majority of the members.
+    /// Time after its acknowledgement by which a change is effective on every gateway. A gateway treats its state as current for this long after the last confirmation; later it refuses requests with 503 if it reaches a majority of the members.
     pub in_force_ms: u64,
-    /// Time after the acknowledgement of an instance's departure from which on no request reaches it; choices of instances stop before it by the time that sending takes.
+    /// Time after the acknowledgement of an instance's departure from which it receives no more requests. Instances are selected only until this time minus the time needed to send a request.
     pub departed_ms: u64,
-    /// Time without confirmation for which a gateway that reaches no majority of the members goes on with the routes that it knows; unknown ones get 503, never 404. 0 to refuse at once.
+    /// Time without confirmation for which a gateway that cannot reach a majority of the members continues to serve known routes; unknown routes get 503, never 404. 0 refuses immediately.
     pub cut_off_ms: u64,
 }
 impl Default for GatewayFreshnessSection {
@@ -1291,13 +1291,13 @@
         }
     }
 }
-/// Callers' keys.
+/// API keys of callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayTenantsSection {
-    /// What a request with a key gets once keys could not be checked for key_lifetime_ms and the key may have been taken away: `serve` goes on with the keys last known, `refuse` turns it away as not run.
+    /// Handling of requests with a key that could not be verified for `key_lifetime_ms` and may have been revoked: `serve` accepts the last known keys, `refuse` rejects the request as not executed.
     pub unchecked_keys: String,
-    /// Time without confirmation by the leader or a majority of the members after which keys count as unchecked.
+    /// Time without confirmation by the leader or a majority of the members after which keys are considered unverified.
     pub key_lifetime_ms: u64,
 }
 impl Default for GatewayTenantsSection {
@@ -1308,15 +1308,15 @@
         }
     }
 }
-/// What the contract bears above tenants' limits. Gateways that no leader answers use a part of it, and a new leader begins with a part.
+/// Allowed overrun of tenants' limits. Gateways without a reachable leader use a part of it, and a new leader starts with a part of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayQuotaSection {
-    /// Length of the window in which use is summed.
+    /// Length of the window over which use is summed.
     pub window_ms: u64,
-    /// Part of the limit that is borne above it.
+    /// Allowed overrun, as a fraction of the limit.
     pub overage: String,
-    /// Units borne beyond that in a window.
+    /// Additional units allowed per window.
     pub slack_units: u64,
 }
 impl Default for GatewayQuotaSection {
@@ -1328,13 +1328,13 @@
         }
     }
 }
-/// Repeats that a service may get, over all gateways.
+/// Retry budget of a service, over all gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayRetriesSection {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: String,
-    /// Repeats in a window beyond that.
+    /// Additional retries allowed per window.
     pub slack: u64,
     /// Length of the window.
     pub window_ms: u64,
@@ -1348,13 +1348,13 @@
         }
     }
 }
-/// Planned stop.
+/// Graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayDrainSection {
-    /// Time until the process is killed; it ends a little before.
+    /// Time until the platform kills the process; the gateway exits slightly earlier.
     pub grace_ms: u64,
-    /// Time for which new connections are still taken.
+    /// Time for which new connections are still accepted.
     pub accept_ms: u64,
 }
 impl Default for GatewayDrainSection {
@@ -1365,13 +1365,13 @@
         }
     }
 }
-/// Logs: one line of key=value pairs per event.
+/// Logging: one line of key=value pairs per event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayLogSection {
-    /// Least severe level written.
+    /// Minimum severity of logged events.
     pub level: String,
-    /// File to append to; empty for standard error.
+    /// Log file, opened for appending; empty for standard error.
     pub file: String,
 }
 impl Default for GatewayLogSection {
@@ -1382,27 +1382,27 @@
         }
     }
 }
-/// Settings of a gateway: a router whose instances announce themselves.
+/// Settings of a gateway, a router for self-announcing instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewaySettings {
-    /// Who this gateway is and where it listens.
+    /// Identity and listen addresses of this gateway.
     pub gateway: GatewayGatewaySection,
-    /// The control group.
+    /// Control group connection.
     pub control: GatewayControlSection,
-    /// Sends to instances.
+    /// Requests to instances.
     pub instances: GatewayInstancesSection,
-    /// What is answered by a configuration of some age.
+    /// Maximum age of the configuration used to answer requests.
     pub freshness: GatewayFreshnessSection,
-    /// Callers' keys.
+    /// API keys of callers.
     pub tenants: GatewayTenantsSection,
-    /// What the contract bears above tenants' limits. Gateways that no leader answers use a part of it, and a new leader begins with a part.
+    /// Allowed overrun of tenants' limits. Gateways without a reachable leader use a part of it, and a new leader starts with a part of it.
     pub quota: GatewayQuotaSection,
-    /// Repeats that a service may get, over all gateways.
+    /// Retry budget of a service, over all gateways.
     pub retries: GatewayRetriesSection,
-    /// Planned stop.
+    /// Graceful shutdown.
     pub drain: GatewayDrainSection,
-    /// Logs: one line of key=value pairs per event.
+    /// Logging: one line of key=value pairs per event.
     pub log: GatewayLogSection,
 }
 /// Keys of the `gateway` settings file.
--- a/crates/millpass-proto/src/codec.rs
+++ b/crates/millpass-proto/src/codec.rs
@@ -1,50 +1,50 @@
-//! Encoding of messages: postcard followed by a CRC-32, and a length prefix on streams.
+//! Message encoding: postcard followed by a CRC-32. Frames on streams have a length prefix.
 
 use crc::{CRC_32_ISCSI, Crc};
 use serde::{Serialize, de::DeserializeOwned};
 use std::io::{Read, Write};
 
-/// Largest frame accepted from a stream, in bytes. Snapshots travel in smaller pieces.
+/// Maximum frame size on a stream, in bytes. Snapshots are sent in smaller chunks.
 pub const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 static CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 
-/// Why a value could not be encoded, decoded or moved.
+/// Failure to encode, decode or transfer a value.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// The bytes are not an encoding of the wanted type, or are damaged.
+    /// The bytes do not decode as the expected type or are corrupt.
     #[error("message does not decode ({0}); run the same release on both ends")]
     Malformed(#[from] postcard::Error),
-    /// The frame is larger than allowed.
+    /// The frame exceeds [`MAXIMUM_FRAME_BYTES`].
     #[error("frame of {bytes} bytes exceeds {MAXIMUM_FRAME_BYTES}; split the message")]
     FrameTooLarge {
-        /// Size announced.
+        /// Size of the frame.
         bytes: usize,
     },
-    /// The stream failed or ended.
+    /// The stream failed or was closed.
     #[error("link failed: {0}; the sender reconnects")]
     Io(#[from] std::io::Error),
 }
 
-/// Encodes a value, with its checksum at the end.
+/// Encodes a value and appends its checksum.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, CodecError> {
     Ok(postcard::to_stdvec_crc32(value, CHECKSUM.digest())?)
 }
 
-/// Bytes that [`encode`] gives for a value; what does not encode counts as larger than anything.
+/// Encoded size of a value, including the checksum; `usize::MAX` if it cannot be encoded.
 pub fn encoded_bytes<T: Serialize>(value: &T) -> usize {
     encode(value).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-/// Decodes a value that [`encode`] gave; damaged bytes are an error.
+/// Decodes a value encoded by [`encode`] and verifies its checksum.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     Ok(postcard::from_bytes_crc32(bytes, CHECKSUM.digest())?)
 }
 
-/// Bytes of the length that stands before each value on a stream.
+/// Size of the length prefix of a frame, in bytes.
 pub const PREFIX_BYTES: usize = 4;
 
-/// Bytes of the value that follows this prefix on a stream.
+/// Decodes a length prefix; fails if the frame exceeds [`MAXIMUM_FRAME_BYTES`].
 pub fn body_length(prefix: [u8; PREFIX_BYTES]) -> Result<usize, CodecError> {
     let bytes = u32::from_le_bytes(prefix) as usize;
     match bytes > MAXIMUM_FRAME_BYTES {
@@ -53,8 +53,8 @@
     }
 }
 
-/// Writes one frame: the length as four little-endian bytes, then the encoded value. Does not
-/// flush.
+/// Writes a frame: the length as four little-endian bytes, then the encoded value. Does not flush
+/// the stream.
 pub fn write_frame<T: Serialize>(stream: &mut impl Write, value: &T) -> Result<(), CodecError> {
     let body = encode(value)?;
     if body.len() > MAXIMUM_FRAME_BYTES {
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-/// Reads one frame that [`write_frame`] wrote.
+/// Reads a frame written by [`write_frame`].
 pub fn read_frame<T: DeserializeOwned>(stream: &mut impl Read) -> Result<T, CodecError> {
     let mut prefix = [0_u8; PREFIX_BYTES];
     stream.read_exact(&mut prefix)?;
--- a/crates/millpass-proto/src/differences.rs
+++ b/crates/millpass-proto/src/differences.rs
@@ -1,11 +1,11 @@
-//! What changed, in place of the whole: between two versions of a deployment document, and between the instance
-//! records of two processes.
+//! Incremental updates: differences between two versions of a deployment document, and digests to compare the
+//! instance records of two processes.
 
 use crate::{DeploymentDocument, DocumentChange, InstanceRecord, RouteKey, RouteSpec, codec};
 use std::collections::BTreeMap;
 
 impl RouteSpec {
-    /// What tells it from the other routes of its document.
+    /// Key that is unique among the routes of a document.
     pub fn key(&self) -> RouteKey {
         RouteKey {
             host: self.host.clone(),
@@ -15,8 +15,8 @@
 }
 
 impl DocumentChange {
-    /// What turns `base` into `next`; none if two routes, services or tenants of one of them cannot be told apart,
-    /// which no valid document has.
+    /// Computes the change from `base` to `next`. Returns `None` if either document contains duplicate route, service
+    /// or tenant keys, which valid documents do not.
     pub fn between(base: &DeploymentDocument, next: &DeploymentDocument) -> Option<Self> {
         let (routes, removed_routes) = compare(&base.routes, &next.routes, RouteSpec::key)?;
         let (services, removed_services) = compare(&base.services, &next.services, |service| {
@@ -37,10 +37,11 @@
         })
     }
 
-    /// The later version; none where the document is not the very version that was compared. What stays keeps its
-    /// place and what is new stands behind it, so the order may be another one than in the later document. It has no
-    /// meaning: among routes of one host the longest prefix wins and no two are alike, and services and tenants are
-    /// looked up by name.
+    /// Applies the change to `base`. Returns `None` if `base` is not the version that the change was computed from.
+    ///
+    /// Retained items keep their position and new ones are appended, so the order may differ from the original
+    /// document. The order has no effect: routes are selected by the longest prefix, which is unique per host, and
+    /// services and tenants are looked up by name.
     pub fn apply(&self, base: &DeploymentDocument) -> Option<DeploymentDocument> {
         if base.version != self.base {
             return None;
@@ -70,7 +71,7 @@
     }
 }
 
-/// Items that are new or changed, and the keys of those that are gone; none where a key stands twice.
+/// Returns new or changed items and the keys of removed items, or `None` if a key occurs twice.
 fn compare<T: Clone + PartialEq, K: Ord>(
     base: &[T],
     next: &[T],
@@ -110,14 +111,14 @@
 }
 
 impl InstanceRecord {
-    /// Digest of all but the sequence, which grows with each announcement and says nothing else. Two processes, also
-    /// of different runs, give equal records equal digests.
+    /// Digest of the record without its sequence, which changes with every announcement. Equal records have equal
+    /// digests across processes and restarts.
     pub fn digest(&self) -> u64 {
         let plain = InstanceRecord {
             sequence: 0,
             ..self.clone()
         };
-        // Encoding into memory fails for no value of this type.
+        // Encoding into memory cannot fail for this type.
         let encoded = codec::encode(&plain).unwrap_or_default();
         let hash = blake3::hash(&encoded);
         let mut first = [0; 8];
--- a/crates/millpass-proto/src/generated.rs
+++ b/crates/millpass-proto/src/generated.rs
@@ -6,87 +6,87 @@
 use serde_bytes::ByteBuf as Bytes;
 
 
-/// Random number drawn when a process starts; tells two runs of one process apart.
+/// Random number drawn at process start; distinguishes restarts of the same process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct Incarnation(pub u64);
 
 
-/// Name of a router process, unique in the deployment.
+/// Router name, unique in the deployment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RouterName(pub String);
 
 
-/// Concludes all open claims of one run of a router as `Unknown`: the run was replaced or lost its lease. A later word of that run on one of them still counts.
+/// Concludes all open claims of a router incarnation that was replaced or lost its lease as `Unknown`. A later conclusion from that incarnation still applies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AbandonClaims {
 
-    /// Router.
+    /// Router that holds the claims.
     pub router: RouterName,
 
-    /// Run of that router.
+    /// Incarnation of the router.
     pub router_incarnation: Incarnation,
 }
 
 
-/// Name of an adapter, unique in the deployment.
+/// Adapter name, unique in the deployment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AdapterName(pub String);
 
 
-/// Identity of one decided replica: the log index of the command that decided it.
+/// Identity of a placed replica: the log index of the command that placed it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct SlotId(pub u64);
 
 
-/// Decides to load or unload an adapter beside a replica.
+/// Attaches an adapter to a replica or detaches it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AdapterDecision {
 
-    /// Slot.
+    /// Target replica.
     pub slot: SlotId,
 
-    /// Adapter.
+    /// Adapter to attach or detach.
     pub adapter: AdapterName,
 }
 
 
-/// Name of a back end (model engine or web server), unique in the deployment.
+/// Name of a backend (model engine or web server), unique in the deployment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct BackendName(pub String);
 
 
-/// Whether a back end may take new work.
+/// Whether a backend accepts new work.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum BackendState {
 
-    /// May take new work.
+    /// Accepts new work.
     Live,
 
-    /// Takes no new work; work in flight finishes.
+    /// Draining: accepts no new work and finishes requests in flight.
     Leaving,
 
-    /// Confirmed gone: its process and its memory no longer exist.
+    /// Confirmed terminated; its memory is released.
     Gone,
 }
 
 
-/// A change of a back end's state, from the platform's machine list or an operator.
+/// A backend state change, from the platform's machine list or an operator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct BackendMark {
 
-    /// Name.
+    /// Backend name.
     pub backend: BackendName,
 
-    /// Run it applies to; another run is left alone.
+    /// Incarnation to change; other incarnations are unaffected.
     pub incarnation: Incarnation,
 
     /// New state.
@@ -94,55 +94,55 @@
 }
 
 
-/// Kind of a back end.
+/// Kind of a backend.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum BackendKind {
 
-    /// A model engine.
+    /// Model engine.
     Engine,
 
-    /// A web server.
+    /// Web server.
     Web,
 }
 
 
-/// Name of a group of interchangeable web back ends.
+/// Name of a group of interchangeable web backends.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct GroupName(pub String);
 
 
-/// Name of a zone, the unit that fails or is cut off together.
+/// Name of a zone, the failure and partition domain of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ZoneName(pub String);
 
 
-/// A back end as first seen under one incarnation. A registration with a new incarnation frees all that the old one held.
+/// Registration of a backend incarnation. A new incarnation releases all resources of the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct BackendRegistration {
 
-    /// Name.
+    /// Backend name.
     pub backend: BackendName,
 
-    /// Kind.
+    /// Backend kind.
     pub kind: BackendKind,
 
-    /// Group of a web back end.
+    /// Group of a web backend; none for an engine.
     pub group: Option<GroupName>,
 
-    /// Zone.
+    /// Zone the backend runs in.
     pub zone: ZoneName,
 
     /// IP address and port of its HTTP interface.
     pub address: String,
 
-    /// Run of the process.
+    /// Process incarnation.
     pub incarnation: Incarnation,
 
-    /// Memory of each accelerator, in bytes; empty for a web back end.
+    /// Memory per accelerator; empty for a web backend.
     pub accelerator_bytes: Vec<u64>,
 }
 
@@ -155,23 +155,23 @@
     /// Prefill and decode.
     Mixed,
 
-    /// Prefill only; exports KV cache.
+    /// Prefill only; exports the KV cache.
     Prefill,
 
-    /// Decode only; imports KV cache.
+    /// Decode only; imports the KV cache.
     Decode,
 }
 
 
-/// Decides an engine's role.
+/// Changes an engine's role.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ChangeRole {
 
-    /// Engine.
+    /// Engine to change.
     pub backend: BackendName,
 
-    /// Run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
 
     /// New role.
@@ -179,227 +179,227 @@
 }
 
 
-/// Idempotency key of a request that may not be repeated, scoped by tenant.
+/// Idempotency key of a non-repeatable request, scoped to the tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ClaimKey(pub String);
 
 
-/// Name of a tenant.
+/// Tenant name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct TenantName(pub String);
 
 
-/// Claims the one run of a request that may not be repeated.
+/// Claims the single execution of a non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ClaimBegin {
 
-    /// Tenant; keys of two tenants never meet.
+    /// Tenant that scopes the key.
     pub tenant: TenantName,
 
     /// Idempotency key.
     pub key: ClaimKey,
 
-    /// BLAKE3 hash (hex) of method, path and body; the same key with another digest is refused.
+    /// BLAKE3 hash (hex) of method, path and body. A claim of the same key with another digest is refused.
     pub digest: String,
 
-    /// When the key was born, as the key itself says.
+    /// Creation time of the key, as stated by the caller.
     pub created_unix_millis: u64,
 
-    /// Router that will dispatch.
+    /// Router that dispatches the request.
     pub router: RouterName,
 
-    /// Run of that router.
+    /// Incarnation of the router.
     pub router_incarnation: Incarnation,
 
-    /// Number of the request within that run; a resend of the claim carries the same one.
+    /// Request number within the router's incarnation; retries of the claim reuse it.
     pub attempt: u64,
 
-    /// Wall-clock time at the leader that proposed it; state keeps the greatest seen.
+    /// Wall-clock time on the proposing leader. The state machine keeps the maximum.
     pub at_unix_millis: u64,
 }
 
 
-/// The recorded answer of a request that ran.
+/// Recorded response of an executed request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RecordedAnswer {
 
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u32,
 
-    /// Content type.
+    /// Value of the Content-Type header.
     pub content_type: String,
 
-    /// Body, bounded by the setting `claims.maximum_answer_bytes`.
+    /// Response body, limited by the `claims.maximum_answer_bytes` setting.
     pub body: Bytes,
 }
 
 
-/// How a claimed run ended.
+/// Final state of a claimed execution.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum ClaimConclusion {
 
-    /// It ran and this is its answer.
+    /// The request was executed; contains its response.
     Answered(RecordedAnswer),
 
-    /// No byte reached a back end; the claim is released and the key may be used again.
+    /// No byte reached a backend; the claim is released and the key can be reused.
     NotRun,
 
-    /// It may have run; it is never run again.
+    /// The request may have been executed and is never executed again.
     Unknown,
 }
 
 
-/// Ends a claim.
+/// Concludes a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ClaimFinish {
 
-    /// Tenant.
+    /// Tenant that scopes the key.
     pub tenant: TenantName,
 
-    /// Key.
+    /// Idempotency key.
     pub key: ClaimKey,
 
-    /// Router that held it.
+    /// Router that holds the claim.
     pub router: RouterName,
 
-    /// Run of that router.
+    /// Incarnation of the router.
     pub router_incarnation: Incarnation,
 
-    /// Number of the request within that run.
+    /// Request number within the router's incarnation.
     pub attempt: u64,
 
-    /// How it ended.
+    /// Final state of the execution.
     pub conclusion: ClaimConclusion,
 }
 
 
-/// Forgets claims born before a time; younger keys only are accepted from then on.
+/// Deletes claims created before a time. Keys created earlier are refused from then on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ExpireClaims {
 
-    /// Threshold; never goes back.
+    /// Expiry threshold; never decreases.
     pub created_before_unix_millis: u64,
 }
 
 
-/// Identity of one run of an instance: its name and its incarnation; a restart begins a new one.
+/// Identity of an instance incarnation: instance name and incarnation. A restart creates a new one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstanceId(pub String);
 
 
-/// Name of a model.
+/// Model name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ModelName(pub String);
 
 
-/// A model that an instance holds.
+/// A model loaded on an instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct HeldModel {
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Adapters loaded beside it.
+    /// Adapters of the model.
     pub adapters: Vec<AdapterName>,
 }
 
 
-/// Name of a service: interchangeable instances that serve the same routes.
+/// Name of a service, a set of interchangeable instances that serve the same routes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ServiceName(pub String);
 
 
-/// What an instance says of itself.
+/// State that an instance announces.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstanceRecord {
 
-    /// Identity of the run.
+    /// Identity of the instance incarnation.
     pub instance: InstanceId,
 
-    /// Service.
+    /// Service it belongs to.
     pub service: ServiceName,
 
-    /// IP address and port.
+    /// IP address and port of the instance.
     pub address: String,
 
-    /// Zone.
+    /// Zone the instance runs in.
     pub zone: ZoneName,
 
-    /// Requests it works on at once.
+    /// Maximum concurrent requests.
     pub slots: u32,
 
-    /// It takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
 
-    /// How much longer it is slow from its start.
+    /// Remaining warm-up time, during which it responds slowly.
     pub warmup_millis: u64,
 
-    /// Grows with each announcement of the run.
+    /// Announcement number; increases within an incarnation.
     pub sequence: u64,
 
-    /// Models it holds.
+    /// Loaded models.
     pub models: Vec<HeldModel>,
 
-    /// Models whose weights it has a copy of in host memory.
+    /// Models whose weights are cached in host memory.
     pub in_memory: Vec<ModelName>,
 
-    /// Models whose weights it has a copy of on its disk.
+    /// Models whose weights are cached on local disk.
     pub on_disk: Vec<ModelName>,
 }
 
 
-/// What changed in the leader's view of instances. Kept so that a new leader, or a gateway that starts while there is none, begins with something; never a promise.
+/// Changes of the leader's instance table. A persisted hint for new leaders, and for gateways that start without a leader; it may be outdated.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstanceChanges {
 
-    /// New or changed.
+    /// New or changed instances.
     pub instances: Vec<InstanceRecord>,
 
-    /// Gone.
+    /// Removed instances.
     pub removed: Vec<InstanceId>,
 }
 
 
-/// Records that an instance leaves or has left. It never takes new work again.
+/// Departure of an instance, which is final: the instance receives no new work.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstanceDeparture {
 
-    /// Instance.
+    /// Departing instance.
     pub instance: InstanceId,
 
-    /// It has ended; otherwise it still works on what it has.
+    /// Whether the instance has stopped; otherwise it still finishes requests in flight.
     pub ended: bool,
 }
 
 
-/// Engines that the leader is about to instruct. Kept in the log before the instructions leave, so that a new leader knows which engines may still hear from the one before.
+/// Engines that the leader is about to instruct. Logged before the instructions are sent, so that a new leader knows which engines may still receive them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstructionIntent {
 
-    /// Engines.
+    /// Engines to be instructed.
     pub instances: Vec<InstanceId>,
 
-    /// Loads from the weight store among the instructions.
+    /// Number of loads from the weight store among the instructions.
     pub store_loads: u32,
 }
 
 
-/// Caller-chosen identity of one configuration change; a resend carries the same one.
+/// Client-chosen ID of a configuration change; retries reuse it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ChangeId(pub String);
@@ -410,116 +410,116 @@
 #[derive(Hash)]
 pub enum ObjectKind {
 
-    /// A tenant.
+    /// Tenant.
     Tenant,
 
-    /// A model.
+    /// Model.
     Model,
 
-    /// A version of a model; its object name is `model@label`.
+    /// Model version, named `model@label`.
     Version,
 
-    /// An adapter of a model.
+    /// Model adapter.
     Adapter,
 
-    /// A group of web back ends.
+    /// Group of web backends.
     BackendGroup,
 
-    /// A policy.
+    /// Access policy.
     Policy,
 
-    /// An operator account.
+    /// Operator account.
     Operator,
 }
 
 
-/// Kind and name of a catalog object.
+/// Key of a catalog object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ObjectKey {
 
-    /// Kind.
+    /// Object kind.
     pub kind: ObjectKind,
 
-    /// Name, unique within the kind.
+    /// Object name, unique within the kind.
     pub name: String,
 }
 
 
-/// An adapter loaded beside a model's weights.
+/// An adapter loaded in addition to a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AdapterSpec {
 
-    /// Model it adapts.
+    /// Base model.
     pub model: ModelName,
 
-    /// Accelerator memory it takes.
+    /// Accelerator memory used by the adapter.
     pub bytes: u64,
 
-    /// Name of the checkpoint in the weight store.
+    /// Checkpoint name in the weight store.
     pub checkpoint: String,
 }
 
 
-/// A group of web back ends reached under one path prefix.
+/// A group of web backends that serves one path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct BackendGroupSpec {
 
-    /// Requests whose path starts with it go to this group.
+    /// Requests with this path prefix are routed to the group.
     pub path_prefix: String,
 
-    /// Path prefixes whose requests run at most once and need an idempotency key.
+    /// Path prefixes of requests that run at most once and require an idempotency key.
     pub non_repeatable_paths: Vec<String>,
 }
 
 
-/// Label of one version of a model, unique within the model.
+/// Label of a model version, unique within the model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct VersionLabel(pub String);
 
 
-/// What an operator states of a model.
+/// Specification of a model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ModelSpec {
 
-    /// Version that new replicas load.
+    /// Version loaded by new replicas.
     pub current_version: VersionLabel,
 
-    /// Accelerators one replica spans, from 1.
+    /// Accelerators per replica, at least 1.
     pub accelerators_per_replica: u32,
 
-    /// Upper bound of decided replicas.
+    /// Maximum number of placed replicas.
     pub maximum_replicas: u32,
 
-    /// Replicas kept loaded without demand.
+    /// Replicas kept loaded when there is no demand.
     pub minimum_replicas: u32,
 
-    /// Requests one replica serves at once.
+    /// Maximum concurrent requests per replica.
     pub concurrency_per_replica: u32,
 }
 
 
-/// What an operator account may do.
+/// Permissions of an operator account.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum OperatorRole {
 
-    /// Read.
+    /// Read-only access.
     Viewer,
 
-    /// Read and change the catalog.
+    /// Read access and catalog changes.
     Editor,
 
-    /// Everything, with operator accounts and membership.
+    /// Full access, including operator accounts and membership.
     Administrator,
 }
 
 
-/// An operator account.
+/// Specification of an operator account.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct OperatorSpec {
@@ -527,131 +527,131 @@
     /// BLAKE3 hash (hex) of the operator's key.
     pub key_hash: String,
 
-    /// What the account may do.
+    /// Permissions of the account.
     pub role: OperatorRole,
 }
 
 
-/// One example case of a policy.
+/// A test case of a policy.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PolicyExample {
 
-    /// Tenant of the request.
+    /// Requesting tenant.
     pub tenant: TenantName,
 
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
 
-    /// Adapter asked for.
+    /// Requested adapter; none for the base model.
     pub adapter: Option<AdapterName>,
 
-    /// Kind of request: `completion`, `chat` or `web`.
+    /// Request kind: `completion`, `chat` or `web`.
     pub kind: String,
 
-    /// Expected verdict.
+    /// Expected decision.
     pub allowed: bool,
 }
 
 
-/// A policy: three short programs in Common Expression Language.
+/// A policy of Common Expression Language programs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PolicySpec {
 
-    /// Boolean expression: whether the request is allowed. Some policy must allow; otherwise it is refused.
+    /// Boolean expression that allows a request. A request that no policy allows is refused.
     pub allow: String,
 
-    /// Boolean expression: a request it holds for is refused whatever other policies allow.
+    /// Boolean expression that denies a request, overriding every `allow`; none denies nothing.
     pub deny: Option<String>,
 
-    /// Expression giving `interactive`, `normal` or `batch`; the first policy by name that allows and states one decides.
+    /// Expression that yields `interactive`, `normal` or `batch`. The first allowing policy by name that has one applies.
     pub urgency: Option<String>,
 
-    /// Expression giving the accelerator bytes the tenant may hold; the smallest over allowing policies counts.
+    /// Expression that yields the accelerator memory the tenant may use, in bytes. The minimum over allowing policies applies.
     pub capacity_bytes: Option<String>,
 
-    /// Cases tried when the policy is submitted; a failing case rejects it.
+    /// Test cases evaluated on submission; a failing case rejects the policy.
     pub examples: Vec<PolicyExample>,
 }
 
 
-/// What an operator states of a tenant.
+/// Specification of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct TenantSpec {
 
-    /// BLAKE3 hashes (hex) of the tenant's API keys; keys are never stored.
+    /// BLAKE3 hashes (hex) of the tenant's API keys. The keys themselves are not stored.
     pub api_key_hashes: Vec<String>,
 
-    /// Weight of the tenant's fair share of a contended queue, from 1.
+    /// Fair-share weight in a contended queue, at least 1.
     pub share_weight: u32,
 
-    /// Accelerator bytes that models loaded for this tenant alone may hold.
+    /// Accelerator memory that models loaded only for this tenant may use.
     pub capacity_bytes: u64,
 
-    /// Requests of this tenant that may wait at one router.
+    /// Maximum queued requests of this tenant per router.
     pub maximum_waiting: u32,
 }
 
 
-/// One version of a model's weights.
+/// A version of a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct VersionSpec {
 
-    /// Model it belongs to.
+    /// Model that the version belongs to.
     pub model: ModelName,
 
-    /// Label.
+    /// Version label, unique within the model.
     pub label: VersionLabel,
 
-    /// Size of the weights, over all accelerators of a replica.
+    /// Size of the weights, summed over all accelerators of a replica.
     pub weights_bytes: u64,
 
-    /// Memory reserved beside the weights for prefix and KV cache.
+    /// Memory reserved for prefix and KV caches in addition to the weights.
     pub cache_bytes: u64,
 
-    /// Name of the checkpoint in the weight store.
+    /// Checkpoint name in the weight store.
     pub checkpoint: String,
 }
 
 
-/// What an operator states of one catalog object.
+/// Specification of a catalog object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum ObjectSpec {
 
-    /// A tenant.
+    /// Specification of a tenant.
     Tenant(TenantSpec),
 
-    /// A model.
+    /// Specification of a model.
     Model(ModelSpec),
 
-    /// A version of a model.
+    /// Specification of a model version.
     Version(VersionSpec),
 
-    /// An adapter.
+    /// Specification of an adapter.
     Adapter(AdapterSpec),
 
-    /// A group of web back ends.
+    /// Specification of a group of web backends.
     BackendGroup(BackendGroupSpec),
 
-    /// A policy.
+    /// Specification of a policy.
     Policy(PolicySpec),
 
-    /// An operator account.
+    /// Specification of an operator account.
     Operator(OperatorSpec),
 }
 
 
-/// Name of an operator account.
+/// Operator account name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct OperatorName(pub String);
 
 
-/// One change of one catalog object, as submitted.
+/// A submitted change of a catalog object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ObjectChange {
@@ -659,624 +659,624 @@
     /// Object to change.
     pub key: ObjectKey,
 
-    /// Version the operator saw; 0 for an object that must not exist. A mismatch changes nothing.
+    /// Version the change is based on; 0 for an object that must not exist. On a mismatch nothing is changed.
     pub expected_version: u64,
 
-    /// Identity of the change; a resend gets the first answer.
+    /// Change ID; a retry with the same ID receives the original result.
     pub change_id: ChangeId,
 
-    /// Who submits it.
+    /// Operator that submitted the change.
     pub operator: OperatorName,
 
-    /// Wall-clock time at the member that took it, for the audit log only.
+    /// Wall-clock time on the receiving member; used only for the audit log.
     pub at_unix_millis: u64,
 
-    /// New content; none deletes the object.
+    /// New specification; none deletes the object.
     pub spec: Option<ObjectSpec>,
 }
 
 
-/// Position of an entry in a replicated log. Ordered by term, then index; serves as the fence of an order.
+/// Position of an entry in a replicated log, ordered by term, then index. Serves as the fencing token of an order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct LogPosition {
 
-    /// Election term of the leader that wrote the entry.
+    /// Term of the leader that wrote the entry.
     pub term: u64,
 
-    /// Index of the entry, from 1.
+    /// Log index, starting at 1.
     pub index: u64,
 }
 
 
-/// What an engine reported of an order.
+/// Result of an order as reported by the engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum OrderResult {
 
-    /// Weights or adapter are loaded.
+    /// The weights or the adapter are loaded.
     Loaded,
 
-    /// Weights or adapter are gone and their memory is free.
+    /// The weights or the adapter are unloaded and their memory is released.
     Unloaded,
 
-    /// The load failed and holds no memory; reason.
+    /// The load failed and uses no memory; contains the reason.
     Failed(String),
 }
 
 
-/// An order's result as confirmed by the engine. Ignored unless incarnation and fence match the outstanding order.
+/// Result of an order, confirmed by the engine. Ignored unless the incarnation and the fence match the pending order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct OrderSettlement {
 
-    /// Slot.
+    /// Replica the order applies to.
     pub slot: SlotId,
 
-    /// Adapter, for an adapter order.
+    /// Adapter of an adapter order; none for a model order.
     pub adapter: Option<AdapterName>,
 
-    /// Engine.
+    /// Engine that executed the order.
     pub backend: BackendName,
 
-    /// Run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
 
-    /// Fence of the order that is settled.
+    /// Fence of the settled order.
     pub fence: LogPosition,
 
-    /// Result.
+    /// Reported result.
     pub result: OrderResult,
 }
 
 
-/// Decides one more replica and reserves its memory. Refused at apply when the slot count differs from the expected one, when the maximum is reached, when memory lacks, or when the engine is not live under this incarnation.
+/// Places a replica and reserves its memory. Ignored on apply if the slot count differs from `expected_slots`, the maximum is reached, memory is insufficient, or this engine incarnation is not live.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PlaceReplica {
 
-    /// Model.
+    /// Model to place.
     pub model: ModelName,
 
-    /// Version.
+    /// Version of the weights.
     pub version: VersionLabel,
 
-    /// Engine.
+    /// Target engine.
     pub backend: BackendName,
 
-    /// Run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
 
-    /// Accelerators to span.
+    /// Indices of the accelerators to use.
     pub accelerators: Vec<u32>,
 
-    /// Slots of the model the proposer saw, in every phase.
+    /// Number of slots of the model, in any phase, when the command was proposed.
     pub expected_slots: u32,
 }
 
 
-/// What a caller may send, and how long it may take.
+/// Size and time limits for callers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CallerLimits {
 
-    /// Most bytes of a header; 0 for the built-in limit.
+    /// Maximum size of request headers; 0 for the built-in limit.
     pub header_bytes: u64,
 
-    /// Most bytes of a body; 0 for the built-in limit.
+    /// Maximum size of a request body; 0 for the built-in limit.
     pub body_bytes: u64,
 
-    /// Time to send a header; 0 for the built-in limit.
+    /// Timeout for receiving request headers; 0 for the built-in limit.
     pub header_millis: u64,
 
-    /// Time a connection may rest; 0 for the built-in limit.
+    /// Idle timeout of a connection; 0 for the built-in limit.
     pub idle_millis: u64,
 }
 
 
-/// What may be repeated on a route.
+/// Retry semantics of a route.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum RouteKind {
 
-    /// May run more than once.
+    /// May be executed more than once.
     Repeatable,
 
-    /// May run at most once for each attempt of a caller.
+    /// Executed at most once per attempt of the caller.
     Once,
 
-    /// Answers with a series of events; runs at most once unless the route is resumable.
+    /// Responds with an event stream; executed at most once unless the route is resumable.
     Stream,
 }
 
 
-/// A service that a route sends to.
+/// A target service of a route.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RouteTarget {
 
-    /// Service.
+    /// Service name.
     pub service: ServiceName,
 
-    /// Share of the route's requests, relative to the other targets; 0 gets none.
+    /// Relative share of the route's requests; 0 receives none.
     pub weight: u32,
 }
 
 
-/// A route: host and path prefix, and how its requests are served.
+/// A route: host, path prefix and request handling.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RouteSpec {
 
-    /// Name.
+    /// Route name.
     pub name: String,
 
-    /// Host that callers name, without port, in lower case.
+    /// Request host, lower case and without port.
     pub host: String,
 
-    /// Beginning of the path; the longest matching one wins.
+    /// Path prefix; the longest match is selected.
     pub path_prefix: String,
 
-    /// What may be repeated.
+    /// Retry semantics.
     pub kind: RouteKind,
 
-    /// A stream may go on at another instance after its last event.
+    /// Whether a stream may resume on another instance after the last event received.
     pub resumable: bool,
 
-    /// Longest time an attempt is held.
+    /// Maximum duration of an attempt.
     pub timeout_millis: u64,
 
-    /// Time within which an answer (of a stream, its first event) is on time; 0 for none.
+    /// Response latency objective (for a stream, first event); 0 for none.
     pub objective_millis: u64,
 
-    /// Longest pause between events that is on time; 0 for none.
+    /// Objective for the time between two stream events; 0 for none.
     pub gap_objective_millis: u64,
 
-    /// Rank, 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
 
-    /// Most instances that one attempt may be sent to.
+    /// Maximum number of instances that one caller attempt may be sent to.
     pub maximum_attempts: u32,
 
-    /// Requests share parts of their prompts.
+    /// Whether requests share prompt prefixes.
     pub prompt_affinity: bool,
 
-    /// Services, at least one with a weight.
+    /// Target services; at least one has a non-zero weight.
     pub targets: Vec<RouteTarget>,
 
-    /// Time after which callers of a stream leave if nothing has come; 0 for no such time.
+    /// Time after which stream callers disconnect if no event has arrived; 0 for none.
     pub first_event_millis: u64,
 
-    /// Callers without a key are served where the document has tenants.
+    /// Whether callers without a key are served when the document has tenants.
     pub anonymous: bool,
 }
 
 
-/// A model that a service's engines may hold.
+/// A model that the engines of a service can load.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineModelSpec {
 
-    /// Model.
+    /// Model name.
     pub name: ModelName,
 
-    /// Accelerator memory of its weights.
+    /// Accelerator memory used by the weights.
     pub weights_kilobytes: u64,
 
     /// Load time from the weight store.
     pub load_millis: u64,
 
-    /// Load time from the engine's own disk.
+    /// Load time from the engine's local disk.
     pub disk_load_millis: u64,
 
     /// Load time from the engine's host memory.
     pub memory_load_millis: u64,
 
-    /// Number of its adapters.
+    /// Number of adapters of the model.
     pub adapters: u32,
 
-    /// Accelerator memory of one adapter.
+    /// Accelerator memory used by one adapter.
     pub adapter_kilobytes: u64,
 }
 
 
-/// What the engines of a service can hold.
+/// Capacity of the engines of a service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineSpec {
 
-    /// Requests in one batch.
+    /// Maximum batch size in requests.
     pub slots: u32,
 
-    /// Tokens that running requests and kept prompt parts may take.
+    /// Token capacity for running requests and cached prompt prefixes.
     pub cache_tokens: u64,
 
     /// Accelerator memory for weights and adapters.
     pub weights_kilobytes: u64,
 
-    /// Adapters at one time.
+    /// Maximum number of adapters loaded concurrently.
     pub adapter_slots: u32,
 
-    /// Loads from the weight store that may begin in a second, over all engines, in thousandths.
+    /// Rate limit of loads from the weight store over all engines, in thousandths of a load per second.
     pub milliloads_per_second: u64,
 
-    /// Models.
+    /// Models that can be loaded.
     pub models: Vec<EngineModelSpec>,
 }
 
 
-/// A service.
+/// A service and its instances' capabilities.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ServiceSpec {
 
-    /// Name.
+    /// Service name.
     pub name: ServiceName,
 
     /// Path of the health check.
     pub health_path: String,
 
-    /// Connections that one instance takes from all callers together; 0 for no limit.
+    /// Connection limit per instance over all callers; 0 for no limit.
     pub maximum_connections: u32,
 
-    /// Present when its instances are model engines.
+    /// Engine capacity; none if the instances are not model engines.
     pub engine: Option<EngineSpec>,
 }
 
 
-/// What a tenant's quota counts.
+/// Unit of a tenant's quota.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum QuotaUnit {
 
-    /// Each request counts one unit.
+    /// One unit per request.
     Requests,
 
-    /// A request counts the tokens of its prompt and the most it may get; one that states none counts the tenant's plain cost.
+    /// Prompt tokens plus maximum output tokens; a request that states none costs the tenant's `plain_cost`.
     Tokens,
 }
 
 
-/// A tenant of a deployment document: who its callers are, how urgent they are, how much they may ask for.
+/// Access rules of a tenant in a deployment document: keys, priority and quota.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct TenantAccess {
 
-    /// Name; instances are told it.
+    /// Tenant name, forwarded to instances.
     pub name: TenantName,
 
     /// BLAKE3 hashes (hex) of the tenant's API keys.
     pub key_hashes: Vec<String>,
 
-    /// Rank, 0 is the most urgent; counts before the rank of the route.
+    /// Priority, 0 is the most urgent; takes precedence over the route's priority.
     pub priority: u32,
 
-    /// What the quota counts.
+    /// Unit of the quota.
     pub unit: QuotaUnit,
 
-    /// Units of a request that states no tokens, where tokens count.
+    /// Units charged for a request without token counts, if `unit` is `Tokens`.
     pub plain_cost: u64,
 
-    /// Units that the tenant may use in a second, over all gateways; 0 for no limit.
+    /// Rate limit over all gateways, in units per second; 0 for no limit.
     pub units_per_second: u64,
 
-    /// Units that it may use beyond that at once.
+    /// Burst allowance in addition to the rate.
     pub burst_units: u64,
 }
 
 
-/// A whole configuration under the operator's own version. The highest version wins.
+/// Full configuration of a deployment, versioned by the operator. The highest version applies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct DeploymentDocument {
 
-    /// Version.
+    /// Document version.
     pub version: u64,
 
-    /// Routes.
+    /// All routes.
     pub routes: Vec<RouteSpec>,
 
-    /// Services.
+    /// All services.
     pub services: Vec<ServiceSpec>,
 
-    /// Limits of callers.
+    /// Caller limits.
     pub limits: CallerLimits,
 
-    /// Tenants; without any, callers need no key.
+    /// All tenants; if empty, callers need no key.
     pub tenants: Vec<TenantAccess>,
 }
 
 
-/// Puts a document in force unless a version as high is held.
+/// Activates a document unless the active version is the same or higher.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PutDocument {
 
-    /// What is derived from the source.
+    /// Document parsed from `source`.
     pub document: DeploymentDocument,
 
-    /// The document as the operator sent it.
+    /// Document as submitted by the operator.
     pub source: Bytes,
 }
 
 
-/// What the tries of one request share: a hash of caller, method, host, path and body, as two halves of 128 bits. All zero where it is not known.
+/// 128-bit hash of caller, method, host, path and body, shared by all attempts of a request; zero if unknown.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RequestFingerprint {
 
-    /// First half.
+    /// High 64 bits.
     pub high: u64,
 
-    /// Second half.
+    /// Low 64 bits.
     pub low: u64,
 }
 
 
-/// A request that ends the instances that run it. Kept in the log, so that it stays held back over a change of leader and a loss of power.
+/// Persisted quarantine state of a request that crashes instances. Stored in the log so that it survives leader changes and power loss.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct QuarantineRecord {
 
-    /// Request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
 
-    /// Ends that count against it; the time for which it is held back follows.
+    /// Crashes attributed to the request; determines the quarantine time.
     pub crashes: u32,
 
-    /// That time is over; one more end holds it back anew.
+    /// Whether the quarantine time is over. One more crash quarantines the request again.
     pub expired: bool,
 }
 
 
-/// Decides to unload a replica. Its memory stays reserved until the engine confirms.
+/// Starts unloading a replica. Its memory remains reserved until the engine confirms.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RetireReplica {
 
-    /// Slot.
+    /// Replica to unload.
     pub slot: SlotId,
 }
 
 
-/// A role as confirmed by the engine. Ignored unless incarnation and fence match the outstanding order.
+/// A role change, confirmed by the engine. Ignored unless the incarnation and the fence match the pending order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RoleSettlement {
 
-    /// Engine.
+    /// Engine that changed its role.
     pub backend: BackendName,
 
-    /// Run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
 
-    /// Fence of the order that is settled.
+    /// Fence of the settled order.
     pub fence: LogPosition,
 }
 
 
-/// A command of the replicated log.
+/// Command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum Command {
 
-    /// Change the catalog.
+    /// Changes a catalog object.
     ChangeObject(ObjectChange),
 
-    /// Register a run of a back end.
+    /// Registers a backend incarnation.
     RegisterBackend(BackendRegistration),
 
-    /// Change a back end's state.
+    /// Changes a backend's state.
     MarkBackend(BackendMark),
 
-    /// Decide a replica.
+    /// Places a replica.
     PlaceReplica(PlaceReplica),
 
-    /// Decide an unload.
+    /// Starts unloading a replica.
     RetireReplica(RetireReplica),
 
-    /// Decide an adapter load.
+    /// Starts loading an adapter.
     AttachAdapter(AdapterDecision),
 
-    /// Decide an adapter unload.
+    /// Starts unloading an adapter.
     DetachAdapter(AdapterDecision),
 
-    /// Record an order's result.
+    /// Records the result of an order.
     SettleOrder(OrderSettlement),
 
-    /// Claim a run.
+    /// Claims the execution of a request.
     BeginClaim(ClaimBegin),
 
-    /// End a claim.
+    /// Concludes a claim.
     FinishClaim(ClaimFinish),
 
-    /// Forget old claims.
+    /// Deletes expired claims.
     ExpireClaims(ExpireClaims),
 
-    /// Decide a role.
+    /// Changes an engine's role.
     ChangeRole(ChangeRole),
 
-    /// Conclude the open claims of a lost router.
+    /// Concludes the open claims of a lost router.
     AbandonClaims(AbandonClaims),
 
-    /// Record that an engine took its role.
+    /// Records that an engine changed its role.
     SettleRole(RoleSettlement),
 
-    /// Put a deployment document in force.
+    /// Activates a deployment document.
     PutDocument(PutDocument),
 
-    /// Record that an instance leaves.
+    /// Records the departure of an instance.
     DepartInstance(InstanceDeparture),
 
-    /// Keep the leader's view of instances.
+    /// Persists changes of the leader's instance table.
     RecordInstances(InstanceChanges),
 
-    /// Say which engines are about to be instructed.
+    /// Records which engines the leader is about to instruct.
     RecordInstructionIntent(InstructionIntent),
 
-    /// Keep how many loads from the weight store at once go at full speed as far as the leader knows, in hundredths.
+    /// Persists the leader's estimate of how many concurrent loads the weight store serves at full speed, in hundredths of a load.
     RecordStoreCapacity(u32),
 
-    /// Keep a request that ends the instances that run it.
+    /// Persists the quarantine state of a request that crashes instances.
     QuarantineRequest(QuarantineRecord),
 
-    /// Let such a request go.
+    /// Removes a request from quarantine.
     LiftQuarantine(RequestFingerprint),
 }
 
 
-/// Life of a decided replica. It counts, with its memory, from decision to release.
+/// Lifecycle of a placed replica. It counts against limits and reserves its memory from placement to release.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum ReplicaPhase {
 
-    /// Decided; the load order is outstanding.
+    /// Placed; the load order is pending.
     Loading,
 
     /// The engine confirmed the load.
     Loaded,
 
-    /// Retired; the unload order is outstanding. Not routed to.
+    /// Retired and not routed to; the unload order is pending.
     Unloading,
 }
 
 
-/// A replica a router may dispatch to.
+/// A replica that a router may dispatch to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ReplicaRoute {
 
-    /// Slot.
+    /// Slot of the replica.
     pub slot: SlotId,
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Version.
+    /// Version of the weights.
     pub version: VersionLabel,
 
-    /// Engine.
+    /// Engine that holds the replica.
     pub backend: BackendName,
 
-    /// Run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
 
-    /// IP address and port.
+    /// IP address and port of the engine.
     pub address: String,
 
-    /// Zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
 
     /// Role of the engine.
     pub role: EngineRole,
 
-    /// Phase; only `Loaded` takes requests, `Loading` is told so waits can be estimated.
+    /// Lifecycle phase. Only `Loaded` replicas accept requests; `Loading` ones are listed for wait estimates.
     pub phase: ReplicaPhase,
 
-    /// The engine is leaving: no new work.
+    /// Whether the engine is draining and accepts no new work.
     pub leaving: bool,
 
-    /// Adapters loaded beside it.
+    /// Adapters loaded with the replica.
     pub adapters: Vec<AdapterName>,
 
-    /// Requests it serves at once.
+    /// Maximum concurrent requests.
     pub concurrency: u32,
 }
 
 
-/// Answer to a claim.
+/// Decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum ClaimDecision {
 
-    /// This attempt, and no other, may dispatch once.
+    /// This attempt alone may dispatch the request, once.
     Granted,
 
-    /// It ran before; this is the answer.
+    /// The request was executed before; contains its response.
     Answered(RecordedAnswer),
 
     /// Another attempt holds the claim.
     InProgress,
 
-    /// An earlier attempt may have run; it is not run again.
+    /// An earlier attempt may have been executed; the request is not executed again.
     MayHaveRun,
 
-    /// The key was used for another request.
+    /// The key was used for a different request.
     DigestMismatch,
 
-    /// The key is older than claims are kept; nothing was run.
+    /// The key is older than the claim retention; nothing was executed.
     Expired,
 
-    /// The table of claims is full; nothing was run. Come back when older claims have expired.
+    /// The claim table is full; nothing was executed. Retry after older claims have expired.
     Overloaded,
 
-    /// The key says that it is born later than the clock allows; nothing was run.
+    /// The creation time of the key is further ahead than clock skew allows; nothing was executed.
     BornInFuture,
 }
 
 
-/// Answer to a claim.
+/// Response to a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ClaimResponse {
 
-    /// Attempt it answers.
+    /// Request number of the claim.
     pub attempt: u64,
 
-    /// Decision.
+    /// Decision on the claim.
     pub decision: ClaimDecision,
 }
 
 
-/// A request that is held back, or suspected.
+/// A quarantined or suspected request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct QuarantinedRequest {
 
-    /// Request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
 
-    /// How much longer it is refused; 0 if it is sent apart from others instead.
+    /// Remaining quarantine time, during which the request is refused; 0 for a suspect, which is sent to an instance apart from other requests.
     pub remaining_millis: u64,
 }
 
 
-/// To a gateway: all requests that are held back or suspected.
+/// All quarantined and suspected requests, sent to gateways.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CrashUpdate {
 
-    /// Leader's term; an update of a lower term than seen is ignored.
+    /// Leader's term; updates of a lower term than already seen are ignored.
     pub term: u64,
 
-    /// Requests; those left out are neither any more.
+    /// Complete list; requests not listed are neither quarantined nor suspected.
     pub requests: Vec<QuarantinedRequest>,
 }
 
 
-/// What a gateway gets of one tenant's quota.
+/// Credit granted to a gateway for one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CreditGrant {
 
-    /// Tenant.
+    /// Tenant name.
     pub tenant: TenantName,
 
-    /// How many of the requests that wait, from the first, may go.
+    /// Number of queued requests granted, in order from the first.
     pub granted_requests: u32,
 
-    /// Units for requests to come.
+    /// Units granted for future requests.
     pub prefetched_units: u64,
 
-    /// Time until the first request that is not covered may be; 0 when all are.
+    /// Time until the first queued request that was not granted can be granted; 0 if all were granted.
     pub wait_millis: u64,
 
-    /// More than half of what the tenant may use at once is there.
+    /// Whether more than half of the tenant's burst capacity is available.
     pub over_half_available: bool,
 }
 
 
-/// Answer of the leader to a `CreditRequest`.
+/// Leader's response to a `CreditRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CreditResponse {
@@ -1284,57 +1284,57 @@
     /// Leader's term.
     pub term: u64,
 
-    /// Request that it answers.
+    /// Number of the answered request.
     pub sequence: u64,
 
-    /// By tenant.
+    /// Grants by tenant.
     pub grants: Vec<CreditGrant>,
 }
 
 
-/// What tells a route from the others of its document.
+/// Key of a route, unique within a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RouteKey {
 
-    /// Host.
+    /// Request host.
     pub host: String,
 
-    /// Beginning of the path.
+    /// Path prefix.
     pub path_prefix: String,
 }
 
 
-/// What turns one version of a document into a later one.
+/// Difference between two versions of a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct DocumentChange {
 
-    /// Version that it changes; without that very version it is of no use.
+    /// Version the change applies to; it cannot be applied to any other.
     pub base: u64,
 
-    /// Version that it gives.
+    /// Resulting version.
     pub version: u64,
 
-    /// Routes that are new or changed.
+    /// New or changed routes.
     pub routes: Vec<RouteSpec>,
 
-    /// Routes that are gone.
+    /// Removed routes.
     pub removed_routes: Vec<RouteKey>,
 
-    /// Services that are new or changed.
+    /// New or changed services.
     pub services: Vec<ServiceSpec>,
 
-    /// Services that are gone.
+    /// Removed services.
     pub removed_services: Vec<ServiceName>,
 
-    /// Limits of callers.
+    /// Caller limits of the resulting version.
     pub limits: CallerLimits,
 
-    /// Tenants that are new or changed.
+    /// New or changed tenants.
     pub tenants: Vec<TenantAccess>,
 
-    /// Tenants that are gone.
+    /// Removed tenants.
     pub removed_tenants: Vec<TenantName>,
 }
 
@@ -1344,114 +1344,114 @@
 #[derive(Hash)]
 pub struct InstanceLoad {
 
-    /// Run.
+    /// Instance incarnation.
     pub instance: InstanceId,
 
-    /// Requests.
+    /// Number of requests.
     pub in_flight: u32,
 }
 
 
-/// When a model, or model with adapter, that is being loaded will be ready.
+/// Estimated readiness of a model, or a model with an adapter, that is being loaded.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ModelReadyEstimate {
 
-    /// Service.
+    /// Service name.
     pub service: ServiceName,
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Adapter.
+    /// Adapter; none for the base model.
     pub adapter: Option<AdapterName>,
 
-    /// Estimated time until it serves.
+    /// Estimated time until it can serve.
     pub ready_in_millis: u64,
 }
 
 
-/// What the leader pushes to a gateway: changes since the last update on the same connection; the first carries everything.
+/// Leader's update to a gateway: changes since the previous update on the connection. The first update is complete.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct GatewayUpdate {
 
-    /// Leader's term; an update of a lower term than seen is ignored.
+    /// Leader's term; updates of a lower term than already seen are ignored.
     pub term: u64,
 
-    /// The leader has heard long enough to know every instance: those it has not named on this connection are gone.
+    /// Whether the leader knows all instances. Instances not listed on this connection are then gone.
     pub complete: bool,
 
-    /// First update on this connection: `instances` are all that the leader knows.
+    /// Whether this is the first update on the connection, in which `instances` lists all instances known to the leader.
     pub first: bool,
 
-    /// Document, when newer than the gateway's.
+    /// Document, if newer than the gateway's.
     pub document: Option<DeploymentDocument>,
 
-    /// Instances new or changed.
+    /// New or changed instances.
     pub instances: Vec<InstanceRecord>,
 
-    /// Instances that are gone.
+    /// Removed instances.
     pub removed: Vec<InstanceId>,
 
-    /// Models being loaded now.
+    /// Models being loaded.
     pub ready_estimates: Vec<ModelReadyEstimate>,
 
-    /// Gateways that report to this leader; 0 while it has not led for long enough to know.
+    /// Gateways that report to this leader; 0 until it has led long enough to know.
     pub gateways: u32,
 
     /// Addresses of the control members.
     pub members: Vec<String>,
 
-    /// From a member that does not lead, out of its own copy: for a gateway that has nothing yet.
+    /// Whether the update comes from a member that is not the leader, for a gateway without any state.
     pub provisional: bool,
 
-    /// What all gateways have in flight at the busiest instances.
+    /// Requests in flight over all gateways at the busiest instances.
     pub loads: Vec<InstanceLoad>,
 
-    /// Number of the newest report that was taken on this connection before the update was made; 0 for none.
+    /// Number of the last report on this connection that was processed before the update; 0 for none.
     pub acknowledged_report: u64,
 
-    /// Log index up to which the gateway has, with this update, been told what binds it: the document and departures; 0 where the member does not say.
+    /// Log index up to which this update brings the gateway with respect to required entries (documents and departures); 0 if not stated.
     pub as_of: u64,
 
-    /// What changed since the document that the gateway has, in place of `document`.
+    /// Difference to the gateway's document, sent instead of `document`.
     pub document_change: Option<DocumentChange>,
 
-    /// In the first update on a connection: those of the digests that the gateway reported whose records stand as they are; they count as named.
+    /// In the first update on a connection, the reported digests whose records are current; these instances count as listed.
     pub unchanged_instance_digests: Vec<u64>,
 
-    /// `outlook` is left out: what was told last on this connection still holds.
+    /// `ready_estimates` is omitted; the previous value on this connection still applies.
     pub ready_estimates_unchanged: bool,
 
-    /// `loads` is left out: they are as told last on this connection.
+    /// `loads` is omitted; the previous value on this connection still applies.
     pub loads_unchanged: bool,
 
-    /// Version of the document in force at `as_of`; 0 for none. A gateway that holds an older one lacks what binds it.
+    /// Active document version at `as_of`; 0 for none. A gateway with an older document lacks required entries.
     pub document_version: u64,
 }
 
 
-/// What an instance was last heard to state of its limit. Ages, as clocks differ.
+/// Rate limit last stated by an instance. Times are ages because clocks differ between processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct LimitObservation {
 
-    /// Instance.
+    /// Instance that stated the limit.
     pub instance: InstanceId,
 
-    /// Thousandths of a request a second that it takes from all gateways together; none if it states no limit any more.
+    /// Limit over all gateways, in thousandths of a request per second; none if the instance no longer states one.
     pub milli_per_second: Option<u64>,
 
-    /// Age of the request whose answer stated it.
+    /// Time since the request was sent whose response stated the limit.
     pub request_age_millis: u64,
 
-    /// Age of that answer.
+    /// Time since that response was received.
     pub response_age_millis: u64,
 }
 
 
-/// To a gateway: the limits that instances state, as the leader knows them. Those left out are not known to the leader.
+/// Rate limits known to the leader, sent to gateways. For instances not listed, the leader knows no limit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct LimitUpdate {
@@ -1459,38 +1459,38 @@
     /// Leader's term.
     pub term: u64,
 
-    /// Limits, and those withdrawn lately.
+    /// Current and recently withdrawn limits.
     pub limits: Vec<LimitObservation>,
 }
 
 
-/// Where the leader is.
+/// Redirect to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct NotLeader {
 
-    /// Peer address of the leader, if known.
+    /// Peer address of the leader; none if unknown.
     pub leader_address: Option<String>,
 }
 
 
-/// Permits for one instance; each is for one request.
+/// Permits granted for one instance, each valid for one request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PermitGrant {
 
-    /// Instance.
+    /// Rate-limited instance.
     pub instance: InstanceId,
 
-    /// Permits.
+    /// Number of permits.
     pub permits: u32,
 
-    /// Time until the first request without a permit may have one; 0 when all have.
+    /// Time until the next waiting request can get a permit; 0 if all have one.
     pub wait_millis: u64,
 }
 
 
-/// Answer of the leader to a `PermitRequest`.
+/// Leader's response to a `PermitRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PermitResponse {
@@ -1498,35 +1498,35 @@
     /// Leader's term.
     pub term: u64,
 
-    /// Request that it answers.
+    /// Number of the answered request.
     pub sequence: u64,
 
-    /// By instance.
+    /// Grants by instance.
     pub grants: Vec<PermitGrant>,
 }
 
 
-/// Counter of accepted catalog changes; grows by one with each.
+/// Catalog revision; incremented by every accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ConfigurationRevision(pub u64);
 
 
-/// A catalog object as stored.
+/// A stored catalog object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct StoredObject {
 
-    /// Kind and name.
+    /// Object key.
     pub key: ObjectKey,
 
-    /// Version of this object: 1 when created, one more with each change. Continues over delete and re-creation.
+    /// Object version: 1 on creation, incremented by every change. Not reset when the object is deleted and recreated.
     pub version: u64,
 
-    /// Revision of the catalog at which it last changed.
+    /// Catalog revision of the last change.
     pub revision: ConfigurationRevision,
 
-    /// What it states.
+    /// Object specification.
     pub spec: ObjectSpec,
 }
 
@@ -1536,66 +1536,66 @@
 #[derive(Hash)]
 pub struct ConfigurationDelta {
 
-    /// Applies to a catalog at this revision; 0 with `full`.
+    /// Base revision; 0 if `full` is set.
     pub from: ConfigurationRevision,
 
-    /// Revision after applying it.
+    /// Revision after applying the delta.
     pub to: ConfigurationRevision,
 
-    /// The objects are the whole catalog and replace what is held.
+    /// Whether `objects` is a full snapshot that replaces the local catalog.
     pub full: bool,
 
-    /// Objects created or changed, in order of revision.
+    /// Created or changed objects, ordered by revision.
     pub objects: Vec<StoredObject>,
 
-    /// Objects deleted.
+    /// Deleted objects.
     pub removed: Vec<ObjectKey>,
 }
 
 
-/// What the leader expects of a model that has waiting requests.
+/// Estimated availability of a model that has waiting requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct LoadEstimate {
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Estimated time until a replica serves; the router refuses at once those whose deadline is earlier.
+    /// Estimated time until a replica can serve. The router refuses requests with an earlier deadline immediately.
     pub ready_in_millis: u64,
 
-    /// Whether a replica can be placed at all as things stand.
+    /// Whether a replica can currently be placed.
     pub placeable: bool,
 }
 
 
-/// Counter of changes to routes; grows by one with each command that changes one.
+/// Route revision; incremented by every command that changes a route.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PlacementRevision(pub u64);
 
 
-/// A web back end a router may dispatch to.
+/// A web backend that a router may dispatch to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct WebRoute {
 
-    /// Back end.
+    /// Backend name.
     pub backend: BackendName,
 
-    /// Group.
+    /// Backend group.
     pub group: GroupName,
 
-    /// Run.
+    /// Process incarnation.
     pub incarnation: Incarnation,
 
-    /// IP address and port.
+    /// IP address and port of the backend.
     pub address: String,
 
-    /// Zone.
+    /// Zone of the backend.
     pub zone: ZoneName,
 
-    /// It is leaving: no new work.
+    /// Whether the backend is draining and accepts no new work.
     pub leaving: bool,
 }
 
@@ -1605,385 +1605,385 @@
 #[derive(Hash)]
 pub struct PlacementDelta {
 
-    /// Applies to routes at this revision; 0 with `full`.
+    /// Base revision; 0 if `full` is set.
     pub from: PlacementRevision,
 
-    /// Revision after applying it.
+    /// Revision after applying the delta.
     pub to: PlacementRevision,
 
-    /// The routes are all there are and replace what is held.
+    /// Whether the delta is a full snapshot that replaces the local routes.
     pub full: bool,
 
-    /// Replicas new or changed.
+    /// New or changed replicas.
     pub replicas: Vec<ReplicaRoute>,
 
-    /// Web back ends new or changed.
+    /// New or changed web backends.
     pub web: Vec<WebRoute>,
 
-    /// Replicas no longer there.
+    /// Removed replicas.
     pub removed_slots: Vec<SlotId>,
 
-    /// Web back ends no longer there.
+    /// Removed web backends.
     pub removed_backends: Vec<BackendName>,
 }
 
 
-/// A back end that this router watches for the control group.
+/// A backend that this router polls for the control group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct WatchedBackend {
 
-    /// Back end.
+    /// Backend name.
     pub backend: BackendName,
 
-    /// Kind.
+    /// Backend kind.
     pub kind: BackendKind,
 
-    /// IP address and port.
+    /// IP address and port of the backend.
     pub address: String,
 }
 
 
-/// The back ends a router watches.
+/// Backends that a router polls.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct WatchList {
 
-    /// Back ends.
+    /// Assigned backends.
     pub backends: Vec<WatchedBackend>,
 }
 
 
-/// Answer of the leader to a report: leases, changes, and the share to watch.
+/// Leader's response to a router report: lease, changes and assigned backends.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RouterUpdate {
 
-    /// Leader's term; an update of a lower term than seen is ignored.
+    /// Leader's term; updates of a lower term than already seen are ignored.
     pub term: u64,
 
-    /// Report it answers; the lease counts from when that report was sent, by the router's own clock.
+    /// Number of the acknowledged report. The lease starts when the router sent that report, by the router's clock.
     pub sequence: u64,
 
-    /// How long catalog and routes may be used.
+    /// Validity of the catalog and routes.
     pub lease_millis: u64,
 
-    /// Catalog changes, if any.
+    /// Catalog changes; none if up to date.
     pub configuration: Option<ConfigurationDelta>,
 
-    /// Route changes, if any.
+    /// Route changes; none if up to date.
     pub placement: Option<PlacementDelta>,
 
-    /// The whole share to watch, when it changed.
+    /// Full list of backends to poll; none if unchanged.
     pub watch: Option<WatchList>,
 
-    /// Outlook of the models the report has waiting requests for.
+    /// Estimates for the models that the report lists with waiting requests.
     pub load_estimates: Vec<LoadEstimate>,
 
-    /// Keys born before are expired.
+    /// Idempotency keys created before this time have expired.
     pub claims_created_after_unix_millis: u64,
 }
 
 
-/// A message from a control member to a router.
+/// Message from a control member to a router or gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum ControlToRouter {
 
-    /// Answer to a report.
+    /// Response to a report.
     Update(RouterUpdate),
 
-    /// Answer to a claim; committed before it is sent.
+    /// Response to a claim, sent after it is committed.
     Claim(ClaimResponse),
 
-    /// The end of this attempt's claim is committed.
+    /// The conclusion of the claim with this attempt number is committed.
     ClaimFinished(u64),
 
-    /// This member does not lead; nothing was done.
+    /// This member is not the leader; the message had no effect.
     NotLeader(NotLeader),
 
-    /// There is something newer than the router's last report knew: report at once.
+    /// Newer state than in the router's last report is available; the router should report immediately.
     ChangesAvailable,
 
-    /// To a gateway: what changed.
+    /// Gateway state update.
     Gateway(GatewayUpdate),
 
-    /// To a gateway: what it gets of tenants' quotas.
+    /// Tenant quota granted to a gateway.
     Credit(CreditResponse),
 
-    /// To a gateway: requests that end instances.
+    /// Quarantined requests, for a gateway.
     Crashes(CrashUpdate),
 
-    /// To a gateway: permits to send to instances that state a limit.
+    /// Permits for rate-limited instances, for a gateway.
     Permits(PermitResponse),
 
-    /// To a gateway: limits that instances state.
+    /// Rate limits stated by instances, for a gateway.
     Limits(LimitUpdate),
 }
 
 
-/// Life of an adapter beside a replica.
+/// Lifecycle of an adapter of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum AdapterPhase {
 
-    /// Decided; the load order is outstanding.
+    /// Attached; the load order is pending.
     Loading,
 
-    /// The engine confirmed it.
+    /// The engine confirmed the load.
     Loaded,
 
-    /// The unload order is outstanding.
+    /// The unload order is pending.
     Unloading,
 }
 
 
-/// An adapter decided for a replica; its memory counts until the unload is confirmed.
+/// An adapter assigned to a replica. Its memory is reserved until the engine confirms the unload.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AdapterAttachment {
 
-    /// Adapter.
+    /// Adapter name.
     pub adapter: AdapterName,
 
-    /// Memory reserved.
+    /// Reserved accelerator memory.
     pub bytes: u64,
 
-    /// Phase.
+    /// Lifecycle phase.
     pub phase: AdapterPhase,
 
-    /// Fence of the outstanding or last order.
+    /// Fence of the pending or last order.
     pub fence: LogPosition,
 
-    /// Checkpoint to load.
+    /// Checkpoint name in the weight store.
     pub checkpoint: String,
 }
 
 
-/// One decided replica of a model: a slot.
+/// A placed replica of a model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct Replica {
 
-    /// Identity.
+    /// Identity of the replica.
     pub slot: SlotId,
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
     /// Version of the weights.
     pub version: VersionLabel,
 
-    /// Engine it is on.
+    /// Engine that holds the replica.
     pub backend: BackendName,
 
-    /// Run of that engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
 
-    /// Indices of the accelerators it spans.
+    /// Indices of the accelerators used by the replica.
     pub accelerators: Vec<u32>,
 
-    /// Memory reserved for weights, over all its accelerators.
+    /// Memory reserved for weights, summed over its accelerators.
     pub weights_bytes: u64,
 
-    /// Memory reserved for caches, over all its accelerators.
+    /// Memory reserved for caches, summed over its accelerators.
     pub cache_bytes: u64,
 
-    /// Checkpoint to load.
+    /// Checkpoint name in the weight store.
     pub checkpoint: String,
 
-    /// Phase.
+    /// Lifecycle phase.
     pub phase: ReplicaPhase,
 
-    /// Fence of the outstanding or last order.
+    /// Fence of the pending or last order.
     pub fence: LogPosition,
 
-    /// Adapters beside the weights.
+    /// Adapters attached to the replica.
     pub adapters: Vec<AdapterAttachment>,
 }
 
 
-/// Asks for a claim. The control group fills in its own time.
+/// Requests a claim. The control group sets its own time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ClaimRequest {
 
-    /// Claim.
+    /// Requested claim.
     pub claim: ClaimBegin,
 }
 
 
-/// A run of an instance that has ended, and the requests of one gateway that were in flight there.
+/// An instance incarnation that crashed, and the requests of one gateway that were in flight on it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstanceCrash {
 
-    /// Run.
+    /// Crashed incarnation.
     pub instance: InstanceId,
 
-    /// Requests whose connection broke.
+    /// Requests whose connection was lost.
     pub requests: Vec<RequestFingerprint>,
 }
 
 
-/// What a gateway saw of runs that ended, sent at once; on a new connection, all that it remembers.
+/// Crashes observed by a gateway. Sent immediately; the first report on a connection repeats everything the gateway remembers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CrashReport {
 
-    /// Runs that ended.
+    /// Crashed incarnations.
     pub crashes: Vec<InstanceCrash>,
 
-    /// Requests with such an end that were answered whole since.
+    /// Requests involved in a crash that have since been answered completely.
     pub served: Vec<RequestFingerprint>,
 }
 
 
-/// What a gateway asks of one tenant's quota, and what it says of its use.
+/// Credit request for one tenant, with reported use.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct TenantCreditRequest {
 
-    /// Tenant.
+    /// Tenant name.
     pub tenant: TenantName,
 
-    /// Units of each request that waits, the oldest first.
+    /// Units needed by each queued request, oldest first.
     pub queued_units: Vec<u64>,
 
-    /// Units wished for requests to come, if there is plenty.
+    /// Units requested in advance for future requests; granted only if quota is ample.
     pub prefetch_units: u64,
 
-    /// Units granted before and not used: they may be granted anew.
+    /// Unused units of earlier grants, returned to the quota.
     pub returned: u64,
 
-    /// Units used without a grant while no leader answered.
+    /// Units used without a grant while no leader was reachable.
     pub overdrawn: u64,
 }
 
 
-/// A gateway asks for units of tenants' quotas; answered at once with `Credit`.
+/// Gateway request for tenant credit; answered immediately with `Credit`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CreditRequest {
 
-    /// Name of the gateway.
+    /// Gateway name.
     pub gateway: String,
 
-    /// Number within the gateway's run; grows.
+    /// Request number; increases within a process run.
     pub sequence: u64,
 
-    /// By tenant.
+    /// Requests by tenant.
     pub tenants: Vec<TenantCreditRequest>,
 
-    /// Term of the leader that this gateway's use was lent by; 0 for none yet.
+    /// Term of the leader whose grants the gateway used; 0 for none.
     pub granted_in_term: u64,
 }
 
 
-/// Demand for one model, or model with adapter, at one gateway.
+/// Demand for a model, or a model with an adapter, at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct GatewayModelDemand {
 
-    /// Service.
+    /// Service name.
     pub service: ServiceName,
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Adapter.
+    /// Adapter; none for the base model.
     pub adapter: Option<AdapterName>,
 
-    /// Requests that wait for it or were refused for its lack since the last report.
+    /// Requests waiting for the model, plus those refused for lack of it since the last report.
     pub unserved: u32,
 
-    /// Requests since the last report.
+    /// Requests received since the last report.
     pub arrivals: u32,
 
-    /// Requests dispatched and not ended.
+    /// Requests dispatched and not completed.
     pub in_flight: u32,
 
-    /// Most urgent rank among the unserved.
+    /// Highest priority (lowest value) among the unserved requests.
     pub priority: u32,
 
-    /// Prompt tokens sent since the last report that the engine had not read before, as far as the gateway knows.
+    /// Estimated prompt tokens sent since the last report that were not in the engine's prefix cache.
     pub unread_tokens: u64,
 }
 
 
-/// A gateway's report: its first and periodic message, sent at once when a need arises.
+/// Gateway report, sent first on a connection, periodically, and immediately when demand arises.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct GatewayReport {
 
-    /// Name of the gateway.
+    /// Gateway name.
     pub gateway: String,
 
-    /// Its zone.
+    /// Zone the gateway runs in.
     pub zone: ZoneName,
 
-    /// Number within its run; grows.
+    /// Report number; increases within a process run.
     pub sequence: u64,
 
-    /// Document version in force there; 0 for none.
+    /// Active document version; 0 for none.
     pub version: u64,
 
     /// Demand since the last report.
     pub demand: Vec<GatewayModelDemand>,
 
-    /// Instances whose state differs from what they announced: unreachable, or without a model they should hold.
+    /// Instances whose observed state differs from their announcement: unreachable, or lacking an announced model.
     pub inconsistent: Vec<InstanceId>,
 
-    /// What this gateway has in flight, by instance.
+    /// Requests of this gateway in flight, by instance.
     pub in_flight: Vec<InstanceLoad>,
 
-    /// Log index up to which the gateway has been told what binds it; 0 before the first.
+    /// Log index up to which the gateway has received all required entries; 0 for none.
     pub as_of: u64,
 
-    /// Digests of the instance records that the gateway holds; in the first report on a connection only.
+    /// Digests of the instance records known to the gateway; sent only in the first report on a connection.
     pub known_instance_digests: Vec<u64>,
 }
 
 
-/// What a gateway asks of one instance's limit.
+/// Permit request for one instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstancePermitRequest {
 
-    /// Instance.
+    /// Rate-limited instance.
     pub instance: InstanceId,
 
-    /// Requests that wait for a permit.
+    /// Requests waiting for a permit.
     pub waiting: u32,
 
-    /// Permits wished for requests to come, if there is plenty.
+    /// Permits requested in advance for future requests; granted only if ample.
     pub prefetch: u32,
 
-    /// Requests refused since the last ask, and told when to come back.
+    /// Requests refused with a retry time since the previous permit request.
     pub refused: u32,
 }
 
 
-/// A gateway asks for permits to send to instances that state a limit; answered at once with `Permits`.
+/// Gateway request for permits to send to rate-limited instances; answered immediately with `Permits`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PermitRequest {
 
-    /// Name of the gateway.
+    /// Gateway name.
     pub gateway: String,
 
-    /// Number within the gateway's run; grows.
+    /// Request number; increases within a process run.
     pub sequence: u64,
 
-    /// What this gateway heard and has not told on this connection.
+    /// Limits observed by this gateway and not yet reported on this connection.
     pub observations: Vec<LimitObservation>,
 
-    /// By instance.
+    /// Requests by instance.
     pub instances: Vec<InstancePermitRequest>,
 }
 
 
-/// Identity of one consensus group. Every internal message carries it.
+/// Consensus group ID, carried by every internal message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct GroupId(pub u32);
@@ -1994,24 +1994,24 @@
 #[derive(Hash)]
 pub struct RouterHello {
 
-    /// Group.
+    /// Consensus group.
     pub group: GroupId,
 
-    /// Router.
+    /// Router name.
     pub router: RouterName,
 
-    /// Run of the router.
+    /// Process incarnation.
     pub incarnation: Incarnation,
 
-    /// Zone.
+    /// Zone the router runs in.
     pub zone: ZoneName,
 
-    /// IP address and port of its caller API.
+    /// IP address and port of the caller API.
     pub address: String,
 }
 
 
-/// Where an engine's machine has a checkpoint.
+/// Fastest storage tier that holds a checkpoint on an engine's machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum CheckpointTier {
@@ -2019,10 +2019,10 @@
     /// Only in the weight store.
     Remote,
 
-    /// On the machine's disk.
+    /// On the local disk.
     Disk,
 
-    /// In the machine's memory.
+    /// In host memory.
     Memory,
 }
 
@@ -2032,276 +2032,276 @@
 #[derive(Hash)]
 pub struct CheckpointReport {
 
-    /// Checkpoint.
+    /// Checkpoint name.
     pub checkpoint: String,
 
-    /// Where it is.
+    /// Storage tier that holds it.
     pub tier: CheckpointTier,
 }
 
 
-/// Phase of a slot as the engine sees it.
+/// Phase of a slot as reported by the engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum EngineSlotPhase {
 
-    /// Loading.
+    /// The load is in progress.
     Loading,
 
-    /// Loaded.
+    /// Ready for requests.
     Loaded,
 
-    /// Unloading.
+    /// The unload is in progress.
     Unloading,
 
-    /// Gone; reported until a later order supersedes it.
+    /// Unloaded; reported until a later order supersedes it.
     Unloaded,
 
-    /// The load failed; holds no memory.
+    /// The load failed and uses no memory; contains the reason.
     Failed(String),
 }
 
 
-/// An adapter as the engine sees it.
+/// State of an adapter as reported by the engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineAdapterReport {
 
-    /// Adapter.
+    /// Adapter name.
     pub adapter: AdapterName,
 
-    /// Fence of the last order on it.
+    /// Fence of the last order for the adapter.
     pub fence: LogPosition,
 
-    /// Phase.
+    /// Lifecycle phase.
     pub phase: EngineSlotPhase,
 }
 
 
-/// A slot as the engine sees it.
+/// State of a slot as reported by the engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineSlotReport {
 
-    /// Slot.
+    /// Slot ID.
     pub slot: SlotId,
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Version.
+    /// Version of the weights.
     pub version: VersionLabel,
 
-    /// Fence of the last order on it.
+    /// Fence of the last order for the slot.
     pub fence: LogPosition,
 
-    /// Phase.
+    /// Lifecycle phase.
     pub phase: EngineSlotPhase,
 
-    /// Adapters.
+    /// Adapters of the slot.
     pub adapters: Vec<EngineAdapterReport>,
 
     /// Requests in the running batch.
     pub running: u32,
 
-    /// Requests waiting inside the engine.
+    /// Requests queued in the engine.
     pub waiting: u32,
 }
 
 
-/// An engine's load report, taken some time before it is read. GET /engine/report.
+/// Engine load report, served by GET /engine/report. It may be older than the request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineReport {
 
-    /// Engine.
+    /// Engine name.
     pub backend: BackendName,
 
-    /// Run.
+    /// Process incarnation.
     pub incarnation: Incarnation,
 
-    /// Zone.
+    /// Zone the engine runs in.
     pub zone: ZoneName,
 
-    /// Role.
+    /// Current role.
     pub role: EngineRole,
 
-    /// Number of the report within the run; grows.
+    /// Report number; increases within an incarnation.
     pub sequence: u64,
 
     /// Highest fence accepted when the report was taken.
     pub highest_fence: LogPosition,
 
-    /// Memory of each accelerator.
+    /// Memory per accelerator.
     pub accelerator_bytes: Vec<u64>,
 
-    /// Memory in use on each.
+    /// Memory in use per accelerator.
     pub used_bytes: Vec<u64>,
 
-    /// Slots.
+    /// Slots of the engine.
     pub slots: Vec<EngineSlotReport>,
 
-    /// Checkpoints in memory or on disk.
+    /// Checkpoints in host memory or on disk.
     pub checkpoints: Vec<CheckpointReport>,
 }
 
 
-/// A web back end's load report. GET /web/report.
+/// Web backend load report, served by GET /web/report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct WebReport {
 
-    /// Web back end.
+    /// Backend name.
     pub backend: BackendName,
 
-    /// Run.
+    /// Process incarnation.
     pub incarnation: Incarnation,
 
-    /// Zone.
+    /// Zone the backend runs in.
     pub zone: ZoneName,
 
-    /// Number of the report within the run; grows.
+    /// Report number; increases within an incarnation.
     pub sequence: u64,
 
-    /// Requests running.
+    /// Requests in progress.
     pub running: u32,
 }
 
 
-/// What a router saw of a back end it watches.
+/// Last observation of a watched backend.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum BackendObservation {
 
-    /// An engine's report.
+    /// Report of an engine.
     Engine(EngineReport),
 
-    /// A web back end's report.
+    /// Report of a web backend.
     Web(WebReport),
 
-    /// No answer since some time.
+    /// The backend has stopped responding.
     Unreachable(BackendName),
 }
 
 
-/// How urgent a request is; the first is the most urgent.
+/// Urgency class of a request, most urgent first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum Urgency {
 
-    /// Somebody waits at the counter.
+    /// A user is waiting for the response.
     Interactive,
 
-    /// Ordinary.
+    /// Default class.
     Normal,
 
-    /// Can wait.
+    /// Can be delayed.
     Batch,
 }
 
 
-/// Demand for one model, or model with adapter, at one router.
+/// Demand for a model, or a model with an adapter, at one router.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ModelDemand {
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Adapter.
+    /// Adapter; none for the base model.
     pub adapter: Option<AdapterName>,
 
     /// Requests waiting for a replica.
     pub waiting: u32,
 
-    /// Requests dispatched and not ended.
+    /// Requests dispatched and not completed.
     pub in_flight: u32,
 
-    /// Requests arrived since the router started.
+    /// Requests received since the router started.
     pub arrivals: u64,
 
-    /// Age of the oldest waiting request.
+    /// Queue time of the oldest waiting request.
     pub oldest_wait_millis: u64,
 
-    /// Most urgent of those waiting; `Batch` when none waits.
+    /// Most urgent class among the waiting requests; `Batch` if there are none.
     pub most_urgent: Urgency,
 }
 
 
-/// A router's periodic report; doubles as its heartbeat and lease request.
+/// Periodic router report; also serves as heartbeat and lease renewal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RouterReport {
 
-    /// Number within the run; grows. Echoed in the update.
+    /// Report number within the incarnation, increasing; echoed in the update.
     pub sequence: u64,
 
-    /// Catalog revision applied.
+    /// Applied catalog revision.
     pub configuration: ConfigurationRevision,
 
-    /// Route revision applied.
+    /// Applied route revision.
     pub placement: PlacementRevision,
 
-    /// Demand, only models with waiting, in-flight or new arrivals.
+    /// Models with waiting, in-flight or newly arrived requests.
     pub demand: Vec<ModelDemand>,
 
-    /// Reports that differ from those last acknowledged.
+    /// Backend reports that differ from those last acknowledged.
     pub observations: Vec<BackendObservation>,
 
-    /// The router is stopping and takes no new requests.
+    /// Whether the router is shutting down and accepts no new requests.
     pub draining: bool,
 }
 
 
-/// A message from a router to a control member.
+/// Message from a router or gateway to a control member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum RouterToControl {
 
-    /// First message.
+    /// First message on the connection.
     Hello(RouterHello),
 
     /// Periodic report.
     Report(RouterReport),
 
-    /// Ask for a claim.
+    /// Requests a claim; answered with `Claim`.
     Claim(ClaimRequest),
 
-    /// End a claim; answered with `ClaimFinished`.
+    /// Concludes a claim; answered with `ClaimFinished`.
     FinishClaim(ClaimFinish),
 
-    /// Report of a gateway; answered with `Gateway`.
+    /// Gateway report; answered with `Gateway`.
     Gateway(GatewayReport),
 
-    /// Ask of a gateway for tenants' credit; answered with `Credit`.
+    /// Gateway request for tenant credit; answered with `Credit`.
     Credit(CreditRequest),
 
-    /// What a gateway saw of instances that ended.
+    /// Instance crashes observed by a gateway.
     Crashes(CrashReport),
 
-    /// Ask of a gateway for permits; answered with `Permits`.
+    /// Gateway request for instance permits; answered with `Permits`.
     Permits(PermitRequest),
 }
 
 
-/// Identity of one member of a control group. A member whose disk was lost comes back under a new identity.
+/// Identity of a member of a control group. A member that lost its disk rejoins under a new identity.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct MemberId(pub u64);
 
 
-/// A member and where it listens.
+/// A member and its addresses.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct MemberAddress {
 
-    /// Identity.
+    /// Member ID.
     pub member: MemberId,
 
-    /// Zone.
+    /// Zone the member runs in.
     pub zone: ZoneName,
 
-    /// IP address and port for members and routers.
+    /// IP address and port for connections from members and routers.
     pub peer_address: String,
 
     /// IP address and port of the administration API.
@@ -2309,39 +2309,39 @@
 }
 
 
-/// Members of a group. While `outgoing_voters` is not empty the group is in joint consensus: both sets need a majority.
+/// Members of a group. A non-empty `outgoing_voters` indicates joint consensus, in which both sets need a majority.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct Membership {
 
-    /// Voters of the newer set.
+    /// Voters of the new configuration.
     pub voters: Vec<MemberAddress>,
 
-    /// Voters of the older set during a change; else empty.
+    /// Voters of the old configuration during a membership change; otherwise empty.
     pub outgoing_voters: Vec<MemberAddress>,
 
-    /// Members that receive the log and do not vote.
+    /// Members that replicate the log without voting.
     pub learners: Vec<MemberAddress>,
 }
 
 
-/// What a log entry holds.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum EntryPayload {
 
-    /// Written by a new leader to commit what came before.
+    /// Empty entry that a new leader appends to commit earlier entries.
     Noop,
 
-    /// A change of members; in force as soon as it is appended.
+    /// Membership change; effective as soon as it is appended.
     Membership(Membership),
 
-    /// A command.
+    /// State machine command.
     Command(Command),
 }
 
 
-/// One entry of the replicated log.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct LogEntry {
@@ -2349,95 +2349,95 @@
     /// Term and index.
     pub position: LogPosition,
 
-    /// Content.
+    /// Entry payload.
     pub payload: EntryPayload,
 }
 
 
-/// Replicates entries; empty ones are heartbeats.
+/// Replicates log entries; a request without entries is a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AppendRequest {
 
-    /// Position of the entry before the first.
+    /// Position of the entry preceding `entries`.
     pub previous: LogPosition,
 
-    /// Entries, in order.
+    /// Consecutive log entries.
     pub entries: Vec<LogEntry>,
 
-    /// Leader's commit index.
+    /// Commit index of the leader.
     pub commit: u64,
 
-    /// Number of the heartbeat round, echoed; lets the leader count its lease from the sending time.
+    /// Heartbeat round, echoed in the response so that the leader's lease is counted from the send time.
     pub sequence: u64,
 }
 
 
-/// Answers an append request.
+/// Response to an `AppendRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AppendResponse {
 
-    /// Whether `previous` matched.
+    /// Whether `previous` matched the local log.
     pub accepted: bool,
 
-    /// Last index known to match and synced; when refused, where the leader should try from.
+    /// Last index known to match and be synced; if refused, the index from which the leader should retry.
     pub match_index: u64,
 
-    /// Echo.
+    /// Heartbeat round of the request.
     pub sequence: u64,
 }
 
 
-/// What a snapshot covers.
+/// Snapshot metadata.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct SnapshotMeta {
 
-    /// Last entry it includes.
+    /// Last log entry included.
     pub last: LogPosition,
 
-    /// Membership at that entry.
+    /// Membership as of that entry.
     pub membership: Membership,
 }
 
 
-/// One piece of a snapshot.
+/// Chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct SnapshotChunk {
 
-    /// What the snapshot covers.
+    /// Snapshot metadata.
     pub meta: SnapshotMeta,
 
-    /// Byte offset of this piece.
+    /// Byte offset of the chunk.
     pub offset: u64,
 
-    /// Piece.
+    /// Chunk bytes.
     pub data: Bytes,
 
-    /// Whether it is the last piece.
+    /// Whether this is the last chunk.
     pub last_chunk: bool,
 }
 
 
-/// Answers a snapshot piece.
+/// Response to a `SnapshotChunk`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct SnapshotProgress {
 
-    /// Snapshot it answers.
+    /// Last log entry of the snapshot being transferred.
     pub last: LogPosition,
 
-    /// Offset wanted next.
+    /// Byte offset of the next expected chunk.
     pub next_offset: u64,
 
-    /// The snapshot is whole, synced and applied.
+    /// Whether the snapshot is complete, synced and applied.
     pub installed: bool,
 }
 
 
-/// Asks for a vote.
+/// Requests a vote.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct VoteRequest {
@@ -2445,358 +2445,358 @@
     /// Last entry of the candidate's log.
     pub last: LogPosition,
 
-    /// Sent at a leader's wish: leases of that leader do not stand against it.
+    /// Whether the election was requested by the leader; its lease then does not block the vote.
     pub leadership_transfer: bool,
 }
 
 
-/// Answers a vote request.
+/// Response to a `VoteRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct VoteResponse {
 
-    /// Whether the vote was given.
+    /// Whether the vote was granted.
     pub granted: bool,
 }
 
 
-/// A message between members.
+/// Message between members.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum PeerMessage {
 
-    /// Would you vote for me in the next term?
+    /// Asks whether the receiver would vote for the sender in the next term.
     PreVoteRequest(VoteRequest),
 
-    /// Answer.
+    /// Response to a pre-vote request.
     PreVoteResponse(VoteResponse),
 
-    /// Vote for me.
+    /// Requests a vote.
     VoteRequest(VoteRequest),
 
-    /// Answer.
+    /// Response to a vote request.
     VoteResponse(VoteResponse),
 
-    /// Entries or heartbeat.
+    /// Log entries or a heartbeat.
     AppendRequest(AppendRequest),
 
-    /// Answer.
+    /// Response to an append request.
     AppendResponse(AppendResponse),
 
-    /// Piece of a snapshot.
+    /// Chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
 
-    /// Answer.
+    /// Response to a snapshot chunk.
     SnapshotProgress(SnapshotProgress),
 
-    /// Start an election at once (leadership transfer).
+    /// Starts an election immediately, for leadership transfer.
     TimeoutNow,
 }
 
 
-/// Number of a call to an engine, unique in the process that makes it; its answer names it.
+/// Number of an engine call, unique within the calling process; echoed with the result.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CallId(pub u64);
 
 
-/// What an engine is told to do.
+/// Operation of an engine instruction.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum InstructionOperation {
 
-    /// Load a model, or an adapter of a model that is there.
+    /// Loads a model, or an adapter of a loaded model.
     Load,
 
-    /// Unload it.
+    /// Unloads a model or an adapter.
     Unload,
 }
 
 
-/// An order to an engine that checks the number of orders it took.
+/// Instruction to an engine, conditional on the engine's revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineInstruction {
 
-    /// Run it is for; any other does nothing.
+    /// Target incarnation; any other ignores the instruction.
     pub instance: InstanceId,
 
-    /// IP address and port.
+    /// IP address and port of the engine.
     pub address: String,
 
-    /// What to do.
+    /// Operation to execute.
     pub operation: InstructionOperation,
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Adapter.
+    /// Adapter; none for the model itself.
     pub adapter: Option<AdapterName>,
 
-    /// Orders the engine must have taken before; otherwise it does nothing.
+    /// Revision the engine must be at; otherwise it does nothing.
     pub expected_revision: u64,
 
-    /// Process that gives the order.
+    /// Process that issues the instruction.
     pub issuer: String,
 
-    /// Term of the leader that gives the order.
+    /// Term of the issuing leader.
     pub fence: u64,
 
-    /// The weights come from the weight store, whose rate counts it.
+    /// Whether the weights are loaded from the weight store and count against its rate limit.
     pub from_store: bool,
 
-    /// The call that gives it.
+    /// Call that carries the instruction.
     pub call: CallId,
 }
 
 
-/// A message with its addresses.
+/// Message between members with its routing metadata.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PeerEnvelope {
 
-    /// Group; a message for another group is dropped.
+    /// Consensus group; messages of other groups are dropped.
     pub group: GroupId,
 
     /// Sender.
     pub from: MemberId,
 
-    /// Receiver; a message for another identity is dropped.
+    /// Receiver; messages for another identity are dropped.
     pub to: MemberId,
 
-    /// Sender's term (for a pre-vote request: the term it would campaign in).
+    /// Sender's term; in a pre-vote request, the term of the prospective election.
     pub term: u64,
 
-    /// Message.
+    /// Payload.
     pub message: PeerMessage,
 }
 
 
-/// An instance, and how new the newest word of it is that a member has heard.
+/// An instance and the newest of its announcements that a member received.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct InstanceHeartbeat {
 
-    /// Identity of the run.
+    /// Instance incarnation.
     pub instance: InstanceId,
 
-    /// Sequence of its last announcement there.
+    /// Sequence of its last announcement received by the member.
     pub sequence: u64,
 }
 
 
-/// What a member that does not lead says of the instances that announce themselves there: what changed since the leader last confirmed, and that the member lives.
+/// Report of a follower on the instances that announce themselves to it: changes since the leader's last acknowledgement. Also serves as the member's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ShareReport {
 
-    /// The member, and where it is answered.
+    /// Reporting member and its addresses.
     pub from: MemberAddress,
 
-    /// Names the run of the member's process: revisions begin anew with each.
+    /// Process run of the member; revisions restart with each.
     pub run: u64,
 
-    /// Number within the run; the answer names it.
+    /// Report number within the run, echoed in the response.
     pub number: u64,
 
-    /// Revision that the leader is taken to know; 0: what follows begins the share anew.
+    /// Revision that the leader is assumed to know; 0 if the report contains the complete share.
     pub base: u64,
 
-    /// Revision that it knows with this report.
+    /// Revision after applying the report.
     pub revision: u64,
 
-    /// New or changed since `base`.
+    /// Records new or changed since `base`.
     pub instances: Vec<InstanceRecord>,
 
-    /// Not heard of any more. Another member may have heard them since.
+    /// Instances that stopped announcing themselves to this member. They may have switched to another member.
     pub expired: Vec<InstanceHeartbeat>,
 
-    /// Active instances that announced themselves unchanged since the last report.
+    /// Active instances that announced themselves without changes since the last report.
     pub heartbeats: Vec<InstanceHeartbeat>,
 
-    /// Revision of the list of active instances held here; 0 for none.
+    /// Known revision of the list of active instances; 0 for none.
     pub active_revision: u64,
 }
 
 
-/// Answers a share report.
+/// Response to a share report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ShareResponse {
 
-    /// Echo.
+    /// Process run of the report.
     pub run: u64,
 
-    /// Echo.
+    /// Number of the report.
     pub number: u64,
 
-    /// Who leads, as far as the answering member knows.
+    /// Current leader, if known to the responding member.
     pub leader: Option<MemberAddress>,
 
-    /// Revision of the share that the leader knows now; none from a member that does not lead.
+    /// Revision of the share known to the leader; none from a member that is not the leader.
     pub acknowledged_revision: Option<u64>,
 
     /// Revision of the list of active instances.
     pub active_revision: u64,
 
-    /// Active instances of the share, where the member holds another revision of the list: their unchanged announcements are passed on.
+    /// Active instances of the share, if the reporting member has another revision of the list. Their unchanged announcements are reported as heartbeats.
     pub active: Option<Vec<InstanceId>>,
 }
 
 
-/// Any first message on a control member's port: from a peer or from a router.
+/// Message on a control member's peer port.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum LinkMessage {
 
-    /// From a member.
+    /// From another member.
     Peer(PeerEnvelope),
 
-    /// From a router.
+    /// From a router or gateway.
     Router(RouterToControl),
 
-    /// From a process that wants to become a member under this new identity.
+    /// From a process that requests membership under this new identity.
     Join(MemberAddress),
 
-    /// First message on a member's connection: who sends, and where it can be answered.
+    /// First message on a member's connection, with the sender's address for responses.
     MemberHello(MemberAddress),
 
-    /// From a member: instances that announce themselves there.
+    /// Report of the instances that announce themselves to the sending member.
     Share(ShareReport),
 
-    /// Answer to a share report.
+    /// Response to a share report.
     ShareResponse(ShareResponse),
 }
 
 
-/// Load an adapter.
+/// Order to load an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct LoadAdapterOrder {
 
-    /// Slot.
+    /// Slot of the base replica.
     pub slot: SlotId,
 
-    /// Adapter.
+    /// Adapter name.
     pub adapter: AdapterName,
 
-    /// Memory it takes.
+    /// Accelerator memory used by the adapter.
     pub bytes: u64,
 
-    /// Checkpoint in the weight store.
+    /// Checkpoint name in the weight store.
     pub checkpoint: String,
 }
 
 
-/// Load weights.
+/// Order to load model weights.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct LoadModelOrder {
 
-    /// Slot.
+    /// Slot of the new replica.
     pub slot: SlotId,
 
-    /// Model.
+    /// Model name.
     pub model: ModelName,
 
-    /// Version.
+    /// Version of the weights.
     pub version: VersionLabel,
 
-    /// Accelerators to span.
+    /// Indices of the accelerators to use.
     pub accelerators: Vec<u32>,
 
-    /// Memory for weights, over all accelerators.
+    /// Memory for weights, summed over all accelerators.
     pub weights_bytes: u64,
 
-    /// Memory for caches, over all accelerators.
+    /// Memory for caches, summed over all accelerators.
     pub cache_bytes: u64,
 
-    /// Checkpoint in the weight store.
+    /// Checkpoint name in the weight store.
     pub checkpoint: String,
 }
 
 
-/// Unload an adapter.
+/// Order to unload an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct UnloadAdapterOrder {
 
-    /// Slot.
+    /// Slot of the base replica.
     pub slot: SlotId,
 
-    /// Adapter.
+    /// Adapter name.
     pub adapter: AdapterName,
 }
 
 
-/// What an engine is told to do.
+/// Action of an engine order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum OrderAction {
 
-    /// Load weights.
+    /// Loads model weights.
     LoadModel(LoadModelOrder),
 
-    /// Unload weights and everything beside them.
+    /// Unloads a replica and its adapters.
     UnloadModel(SlotId),
 
-    /// Load an adapter beside a replica.
+    /// Loads an adapter of a replica.
     LoadAdapter(LoadAdapterOrder),
 
-    /// Unload an adapter.
+    /// Unloads an adapter.
     UnloadAdapter(UnloadAdapterOrder),
 
-    /// Change role.
+    /// Changes the engine's role.
     ChangeRole(EngineRole),
 }
 
 
-/// One machine of the platform's list.
+/// Entry of the platform's machine list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PlatformMachine {
 
-    /// Back end on it.
+    /// Backend on the machine.
     pub backend: BackendName,
 
-    /// Kind.
+    /// Backend kind.
     pub kind: BackendKind,
 
-    /// Group of a web back end.
+    /// Group of a web backend; none for an engine.
     pub group: Option<GroupName>,
 
-    /// Zone.
+    /// Zone the machine is in.
     pub zone: ZoneName,
 
-    /// IP address and port of its HTTP interface.
+    /// IP address and port of the backend's HTTP interface.
     pub address: String,
 
-    /// State; the list lags.
+    /// Backend state; may be out of date.
     pub state: BackendState,
 }
 
 
-/// One accepted change in the audit log.
+/// Audit log record of an accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct AuditRecord {
 
-    /// Revision.
+    /// Catalog revision that contains the change.
     pub revision: ConfigurationRevision,
 
-    /// Object.
+    /// Changed object.
     pub key: ObjectKey,
 
-    /// Version of the object after the change.
+    /// Object version after the change.
     pub version: u64,
 
-    /// Identity of the change.
+    /// Change ID chosen by the client.
     pub change_id: ChangeId,
 
-    /// Who submitted it.
+    /// Operator that submitted the change.
     pub operator: OperatorName,
 
-    /// Wall-clock time at the member that took it.
+    /// Wall-clock time on the receiving member.
     pub at_unix_millis: u64,
 
     /// Whether the change deleted the object.
@@ -2804,116 +2804,116 @@
 }
 
 
-/// A fenced order. POST /engine/orders. An engine refuses a fence below the highest it accepted, and another incarnation than its own; the same fence again is answered as the first time.
+/// A fenced order, sent with POST /engine/orders. An engine refuses a fence lower than the highest it accepted and an incarnation other than its own; a repeated fence receives the original response.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineOrder {
 
-    /// Fence.
+    /// Fencing token.
     pub fence: LogPosition,
 
-    /// Engine it is for.
+    /// Target engine.
     pub backend: BackendName,
 
-    /// Run of the engine it is for.
+    /// Incarnation of the target engine.
     pub incarnation: Incarnation,
 
-    /// What to do.
+    /// Action to execute.
     pub action: OrderAction,
 }
 
 
-/// What happened to one block of a prompt prefix in an engine's cache.
+/// Change of a prompt prefix block in an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum CacheChange {
 
-    /// The block is cached.
+    /// The block was cached.
     Inserted,
 
-    /// The block is gone.
+    /// The block was evicted.
     Evicted,
 }
 
 
-/// One cache event.
+/// An engine cache event.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CacheEvent {
 
-    /// Number within the run of the engine, from 1; numbers that are missing were lost.
+    /// Event number within the incarnation, from 1; gaps indicate lost events.
     pub number: u64,
 
-    /// Slot whose cache it is.
+    /// Slot that owns the cache.
     pub slot: SlotId,
 
     /// Chained hash of the prompt up to the end of the block.
     pub prefix_hash: u64,
 
-    /// What happened.
+    /// Change of the block.
     pub change: CacheChange,
 }
 
 
-/// Cache events, published late and with gaps. GET /engine/events?after=N.
+/// Cache events, served with delay and possible gaps by GET /engine/events?after=N.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct CacheEvents {
 
-    /// Engine.
+    /// Engine name.
     pub backend: BackendName,
 
-    /// Run; the numbering starts anew with each.
+    /// Process incarnation; event numbers restart with each.
     pub incarnation: Incarnation,
 
-    /// Oldest number still kept; a reader further behind starts from an empty picture.
+    /// Oldest retained event number; a reader behind it must discard its state.
     pub oldest: u64,
 
-    /// Events in the order of their numbers, at most the limit of one answer.
+    /// Events in ascending order, limited in number per response.
     pub events: Vec<CacheEvent>,
 }
 
 
-/// An accepted change.
+/// An accepted catalog change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct ChangeAccepted {
 
-    /// New version of the object.
+    /// New object version.
     pub version: u64,
 
-    /// Revision of the catalog that holds it.
+    /// Catalog revision that contains the change.
     pub revision: ConfigurationRevision,
 }
 
 
-/// A change that lost a race.
+/// A change rejected because `expected_version` did not match.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct VersionConflict {
 
-    /// Version of the object now; 0 if it does not exist.
+    /// Current object version; 0 if the object does not exist.
     pub current_version: u64,
 }
 
 
-/// What became of a change.
+/// Result of a catalog change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum ObjectChangeOutcome {
 
-    /// Committed; it never reverts.
+    /// The change is committed.
     Accepted(ChangeAccepted),
 
-    /// Somebody else changed the object first; nothing was changed.
+    /// The object was changed concurrently; nothing was changed.
     VersionConflict(VersionConflict),
 
-    /// Invalid or refers to something that does not exist; reason and remedy.
+    /// The change is invalid or refers to a missing object; contains the reason and the remedy.
     Rejected(String),
 }
 
 
-/// What applying a command did.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum CommandOutcome {
@@ -2921,13 +2921,13 @@
     /// Applied.
     Done,
 
-    /// No effect: it no longer fits the state; reason.
+    /// Not applied because it no longer matches the state; contains the reason.
     Ignored(String),
 
-    /// A replica was decided.
+    /// A replica was placed in this slot.
     Placed(SlotId),
 
-    /// Outcome of a catalog change.
+    /// Result of a catalog change.
     Object(ObjectChangeOutcome),
 
     /// Decision on a claim.
@@ -2935,134 +2935,134 @@
 }
 
 
-/// A request that ran more than once.
+/// A request that was executed more than once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct RepeatedRun {
 
-    /// Tenant.
+    /// Tenant of the request.
     pub tenant: TenantName,
 
-    /// Idempotency key, or request identity.
+    /// Idempotency key or request ID.
     pub key: String,
 
-    /// Times it ran.
+    /// Number of executions.
     pub runs: u64,
 }
 
 
-/// What an engine stand-in counted in its run. GET /engine/audit.
+/// Counters of one incarnation of an engine stand-in, served by GET /engine/audit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct EngineAudit {
 
-    /// Engine.
+    /// Engine name.
     pub backend: BackendName,
 
-    /// Run.
+    /// Process incarnation.
     pub incarnation: Incarnation,
 
-    /// Breach: orders that would have exceeded an accelerator's memory; they were rejected.
+    /// Violation: rejected orders that would have exceeded an accelerator's memory.
     pub memory_overcommits: u64,
 
-    /// Most memory ever in use on each accelerator.
+    /// Peak memory use per accelerator.
     pub peak_used_bytes: Vec<u64>,
 
-    /// Requests for a slot that is not loaded here; refused as not executed.
+    /// Requests for a slot that is not loaded, refused without execution.
     pub wrong_slot_requests: u64,
 
-    /// Orders refused for a stale fence.
+    /// Orders refused because of a stale fence.
     pub stale_fences: u64,
 
-    /// Orders and requests refused for another incarnation.
+    /// Orders and requests refused because they name another incarnation.
     pub wrong_incarnations: u64,
 
-    /// Breach: a fence seen again with another order.
+    /// Violation: fences received again with a different order.
     pub conflicting_fences: u64,
 
-    /// Orders accepted, resends not counted.
+    /// Accepted orders, excluding redeliveries.
     pub orders_accepted: u64,
 
-    /// Orders rejected for another reason.
+    /// Orders rejected for other reasons.
     pub orders_rejected: u64,
 
-    /// Model loads that ended well.
+    /// Successful model loads.
     pub model_loads: u64,
 
-    /// Adapter loads that ended well.
+    /// Successful adapter loads.
     pub adapter_loads: u64,
 
-    /// Loads that failed.
+    /// Failed loads.
     pub failed_loads: u64,
 
     /// Requests that entered the running batch for the first time.
     pub requests_started: u64,
 
-    /// Of these, those that resume an earlier stream.
+    /// Requests in `requests_started` that resume an earlier stream.
     pub requests_resumed: u64,
 
-    /// Requests that gave their whole answer.
+    /// Requests answered completely.
     pub requests_finished: u64,
 
-    /// Requests cancelled by their caller.
+    /// Requests cancelled by the caller.
     pub requests_cancelled: u64,
 
-    /// Requests refused as not executed.
+    /// Requests refused without execution.
     pub requests_refused: u64,
 
-    /// Requests cut while running, by an unload bound or their deadline.
+    /// Running requests aborted by an unload or their deadline.
     pub requests_cut: u64,
 
-    /// Requests moved back from the batch to the queue.
+    /// Requests moved from the batch back to the queue.
     pub preemptions: u64,
 
-    /// Tokens given out.
+    /// Tokens generated.
     pub tokens: u64,
 
-    /// Breach: idempotency keys that ran more than once (bounded list).
+    /// Violation: idempotency keys executed more than once; bounded list.
     pub repeated_keys: Vec<RepeatedRun>,
 
-    /// Request identities that ran more than once, resumes not counted (bounded list).
+    /// Request IDs executed more than once, excluding resumed streams; bounded list.
     pub repeated_requests: Vec<RepeatedRun>,
 
     /// Accelerator-milliseconds with weights loaded.
     pub loaded_accelerator_millis: u64,
 
-    /// Of these, with nothing running.
+    /// Part of `loaded_accelerator_millis` without running requests.
     pub idle_accelerator_millis: u64,
 
-    /// Keys and identities no longer remembered, for want of room; with any, the lists may lack some.
+    /// Keys and request IDs evicted from the bounded tracking tables; if non-zero, the lists may be incomplete.
     pub forgotten_runs: u64,
 }
 
 
-/// What a web back end stand-in counted in its run. GET /web/audit.
+/// Counters of one incarnation of a web backend stand-in, served by GET /web/audit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct WebAudit {
 
-    /// Web back end.
+    /// Backend name.
     pub backend: BackendName,
 
-    /// Run.
+    /// Process incarnation.
     pub incarnation: Incarnation,
 
     /// Requests served.
     pub requests: u64,
 
-    /// Runs of endpoints that may not be repeated.
+    /// Executions of non-repeatable endpoints.
     pub once_runs: u64,
 
-    /// Different keys among these.
+    /// Distinct idempotency keys among `once_runs`.
     pub once_keys: u64,
 
-    /// Runs without a key.
+    /// Executions without an idempotency key.
     pub once_without_key: u64,
 
-    /// Keys no longer remembered, for want of room; with any, the list below may lack some.
+    /// Keys evicted from the bounded tracking table; if non-zero, `repeated_keys` may be incomplete.
     pub forgotten_keys: u64,
 
-    /// Breach: keys that ran more than once (bounded list).
+    /// Violation: keys executed more than once; bounded list.
     pub repeated_keys: Vec<RepeatedRun>,
 }
 
@@ -3072,145 +3072,145 @@
 #[derive(Hash)]
 pub struct EngineState {
 
-    /// Orders taken.
+    /// Number of instructions accepted.
     pub revision: u64,
 
-    /// An order is under way.
+    /// Whether an instruction is in progress.
     pub busy: bool,
 
-    /// Models it holds.
+    /// Loaded models.
     pub models: Vec<HeldModel>,
 
-    /// Copies of weights in host memory.
+    /// Models whose weights are cached in host memory.
     pub in_memory: Vec<ModelName>,
 
-    /// Copies of weights on disk.
+    /// Models whose weights are cached on local disk.
     pub on_disk: Vec<ModelName>,
 
-    /// Adapters on their way, by model; they take places, and serve nothing yet.
+    /// Adapters being loaded, by model; they occupy adapter slots but do not serve yet.
     pub loading_adapters: Vec<HeldModel>,
 }
 
 
-/// An engine's answer to an order. Acceptance is not completion: the report tells.
+/// Engine response to an order. Completion is reported separately in the engine report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum OrderResponse {
 
-    /// Taken, now or earlier.
+    /// Accepted now or by an earlier delivery.
     Accepted,
 
-    /// Refused; the highest fence accepted.
+    /// Refused; contains the highest accepted fence.
     StaleFence(LogPosition),
 
-    /// Refused; the engine's run.
+    /// Refused; contains the engine's incarnation.
     WrongIncarnation(Incarnation),
 
-    /// Refused for another reason; nothing was done.
+    /// Refused without effect; contains the reason.
     Rejected(String),
 }
 
 
-/// A member's answer, in one datagram: what its log holds, committed or not.
+/// Datagram with which a member describes its log, including uncommitted entries.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct FreshnessResponse {
 
-    /// Round that it answers.
+    /// Query round of the request.
     pub round: u64,
 
-    /// Identity of the member.
+    /// Responding member.
     pub member: MemberId,
 
-    /// Index of the last entry of its log that binds gateways; 0 for none.
+    /// Index of the last log entry required by gateways; 0 for none.
     pub required_index: u64,
 
-    /// Index of the last entry that it has applied.
+    /// Index of the last applied entry.
     pub applied: u64,
 
-    /// Index of the entry that brought the membership of its log.
+    /// Index of the log entry that contains the member's current membership.
     pub membership_index: u64,
 
     /// Voters of that membership.
     pub voters: Vec<MemberId>,
 
-    /// During a change, the voters before it: both sets need a majority.
+    /// Voters of the old configuration during a membership change; both sets need a majority.
     pub outgoing_voters: Vec<MemberId>,
 
-    /// Peer addresses of all of them.
+    /// Peer addresses of all these voters.
     pub addresses: Vec<String>,
 
-    /// Term of the member.
+    /// Current term of the member.
     pub term: u64,
 
-    /// Peer address of the leader of that term, if known; the member's own if it leads under its lease.
+    /// Peer address of that term's leader; none if unknown. The member's own address if it leads under its lease.
     pub leader: Option<String>,
 }
 
 
-/// What a member must have synced before it answers.
+/// State that a member syncs to disk before responding.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct HardState {
 
-    /// Latest term seen.
+    /// Latest known term.
     pub term: u64,
 
-    /// Member voted for in that term.
+    /// Member voted for in that term; none if no vote was cast.
     pub voted_for: Option<MemberId>,
 }
 
 
-/// What became of an instruction or of reading an engine's state.
+/// Result of an instruction or of an engine state query.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub enum InstructionResult {
 
-    /// It is being carried out.
+    /// The engine is executing the instruction.
     Accepted,
 
-    /// It holds already.
+    /// The engine is already in the requested state.
     AlreadySo,
 
-    /// Another is under way, or the engine took another number of orders.
+    /// Another instruction is in progress, or the engine's revision differs.
     Conflict,
 
-    /// Another run is at that address.
+    /// Another incarnation uses that address.
     OtherRun,
 
-    /// It cannot be carried out; reason.
+    /// The instruction cannot be executed; contains the reason.
     Refused(String),
 
-    /// No answer: it may be carried out, also much later.
+    /// No response; the instruction may still be executed, possibly much later.
     Unanswered,
 
-    /// The engine's state, as read.
+    /// Engine state, from a state query.
     State(EngineState),
 
-    /// It did not leave, and never will: its time was over, or too many calls waited.
+    /// Not sent, and will not be: it expired or too many calls were queued.
     NotSent,
 }
 
 
-/// The platform's list of machines. GET /machines.
+/// The platform's machine list, served by GET /machines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PlatformList {
 
-    /// Grows with every change.
+    /// List version; increases with every change.
     pub sequence: u64,
 
-    /// Machines; one missing that was listed before is gone.
+    /// All machines; a previously listed machine that is missing is gone.
     pub machines: Vec<PlatformMachine>,
 }
 
 
-/// The state machine up to one entry.
+/// State machine snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct Snapshot {
 
-    /// What it covers.
+    /// Snapshot metadata.
     pub meta: SnapshotMeta,
 
     /// Encoded state.
@@ -3218,23 +3218,23 @@
 }
 
 
-/// A gateway asks members, in one datagram to each, whether what it knows may be outdated.
+/// Datagram in which a gateway asks every member whether its state may be outdated.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct FreshnessRequest {
 
-    /// Number of the gateway's round of questions, echoed.
+    /// Query round of the gateway, echoed in the response.
     pub round: u64,
 }
 
 
-/// Name of a policy.
+/// Policy name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct PolicyName(pub String);
 
 
-/// What the weight store stand-in counted. GET /audit.
+/// Counters of the weight store stand-in, served by GET /audit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[derive(Hash)]
 pub struct StoreAudit {
@@ -3242,19 +3242,19 @@
     /// Transfers started.
     pub started: u64,
 
-    /// Transfers finished.
+    /// Transfers completed.
     pub finished: u64,
 
-    /// Transfers refused with 429.
+    /// Transfers refused with status 429.
     pub refused: u64,
 
-    /// Transfers whose caller went away.
+    /// Transfers aborted by the client.
     pub abandoned: u64,
 
-    /// Most transfers at once.
+    /// Maximum number of concurrent transfers.
     pub most_at_once: u64,
 
-    /// Bytes of the finished transfers.
+    /// Bytes of completed transfers.
     pub bytes: u64,
 }
 
--- a/crates/millpass-proto/src/identity.rs
+++ b/crates/millpass-proto/src/identity.rs
@@ -1,4 +1,4 @@
-//! Display and conversions of the identity and name types.
+//! Display implementations and conversions of the identifier types.
 
 use crate::generated::*;
 use std::fmt;
@@ -24,7 +24,7 @@
         }
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -98,7 +98,7 @@
 }
 
 impl Membership {
-    /// Whether a member is in it, in any role.
+    /// Whether a member is part of the membership in any role.
     pub fn contains(&self, member: MemberId) -> bool {
         let voters = self.voters.iter().chain(&self.outgoing_voters);
         let mut members = voters.chain(&self.learners);
@@ -112,10 +112,10 @@
 }
 
 impl RequestFingerprint {
-    /// Of a request that is not known: nothing is ever held against it.
+    /// Fingerprint of an unknown request, which is never quarantined.
     pub const UNKNOWN: RequestFingerprint = RequestFingerprint { high: 0, low: 0 };
 
-    /// Reads what [`fmt::Display`] writes.
+    /// Parses the format written by [`fmt::Display`].
     pub fn from_hex(text: &str) -> Option<RequestFingerprint> {
         let whole = u128::from_str_radix(text, 16).ok()?;
         Some(RequestFingerprint {
--- a/crates/millpass-proto/src/incarnation.rs
+++ b/crates/millpass-proto/src/incarnation.rs
@@ -1,19 +1,19 @@
-//! The two parts of an instance's identity: the name that it keeps, and which of its runs it is.
+//! Parts of an instance ID: the instance name, which is stable across restarts, and the incarnation.
 //!
-//! Both stand in one [`InstanceId`], so that whatever is known of a run, on the wire, in the log and in every table, is
-//! never taken for another run's. A run without a stated incarnation is written as its name alone, as it was before
-//! runs stated one.
+//! [`InstanceId`] contains both, so that the state of one incarnation is never attributed to another, on the wire, in
+//! the log or in any table. An instance that states no incarnation is identified by its name alone, the format from
+//! before incarnations were introduced.
 
 use crate::InstanceId;
 use std::collections::BTreeMap;
 
-/// Stands between name and incarnation, which is written in hexadecimal digits.
+/// Separates the name from the incarnation, which is written in hexadecimal.
 const SEPARATOR: char = '#';
-/// The character behind it: names of runs lie between the two.
-const BEHIND_SEPARATOR: char = '$';
+/// The character after the separator, the upper bound for range queries over incarnations of a name.
+const AFTER_SEPARATOR: char = '$';
 
 impl InstanceId {
-    /// A run of an instance; later runs have higher incarnations, 0 stands for one that is not stated.
+    /// ID of an instance incarnation. Incarnations increase with restarts; 0 means that none is stated.
     pub fn of_run(name: &str, incarnation: u64) -> InstanceId {
         if incarnation == 0 && !name.contains(SEPARATOR) {
             return InstanceId(name.to_owned());
@@ -21,24 +21,24 @@
         InstanceId(format!("{name}{SEPARATOR}{incarnation:x}"))
     }
 
-    /// The name, which all runs share.
+    /// Instance name, shared by all incarnations.
     pub fn name(&self) -> &str {
         self.parts().0
     }
 
-    /// Which run it is; 0 where that is not stated.
+    /// Incarnation; 0 if none is stated.
     pub fn incarnation(&self) -> u64 {
         self.parts().1
     }
 
-    /// Whether it is an earlier run of the same instance.
+    /// Whether this is an earlier incarnation of the same instance.
     pub fn is_before(&self, other: &InstanceId) -> bool {
         let (name, incarnation) = self.parts();
         let (other_name, other_incarnation) = other.parts();
         name == other_name && incarnation < other_incarnation
     }
 
-    /// Runs of this one's instance that stand in a table.
+    /// Incarnations of the same instance that are keys of a table.
     pub fn runs_in<'a, T>(
         &self,
         table: &'a BTreeMap<InstanceId, T>,
@@ -46,8 +46,8 @@
         let name = self.name();
         let unstated = table.get_key_value(&InstanceId::of_run(name, 0));
         let from = InstanceId(format!("{name}{SEPARATOR}"));
-        let to = InstanceId(format!("{name}{BEHIND_SEPARATOR}"));
-        // A name that holds the separator has its run without an incarnation in this range as well.
+        let to = InstanceId(format!("{name}{AFTER_SEPARATOR}"));
+        // The range can also contain an ID without an incarnation whose name contains the separator.
         let stated = table
             .range(from..to)
             .filter(|(run, _)| run.incarnation() > 0);
--- a/crates/millpass-proto/src/lib.rs
+++ b/crates/millpass-proto/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages of millpass, generated from `schema/*.yaml`, with their framing and time types.
+//! Message types of millpass, generated from `schema/*.yaml`, with their framing and time types.
 //!
-//! Everything that crosses between two processes of the system, or goes to disk, is one of the
-//! types in [`generated`], encoded with postcard. The types of the engine, weight-store and
-//! platform interfaces are the same kind of types, encoded as JSON.
+//! All messages between millpass processes, and all data they persist, are types of [`generated`]
+//! encoded with postcard. The messages of the engine, weight store and platform interfaces are
+//! also generated, but encoded as JSON.
 
 pub mod codec;
 mod differences;
--- a/crates/millpass-proto/src/required_entries.rs
+++ b/crates/millpass-proto/src/required_entries.rs
@@ -1,16 +1,17 @@
-//! Which entries of the log bind gateways.
+//! Log entries that gateways are required to apply.
 
 use crate::generated::{Command, EntryPayload};
 
 impl Command {
-    /// Whether gateways have to go by this command within a bounded time of its acknowledgement.
+    /// Whether every gateway must apply this command within a bounded time after it is
+    /// acknowledged.
     pub fn is_required_by_gateways(&self) -> bool {
         matches!(self, Command::PutDocument(_) | Command::DepartInstance(_))
     }
 }
 
 impl EntryPayload {
-    /// Whether the entry holds a command that binds gateways.
+    /// Whether the entry contains a command for which [`Command::is_required_by_gateways`] holds.
     pub fn is_required_by_gateways(&self) -> bool {
         match self {
             EntryPayload::Command(command) => command.is_required_by_gateways(),
--- a/crates/millpass-proto/src/weights.rs
+++ b/crates/millpass-proto/src/weights.rs
@@ -1,20 +1,20 @@
-//! Where a model's weights come from, and how long they take from there.
+//! Sources of model weights and their load times.
 
 use crate::{Duration, EngineModelSpec};
 
-/// The nearest copy of a model's weights that an engine has, or the weight store.
+/// Fastest source from which an engine can load a model's weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightsSource {
-    /// A copy in the engine's host memory.
+    /// Copy in the engine's host memory.
     Memory,
-    /// A copy on the engine's disk.
+    /// Copy on the engine's local disk.
     Disk,
-    /// No copy at hand: the weight store.
+    /// The weight store; the engine has no local copy.
     Store,
 }
 
 impl EngineModelSpec {
-    /// Expected time to load the model from there.
+    /// Expected load time of the model from a source.
     pub fn load_time(&self, source: WeightsSource) -> Duration {
         Duration::from_millis(match source {
             WeightsSource::Memory => self.memory_load_millis,
