--- a/crates/millpass-cli/src/commands/programs.rs
+++ b/crates/millpass-cli/src/commands/programs.rs
@@ -231,7 +231,7 @@
     let announced = (section.mode == "announced").then(|| FleetSettings {
         holder: settings.member.administration_listen.clone(),
         announce_interval: millis(section.announce_interval_ms),
-        instance_silence: millis(section.instance_silence_ms),
+        instance_timeout: millis(section.instance_silence_ms),
         order_handover: millis(section.order_handover_ms),
         order_lifetime: millis(section.order_lifetime_ms),
         quota,
--- a/crates/millpass-control-plane/src/administration.rs
+++ b/crates/millpass-control-plane/src/administration.rs
@@ -52,7 +52,7 @@
     /// not know all that is committed: a late word of an instance whose departure it has not applied would
     /// be taken for news.
     pub(crate) fn is_late_leader(&self) -> bool {
-        let has_begun = self.fleet.as_ref().is_some_and(Fleet::has_begun);
+        let has_begun = self.fleet.as_ref().is_some_and(Fleet::has_started_leading);
         self.role == Role::Leader && has_begun
     }
 
--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -7,7 +7,7 @@
 use crate::plane::ControlPlane;
 use crate::proposals::{InternalKey, Waiter};
 use millpass_consensus::Role;
-use millpass_fleet::{CallAnswer, FleetOutput, GatewayContext};
+use millpass_fleet::{CallResult, FleetOutput, GatewayContext};
 use millpass_proto::{
     Command, ControlToRouter, CrashReport, Duration, EngineInstruction, GatewayReport,
     InstanceDeparture, InstanceId, InstanceRecord, InstructionIntent, LogPosition, PermitRequest,
@@ -79,7 +79,7 @@
         let draining = record.draining;
         record.draining |= departed.is_some();
         let instance = record.instance.clone();
-        fleet.announce(now, record, departed == Some(true));
+        fleet.handle_announcement(now, record, departed == Some(true));
         if draining && departed.is_none() {
             let departure = InstanceDeparture {
                 instance,
@@ -96,7 +96,7 @@
             return instance;
         }
         let known = self.fleet.as_ref();
-        let known = known.and_then(|fleet| fleet.latest_run(&instance));
+        let known = known.and_then(|fleet| fleet.latest_incarnation(&instance));
         let noted = || self.state.latest_noted_run(&instance).cloned();
         known.or_else(noted).unwrap_or(instance)
     }
@@ -126,7 +126,7 @@
     /// The document in force may be another one.
     pub(crate) fn note_document(&mut self, now: Timestamp) {
         if let Some(document) = self.state.document() {
-            self.documents.applied(now, document);
+            self.documents.record(now, document);
         }
     }
 
@@ -138,8 +138,8 @@
         departure: &InstanceDeparture,
     ) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.departure_committed(now, at.index);
-            fleet.departed(&departure.instance, departure.ended);
+            fleet.record_departure_commit(now, at.index);
+            fleet.handle_departure(&departure.instance, departure.ended);
         }
     }
 
@@ -160,7 +160,7 @@
             }
         }
         match &mut self.fleet {
-            Some(fleet) => fleet.report(now, connection.0, report),
+            Some(fleet) => fleet.handle_report(now, connection.0, report),
             None => out.send_not_leader(connection, None),
         }
     }
@@ -168,7 +168,7 @@
     /// Takes what a gateway saw of instances that ended. What follows is told at the next run of the fleet.
     pub(crate) fn take_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.crashes_reported(now, report);
+            fleet.handle_crash_report(now, report);
         }
     }
 
@@ -181,7 +181,7 @@
         out: &mut Outputs,
     ) {
         if let Some(fleet) = &mut self.fleet {
-            let answer = fleet.permit_request(now, self.term, request);
+            let answer = fleet.handle_permit_request(now, self.term, request);
             out.send_router(connection, ControlToRouter::Permits(answer));
         }
     }
@@ -189,7 +189,7 @@
     /// Requests that are held back.
     pub(crate) fn held_requests(&self, now: Timestamp) -> AdministrationAnswer {
         let fleet = self.fleet.as_ref();
-        let held = fleet.map_or_else(Vec::new, |fleet| fleet.held_requests(now));
+        let held = fleet.map_or_else(Vec::new, |fleet| fleet.quarantined_requests(now));
         AdministrationAnswer::HeldRequests(held)
     }
 
@@ -205,26 +205,30 @@
             return;
         }
         if let Some(fleet) = &mut self.fleet {
-            fleet.lift(&request);
+            fleet.lift_quarantine(&request);
         }
         let command = Command::LiftQuarantine(request);
         self.propose(now, Waiter::Call(call), command, out);
     }
 
-    pub(crate) fn instruction_answered(&mut self, now: Timestamp, answer: &CallAnswer) {
+    pub(crate) fn instruction_answered(&mut self, now: Timestamp, answer: &CallResult) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.answered(now, answer);
+            fleet.handle_call_result(now, answer);
         }
     }
 
     /// Begins with what the log knows, the first time since this member took charge.
     pub(crate) fn begin_fleet(&mut self, now: Timestamp) {
-        if let Some(fleet) = self.fleet.as_mut().filter(|fleet| !fleet.has_begun()) {
+        if let Some(fleet) = self
+            .fleet
+            .as_mut()
+            .filter(|fleet| !fleet.has_started_leading())
+        {
             let noted = self.state.noted_instances().cloned();
             let held = self.state.held_requests().cloned();
             let state = &self.state;
-            fleet.take_departures(&|instance| state.departed(instance));
-            fleet.begin(now, noted, held, &self.instructions);
+            fleet.apply_departures(&|instance| state.departed(instance));
+            fleet.start_leading(now, noted, held, &self.instructions);
         }
     }
 
@@ -252,19 +256,19 @@
         for output in fleet.run(now, self.term, self.state.document(), &context) {
             match output {
                 FleetOutput::Instruct(instruction) => instructions.push(instruction),
-                FleetOutput::Note(note) => {
+                FleetOutput::RecordInstances(note) => {
                     let command = Command::RecordInstances(note);
                     self.propose_internal(now, InternalKey::NoteInstances, command, out);
                 }
-                FleetOutput::NoteStoreCapacity(capacity) => {
+                FleetOutput::RecordStoreCapacity(capacity) => {
                     let command = Command::RecordStoreCapacity(capacity);
                     self.propose_internal(now, InternalKey::NoteStoreCapacity, command, out);
                 }
-                FleetOutput::NoteHeldRequest(note) => {
+                FleetOutput::QuarantineRequest(note) => {
                     let key = InternalKey::HeldRequest(note.request.clone());
                     self.propose_internal(now, key, Command::QuarantineRequest(note), out);
                 }
-                FleetOutput::LiftRequest(request) => {
+                FleetOutput::LiftQuarantine(request) => {
                     let key = InternalKey::HeldRequest(request.clone());
                     self.propose_internal(now, key, Command::LiftQuarantine(request), out);
                 }
@@ -289,10 +293,10 @@
                         call,
                     });
                 }
-                FleetOutput::DocumentReached(after) => {
+                FleetOutput::DocumentAcknowledged(after) => {
                     out.push(ControlOutput::DocumentReached(after));
                 }
-                FleetOutput::DepartureReached(after) => {
+                FleetOutput::DepartureAcknowledged(after) => {
                     out.push(ControlOutput::DepartureReached(after));
                 }
                 FleetOutput::Event(event) => out.event(event.name, event.pairs),
@@ -349,7 +353,9 @@
         let ends_by = now + lifetime;
         for instruction in instructions {
             let fleet = self.fleet.as_ref();
-            if fleet.is_some_and(|fleet| fleet.awaits(&instruction.instance, instruction.call)) {
+            if fleet
+                .is_some_and(|fleet| fleet.awaits_response(&instruction.instance, instruction.call))
+            {
                 out.push(ControlOutput::Instruct {
                     instruction,
                     ends_by,
--- a/crates/millpass-control-plane/src/interface.rs
+++ b/crates/millpass-control-plane/src/interface.rs
@@ -1,7 +1,7 @@
 //! Inputs, outputs and settings of a control member's decision core.
 
 use millpass_consensus::{ConsensusSettings, ConsensusStatus, MembershipChange, PersistRequest};
-use millpass_fleet::{CallAnswer, FleetSettings};
+use millpass_fleet::{CallResult, FleetSettings};
 use millpass_proto::{
     AuditRecord, BackendName, BackendState, CallId, ConfigurationRevision, ControlToRouter,
     Duration, EngineInstruction, EngineOrder, InstanceDeparture, InstanceId, InstanceRecord,
@@ -98,7 +98,7 @@
     /// Stop: hand leadership over, then report [`ControlOutput::Stopped`].
     Drain,
     /// What became of an instruction to an engine, or of reading its state.
-    InstructionAnswered(CallAnswer),
+    InstructionAnswered(CallResult),
     /// Another member says what it hears of instances.
     Share(ShareReport),
     /// Answer to this member's own report.
--- a/crates/millpass-control-plane/src/lib.rs
+++ b/crates/millpass-control-plane/src/lib.rs
@@ -55,5 +55,5 @@
 pub use claims::ABANDON_SILENCE;
 pub use freshness::FreshnessMark;
 pub use interface::*;
-pub use millpass_fleet::{CallAnswer, FleetSettings, FleetSizes};
+pub use millpass_fleet::{CallResult, FleetSettings, FleetSizes};
 pub use plane::ControlPlane;
--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -122,7 +122,7 @@
         let status = consensus.status();
         let mut documents = DocumentHistory::new();
         if let Some(document) = state.document() {
-            documents.applied(now, document);
+            documents.record(now, document);
         }
         let loads_per_second = settings.scheduler.store_loads_per_second;
         ControlPlane {
@@ -222,12 +222,12 @@
             ControlInput::RouterDisconnected(connection) => {
                 self.sessions.disconnected(connection);
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.disconnected(now, connection.0);
+                    fleet.handle_disconnect(now, connection.0);
                 }
             }
             ControlInput::RouterBacklog { connection, waits } => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.backlog(now, connection.0, waits);
+                    fleet.set_backlogged(now, connection.0, waits);
                 }
             }
             ControlInput::OrderDelivered {
@@ -254,14 +254,14 @@
     fn keep_pace(&mut self, now: Timestamp) {
         let pace = self.pace.tick(now);
         if let Some(fleet) = &mut self.fleet {
-            fleet.set_pace(pace);
+            fleet.set_slowdown(pace);
         }
     }
 
     /// The host refused announcements, as too many waited.
     pub fn announcements_refused(&mut self, now: Timestamp) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.announcements_refused(now);
+            fleet.record_refused_announcements(now);
         }
     }
 
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -116,9 +116,9 @@
                     Command::DepartInstance(departure) => {
                         self.departure_applied(now, at, departure);
                     }
-                    Command::RecordInstructionIntent(note) => self.instructions.note(now, note),
+                    Command::RecordInstructionIntent(note) => self.instructions.record(now, note),
                     Command::RecordStoreCapacity(capacity) => {
-                        self.instructions.note_store_capacity(*capacity);
+                        self.instructions.record_store_capacity(*capacity);
                     }
                     _ => {}
                 }
@@ -310,7 +310,7 @@
         self.repair.clear();
         self.scheduler = Scheduler::new(self.settings.scheduler.clone());
         if let Some(fleet) = &mut self.fleet {
-            fleet.clear();
+            fleet.reset();
         }
         self.credit = None;
     }
--- a/crates/millpass-control-plane/src/shares.rs
+++ b/crates/millpass-control-plane/src/shares.rs
@@ -46,11 +46,11 @@
         let Some(fleet) = &mut self.fleet else {
             return;
         };
-        fleet.keep_share(now);
-        if self.role == Role::Leader || !fleet.is_share_due(now) {
+        fleet.maintain_share(now);
+        if self.role == Role::Leader || !fleet.is_share_report_due(now) {
             return;
         }
-        if fleet.is_share_unanswered(now) {
+        if fleet.is_share_report_timed_out(now) {
             self.share_link.in_vain += 1;
         }
         let leader = self.leader_peer_address();
@@ -60,7 +60,7 @@
         let run = *self.share_link.run.get_or_insert(unix_millis);
         let own = &self.settings.address;
         if let Some(fleet) = &mut self.fleet {
-            let report = fleet.share_report(now, run, own, leads);
+            let report = fleet.next_share_report(now, run, own, leads);
             out.push(ControlOutput::SendShare { address, report });
         }
     }
@@ -87,7 +87,7 @@
         let state = &self.state;
         let departed = |instance: &_| state.departed(instance);
         let fleet = self.fleet.as_mut()?;
-        Some(fleet.take_share(now, report, own, &departed))
+        Some(fleet.handle_share_report(now, report, own, &departed))
     }
 
     fn name_leader(&self, report: &ShareReport) -> ShareResponse {
@@ -104,7 +104,7 @@
     /// Takes the answer to this member's report.
     pub(crate) fn take_share_answer(&mut self, answer: &ShareResponse) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.share_answered(answer);
+            fleet.handle_share_response(answer);
         }
         let own = self.settings.address.member;
         let named = answer.leader.as_ref();
--- a/crates/millpass-control-plane/tests/harness/mod.rs
+++ b/crates/millpass-control-plane/tests/harness/mod.rs
@@ -18,7 +18,7 @@
 
 use millpass_consensus::{ConsensusSettings, RestoredLog};
 use millpass_control_plane::{
-    AdministrationAnswer, AdministrationRequest, CallAnswer, ConnectionId, ControlInput,
+    AdministrationAnswer, AdministrationRequest, CallResult, ConnectionId, ControlInput,
     ControlOutput, ControlPlane, ControlPlaneSettings, FleetSettings,
 };
 use millpass_proto::*;
@@ -404,12 +404,12 @@
         call: CallId,
         answer: InstructionResult,
     ) {
-        let answer = CallAnswer {
+        let answer = CallResult {
             instance: instance.clone(),
             call,
-            answer,
-            waited: std::time::Duration::ZERO,
-            took: std::time::Duration::ZERO,
+            result: answer,
+            queue_time: std::time::Duration::ZERO,
+            response_time: std::time::Duration::ZERO,
         };
         self.give(member, ControlInput::InstructionAnswered(answer));
     }
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -11,7 +11,7 @@
 use crate::inputs::Inputs;
 use crate::interface::EngineCalls;
 use crate::settings::ProcessLimits;
-use millpass_control_plane::{CallAnswer, ControlInput};
+use millpass_control_plane::{CallResult, ControlInput};
 use millpass_proto::{
     CallId, Duration, EngineInstruction, EngineOrder, InstanceId, InstructionResult, OrderResponse,
     PlatformList, Timestamp,
@@ -74,12 +74,12 @@
             Delivery::Instruct(instruction, _) => (instruction.instance, instruction.call),
             Delivery::ReadEngine(read) => (read.instance, read.call),
         };
-        Some(ControlInput::InstructionAnswered(CallAnswer {
+        Some(ControlInput::InstructionAnswered(CallResult {
             instance,
             call,
-            answer: InstructionResult::NotSent,
-            waited,
-            took: Duration::ZERO,
+            result: InstructionResult::NotSent,
+            queue_time: waited,
+            response_time: Duration::ZERO,
         }))
     }
 }
@@ -363,12 +363,12 @@
             InstructionResult::Unanswered => CallEnd::Silent,
             _ => CallEnd::Answered,
         };
-        let answer = CallAnswer {
+        let answer = CallResult {
             instance: instance.clone(),
             call,
-            answer,
-            waited,
-            took: self.shared.clock.now().since(left_at),
+            result: answer,
+            queue_time: waited,
+            response_time: self.shared.clock.now().since(left_at),
         };
         self.inputs.send(ControlInput::InstructionAnswered(answer));
         end
--- a/crates/millpass-control/src/metrics.rs
+++ b/crates/millpass-control/src/metrics.rs
@@ -219,7 +219,7 @@
 
     pub(crate) fn show_instances(&self, sizes: &FleetSizes) {
         let states = [
-            ("heard", sizes.heard),
+            ("heard", sizes.local),
             ("active", sizes.active),
             ("standby", sizes.standby),
         ];
--- a/crates/millpass-fleet/examples/leader_cost.rs
+++ b/crates/millpass-fleet/examples/leader_cost.rs
@@ -5,7 +5,7 @@
 //! `cargo run --release -p millpass-fleet --example leader_cost`
 
 use millpass_fleet::{
-    CallAnswer, DocumentHistory, Fleet, FleetOutput, FleetSettings, GatewayContext,
+    CallResult, DocumentHistory, Fleet, FleetOutput, FleetSettings, GatewayContext,
     InstructionHistory,
 };
 use millpass_proto::{codec, *};
@@ -208,7 +208,7 @@
         };
         let started = Instant::now();
         for (connection, report) in reports {
-            self.fleet.report(now, *connection, report);
+            self.fleet.handle_report(now, *connection, report);
         }
         let outputs = self.fleet.run(now, 1, Some(document), &context);
         cost.core = started.elapsed();
@@ -251,23 +251,23 @@
         first.routes = (0..ROUTES).map(route).collect();
         let mut told = Told {
             fleet: Fleet::new(FleetSettings {
-                instance_silence: Duration::from_secs(3_600),
+                instance_timeout: Duration::from_secs(3_600),
                 ..FleetSettings::default()
             }),
             documents: DocumentHistory::new(),
             now: 1_000,
         };
-        told.documents.applied(Timestamp::ZERO, &first);
+        told.documents.record(Timestamp::ZERO, &first);
         let begin = Timestamp::ZERO;
         let history = InstructionHistory::new(begin, Duration::ZERO);
         told.fleet
-            .begin(begin, std::iter::empty(), std::iter::empty(), &history);
+            .start_leading(begin, std::iter::empty(), std::iter::empty(), &history);
         let mut held = Vec::new();
         for number in 0..instances {
             let mut record = record(number, 288);
             record.service = format!("service-{}", number % 20).into();
             held.push(record.digest());
-            told.fleet.announce(begin, record, false);
+            told.fleet.handle_announcement(begin, record, false);
         }
         let show = |step: &str, cost: &Cost| {
             println!(
@@ -284,7 +284,7 @@
         told.now += 60_000;
         for connection in 0..gateways {
             told.fleet
-                .disconnected(Timestamp::from_millis(told.now), connection);
+                .handle_disconnect(Timestamp::from_millis(told.now), connection);
         }
         let again = reports(gateways, 1_000, 1, &held);
         show("comes back", &told.exchange(&again, &first));
@@ -303,7 +303,7 @@
         next.version = 2;
         next.routes[7].timeout_millis += 1;
         told.documents
-            .applied(Timestamp::from_millis(told.now), &next);
+            .record(Timestamp::from_millis(told.now), &next);
         show("one route changed", &told.exchange(&[], &next));
     }
     let mut whole = plain();
@@ -323,7 +323,7 @@
         });
         let begin = Timestamp::from_millis(1_000);
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-        fleet.begin(begin, std::iter::empty(), std::iter::empty(), &history);
+        fleet.start_leading(begin, std::iter::empty(), std::iter::empty(), &history);
         let mut states = BTreeMap::new();
         for engine in 0..engines {
             let record = record(engine, models);
@@ -336,7 +336,7 @@
                 loading_adapters: Vec::new(),
             };
             let instance = record.instance.clone();
-            fleet.announce(begin, record, false);
+            fleet.handle_announcement(begin, record, false);
             states.insert(instance, state);
         }
         for output in fleet.run(begin, 1, Some(&document), &NOBODY) {
@@ -344,14 +344,14 @@
                 continue;
             };
             let state = states.remove(&instance).expect("each engine is read once");
-            let answer = CallAnswer {
+            let answer = CallResult {
                 instance,
                 call,
-                answer: InstructionResult::State(state),
-                waited: Duration::ZERO,
-                took: Duration::ZERO,
+                result: InstructionResult::State(state),
+                queue_time: Duration::ZERO,
+                response_time: Duration::ZERO,
             };
-            fleet.answered(begin, &answer);
+            fleet.handle_call_result(begin, &answer);
         }
         let (mut orders, mut updates) = (0, 0);
         let mut planning = std::time::Duration::ZERO;
@@ -362,7 +362,7 @@
             for gateway in 0..gateways {
                 let report = report(gateway, needs.div_ceil(4), models);
                 let started = Instant::now();
-                fleet.report(now, gateway, &report);
+                fleet.handle_report(now, gateway, &report);
                 reporting += started.elapsed();
             }
             let started = Instant::now();
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -67,11 +67,11 @@
     }
 
     /// Takes what a gateway saw of runs that ended. An instance that leaves ends as planned: that says nothing.
-    pub fn crashes_reported(&mut self, now: Timestamp, report: &CrashReport) {
+    pub fn handle_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
         for request in &report.served {
             if self.crashes.requests.release(request) {
                 self.log_lifted(request, "served");
-                self.out.push(FleetOutput::LiftRequest(request.clone()));
+                self.out.push(FleetOutput::LiftQuarantine(request.clone()));
             }
         }
         for ended in &report.crashes {
@@ -158,7 +158,7 @@
     }
 
     /// Lets a request go, as an operator asked. False if nothing was held against it.
-    pub fn lift(&mut self, request: &RequestFingerprint) -> bool {
+    pub fn lift_quarantine(&mut self, request: &RequestFingerprint) -> bool {
         let known = self.crashes.requests.release(request);
         if known {
             self.log_lifted(request, "operator");
@@ -167,7 +167,7 @@
     }
 
     /// Requests that are held back, and how much longer.
-    pub fn held_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
+    pub fn quarantined_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
         let held = self.crashes.requests.held();
         held.map(|(request, held)| (request.clone(), held.ends, held.until.since(now)))
             .collect()
@@ -188,7 +188,7 @@
 
     fn note_held(&mut self, request: RequestFingerprint, held: &HeldItem) {
         self.out
-            .push(FleetOutput::NoteHeldRequest(QuarantineRecord {
+            .push(FleetOutput::QuarantineRequest(QuarantineRecord {
                 request,
                 crashes: held.ends,
                 expired: held.lapsed,
--- a/crates/millpass-fleet/src/documents.rs
+++ b/crates/millpass-fleet/src/documents.rs
@@ -30,7 +30,7 @@
     }
 
     /// Notes the document in force; one that is not above the newest changes nothing.
-    pub fn applied(&mut self, now: Timestamp, document: &DeploymentDocument) {
+    pub fn record(&mut self, now: Timestamp, document: &DeploymentDocument) {
         let newest = self.documents.back();
         if newest.is_some_and(|newest| newest.document.version >= document.version) {
             return;
--- a/crates/millpass-fleet/src/engine_answers.rs
+++ b/crates/millpass-fleet/src/engine_answers.rs
@@ -3,21 +3,23 @@
 use crate::belief::{self, Word};
 use crate::engines::Heard;
 use crate::fleet::Fleet;
-use crate::interface::CallAnswer;
+use crate::interface::CallResult;
 use millpass_proto::{CallId, InstanceId, InstructionResult, Timestamp};
 use std::collections::BTreeSet;
 
 impl Fleet {
     /// Whether this call, an instruction, is still to be made.
-    pub fn awaits(&self, instance: &InstanceId, call: CallId) -> bool {
+    pub fn awaits_response(&self, instance: &InstanceId, call: CallId) -> bool {
         let engine = self.engines.engines.get(instance);
         engine.is_some_and(|engine| engine.awaits_order(call))
     }
 
     /// Takes the answer of an engine.
-    pub fn answered(&mut self, now: Timestamp, answered: &CallAnswer) {
-        let CallAnswer {
-            instance, answer, ..
+    pub fn handle_call_result(&mut self, now: Timestamp, answered: &CallResult) {
+        let CallResult {
+            instance,
+            result: answer,
+            ..
         } = answered;
         let word = Word::Answer(answered.call);
         let Some(engine) = self.engines.engines.get_mut(instance) else {
@@ -46,8 +48,8 @@
             ("answer", outcome),
             ("under_way", belief::or_none(under_way)),
             ("awaited", (heard == Heard::Awaited).to_string()),
-            ("waited_ms", answered.waited.as_millis().to_string()),
-            ("took_ms", answered.took.as_millis().to_string()),
+            ("waited_ms", answered.queue_time.as_millis().to_string()),
+            ("took_ms", answered.response_time.as_millis().to_string()),
         ];
         self.event("engine-answered", pairs);
         self.log_lost(instance, word, &before);
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -17,7 +17,7 @@
 use crate::share::Share;
 use crate::shares::{Holder, Shares};
 use crate::standby::Standby;
-use crate::store::{LoadUnderWay, StoreCapacity};
+use crate::store::{PendingLoad, StoreCapacity};
 use crate::traffic::Traffic;
 use crate::updates::GatewayContext;
 use millpass_limits::PermitLedger;
@@ -141,7 +141,7 @@
 
     /// Drops every belief: another member leads, or this one begins to. Calls are numbered on: an answer to one of
     /// before is none to a later one. What this member itself heard of instances stays.
-    pub fn clear(&mut self) {
+    pub fn reset(&mut self) {
         let calls = self.calls;
         let share = std::mem::take(&mut self.share);
         *self = Fleet::new(self.settings.clone());
@@ -162,18 +162,18 @@
     /// Begins, the first time it is called since this member took charge: with `records`, as a leader
     /// before it noted them, the requests that are held back, and the instructions of those leaders. Records count
     /// as heard now.
-    pub fn begin(
+    pub fn start_leading(
         &mut self,
         now: Timestamp,
         records: impl Iterator<Item = InstanceRecord>,
         held: impl Iterator<Item = QuarantineRecord>,
         history: &InstructionHistory,
     ) {
-        if self.has_begun() {
+        if self.has_started_leading() {
             return;
         }
-        self.permits = StorePermits::after(history);
-        self.store = StoreCapacity::after(history);
+        self.permits = StorePermits::from_history(history);
+        self.store = StoreCapacity::from_history(history);
         self.history = history.clone();
         self.restore_held(now, held);
         for mut record in records {
@@ -197,7 +197,7 @@
     }
 
     /// Whether this member was in charge since the beliefs were last dropped.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started_leading(&self) -> bool {
         self.in_charge_since.is_some()
     }
 
@@ -213,16 +213,16 @@
         };
         self.noted = revision;
         self.noted_at = now;
-        self.out.push(FleetOutput::Note(note));
+        self.out.push(FleetOutput::RecordInstances(note));
     }
 
     /// A departure was committed at this index of the log; its way to gateways is followed.
-    pub fn departure_committed(&mut self, now: Timestamp, index: u64) {
+    pub fn record_departure_commit(&mut self, now: Timestamp, index: u64) {
         self.rollout.departed(now, index);
     }
 
     /// Takes a gateway's report; it is answered by the next [`Fleet::run`].
-    pub fn report(&mut self, now: Timestamp, connection: u64, report: &GatewayReport) {
+    pub fn handle_report(&mut self, now: Timestamp, connection: u64, report: &GatewayReport) {
         if self.gateways.is_outlived(connection, &report.gateway) {
             let pairs = vec![
                 ("gateway", report.gateway.clone()),
@@ -262,7 +262,7 @@
 
     /// Updates begin to wait at a gateway's connection, as its socket does not take them, or none waits any more.
     /// Until then nothing more is sent.
-    pub fn backlog(&mut self, now: Timestamp, connection: u64, waits: bool) {
+    pub fn set_backlogged(&mut self, now: Timestamp, connection: u64, waits: bool) {
         let Some((gateway, behind)) = self.gateways.backlog(now, connection, waits) else {
             return;
         };
@@ -274,7 +274,7 @@
     }
 
     /// A gateway's connection ended.
-    pub fn disconnected(&mut self, now: Timestamp, connection: u64) {
+    pub fn handle_disconnect(&mut self, now: Timestamp, connection: u64) {
         let Some(session) = self.gateways.disconnected(connection) else {
             return;
         };
@@ -285,14 +285,14 @@
     }
 
     /// Announcements were refused here, as too many waited: the silence of instances says nothing meanwhile.
-    pub fn announcements_refused(&mut self, now: Timestamp) {
+    pub fn record_refused_announcements(&mut self, now: Timestamp) {
         self.share.refused(now);
         self.hearing.refused(now);
     }
 
     /// This member has so much less processor than it needs: planning and updates come so much less often. 1 for
     /// enough.
-    pub fn set_pace(&mut self, pace: u32) {
+    pub fn set_slowdown(&mut self, pace: u32) {
         self.pace = pace.max(1);
     }
 
@@ -304,7 +304,7 @@
         document: Option<&DeploymentDocument>,
         context: &GatewayContext<'_>,
     ) -> Vec<FleetOutput> {
-        if !self.has_begun() {
+        if !self.has_started_leading() {
             self.take_charge(now);
         }
         self.term = term;
@@ -340,10 +340,10 @@
         let engines = &self.engines.engines;
         let loads = engines.iter().filter_map(|(instance, engine)| {
             let pending = engine.store_load()?;
-            Some(LoadUnderWay {
+            Some(PendingLoad {
                 instance: instance.clone(),
                 model: pending.model.clone(),
-                stated: pending.takes,
+                nominal_time: pending.takes,
             })
         });
         let busy = engines
@@ -360,7 +360,7 @@
             let pairs = vec![("loads_at_once", self.store.limit().to_string())];
             self.event("store-limit", pairs);
             let capacity = self.store.hundredths();
-            self.out.push(FleetOutput::NoteStoreCapacity(capacity));
+            self.out.push(FleetOutput::RecordStoreCapacity(capacity));
         }
     }
 
--- a/crates/millpass-fleet/src/handover.rs
+++ b/crates/millpass-fleet/src/handover.rs
@@ -35,7 +35,7 @@
     }
 
     /// Takes a note that was committed.
-    pub fn note(&mut self, now: Timestamp, note: &InstructionIntent) {
+    pub fn record(&mut self, now: Timestamp, note: &InstructionIntent) {
         let keep = self.keep;
         self.last.retain(|_, at| now.since(*at) < keep);
         self.store_loads.retain(|at| now.since(*at) < keep);
@@ -46,7 +46,7 @@
     }
 
     /// Takes what a leader knew of the weight store.
-    pub fn note_store_capacity(&mut self, hundredths: u32) {
+    pub fn record_store_capacity(&mut self, hundredths: u32) {
         self.store_capacity = Some(hundredths);
     }
 
--- a/crates/millpass-fleet/src/instances.rs
+++ b/crates/millpass-fleet/src/instances.rs
@@ -9,7 +9,7 @@
 impl Fleet {
     /// Takes what an instance says of itself at this member, whether it leads or not. `ended` says whether it has departed
     /// for good.
-    pub fn announce(&mut self, now: Timestamp, record: InstanceRecord, ended: bool) {
+    pub fn handle_announcement(&mut self, now: Timestamp, record: InstanceRecord, ended: bool) {
         if ended {
             self.share.ended(&record.instance);
             self.forget(&record.instance, "departed");
@@ -18,7 +18,7 @@
         if self.share.announce(&record) == Announced::Late {
             return self.log_late(&record);
         }
-        if self.has_begun() {
+        if self.has_started_leading() {
             self.hear(now, Holder::Own, record, false);
         }
     }
@@ -154,7 +154,7 @@
     }
 
     /// The latest run that is known of an instance.
-    pub fn latest_run(&self, instance: &InstanceId) -> Option<InstanceId> {
+    pub fn latest_incarnation(&self, instance: &InstanceId) -> Option<InstanceId> {
         let standing_by = self.standby.runs_of(instance);
         let known = self.registry.latest_run(instance).into_iter();
         let latest = known.chain(standing_by).max_by_key(|run| run.incarnation());
@@ -163,11 +163,11 @@
 
     /// An instance leaves, or has ended. Where this member does not lead, there is nobody to tell: it begins with what
     /// the log knows.
-    pub fn departed(&mut self, instance: &InstanceId, ended: bool) {
+    pub fn handle_departure(&mut self, instance: &InstanceId, ended: bool) {
         if ended {
             self.share.ended(instance);
         }
-        if !self.has_begun() && self.registry.get(instance).is_none() {
+        if !self.has_started_leading() && self.registry.get(instance).is_none() {
             return;
         }
         let pairs = vec![
@@ -213,7 +213,7 @@
     /// How many instances are known here.
     pub fn sizes(&self) -> FleetSizes {
         FleetSizes {
-            heard: self.share.len(),
+            local: self.share.len(),
             active: self.registry.len(),
             standby: self.standby.len(),
         }
--- a/crates/millpass-fleet/src/interface.rs
+++ b/crates/millpass-fleet/src/interface.rs
@@ -14,7 +14,7 @@
     /// Time between two announcements of an instance.
     pub announce_interval: Duration,
     /// Time after which an instance that is not heard of is gone.
-    pub instance_silence: Duration,
+    pub instance_timeout: Duration,
     /// Time after an engine's last instruction for which no other leader instructs it.
     pub order_handover: Duration,
     /// Longest time from the commit of an instruction's note to its last byte. Another leader waits for so much longer
@@ -29,7 +29,7 @@
         FleetSettings {
             holder: "control".to_owned(),
             announce_interval: Duration::from_millis(1_200),
-            instance_silence: Duration::from_millis(6_000),
+            instance_timeout: Duration::from_millis(6_000),
             order_handover: Duration::from_millis(3_500),
             order_lifetime: Duration::from_millis(200),
             quota: QuotaTerms::default(),
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetSizes {
     /// Those that announce themselves here.
-    pub heard: usize,
+    pub local: usize,
     /// Those that gateways are told of; 0 where this member does not lead.
     pub active: usize,
     /// Those that stand by; 0 where this member does not lead.
@@ -59,17 +59,17 @@
 
 /// What became of a call to an engine.
 #[derive(Clone, Debug)]
-pub struct CallAnswer {
+pub struct CallResult {
     /// Run it was for.
     pub instance: InstanceId,
     /// The call that it answers.
     pub call: CallId,
     /// Answer.
-    pub answer: InstructionResult,
+    pub result: InstructionResult,
     /// For how long the call waited before it left.
-    pub waited: Duration,
+    pub queue_time: Duration,
     /// Time from then to the answer.
-    pub took: Duration,
+    pub response_time: Duration,
 }
 
 /// What is to be done.
@@ -97,9 +97,9 @@
         update: LimitUpdate,
     },
     /// Keep a request that is held back in the replicated log.
-    NoteHeldRequest(QuarantineRecord),
+    QuarantineRequest(QuarantineRecord),
     /// Take it from there.
-    LiftRequest(RequestFingerprint),
+    LiftQuarantine(RequestFingerprint),
     /// Give an engine an instruction.
     Instruct(EngineInstruction),
     /// Read an engine's state.
@@ -112,15 +112,15 @@
         call: CallId,
     },
     /// Keep what changed in the replicated log.
-    Note(InstanceChanges),
+    RecordInstances(InstanceChanges),
     /// Keep in the replicated log how many loads from the weight store at once go at full speed, in
     /// hundredths.
-    NoteStoreCapacity(u32),
+    RecordStoreCapacity(u32),
     /// A gateway reported the newest document for the first time on its connection, this long after it was
     /// committed.
-    DocumentReached(Duration),
+    DocumentAcknowledged(Duration),
     /// A gateway reported that it has been told of a departure, this long after it was committed.
-    DepartureReached(Duration),
+    DepartureAcknowledged(Duration),
     /// Log.
     Event(FleetEvent),
 }
--- a/crates/millpass-fleet/src/limits.rs
+++ b/crates/millpass-fleet/src/limits.rs
@@ -7,7 +7,7 @@
 
 impl Fleet {
     /// Answers a gateway that tells of limits, or asks for permits.
-    pub fn permit_request(
+    pub fn handle_permit_request(
         &mut self,
         now: Timestamp,
         term: u64,
--- a/crates/millpass-fleet/src/permits.rs
+++ b/crates/millpass-fleet/src/permits.rs
@@ -26,7 +26,7 @@
 
 impl StorePermits {
     /// Goes on after earlier leaders.
-    pub fn after(history: &InstructionHistory) -> Self {
+    pub fn from_history(history: &InstructionHistory) -> Self {
         StorePermits {
             taken: history.store_loads().iter().copied().collect(),
             unknown_until: history.complete_since() + WINDOW,
@@ -34,14 +34,14 @@
     }
 
     /// Share of the window's permits that is taken, from 0 to 1.
-    pub fn used(&mut self, now: Timestamp, milliloads_per_second: u64) -> f64 {
+    pub fn used_fraction(&mut self, now: Timestamp, milliloads_per_second: u64) -> f64 {
         self.drop_old(now);
         let taken = self.taken.len() as f64 / allowed(milliloads_per_second) as f64;
         taken + self.unknown_share(now)
     }
 
     /// Takes a permit if the rate, in thousandths of a load a second, allows one now.
-    pub fn take(&mut self, now: Timestamp, milliloads_per_second: u64) -> bool {
+    pub fn try_acquire(&mut self, now: Timestamp, milliloads_per_second: u64) -> bool {
         self.drop_old(now);
         let allowed = allowed(milliloads_per_second) as f64;
         if (self.taken.len() + 1) as f64 > allowed * (1.0 - self.unknown_share(now)) {
@@ -52,7 +52,7 @@
     }
 
     /// Time until a permit is free.
-    pub fn next_in(&mut self, now: Timestamp, milliloads_per_second: u64) -> Duration {
+    pub fn time_until_available(&mut self, now: Timestamp, milliloads_per_second: u64) -> Duration {
         self.drop_old(now);
         let allowed = usize::try_from(allowed(milliloads_per_second)).unwrap_or(usize::MAX);
         let blocking = self.taken.len().checked_sub(allowed);
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -297,8 +297,8 @@
                 (InstructionOperation::Unload, victim.clone(), UNLOAD_TIME)
             }
             None => {
-                if from_store && !self.permits.take(now, milliloads) {
-                    let wait = self.permits.next_in(now, milliloads);
+                if from_store && !self.permits.try_acquire(now, milliloads) {
+                    let wait = self.permits.time_until_available(now, milliloads);
                     self.await_model(model, wait + place.takes);
                     return;
                 }
@@ -324,7 +324,7 @@
     /// needs that nobody serves leave it enough permits.
     fn add_replica(&mut self, model: &ModelName, round: &mut Round, steps: &mut Vec<Step>) {
         let milliloads = self.specification.milliloads_per_second;
-        let spare = self.permits.used(self.now, milliloads) < SPREAD_PERMITS;
+        let spare = self.permits.used_fraction(self.now, milliloads) < SPREAD_PERMITS;
         let place = round.replica_place(self.specification, model, spare);
         if let Some(place) = place.filter(|place| place.opens_in.is_zero()) {
             self.begin(&place, model, "busy", round, steps);
--- a/crates/millpass-fleet/src/rollout.rs
+++ b/crates/millpass-fleet/src/rollout.rs
@@ -181,7 +181,7 @@
         let new = newest_first
             .skip_while(|(index, _)| *index > as_of)
             .take_while(|(index, _)| *index > before);
-        let reached = new.map(|(_, since)| FleetOutput::DepartureReached(now.since(*since)));
+        let reached = new.map(|(_, since)| FleetOutput::DepartureAcknowledged(now.since(*since)));
         self.out.extend(reached);
     }
 
@@ -194,7 +194,7 @@
         }
         let after = now.since(self.rollout.since);
         if before.is_some() {
-            self.out.push(FleetOutput::DocumentReached(after));
+            self.out.push(FleetOutput::DocumentAcknowledged(after));
         }
         let sessions = &self.gateways.sessions;
         let lacks = |session: &GatewaySession| session.reported_version < version;
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -158,7 +158,7 @@
             .filter(|engine| engine.may_load_from_store(view.now))
             .count();
         round.store_limit = view.store.limit();
-        round.store_opens_in = view.store.opens_in();
+        round.store_opens_in = view.store.time_until_slot();
         round.wanted = unmet.iter().map(|need| need.key.model.clone()).collect();
         for (instance, engine) in usable {
             if engine.reserved.is_some() {
--- a/crates/millpass-fleet/src/share_words.rs
+++ b/crates/millpass-fleet/src/share_words.rs
@@ -9,7 +9,7 @@
 impl Fleet {
     /// Takes another member's word of the instances that announce themselves there; `departed` says of those that the log
     /// knows as leaving whether they have ended. Gives the answer.
-    pub fn take_share(
+    pub fn handle_share_report(
         &mut self,
         now: Timestamp,
         report: &ShareReport,
@@ -94,7 +94,7 @@
 
     /// Forgets instances that nobody has heard of for long.
     pub(crate) fn forget_silent(&mut self, now: Timestamp) {
-        let silence = self.settings.instance_silence;
+        let silence = self.settings.instance_timeout;
         let silent = self.share.sweep(now, silence);
         self.fell_silent(now, Holder::Own, &silent);
         let heard = self.hearing.now();
@@ -114,26 +114,26 @@
     }
 
     /// Keeps what this member itself hears, whether it leads or not.
-    pub fn keep_share(&mut self, now: Timestamp) {
+    pub fn maintain_share(&mut self, now: Timestamp) {
         self.share.advance(now);
-        if !self.has_begun() {
-            self.share.sweep(now, self.settings.instance_silence);
+        if !self.has_started_leading() {
+            self.share.sweep(now, self.settings.instance_timeout);
         }
     }
 
     /// Takes what the log knows of departures into what this member itself hears: before it takes charge, it may have
     /// heard a late word of an instance whose departure it had not applied.
-    pub fn take_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
+    pub fn apply_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
         self.share.take_departures(departed);
     }
 
     /// Whether a report of this member's instances to the leader is due.
-    pub fn is_share_due(&self, now: Timestamp) -> bool {
+    pub fn is_share_report_due(&self, now: Timestamp) -> bool {
         self.share.is_due(now)
     }
 
     /// That report. `run` names this process' run; one that is not `to_leader` asks only who leads.
-    pub fn share_report(
+    pub fn next_share_report(
         &mut self,
         now: Timestamp,
         run: u64,
@@ -144,12 +144,12 @@
     }
 
     /// Whether the last report was not answered in time.
-    pub fn is_share_unanswered(&self, now: Timestamp) -> bool {
+    pub fn is_share_report_timed_out(&self, now: Timestamp) -> bool {
         self.share.is_unanswered(now)
     }
 
     /// Takes the answer to the last report.
-    pub fn share_answered(&mut self, answer: &ShareResponse) {
+    pub fn handle_share_response(&mut self, answer: &ShareResponse) {
         self.share.answered(answer);
     }
 }
--- a/crates/millpass-fleet/src/store.rs
+++ b/crates/millpass-fleet/src/store.rs
@@ -53,13 +53,13 @@
 }
 
 /// A load from the weight store that is under way now.
-pub struct LoadUnderWay {
+pub struct PendingLoad {
     /// Engine that loads.
     pub instance: InstanceId,
     /// Model.
     pub model: ModelName,
     /// Time that the load takes at full speed.
-    pub stated: Duration,
+    pub nominal_time: Duration,
 }
 
 /// Learns how many loads at once the weight store serves at full speed.
@@ -89,7 +89,7 @@
 
 impl StoreCapacity {
     /// Goes on with what earlier leaders learned.
-    pub fn after(history: &InstructionHistory) -> Self {
+    pub fn from_history(history: &InstructionHistory) -> Self {
         let known = history.store_capacity();
         StoreCapacity {
             limit: known.map_or(FIRST_LIMIT, |known| (f64::from(known) / 100.0).max(1.0)),
@@ -112,7 +112,7 @@
     pub fn observe(
         &mut self,
         now: Timestamp,
-        loads: Vec<LoadUnderWay>,
+        loads: Vec<PendingLoad>,
         others: usize,
         ended: impl Fn(&InstanceId, &ModelName) -> bool,
     ) -> bool {
@@ -125,7 +125,7 @@
             let same = known.filter(|known| known.model == load.model);
             let kept = same.unwrap_or(StoreLoad {
                 model: load.model,
-                stated: load.stated,
+                stated: load.nominal_time,
                 beside: BTreeMap::new(),
             });
             self.under_way.insert(load.instance, kept);
@@ -140,7 +140,7 @@
     }
 
     /// Time until the first of the loads under way should end.
-    pub fn opens_in(&self) -> Duration {
+    pub fn time_until_slot(&self) -> Duration {
         let left = |load: &StoreLoad| {
             let speed = (self.limit / self.under_way.len().max(1) as f64).min(1.0);
             let left = load.stated.as_secs_f64() - load.progress(self.limit);
--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -62,7 +62,7 @@
         let report = self.gateway.report(at(self.now));
         self.leader
             .fleet
-            .report(at(self.now), self.connection, &report);
+            .handle_report(at(self.now), self.connection, &report);
     }
 
     /// The leader's next updates arrive; gives what the first of them says.
@@ -89,7 +89,9 @@
             ..record(number)
         };
         let ended = self.leader.departed.contains(&announced.instance);
-        self.leader.fleet.announce(at(self.now), announced, ended);
+        self.leader
+            .fleet
+            .handle_announcement(at(self.now), announced, ended);
     }
 
     fn act(&mut self, act: &Act) {
@@ -99,7 +101,7 @@
             }
             Act::Depart(number, ended) => {
                 let instance = record(*number).instance;
-                self.leader.fleet.departed(&instance, *ended);
+                self.leader.fleet.handle_departure(&instance, *ended);
                 if *ended {
                     self.leader.departed.push(instance);
                 }
@@ -128,7 +130,7 @@
         let before = self.gateway.instance_count();
         self.leader
             .fleet
-            .disconnected(at(self.now), self.connection);
+            .handle_disconnect(at(self.now), self.connection);
         self.gateway.connection_ended();
         self.connection += 1;
         self.now += STEP_MILLIS;
--- a/crates/millpass-fleet/tests/crashes.rs
+++ b/crates/millpass-fleet/tests/crashes.rs
@@ -81,9 +81,9 @@
             ..FleetSettings::default()
         });
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-        fleet.begin(at(1), std::iter::empty(), held.into_iter(), &history);
+        fleet.start_leading(at(1), std::iter::empty(), held.into_iter(), &history);
         for (connection, gateway) in ["g-1", "g-2"].into_iter().enumerate() {
-            fleet.report(at(1), connection as u64, &report(gateway, Vec::new()));
+            fleet.handle_report(at(1), connection as u64, &report(gateway, Vec::new()));
         }
         Leader(fleet, Calls::default())
     }
@@ -97,7 +97,7 @@
     /// The newest call to an engine is answered.
     fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
         let answer = self.1.answer(instance, answer);
-        self.0.answered(at(now), &answer);
+        self.0.handle_call_result(at(now), &answer);
     }
 
     /// What the gateways were told last to hold back, one list for each.
@@ -123,11 +123,11 @@
         let place = place as u64;
         leader
             .0
-            .announce(at(10 + place), record(instance, 1, &[]), false);
+            .handle_announcement(at(10 + place), record(instance, 1, &[]), false);
         let now = at(1_000 * (place + 1));
         leader
             .0
-            .crashes_reported(now, &ended(instance, &[1, 20 + place]));
+            .handle_crash_report(now, &ended(instance, &[1, 20 + place]));
     }
 }
 
@@ -137,7 +137,7 @@
     leader.run(5);
     three_ends(&mut leader);
     assert_eq!(leader.told(3_001), vec![vec![request(1)], vec![request(1)]]);
-    let held = leader.0.held_requests(at(3_001));
+    let held = leader.0.quarantined_requests(at(3_001));
     assert_eq!(held.len(), 1);
     assert_eq!(held[0].1, 3);
 }
@@ -151,7 +151,7 @@
             .run(now)
             .into_iter()
             .filter_map(|output| match output {
-                FleetOutput::NoteHeldRequest(note) => Some(note),
+                FleetOutput::QuarantineRequest(note) => Some(note),
                 _ => None,
             });
         notes.collect()
@@ -181,7 +181,7 @@
     for instance in ["i-1", "i-2", "i-3"] {
         remembered.crashes.extend(ended(instance, &[1]).crashes);
     }
-    leader.0.crashes_reported(at(10), &remembered);
+    leader.0.handle_crash_report(at(10), &remembered);
     assert_eq!(leader.told(11), vec![vec![request(1)], vec![request(1)]]);
 }
 
@@ -189,7 +189,9 @@
 fn a_run_that_announces_itself_has_not_ended() {
     let mut leader = Leader::new(Vec::new());
     three_ends(&mut leader);
-    leader.0.announce(at(3_500), record("i-3", 2, &[]), false);
+    leader
+        .0
+        .handle_announcement(at(3_500), record("i-3", 2, &[]), false);
     assert_eq!(leader.told(3_501), vec![Vec::new(), Vec::new()]);
 }
 
@@ -197,11 +199,15 @@
 fn the_end_of_an_instance_that_leaves_says_nothing() {
     let mut leader = Leader::new(Vec::new());
     for instance in ["i-1", "i-2", "i-3"] {
-        leader.0.announce(at(10), record(instance, 1, &[]), false);
-        leader.0.departed(&instance.into(), false);
-        leader.0.crashes_reported(at(500), &ended(instance, &[1]));
+        leader
+            .0
+            .handle_announcement(at(10), record(instance, 1, &[]), false);
+        leader.0.handle_departure(&instance.into(), false);
+        leader
+            .0
+            .handle_crash_report(at(500), &ended(instance, &[1]));
     }
-    assert!(leader.0.held_requests(at(501)).is_empty());
+    assert!(leader.0.quarantined_requests(at(501)).is_empty());
 }
 
 #[test]
@@ -211,14 +217,14 @@
         three_ends(&mut leader);
         leader.run(5_000);
         if lifts {
-            assert!(leader.0.lift(&request(1)));
-            assert!(!leader.0.lift(&request(2)));
+            assert!(leader.0.lift_quarantine(&request(1)));
+            assert!(!leader.0.lift_quarantine(&request(2)));
         } else {
             let served = CrashReport {
                 crashes: Vec::new(),
                 served: vec![request(1)],
             };
-            leader.0.crashes_reported(at(5_001), &served);
+            leader.0.handle_crash_report(at(5_001), &served);
         }
         assert_eq!(leader.told(5_002), vec![Vec::new(), Vec::new()]);
     }
@@ -232,7 +238,9 @@
     let mut now = 1_000;
     for engine in 0..8 {
         let name = format!("e-{engine}");
-        leader.0.announce(at(now), record(&name, now, &[]), false);
+        leader
+            .0
+            .handle_announcement(at(now), record(&name, now, &[]), false);
         let state = EngineState {
             revision: 0,
             busy: false,
@@ -254,7 +262,9 @@
             priority: 1,
             unread_tokens: 0,
         };
-        leader.0.report(at(now + 10), 0, &report("g-1", vec![need]));
+        leader
+            .0
+            .handle_report(at(now + 10), 0, &report("g-1", vec![need]));
         let outputs = leader.run(now + 200);
         let loads = outputs
             .iter()
--- a/crates/millpass-fleet/tests/engine_model/mod.rs
+++ b/crates/millpass-fleet/tests/engine_model/mod.rs
@@ -6,7 +6,7 @@
 use crate::harness::calls;
 use crate::harness::documents::{self, NOBODY, Room, engine_document};
 use engine::{ADAPTER_KILOBYTES, ADAPTER_PLACES, Engine, MODEL_KILOBYTES, ROOM_KILOBYTES};
-use millpass_fleet::{CallAnswer, Fleet, FleetOutput, FleetSettings, InstructionHistory};
+use millpass_fleet::{CallResult, Fleet, FleetOutput, FleetSettings, InstructionHistory};
 use millpass_proto::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -36,7 +36,7 @@
 enum Message {
     Order(usize, EngineInstruction),
     Read(usize, InstanceId, CallId),
-    Answer(u64, CallAnswer),
+    Answer(u64, CallResult),
     Announcement(u64, InstanceRecord),
 }
 
@@ -212,7 +212,7 @@
     fn change_leader(&mut self) {
         self.term += 1;
         self.leads_from = self.now + self.random.random_range(100..2_000);
-        self.fleet.clear();
+        self.fleet.reset();
     }
 
     fn change_document(&mut self) {
@@ -250,17 +250,17 @@
                 self.answer(number, instance, call, answer);
             }
             Message::Answer(term, answer) if term == self.term => {
-                let is_silence = answer.answer == InstructionResult::Unanswered;
+                let is_silence = answer.result == InstructionResult::Unanswered;
                 if !is_silence {
                     self.answered.insert(answer.call);
                 } else if self.answered.contains(&answer.call) {
                     return;
                 }
-                self.fleet.answered(at(now), &answer);
+                self.fleet.handle_call_result(at(now), &answer);
             }
             Message::Announcement(term, record) if term == self.term => {
                 self.noted.insert(record.instance.0.clone(), record.clone());
-                self.fleet.announce(at(now), record, false);
+                self.fleet.handle_announcement(at(now), record, false);
             }
             Message::Answer(..) | Message::Announcement(..) => {}
         }
@@ -319,12 +319,12 @@
     }
 
     fn lead(&mut self) {
-        if !self.fleet.has_begun() {
+        if !self.fleet.has_started_leading() {
             let mut noted: Vec<InstanceRecord> = self.noted.values().cloned().collect();
             noted.retain(|_| self.random.random_bool(0.8));
             let nothing = std::iter::empty();
             self.fleet
-                .begin(at(self.now), noted.into_iter(), nothing, &self.history);
+                .start_leading(at(self.now), noted.into_iter(), nothing, &self.history);
         }
         if self.now.is_multiple_of(100) {
             self.report_needs();
@@ -367,7 +367,7 @@
             instances: vec![order.instance.clone()],
             store_loads: 0,
         };
-        self.history.note(at(self.now), &note);
+        self.history.record(at(self.now), &note);
         let (instance, call) = (order.instance.clone(), order.call);
         self.call(&instance, call, |number| {
             Message::Order(number, order.clone())
@@ -394,7 +394,7 @@
             as_of: 0,
             known_instance_digests: Vec::new(),
         };
-        self.fleet.report(at(self.now), 1, &report);
+        self.fleet.handle_report(at(self.now), 1, &report);
     }
 
     fn any_model(&mut self) -> (ModelName, Option<AdapterName>) {
--- a/crates/millpass-fleet/tests/fleet.rs
+++ b/crates/millpass-fleet/tests/fleet.rs
@@ -139,7 +139,7 @@
     /// The newest call to an engine is answered.
     fn answered(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
         let answer = self.calls.answer(&instance.into(), answer);
-        self.fleet.answered(at(now), &answer);
+        self.fleet.handle_call_result(at(now), &answer);
     }
 
     /// Runs every tenth of a second from one moment to another, as a leader does that has its processor; only such
@@ -174,7 +174,7 @@
     /// An engine whose state has been read.
     fn engine(&mut self, now: u64, name: &str, models: &[&str]) {
         self.fleet
-            .announce(at(now), record(name, now, models), false);
+            .handle_announcement(at(now), record(name, now, models), false);
         self.is_read(now, name, &state(0, models));
     }
 }
@@ -188,7 +188,7 @@
     for connection in 0..5 {
         let mut report = report(vec![need("c", None)]);
         report.gateway = format!("g-{connection}");
-        bench.fleet.report(at(1_100), connection, &report);
+        bench.fleet.handle_report(at(1_100), connection, &report);
         given.extend(bench.instructions(1_100 + connection * 120));
     }
     assert_eq!(given.len(), 1, "{given:?}");
@@ -208,7 +208,7 @@
     busy.arrivals = 20;
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![busy, need("c", None)]));
+        .handle_report(at(1_050), 1, &report(vec![busy, need("c", None)]));
     let first = bench.instructions(1_100);
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].operation, InstructionOperation::Unload);
@@ -220,7 +220,7 @@
     );
     bench
         .fleet
-        .announce(at(1_300), record("e-1", 2_000, &["a"]), false);
+        .handle_announcement(at(1_300), record("e-1", 2_000, &["a"]), false);
     // An announcement may be old: the engine is asked, by the same order, and says that it is done.
     let asked = bench.instructions(1_350);
     assert_eq!(asked.len(), 1, "{asked:?}");
@@ -241,7 +241,7 @@
     bench.engine(1_000, "e-1", &["a"]);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("c", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
     assert_eq!(bench.instructions(1_100).len(), 1);
     bench.answered(2_000, "e-1", &InstructionResult::Unanswered);
     assert!(bench.instructions(2_100).is_empty());
@@ -253,7 +253,7 @@
     assert_eq!(reads, 1);
     bench
         .fleet
-        .report(at(2_650), 1, &report(vec![need("c", None)]));
+        .handle_report(at(2_650), 1, &report(vec![need("c", None)]));
     bench.answered(2_700, "e-1", &state(4, &["a"]));
     let again = bench.instructions(2_800);
     assert_eq!(again.len(), 1);
@@ -269,12 +269,12 @@
     bench.engine(1_000, "e-1", &["a"]);
     let mut second = record("e-2", 1, &["b"]);
     second.in_memory = vec!["c".into()];
-    bench.fleet.announce(at(1_000), second, false);
+    bench.fleet.handle_announcement(at(1_000), second, false);
     let read = state_with_copies(0, &["b"], &["c"]);
     bench.is_read(1_000, "e-2", &read);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("c", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
     let given = bench.instructions(1_100);
     assert_eq!(given[0].instance, "e-2".into());
 }
@@ -286,7 +286,7 @@
     bench.engine(1_000, "e-2", &["b"]);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("b", Some("x"))]));
+        .handle_report(at(1_050), 1, &report(vec![need("b", Some("x"))]));
     let given = bench.instructions(1_100);
     assert_eq!(given.len(), 1);
     assert_eq!(
@@ -297,7 +297,7 @@
     // An announcement that was under way does not know of it yet.
     bench
         .fleet
-        .announce(at(1_120), record("e-2", 1_500, &["b"]), false);
+        .handle_announcement(at(1_120), record("e-2", 1_500, &["b"]), false);
     let told = bench.run(1_130).into_iter().any(|output| {
         matches!(output, FleetOutput::Update { update, .. } if update.instances.iter().any(
             |record| record.models.iter().any(|held| held.adapters.contains(&"x".into()))))
@@ -313,13 +313,13 @@
     bench.engine(1_000, "e-1", &["a"]);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("a", Some("x"))]));
+        .handle_report(at(1_050), 1, &report(vec![need("a", Some("x"))]));
     assert_eq!(bench.instructions(1_100).len(), 1);
     bench.answered(1_110, "e-1", &InstructionResult::Accepted);
     bench.run(1_200);
     let mut doubts = report(vec![need("a", Some("y"))]);
     doubts.inconsistent = vec!["e-1".into()];
-    bench.fleet.report(at(1_210), 1, &doubts);
+    bench.fleet.handle_report(at(1_210), 1, &doubts);
     bench.is_read(1_220, "e-1", &state(0, &["a"]));
     assert!(
         bench.instructions(1_550).is_empty(),
@@ -328,7 +328,7 @@
     bench.is_read(1_560, "e-1", &state(1, &["a"]));
     bench
         .fleet
-        .report(at(1_710), 1, &report(vec![need("a", Some("y"))]));
+        .handle_report(at(1_710), 1, &report(vec![need("a", Some("y"))]));
     let given = bench.instructions(1_800);
     assert_eq!(given.len(), 1);
     assert_eq!(given[0].expected_revision, 1);
@@ -341,7 +341,7 @@
     let mut permits = StorePermits::default();
     let taken: Vec<u64> = (0..20_000)
         .step_by(10)
-        .filter(|now| permits.take(at(*now), milliloads))
+        .filter(|now| permits.try_acquire(at(*now), milliloads))
         .collect();
     assert_eq!(most_in_a_window(&taken), Some(allowed));
 }
@@ -362,7 +362,7 @@
     let mut bench = Bench::new();
     let mut first = record("e-1", 1_000, &["a", "b"]);
     first.in_memory = vec!["c".into()];
-    bench.fleet.announce(at(1_000), first, false);
+    bench.fleet.handle_announcement(at(1_000), first, false);
     bench.is_read(1_000, "e-1", &state(0, &["a", "b"]));
     let busy = |model: &str| GatewayModelDemand {
         unserved: 0,
@@ -371,7 +371,7 @@
         ..need(model, None)
     };
     let needs = vec![busy("a"), busy("b"), need("c", None)];
-    bench.fleet.report(at(1_050), 1, &report(needs));
+    bench.fleet.handle_report(at(1_050), 1, &report(needs));
     assert!(bench.instructions(1_100).is_empty());
 }
 
@@ -384,13 +384,13 @@
     bench.engine(1_000, "e-2", &["b"]);
     let mut doubts = report(vec![need("a", None)]);
     doubts.inconsistent = vec!["e-1".into()];
-    bench.fleet.report(at(1_050), 1, &doubts);
+    bench.fleet.handle_report(at(1_050), 1, &doubts);
     bench.run(1_100);
     bench.run(1_400);
     bench.answered(1_500, "e-1", &InstructionResult::Unanswered);
     bench
         .fleet
-        .report(at(1_510), 1, &report(vec![need("a", None)]));
+        .handle_report(at(1_510), 1, &report(vec![need("a", None)]));
     let given = bench.instructions(1_600);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(
@@ -400,11 +400,11 @@
     // It is back as soon as it announces itself.
     bench
         .fleet
-        .announce(at(1_700), record("e-1", 3_000, &["a"]), false);
+        .handle_announcement(at(1_700), record("e-1", 3_000, &["a"]), false);
     bench.answered(1_710, "e-2", &InstructionResult::Accepted);
     bench
         .fleet
-        .report(at(1_720), 1, &report(vec![need("a", None)]));
+        .handle_report(at(1_720), 1, &report(vec![need("a", None)]));
     assert!(bench.instructions(1_900).is_empty());
 }
 
@@ -418,10 +418,10 @@
     busy.unread_tokens = 10_000;
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![busy.clone()]));
+        .handle_report(at(1_050), 1, &report(vec![busy.clone()]));
     assert!(bench.instructions(1_100).is_empty(), "not yet busy");
     busy.unread_tokens = 60_000;
-    bench.fleet.report(at(1_150), 1, &report(vec![busy]));
+    bench.fleet.handle_report(at(1_150), 1, &report(vec![busy]));
     let given = bench.instructions(1_200);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(
@@ -438,12 +438,12 @@
     bench.engine(1_000, "e-1", &["a", "b"]);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("c", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
     let left = bench.makes_room();
     bench.engine(1_150, "e-2", &["d"]);
     bench
         .fleet
-        .announce(at(1_200), record("e-1", 2_000, &[left]), false);
+        .handle_announcement(at(1_200), record("e-1", 2_000, &[left]), false);
     assert_eq!(
         bench.instructions(1_250).len(),
         1,
@@ -452,7 +452,7 @@
     bench.answered(1_260, "e-1", &InstructionResult::AlreadySo);
     bench
         .fleet
-        .report(at(1_270), 1, &report(vec![need("c", None)]));
+        .handle_report(at(1_270), 1, &report(vec![need("c", None)]));
     let given = bench.instructions(1_400);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(given[0].instance, "e-1".into());
@@ -462,7 +462,7 @@
 fn a_silent_instance_is_removed_and_gateways_are_told() {
     let mut bench = Bench::new();
     bench.engine(1_000, "e-1", &["a"]);
-    bench.fleet.report(at(1_000), 1, &report(Vec::new()));
+    bench.fleet.handle_report(at(1_000), 1, &report(Vec::new()));
     bench.live(1_100, 5_000);
     let removed = bench.live(5_000, 8_000).into_iter().any(|output| {
         matches!(output, FleetOutput::Update { update, .. } if update.removed == ["e-1".into()])
@@ -481,7 +481,7 @@
     let mut outputs = bench.live(1_000, 2_000);
     if refuses {
         for now in (2_000..9_000).step_by(500) {
-            bench.fleet.announcements_refused(at(now));
+            bench.fleet.record_refused_announcements(at(now));
             outputs.extend(bench.live(now, now + 500));
         }
     }
@@ -505,13 +505,13 @@
     let mut first = report(Vec::new());
     for connection in 0..GATEWAYS {
         first.gateway = format!("g-{connection}");
-        bench.fleet.report(at(1_000), connection, &first);
+        bench.fleet.handle_report(at(1_000), connection, &first);
     }
     bench.live(1_000, 6_900);
     // All are answered shortly before the instance counts as silent.
     for connection in 0..GATEWAYS {
         first.gateway = format!("g-{connection}");
-        bench.fleet.report(at(6_990), connection, &first);
+        bench.fleet.handle_report(at(6_990), connection, &first);
     }
     bench.run(6_990);
     let forgotten = bench.run(7_010).into_iter().any(
@@ -545,12 +545,12 @@
     for name in &names {
         bench
             .fleet
-            .announce(at(1_000), record(name, 1, &["a"]), false);
+            .handle_announcement(at(1_000), record(name, 1, &["a"]), false);
     }
-    bench.fleet.report(at(1_000), 1, &report(Vec::new()));
+    bench.fleet.handle_report(at(1_000), 1, &report(Vec::new()));
     bench.run(1_000);
     for name in &names {
-        bench.fleet.departed(&name.as_str().into(), true);
+        bench.fleet.handle_departure(&name.as_str().into(), true);
     }
     let told = bench
         .run(1_100)
@@ -575,7 +575,7 @@
     for index in 0..1_000 {
         bench
             .fleet
-            .departed(&format!("e-{index}").as_str().into(), true);
+            .handle_departure(&format!("e-{index}").as_str().into(), true);
     }
     let kept = bench.run(1_000);
     assert!(kept.is_empty(), "{} outputs", kept.len());
@@ -593,23 +593,23 @@
     let mut begun: Vec<u64> = Vec::new();
     for now in (0..change).step_by(10) {
         // The old leader saves its permits and takes them at once, right before it falls.
-        if now >= change - 500 && first.take(at(now), MILLILOADS) {
+        if now >= change - 500 && first.try_acquire(at(now), MILLILOADS) {
             begun.push(now);
             let note = InstructionIntent {
                 instances: Vec::new(),
                 store_loads: 1,
             };
             if now >= listens_from {
-                history.note(at(now), &note);
+                history.record(at(now), &note);
             }
         }
     }
     assert_eq!(begun.len(), 9);
-    let mut second = StorePermits::after(&history);
+    let mut second = StorePermits::from_history(&history);
     begun.extend(
         (change..20_000)
             .step_by(10)
-            .filter(|now| second.take(at(*now), MILLILOADS)),
+            .filter(|now| second.try_acquire(at(*now), MILLILOADS)),
     );
     let most = most_in_a_window(&begun);
     // Ten loads begin in five seconds at this rate; the store bears a tenth and three more.
@@ -631,11 +631,11 @@
     let mut bench = Bench::new();
     bench
         .fleet
-        .announce(at(1_000), record("e-1", 1, &["a"]), false);
+        .handle_announcement(at(1_000), record("e-1", 1, &["a"]), false);
     for connection in 0..gateways {
         let mut first = report(Vec::new());
         first.gateway = format!("g-{connection}");
-        bench.fleet.report(at(1_000), connection, &first);
+        bench.fleet.handle_report(at(1_000), connection, &first);
     }
     bench.run(1_000);
     let mut updates = 0;
@@ -644,7 +644,7 @@
         let models: &[&str] = if change % 2 == 0 { &["a"] } else { &["b"] };
         bench
             .fleet
-            .announce(at(now), record("e-1", 1 + change, models), false);
+            .handle_announcement(at(now), record("e-1", 1 + change, models), false);
         let outputs = bench.run(now);
         updates += outputs
             .iter()
@@ -667,11 +667,11 @@
     bench.engine(1_000, "e-1", &["a", "b"]);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("large", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("large", None)]));
     let left = bench.makes_room();
     bench
         .fleet
-        .announce(at(1_300), record("e-1", 2_000, &[left]), false);
+        .handle_announcement(at(1_300), record("e-1", 2_000, &[left]), false);
     assert_eq!(
         bench.instructions(1_350).len(),
         1,
@@ -680,7 +680,7 @@
     bench.answered(1_360, "e-1", &InstructionResult::AlreadySo);
     bench
         .fleet
-        .report(at(1_410), 1, &report(vec![need(left, Some("x"))]));
+        .handle_report(at(1_410), 1, &report(vec![need(left, Some("x"))]));
     let second = bench.instructions(1_500);
     assert!(
         second
@@ -698,7 +698,7 @@
     let mut bench = Bench::new();
     bench.engine(1_000, "e-1", &["a", "b"]);
     let needs = vec![need("a", Some("x")), need("c", None)];
-    bench.fleet.report(at(1_050), 1, &report(needs));
+    bench.fleet.handle_report(at(1_050), 1, &report(needs));
     let given = bench.instructions(1_100);
     assert_eq!(given.len(), 1, "{given:?}");
 }
@@ -721,7 +721,7 @@
     });
     bench.answered(1_010, "e-1", &coming);
     let needs = vec![need("a", Some("z"))];
-    bench.fleet.report(at(1_050), 1, &report(needs));
+    bench.fleet.handle_report(at(1_050), 1, &report(needs));
     let given = bench.instructions(1_100);
     assert!(given.is_empty(), "{given:?}");
 }
@@ -734,18 +734,18 @@
     bench.engine(1_000, "e-1", &["a"]);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("b", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("b", None)]));
     assert_eq!(bench.instructions(1_100).len(), 1);
     bench.answered(1_110, "e-1", &InstructionResult::Accepted);
     bench
         .fleet
-        .announce(at(3_200), record("e-1", 5_000, &["a", "b"]), false);
+        .handle_announcement(at(3_200), record("e-1", 5_000, &["a", "b"]), false);
     bench
         .fleet
-        .announce(at(3_300), record("e-1", 5_001, &["a"]), false);
+        .handle_announcement(at(3_300), record("e-1", 5_001, &["a"]), false);
     bench
         .fleet
-        .report(at(3_310), 1, &report(vec![need("c", None)]));
+        .handle_report(at(3_310), 1, &report(vec![need("c", None)]));
     let given = bench.instructions(3_400);
     let loads = |given: &EngineInstruction| given.operation == InstructionOperation::Load;
     assert!(!given.iter().any(loads), "{given:?}");
@@ -758,17 +758,17 @@
     let mut bench = Bench::new();
     let mut first = record("e-1", 1_000, &["a"]);
     first.in_memory = vec!["c".into()];
-    bench.fleet.announce(at(1_000), first, false);
+    bench.fleet.handle_announcement(at(1_000), first, false);
     let read = state_with_copies(0, &["a"], &["c"]);
     bench.is_read(1_000, "e-1", &read);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("b", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("b", None)]));
     assert_eq!(bench.instructions(1_100)[0].instance, "e-1".into());
     bench.engine(1_200, "e-2", &["d"]);
     bench
         .fleet
-        .report(at(1_210), 1, &report(vec![need("c", None)]));
+        .handle_report(at(1_210), 1, &report(vec![need("c", None)]));
     let given = bench.instructions(1_300);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(given[0].instance, "e-2".into());
@@ -779,17 +779,17 @@
 #[test]
 fn a_model_that_is_being_unloaded_gets_no_requests_whatever_the_engine_announces() {
     let mut bench = Bench::new();
-    bench.fleet.report(at(900), 1, &report(Vec::new()));
+    bench.fleet.handle_report(at(900), 1, &report(Vec::new()));
     bench.engine(1_000, "e-1", &["a", "b"]);
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("c", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
     let left = bench.makes_room();
     bench
         .fleet
-        .announce(at(1_200), record("e-1", 2_000, &["a", "b"]), false);
+        .handle_announcement(at(1_200), record("e-1", 2_000, &["a", "b"]), false);
     // It connects anew, and is told all there is: an announcement that says nothing new is told to nobody.
-    bench.fleet.report(at(1_210), 2, &report(Vec::new()));
+    bench.fleet.handle_report(at(1_210), 2, &report(Vec::new()));
     let records = bench
         .run(1_220)
         .into_iter()
@@ -809,16 +809,16 @@
     let mut bench = Bench::new();
     bench
         .fleet
-        .announce(at(1_000), record("e-1", 1_000, &["a"]), false);
+        .handle_announcement(at(1_000), record("e-1", 1_000, &["a"]), false);
     bench.is_read(1_000, "e-1", &state_with_copies(0, &["a"], &["c"]));
     bench
         .fleet
-        .report(at(1_050), 1, &report(vec![need("b", None)]));
+        .handle_report(at(1_050), 1, &report(vec![need("b", None)]));
     assert_eq!(bench.instructions(1_100)[0].model, "b".into());
     bench.answered(1_110, "e-1", &InstructionResult::Accepted);
     bench
         .fleet
-        .report(at(1_300), 1, &report(vec![need("c", None)]));
+        .handle_report(at(1_300), 1, &report(vec![need("c", None)]));
     let outputs = bench.run(1_400);
     let outlook = outputs
         .iter()
@@ -844,7 +844,9 @@
         bench.engine(1_000, &format!("e-{index}"), &[]);
     }
     let needs = (0..20).map(|index| need(&format!("m-{index}"), None));
-    bench.fleet.report(at(1_050), 1, &report(needs.collect()));
+    bench
+        .fleet
+        .handle_report(at(1_050), 1, &report(needs.collect()));
     let mut begun = bench.instructions(1_100).len();
     begun += bench.instructions(1_250).len();
     let first = StoreCapacity::default().limit();
@@ -862,12 +864,14 @@
         bench.engine(1_000, &format!("e-{index}"), &[]);
     }
     let needs = (0..8).map(|index| need(&format!("m-{index}"), None));
-    bench.fleet.report(at(1_050), 1, &report(needs.collect()));
+    bench
+        .fleet
+        .handle_report(at(1_050), 1, &report(needs.collect()));
     let first = bench.instructions(1_100).len();
     assert_eq!(first, StoreCapacity::default().limit());
     let mut copy = record("e-8", 2_000, &[]);
     copy.on_disk = vec!["m-8".into()];
-    bench.fleet.announce(at(1_200), copy, false);
+    bench.fleet.handle_announcement(at(1_200), copy, false);
     let read = EngineState {
         revision: 0,
         busy: false,
@@ -879,7 +883,7 @@
     bench.is_read(1_200, "e-8", &InstructionResult::State(read));
     bench
         .fleet
-        .report(at(1_260), 1, &report(vec![need("m-8", None)]));
+        .handle_report(at(1_260), 1, &report(vec![need("m-8", None)]));
     let second = bench.instructions(1_350);
     assert_eq!(second.len(), 1, "{second:?}");
     assert_eq!(second[0].model, "m-8".into());
@@ -899,7 +903,7 @@
     let mut busy = need("a", None);
     busy.unserved = 0;
     busy.in_flight = 8 * engines_filled;
-    bench.fleet.report(at(1_050), 1, &report(vec![busy]));
+    bench.fleet.handle_report(at(1_050), 1, &report(vec![busy]));
     let instructions = bench.instructions(1_100);
     assert!(!instructions.is_empty(), "nothing makes way for it");
 }
@@ -921,12 +925,12 @@
         absurd.unread_tokens = u64::MAX;
         let mut report = report(vec![absurd]);
         report.gateway = format!("g-{gateway}");
-        bench.fleet.report(at(1_050), gateway, &report);
+        bench.fleet.handle_report(at(1_050), gateway, &report);
     }
     let instructions = bench.instructions(1_100);
     assert!(instructions.len() <= 5, "{instructions:?}");
     for gateway in 0..3 {
-        bench.fleet.disconnected(at(1_200), gateway);
+        bench.fleet.handle_disconnect(at(1_200), gateway);
     }
     bench.run(1_300);
 }
@@ -945,7 +949,7 @@
         report
     };
     let told = |bench: &mut Bench, now: u64| -> Vec<u32> {
-        bench.fleet.report(at(now), 9, &report(Vec::new()));
+        bench.fleet.handle_report(at(now), 9, &report(Vec::new()));
         let outputs = bench.run(now);
         let updates = outputs.into_iter().filter_map(|output| match output {
             FleetOutput::Update {
@@ -957,19 +961,23 @@
         let loads = updates.flat_map(|update| update.loads);
         loads.map(|load| load.in_flight).collect()
     };
-    bench.fleet.report(at(1_010), 1, &with("g-1", 4));
-    bench.fleet.report(at(1_020), 2, &with("g-2", 5));
+    bench.fleet.handle_report(at(1_010), 1, &with("g-1", 4));
+    bench.fleet.handle_report(at(1_020), 2, &with("g-2", 5));
     assert_eq!(told(&mut bench, 1_100), [9]);
-    bench.fleet.report(at(1_110), 1, &with("g-1", 1));
+    bench.fleet.handle_report(at(1_110), 1, &with("g-1", 1));
     assert_eq!(
         told(&mut bench, 1_200),
         [6],
         "a newer report takes its place"
     );
-    bench.fleet.disconnected(at(1_200), 2);
+    bench.fleet.handle_disconnect(at(1_200), 2);
     assert_eq!(told(&mut bench, 1_300), [1]);
-    bench.fleet.report(at(1_310), 1, &with("g-1", u32::MAX));
-    bench.fleet.report(at(1_320), 3, &with("g-3", u32::MAX));
+    bench
+        .fleet
+        .handle_report(at(1_310), 1, &with("g-1", u32::MAX));
+    bench
+        .fleet
+        .handle_report(at(1_320), 3, &with("g-3", u32::MAX));
     assert_eq!(told(&mut bench, 1_400), [u32::MAX], "absurd, and harmless");
 }
 
@@ -983,7 +991,7 @@
             in_flight: index,
         })
         .collect();
-    bench.fleet.report(at(1_010), 1, &full);
+    bench.fleet.handle_report(at(1_010), 1, &full);
     let loads: Vec<InstanceLoad> = bench
         .run(1_100)
         .into_iter()
@@ -1006,7 +1014,9 @@
         bench.engine(1_000, &format!("e-{index}"), &[]);
     }
     let needs = ["a", "b", "c", "d"].map(|name| need(name, None));
-    bench.fleet.report(at(1_050), 1, &report(needs.to_vec()));
+    bench
+        .fleet
+        .handle_report(at(1_050), 1, &report(needs.to_vec()));
     let begun = bench.instructions(1_100);
     assert_eq!(begun.len(), StoreCapacity::default().limit());
     for instruction in &begun {
@@ -1017,13 +1027,13 @@
     for instruction in &begun {
         let held = [instruction.model.as_str()];
         let loaded = record(instruction.instance.name(), 9_000, &held);
-        bench.fleet.announce(at(3_150), loaded, false);
+        bench.fleet.handle_announcement(at(3_150), loaded, false);
     }
     let noted = bench
         .run(3_200)
         .into_iter()
         .find_map(|output| match output {
-            FleetOutput::NoteStoreCapacity(hundredths) => Some(hundredths),
+            FleetOutput::RecordStoreCapacity(hundredths) => Some(hundredths),
             _ => None,
         });
     let first = StoreCapacity::default().limit() as u32 * 100;
@@ -1041,7 +1051,9 @@
         for connection in 1..=3 {
             let mut found = report(Vec::new());
             found.gateway = format!("g-{connection}");
-            bench.fleet.report(at(now + connection), connection, &found);
+            bench
+                .fleet
+                .handle_report(at(now + connection), connection, &found);
             let outputs = bench.run(now + connection);
             told.extend(outputs.into_iter().filter_map(|output| match output {
                 FleetOutput::Update { update, .. } => Some((now, update.gateways)),
@@ -1069,9 +1081,9 @@
             let name = format!("e-{index}");
             bench
                 .fleet
-                .announce(at(now), record(&name, now, &["a"]), false);
+                .handle_announcement(at(now), record(&name, now, &["a"]), false);
         }
-        bench.fleet.report(at(now), 1, &report(Vec::new()));
+        bench.fleet.handle_report(at(now), 1, &report(Vec::new()));
         for output in bench.run(now) {
             if let FleetOutput::Update { update, .. } = output {
                 told.extend(
--- a/crates/millpass-fleet/tests/harness/calls.rs
+++ b/crates/millpass-fleet/tests/harness/calls.rs
@@ -1,6 +1,6 @@
 //! Calls that a leader made to engines, and answers that name them.
 
-use millpass_fleet::{CallAnswer, FleetOutput};
+use millpass_fleet::{CallResult, FleetOutput};
 use millpass_proto::{CallId, Duration, InstanceId, InstructionResult};
 use std::collections::BTreeMap;
 
@@ -27,19 +27,19 @@
     }
 
     /// An answer to the newest call to an engine, or to none that was made.
-    pub fn answer(&self, instance: &InstanceId, answer: &InstructionResult) -> CallAnswer {
+    pub fn answer(&self, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
         let call = self.newest.get(instance).copied().unwrap_or(CallId(0));
         to(call, instance, answer)
     }
 }
 
 /// An answer to a call.
-pub fn to(call: CallId, instance: &InstanceId, answer: &InstructionResult) -> CallAnswer {
-    CallAnswer {
+pub fn to(call: CallId, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
+    CallResult {
         instance: instance.clone(),
         call,
-        answer: answer.clone(),
-        waited: Duration::ZERO,
-        took: Duration::ZERO,
+        result: answer.clone(),
+        queue_time: Duration::ZERO,
+        response_time: Duration::ZERO,
     }
 }
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -97,7 +97,7 @@
     pub fn new(instances: u64, departed: u64) -> Leader {
         let mut leader = Leader {
             fleet: Fleet::new(FleetSettings {
-                instance_silence: Duration::from_secs(3_600),
+                instance_timeout: Duration::from_secs(3_600),
                 ..FleetSettings::default()
             }),
             documents: DocumentHistory::new(),
@@ -108,14 +108,16 @@
             calls: Calls::default(),
             sequence: 0,
         };
-        leader.documents.applied(at(0), &document(1));
+        leader.documents.record(at(0), &document(1));
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
         let nothing = std::iter::empty;
         leader
             .fleet
-            .begin(at(0), nothing(), std::iter::empty(), &history);
+            .start_leading(at(0), nothing(), std::iter::empty(), &history);
         for number in 0..instances {
-            leader.fleet.announce(at(0), record(number), false);
+            leader
+                .fleet
+                .handle_announcement(at(0), record(number), false);
         }
         leader
     }
@@ -130,7 +132,7 @@
         self.version += 1;
         next.version = self.version;
         next.routes[7].timeout_millis += 1;
-        self.documents.applied(at(now), &next);
+        self.documents.record(at(now), &next);
     }
 
     /// A report of gateway g-N on connection N.
@@ -148,7 +150,7 @@
         known_instances: Vec<u64>,
     ) {
         let report = self.report_with(gateway, version, known_instances);
-        self.fleet.report(at(now), connection, &report);
+        self.fleet.handle_report(at(now), connection, &report);
     }
 
     /// A report of gateway g-N, at which a request waits.
@@ -164,14 +166,14 @@
             priority: 1,
             unread_tokens: 0,
         });
-        self.fleet.report(at(now), connection, &report);
+        self.fleet.handle_report(at(now), connection, &report);
     }
 
     /// A report of gateway g-N, told up to this index of the log.
     pub fn report_as_of(&mut self, now: u64, connection: u64, as_of: u64) {
         let mut report = self.report_with(&format!("g-{connection}"), 1, Vec::new());
         report.as_of = as_of;
-        self.fleet.report(at(now), connection, &report);
+        self.fleet.handle_report(at(now), connection, &report);
     }
 
     fn report_with(
@@ -211,7 +213,7 @@
     /// The newest call to an engine is answered.
     pub fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
         let answer = self.calls.answer(instance, answer);
-        self.fleet.answered(at(now), &answer);
+        self.fleet.handle_call_result(at(now), &answer);
     }
 
     /// Number of the newest report.
--- a/crates/millpass-fleet/tests/harness/shares.rs
+++ b/crates/millpass-fleet/tests/harness/shares.rs
@@ -125,7 +125,7 @@
         };
         let document = engine_document(models.collect(), &room);
         let mut documents = DocumentHistory::new();
-        documents.applied(at(0), &document);
+        documents.record(at(0), &document);
         let mut group = Group {
             now: 0,
             members: (0..members).map(|_| Fleet::new(settings.clone())).collect(),
@@ -196,12 +196,12 @@
 
     /// Another member leads; the one before follows.
     pub fn lead(&mut self, member: u64) {
-        self.members[self.leader].clear();
+        self.members[self.leader].reset();
         self.leader = member as usize;
         let leader = &mut self.members[self.leader];
-        leader.clear();
+        leader.reset();
         let history = InstructionHistory::new(at(self.now), Duration::ZERO);
-        leader.begin(
+        leader.start_leading(
             at(self.now),
             std::iter::empty(),
             std::iter::empty(),
@@ -269,7 +269,7 @@
             instance.sequence += 1;
             instance.next += INTERVAL;
             let record = instance.record();
-            self.members[instance.member].announce(at(self.now), record, false);
+            self.members[instance.member].handle_announcement(at(self.now), record, false);
         }
     }
 
@@ -279,7 +279,7 @@
         for word in arrived.into_values() {
             match word {
                 Word::Report(report) => self.take_report(report),
-                Word::Answer(member, answer) => self.members[member].share_answered(&answer),
+                Word::Answer(member, answer) => self.members[member].handle_share_response(&answer),
             }
         }
     }
@@ -294,19 +294,19 @@
         self.sizes.most_records = self.sizes.most_records.max(report.instances.len());
         let leader = &mut self.members[self.leader];
         let own = address(self.leader);
-        let answer = leader.take_share(at(self.now), &report, own, &|_| None);
+        let answer = leader.handle_share_report(at(self.now), &report, own, &|_| None);
         self.send(Word::Answer(member, answer));
     }
 
     fn report(&mut self) {
         for member in 0..self.members.len() {
             let fleet = &mut self.members[member];
-            fleet.keep_share(at(self.now));
+            fleet.maintain_share(at(self.now));
             let silent = member == self.leader || self.ended.contains(&member);
-            if silent || !fleet.is_share_due(at(self.now)) {
+            if silent || !fleet.is_share_report_due(at(self.now)) {
                 continue;
             }
-            let report = fleet.share_report(at(self.now), 77, &address(member), true);
+            let report = fleet.next_share_report(at(self.now), 77, &address(member), true);
             if !self.cut.contains(&member) {
                 self.send(Word::Report(report));
             }
@@ -343,7 +343,7 @@
             && self.now.is_multiple_of(100)
         {
             let report = self.demand_report(number, tokens / 10);
-            self.members[self.leader].report(at(self.now), 9, &report);
+            self.members[self.leader].handle_report(at(self.now), 9, &report);
         }
         let context = GatewayContext {
             members: &Vec::new,
@@ -382,10 +382,10 @@
             let Some(found) = self.instances.get(&number) else {
                 continue;
             };
-            let answer = millpass_fleet::CallAnswer {
+            let answer = millpass_fleet::CallResult {
                 instance,
                 call,
-                answer: InstructionResult::State(EngineState {
+                result: InstructionResult::State(EngineState {
                     revision: 0,
                     busy: false,
                     models: found.record().models,
@@ -393,10 +393,10 @@
                     on_disk: Vec::new(),
                     loading_adapters: Vec::new(),
                 }),
-                waited: Duration::ZERO,
-                took: Duration::ZERO,
+                queue_time: Duration::ZERO,
+                response_time: Duration::ZERO,
             };
-            self.members[self.leader].answered(at(self.now), &answer);
+            self.members[self.leader].handle_call_result(at(self.now), &answer);
         }
     }
 
@@ -430,7 +430,7 @@
     /// What a gateway that connects now is told first.
     pub fn first_update(&mut self) -> GatewayUpdate {
         let report = self.demand_report(0, 0);
-        self.members[self.leader].report(at(self.now), 5, &report);
+        self.members[self.leader].handle_report(at(self.now), 5, &report);
         self.run(STEP);
         let first = self.updates.iter().find(|(connection, _)| *connection == 5);
         first.expect("an update").1.clone()
--- a/crates/millpass-fleet/tests/harness/steering.rs
+++ b/crates/millpass-fleet/tests/harness/steering.rs
@@ -28,7 +28,7 @@
         });
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
         let nothing = std::iter::empty;
-        fleet.begin(at(0), nothing(), std::iter::empty(), &history);
+        fleet.start_leading(at(0), nothing(), std::iter::empty(), &history);
         Steering {
             fleet,
             document: engine_document(models.to_vec(), &room),
@@ -68,7 +68,8 @@
             active_revision: 0,
         };
         let now = at(self.number);
-        self.fleet.take_share(now, &report, member, &|_| None);
+        self.fleet
+            .handle_share_report(now, &report, member, &|_| None);
     }
 
     /// The engine announces a change at the other member.
@@ -131,7 +132,7 @@
             as_of: 0,
             known_instance_digests: Vec::new(),
         };
-        self.fleet.report(at(now), 1, &report);
+        self.fleet.handle_report(at(now), 1, &report);
     }
 
     /// What is to be done at the engine.
@@ -151,6 +152,6 @@
     /// The newest call is answered.
     pub fn answers(&mut self, now: u64, answer: InstructionResult) {
         let answer = self.calls.answer(&"e-1".into(), &answer);
-        self.fleet.answered(at(now), &answer);
+        self.fleet.handle_call_result(at(now), &answer);
     }
 }
--- a/crates/millpass-fleet/tests/incarnations.rs
+++ b/crates/millpass-fleet/tests/incarnations.rs
@@ -84,7 +84,9 @@
         let mut now = 10_000;
         for word in &words {
             now += PAUSE;
-            leader.fleet.announce(at(now), word.record(), false);
+            leader
+                .fleet
+                .handle_announcement(at(now), word.record(), false);
             leader.report(now, 1, 1);
             for (_, update) in leader.updates(now) {
                 told.extend(
@@ -101,7 +103,7 @@
         }
         let (incarnation, draining) = expected(&words).expect("some word");
         let run = InstanceId::of_run(NAME, incarnation);
-        prop_assert_eq!(leader.fleet.latest_run(&run), Some(run.clone()));
+        prop_assert_eq!(leader.fleet.latest_incarnation(&run), Some(run.clone()));
         prop_assert_eq!(told.keys().collect::<Vec<_>>(), vec![&run]);
         prop_assert_eq!(told[&run].draining, draining);
         prop_assert_eq!(gateway.instance_count(), 1);
@@ -121,15 +123,15 @@
     };
     let noted = [word(1_000, 900).record()];
     let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-    fleet.begin(at(0), noted.into_iter(), std::iter::empty(), &history);
-    fleet.announce(at(10), word(2_000, 0).record(), false);
-    fleet.announce(at(20), word(1_000, 901).record(), false);
+    fleet.start_leading(at(0), noted.into_iter(), std::iter::empty(), &history);
+    fleet.handle_announcement(at(10), word(2_000, 0).record(), false);
+    fleet.handle_announcement(at(20), word(1_000, 901).record(), false);
     let run = InstanceId::of_run(NAME, 2_000);
-    assert_eq!(fleet.latest_run(&run), Some(run.clone()));
-    fleet.departed(&run, true);
-    fleet.announce(at(30), word(1_000, 902).record(), false);
+    assert_eq!(fleet.latest_incarnation(&run), Some(run.clone()));
+    fleet.handle_departure(&run, true);
+    fleet.handle_announcement(at(30), word(1_000, 902).record(), false);
     assert_eq!(
-        fleet.latest_run(&run),
+        fleet.latest_incarnation(&run),
         None,
         "it does not come back after that"
     );
--- a/crates/millpass-fleet/tests/limits.rs
+++ b/crates/millpass-fleet/tests/limits.rs
@@ -89,12 +89,12 @@
             ..FleetSettings::default()
         });
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-        fleet.begin(at(1), std::iter::empty(), std::iter::empty(), &history);
+        fleet.start_leading(at(1), std::iter::empty(), std::iter::empty(), &history);
         for (connection, gateway) in ["g-1", "g-2"].into_iter().enumerate() {
-            fleet.report(at(1), connection as u64, &report(gateway, 1, Vec::new()));
+            fleet.handle_report(at(1), connection as u64, &report(gateway, 1, Vec::new()));
         }
-        fleet.announce(at(2), record("i-1", &["a"]), false);
-        fleet.announce(at(2), record("i-2", &[]), false);
+        fleet.handle_announcement(at(2), record("i-1", &["a"]), false);
+        fleet.handle_announcement(at(2), record("i-2", &[]), false);
         let mut leader = Leader(fleet, Calls::default());
         leader.run(10);
         leader
@@ -114,7 +114,7 @@
             };
             let state = InstructionResult::State(idle(held));
             let answer = self.1.answer(instance, &state);
-            self.0.answered(at(now), &answer);
+            self.0.handle_call_result(at(now), &answer);
         }
         outputs
     }
@@ -132,7 +132,7 @@
             observations: vec![word],
             instances: Vec::new(),
         };
-        self.0.permit_request(at(now), 3, &request);
+        self.0.handle_permit_request(at(now), 3, &request);
     }
 
     /// Engines that are told to load something while a need of model `a` is reported again and again.
@@ -140,7 +140,7 @@
         let mut loads = Vec::new();
         for now in (from..from + 1_000).step_by(100) {
             let needs = vec![unserved("a")];
-            self.0.report(at(now), 0, &report("g-1", now, needs));
+            self.0.handle_report(at(now), 0, &report("g-1", now, needs));
             for output in self.run(now) {
                 if let FleetOutput::Instruct(given) = output {
                     loads.push(given.instance);
--- a/crates/millpass-fleet/tests/rollout.rs
+++ b/crates/millpass-fleet/tests/rollout.rs
@@ -20,7 +20,7 @@
 
 fn reached(outputs: &[FleetOutput]) -> Vec<Duration> {
     let times = outputs.iter().filter_map(|output| match output {
-        FleetOutput::DocumentReached(after) => Some(*after),
+        FleetOutput::DocumentAcknowledged(after) => Some(*after),
         _ => None,
     });
     times.collect()
@@ -62,7 +62,7 @@
     leader.run(2_000);
     leader.report(2_100, 1, 2);
     leader.report(2_900, 2, 1);
-    leader.fleet.disconnected(at(2_500), 3);
+    leader.fleet.handle_disconnect(at(2_500), 3);
     assert!(events(&leader.run(2_990), "document-lags").is_empty());
     let lagging = events(&leader.run(3_000), "document-lags");
     assert_eq!(
@@ -88,7 +88,7 @@
     leader.run(1_000);
     leader.report(60_000, 1, 1);
     assert!(reached(&leader.run(60_000)).is_empty());
-    leader.fleet.disconnected(at(60_100), 1);
+    leader.fleet.handle_disconnect(at(60_100), 1);
     leader.report(60_200, 7, 1);
     assert!(reached(&leader.run(60_200)).is_empty(), "known from before");
 }
@@ -111,21 +111,21 @@
     let told = |leader: &mut Leader, now: u64| {
         let outputs = leader.run(now).into_iter();
         let times = outputs.filter_map(|output| match output {
-            FleetOutput::DepartureReached(after) => Some(after.as_millis()),
+            FleetOutput::DepartureAcknowledged(after) => Some(after.as_millis()),
             _ => None,
         });
         times.collect::<Vec<_>>()
     };
     let mut leader = Leader::new(0, 0);
-    leader.fleet.departure_committed(at(900), 4);
+    leader.fleet.record_departure_commit(at(900), 4);
     leader.report_as_of(1_000, 1, 5);
     assert_eq!(
         told(&mut leader, 1_000),
         [0; 0],
         "what it brings along is not measured"
     );
-    leader.fleet.departure_committed(at(1_100), 7);
-    leader.fleet.departure_committed(at(1_120), 9);
+    leader.fleet.record_departure_commit(at(1_100), 7);
+    leader.fleet.record_departure_commit(at(1_120), 9);
     leader.report_as_of(1_150, 1, 7);
     assert_eq!(told(&mut leader, 1_150), [50]);
     leader.report_as_of(1_200, 1, 7);
--- a/crates/millpass-fleet/tests/room.rs
+++ b/crates/millpass-fleet/tests/room.rs
@@ -107,7 +107,7 @@
             in_memory: Vec::new(),
             on_disk: Vec::new(),
         };
-        self.fleet.announce(at(now), record, false);
+        self.fleet.handle_announcement(at(now), record, false);
     }
 
     /// The state is read; gives the read.
@@ -123,13 +123,13 @@
     /// The newest call is answered.
     fn answered(&mut self, now: u64, answer: &InstructionResult) {
         let answer = self.calls.answer(&"e".into(), answer);
-        self.fleet.answered(at(now), &answer);
+        self.fleet.handle_call_result(at(now), &answer);
     }
 
     /// This call is answered.
     fn call_answered(&mut self, now: u64, call: CallId, answer: &InstructionResult) {
         let answer = calls::to(call, &"e".into(), answer);
-        self.fleet.answered(at(now), &answer);
+        self.fleet.handle_call_result(at(now), &answer);
     }
 
     /// A gateway asks for a model or an adapter of it; gives what is ordered at once and within a second. The engine's
@@ -163,7 +163,7 @@
                 as_of: 0,
                 known_instance_digests: Vec::new(),
             };
-            self.fleet.report(at(now), 1, &report);
+            self.fleet.handle_report(at(now), 1, &report);
             let outputs = self.run(now).into_iter();
             given.extend(outputs.filter_map(|output| match output {
                 FleetOutput::Instruct(instruction) => Some(instruction),
--- a/crates/millpass-fleet/tests/store.rs
+++ b/crates/millpass-fleet/tests/store.rs
@@ -1,6 +1,6 @@
 //! How many loads at once are begun before weight stores of different capacities, in virtual time.
 
-use millpass_fleet::{InstructionHistory, LoadUnderWay, StoreCapacity};
+use millpass_fleet::{InstructionHistory, PendingLoad, StoreCapacity};
 use millpass_proto::{Duration, InstanceId, Timestamp};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -55,10 +55,10 @@
     }
 
     fn show(&self, learner: &mut StoreCapacity) {
-        let loads = self.left.keys().map(|instance| LoadUnderWay {
+        let loads = self.left.keys().map(|instance| PendingLoad {
             instance: instance.clone(),
             model: "m".into(),
-            stated: self.stated,
+            nominal_time: self.stated,
         });
         learner.observe(self.now, loads.collect(), 0, |_, _| true);
     }
@@ -127,13 +127,13 @@
 #[test]
 fn a_new_leader_goes_on_with_what_the_one_before_it_learned() {
     let mut history = InstructionHistory::new(Timestamp::ZERO, Duration::from_secs(3));
-    let unknown = StoreCapacity::after(&history).limit();
+    let unknown = StoreCapacity::from_history(&history).limit();
     assert_eq!(unknown, StoreCapacity::default().limit());
-    history.note_store_capacity(1_200);
-    assert_eq!(StoreCapacity::after(&history).limit(), 12);
-    history.note_store_capacity(0);
+    history.record_store_capacity(1_200);
+    assert_eq!(StoreCapacity::from_history(&history).limit(), 12);
+    history.record_store_capacity(0);
     assert_eq!(
-        StoreCapacity::after(&history).limit(),
+        StoreCapacity::from_history(&history).limit(),
         1,
         "absurd, and harmless"
     );
@@ -171,10 +171,10 @@
             let mut most = learner.limit();
             for (millis, loads, others, brought) in looks {
                 now = now + Duration::from_millis(millis);
-                let under_way = (0..loads).map(|index| LoadUnderWay {
+                let under_way = (0..loads).map(|index| PendingLoad {
                     instance: InstanceId(format!("e-{index}")),
                     model: "m".into(),
-                    stated: Duration::from_millis(stated),
+                    nominal_time: Duration::from_millis(stated),
                 });
                 most = most.max(loads + others);
                 learner.observe(now, under_way.collect(), others, |_, _| brought);
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -43,7 +43,7 @@
 fn a_gateway_that_comes_back_unchanged_is_told_that_all_stands() {
     let mut leader = Leader::new(INSTANCES, DEPARTED);
     let known = settled(&mut leader, COMPLETE);
-    leader.fleet.disconnected(at(COMPLETE + 10), 1);
+    leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
     leader.report_of(COMPLETE + 20, 2, "g-1", 1, known.clone());
     let update = only(leader.updates(COMPLETE + 20));
     assert!(update.first);
@@ -88,12 +88,14 @@
 fn a_gateway_that_comes_back_is_told_of_the_instances_that_changed() {
     let mut leader = Leader::new(INSTANCES, 0);
     let known = settled(&mut leader, COMPLETE);
-    leader.fleet.disconnected(at(COMPLETE + 10), 1);
-    leader.fleet.departed(&"i-000000003".into(), false);
-    leader.fleet.departed(&"i-000000004".into(), true);
+    leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
+    leader.fleet.handle_departure(&"i-000000003".into(), false);
+    leader.fleet.handle_departure(&"i-000000004".into(), true);
     let mut again = record(5);
     again.sequence = 9;
-    leader.fleet.announce(at(COMPLETE + 11), again, false);
+    leader
+        .fleet
+        .handle_announcement(at(COMPLETE + 11), again, false);
     leader.report_of(COMPLETE + 20, 2, "g-1", 1, known.clone());
     let update = only(leader.updates(COMPLETE + 20));
     let named: Vec<&str> = update
@@ -161,7 +163,7 @@
     let known = settled(&mut leader, COMPLETE);
     leader.put(COMPLETE + 100);
     assert_eq!(leader.updates(COMPLETE + 100).len(), 1);
-    leader.fleet.disconnected(at(COMPLETE + 110), 1);
+    leader.fleet.handle_disconnect(at(COMPLETE + 110), 1);
     leader.report_of(COMPLETE + 120, 2, "g-1", 1, known);
     let update = only(leader.updates(COMPLETE + 120));
     let change = update.document_change.as_ref().expect("a change");
@@ -207,7 +209,7 @@
 fn a_gateway_whose_version_is_no_longer_kept_gets_the_document() {
     let mut leader = Leader::new(0, 0);
     settled(&mut leader, COMPLETE);
-    leader.fleet.disconnected(at(COMPLETE + 2), 1);
+    leader.fleet.handle_disconnect(at(COMPLETE + 2), 1);
     for version in 2..=20 {
         leader.put(COMPLETE + version * 10);
         leader.updates(COMPLETE + version * 10);
@@ -232,7 +234,7 @@
     next.routes = (0..ROUTES)
         .map(|number| route(number + ROUTES, 1_000))
         .collect();
-    leader.documents.applied(at(COMPLETE + 50), &next);
+    leader.documents.record(at(COMPLETE + 50), &next);
     leader.version = 2;
     let update = only(leader.updates(COMPLETE + 50));
     assert_eq!(update.document.map(|found| found.version), Some(2));
@@ -255,7 +257,7 @@
         as_of: 0,
         known_instance_digests: Vec::new(),
     };
-    leader.fleet.report(at(now), 1, &report);
+    leader.fleet.handle_report(at(now), 1, &report);
 }
 
 /// Most answers to reports say nothing new.
@@ -325,15 +327,17 @@
 fn a_gateway_that_is_behind_gets_one_difference_when_it_has_caught_up() {
     let mut leader = Leader::new(0, 0);
     settled(&mut leader, COMPLETE);
-    leader.fleet.backlog(at(COMPLETE + 10), 1, true);
+    leader.fleet.set_backlogged(at(COMPLETE + 10), 1, true);
     for version in 2..=4 {
         let now = COMPLETE + version * 1_000;
         leader.put(now);
-        leader.fleet.announce(at(now), record(version), false);
+        leader
+            .fleet
+            .handle_announcement(at(now), record(version), false);
         leader.report_of(now, 1, "g-1", 1, Vec::new());
         assert!(leader.updates(now).is_empty());
     }
-    leader.fleet.backlog(at(COMPLETE + 5_000), 1, false);
+    leader.fleet.set_backlogged(at(COMPLETE + 5_000), 1, false);
     let update = only(leader.updates(COMPLETE + 5_000));
     let change = update.document_change.expect("a change");
     assert_eq!((change.base, change.version), (1, 4));
@@ -347,8 +351,8 @@
     settled(&mut leader, COMPLETE);
     leader.put(COMPLETE + 100);
     assert_eq!(leader.updates(COMPLETE + 100).len(), 1);
-    leader.fleet.backlog(at(COMPLETE + 100), 1, true);
-    leader.fleet.backlog(at(COMPLETE + 3_000), 1, false);
+    leader.fleet.set_backlogged(at(COMPLETE + 100), 1, true);
+    leader.fleet.set_backlogged(at(COMPLETE + 3_000), 1, false);
     leader.report_of(COMPLETE + 3_001, 1, "g-1", 1, Vec::new());
     let update = only(leader.updates(COMPLETE + 3_001));
     assert!(update.document.is_none() && update.document_change.is_none());
@@ -389,7 +393,7 @@
         model: "m".into(),
         adapters: vec!["a1".into()],
     }];
-    leader.fleet.announce(at(12_050), changed, false);
+    leader.fleet.handle_announcement(at(12_050), changed, false);
     let told: Vec<u64> = leader
         .updates(12_060)
         .iter()
