--- a/crates/millpass-fleet/examples/leader_cost.rs
+++ b/crates/millpass-fleet/examples/leader_cost.rs
@@ -1,6 +1,5 @@
-//! Processor time of the leader's core at the sizes of growing deployments: one round of planning
-//! with many needs that nobody serves, and the updates of gateways; then processor time and bytes of what gateways
-//! are told when all of them come back, when one route changes, and when nothing does.
+//! Measures the leader's CPU time at several deployment sizes: one planning round with much unmet
+//! demand, and gateway updates after reconnects, a route change and no change at all.
 //!
 //! `cargo run --release -p millpass-fleet --example leader_cost`
 
@@ -12,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// One size: engines, models, gateways, needs that nobody serves.
+/// Engines, models, gateways and unmet demands of each size.
 const SIZES: [(usize, usize, u64, usize); 4] = [
     (18, 61, 7, 10),
     (140, 288, 70, 60),
@@ -80,7 +79,7 @@
         draining: false,
         warmup_millis: 0,
         sequence: 1,
-        // Half of the models are held by nobody.
+        // No engine holds the other half of the models.
         models: (0..HELD_MODELS)
             .map(|number| held(number * 2))
             .filter(|held| held.model.0.len().is_multiple_of(2) || models < 100)
@@ -119,11 +118,11 @@
     telling();
 }
 
-/// Gateways and instances of what gateways are told.
+/// Gateways and instances of each size in the update measurement.
 const TOLD_SIZES: [(u64, usize); 4] = [(70, 144), (70, 3_000), (490, 144), (490, 3_000)];
-/// Routes of the document; it has about 34 kB.
+/// Results in a document of about 34 kB.
 const ROUTES: usize = 370;
-/// Departed instances that the log remembers.
+/// Departed instances kept in the log.
 const DEPARTED: usize = 256;
 
 fn route(number: usize) -> RouteSpec {
@@ -148,7 +147,7 @@
     }
 }
 
-/// A document without engines.
+/// Returns a document whose services have no engines.
 fn plain() -> DeploymentDocument {
     let mut plain = document(0);
     plain.services = (0..20)
@@ -169,7 +168,7 @@
     }
 }
 
-/// What a step took of the leader: in its core, to encode, and on the wire.
+/// Cost of one step at the leader: CPU time, encoding time and bytes sent.
 #[derive(Default)]
 struct Cost {
     core: std::time::Duration,
@@ -185,7 +184,7 @@
 }
 
 impl Told {
-    /// Gateways' reports, of gateway N on connection N and on, and what they are answered.
+    /// Delivers gateway reports and measures the updates sent in response.
     fn exchange(
         &mut self,
         reports: &[(u64, GatewayReport)],
--- a/crates/millpass-fleet/src/activation.rs
+++ b/crates/millpass-fleet/src/activation.rs
@@ -1,9 +1,9 @@
-//! Which instances are active: told to gateways, and, where they are engines, read and steered.
+//! Selects the active instances of each service: those sent to gateways and, for engines, read and
+//! instructed.
 //!
-//! A service that has few instances uses all of them. Of more, as many are active as demand asks for, and some to spare:
-//! each model keeps replicas in different zones, a busy one as many as serve it well, and each zone some instances of every
-//! service. The others stand by and are called up when demand asks for them, without a load where they hold the model. So what
-//! gateways are told, and what a round of planning looks at, follows demand and the number of models, not that of the
+//! Small services keep all instances active. In larger ones, active instances follow demand: each
+//! model keeps replicas in several zones, and each zone keeps spare instances. The others stay on
+//! standby and are activated on demand, so updates and planning do not grow with the number of
 //! instances.
 
 use crate::demand::Load;
@@ -15,29 +15,28 @@
 };
 use std::collections::BTreeMap;
 
-/// Instances up to which a service is used whole: telling gateways of all of them costs little.
+/// Services with up to this many instances keep all of them active.
 pub(crate) const WHOLE_SERVICE: usize = 256;
-/// Replicas of each model that are kept active where there are so many: one may be lost with its zone.
+/// Active replicas kept per model where available, so that the loss of a zone leaves one.
 const LEAST_REPLICAS: usize = 2;
-/// Zones that they are in at least, where there are so many.
+/// Zones that the active replicas of a model are spread over, where available.
 const LEAST_ZONES: usize = 2;
-/// Instances of each service kept active in each zone: some to spare where demand jumps, or a model has to be placed.
+/// Active instances kept per service and zone, as spare capacity for demand peaks and placements.
 const LEAST_IN_ZONE: usize = 8;
-/// Share of its places that a plain instance has in use at most, in the mean.
+/// Mean fraction of slots in use up to which plain instances are loaded.
 const LIGHT_USE: f64 = 0.25;
-/// Most instances of a service called up in one look, so that none takes long.
+/// Bounds the duration of a pass.
 const MAXIMUM_CALLED_UP: usize = 64;
-/// Time between two looks.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time for which an instance that nobody needs stays active.
+/// Time without demand after which an active instance returns to standby.
 const IDLE_TIME: Duration = Duration::from_secs(60);
 
-/// Active instances of one service that take new work.
+/// Available active instances of one service.
 #[derive(Default)]
 struct Census {
     total: usize,
     zones: BTreeMap<ZoneName, usize>,
-    /// Replicas of each model, by zone.
+    /// By zone.
     replicas: BTreeMap<ModelName, BTreeMap<ZoneName, usize>>,
 }
 
@@ -93,11 +92,11 @@
     }
 }
 
-/// What a service is asked for.
+/// Number of instances a service needs active.
 struct Wanted {
-    /// Instances over all.
+    /// Over all models.
     total: usize,
-    /// Replicas of each model that is asked for; of the others, [`LEAST_REPLICAS`].
+    /// Replicas of each model in demand; [`MIN_REPLICAS`] for the others.
     replicas: BTreeMap<ModelName, usize>,
 }
 
@@ -108,18 +107,18 @@
     }
 }
 
-/// Replicas that serve a model well.
+/// Returns the number of replicas that keep utilization below the target.
 fn replicas_for(load: &Load, slots: f64) -> usize {
     (round::business(load, slots) / COMFORTABLE_SHARE) as usize + 1
 }
 
 impl Fleet {
-    /// Whether a service that gets one more instance is still used whole.
+    /// Returns whether all instances stay active if the service gains one more.
     pub(crate) fn uses_whole(&self, service: &ServiceName) -> bool {
         self.registry.count(service) + self.standby.count(service) < WHOLE_SERVICE
     }
 
-    /// Calls up instances that demand asks for; lets those stand by that nobody has needed for long.
+    /// Activates instances that demand requires and returns idle ones to standby.
     pub(crate) fn keep_active(&mut self, now: Timestamp, document: &DeploymentDocument) {
         if now < self.next_activation {
             return;
@@ -191,7 +190,7 @@
         }
     }
 
-    /// A further replica of a model that has too few, or has them in too few zones.
+    /// Returns a standby instance that adds a missing replica or zone of a model.
     fn lacking_replica(
         &self,
         service: &ServiceSpec,
@@ -230,7 +229,7 @@
         self.event("instance-activated", pairs);
     }
 
-    /// Lets one instance stand by that nobody has needed for long.
+    /// Returns at most one idle instance to standby.
     fn release_idle(
         &mut self,
         now: Timestamp,
--- a/crates/millpass-fleet/src/adapters.rs
+++ b/crates/millpass-fleet/src/adapters.rs
@@ -1,18 +1,17 @@
-//! Which engine loads an adapter of a model that is held, and what makes way for it.
+//! Placement of adapters on engines that hold their model.
 
 use crate::demand::ModelKey;
 use crate::planner::{Instruction, Step, View};
 use crate::round::Round;
 use millpass_proto::{AdapterName, Duration, InstanceId, InstructionOperation, ModelName};
 
-/// Expected time of an adapter's load or unload.
+/// Expected duration of loading or unloading an adapter.
 const ADAPTER_TIME: Duration = Duration::from_millis(20);
-/// Cost of placing an adapter on an engine that reads prompts all the time, in adapters that are loaded
-/// there.
+/// Cost of placing an adapter on a fully utilized engine, in loaded adapters.
 const ADAPTER_BUSY_COST: f64 = 10.0;
 
 impl View<'_> {
-    /// Loads an adapter on one of its model's holders, unless it is there or on its way.
+    /// Loads an adapter on an engine that holds its model, unless it is loaded or loading already.
     pub(crate) fn load_adapter(
         &mut self,
         key: &ModelKey,
@@ -66,7 +65,7 @@
         });
     }
 
-    /// Loads the adapter, or unloads the least asked for when there is no place for it.
+    /// Returns the load of the adapter, or the unload of the least used one if no slot is free.
     fn adapter_instruction(
         &self,
         round: &Round,
@@ -86,7 +85,7 @@
             return Some((load, key.model.clone(), Some(adapter.clone())));
         }
         if let Some(unnamed) = round.unnamed(engine) {
-            // It fills the memory, whatever adapters make way.
+            // A model of unknown size occupies the whole memory: unloading adapters would not help.
             return Some((InstructionOperation::Unload, unnamed.clone(), None));
         }
         let rate = |model: &ModelName, adapter: &AdapterName| {
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -1,7 +1,8 @@
-//! Requests, and loads, that end the instances that run them.
+//! Quarantine of requests and loads that crash instances.
 //!
-//! Gateways say which runs ended and what of theirs was in flight there; the leader adds up the words of all of
-//! them. What it holds back is told to every gateway and, once certain, kept in the log.
+//! Gateways report ended process runs and the requests in flight there; the leader sums them up
+//! over all gateways. Quarantined requests are sent to every gateway and, once confirmed, recorded
+//! in the log.
 
 use crate::demand::ModelKey;
 use crate::fleet::Fleet;
@@ -12,14 +13,13 @@
 };
 use millpass_quarantine::{HeldItem, Quarantine};
 
-/// Time from which an announcement shows that a run said to have ended is there. One that was under way when
-/// the run ended arrives before.
+/// Time after a reported crash from which an announcement proves that the instance is alive.
+/// Earlier ones may have been sent before the crash.
 const SURVIVAL_TIME: Duration = Duration::from_millis(400);
 
-/// What ends instances, as the leader knows it.
+/// Requests and loads to which crashes are attributed.
 #[derive(Default)]
 pub(crate) struct Crashes {
-    /// Requests, over all gateways.
     requests: Quarantine<RequestFingerprint>,
     /// Loads of models and adapters.
     loads: Quarantine<ModelKey>,
@@ -30,12 +30,10 @@
         self.requests.revision()
     }
 
-    /// Whether loads of this are held back.
     pub(crate) fn holds_load(&self, now: Timestamp, key: &ModelKey) -> bool {
         self.loads.held_for(now, key).is_some()
     }
 
-    /// What gateways are told.
     fn update(&self, now: Timestamp, term: u64) -> CrashUpdate {
         let held = self.requests.held().filter(|(_, held)| !held.lapsed);
         let held = held.map(|(request, held)| QuarantinedRequest {
@@ -54,7 +52,7 @@
 }
 
 impl Fleet {
-    /// Begins with the requests that the log holds back.
+    /// Restores quarantined requests recorded in the log.
     pub(crate) fn restore_held(
         &mut self,
         now: Timestamp,
@@ -66,7 +64,8 @@
         }
     }
 
-    /// Takes what a gateway saw of runs that ended. An instance that leaves ends as planned: that says nothing.
+    /// Applies a gateway's report of ended process runs. The end of a draining instance is expected
+    /// and not attributed to its requests.
     pub fn handle_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
         for request in &report.served {
             if self.crashes.requests.release(request) {
@@ -93,7 +92,8 @@
         }
     }
 
-    /// An instance announces itself: it has not ended, whatever gateways took a refused connection for.
+    /// Withdraws the crash of an instance that announces itself: the gateway's connection was
+    /// refused for another reason.
     pub(crate) fn survived(&mut self, now: Timestamp, instance: &InstanceId) {
         let ended_at = self.crashes.requests.ended_at(instance);
         if ended_at.is_none_or(|at| now.since(at) < SURVIVAL_TIME) {
@@ -106,7 +106,7 @@
         self.crashes.loads.survived(now, instance);
     }
 
-    /// An engine has ended: what it was loading may be the cause.
+    /// Attributes the end of an engine to the load it was carrying out.
     pub(crate) fn load_ended(&mut self, now: Timestamp, instance: &InstanceId) {
         let Some(record) = self.registry.get(instance) else {
             return;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// An engine holds these models: they can be loaded.
+    /// Releases models and adapters that an engine has loaded.
     pub(crate) fn models_held(&mut self, service: &ServiceName, models: &[HeldModel]) {
         if self.crashes.loads.is_empty() {
             return;
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Lets a request go, as an operator asked. False if nothing was held against it.
+    /// Releases a request on an operator's behalf. Returns false if no crash is attributed to it.
     pub fn lift_quarantine(&mut self, request: &RequestFingerprint) -> bool {
         let known = self.crashes.requests.release(request);
         if known {
@@ -166,14 +166,15 @@
         known
     }
 
-    /// Requests that are held back, and how much longer.
+    /// Returns the quarantined requests with the number of attributed crashes and the remaining
+    /// time.
     pub fn quarantined_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
         let held = self.crashes.requests.held();
         held.map(|(request, held)| (request.clone(), held.ends, held.until.since(now)))
             .collect()
     }
 
-    /// What is due by time: what became certain goes to the log, what has had its time is let go.
+    /// Records confirmed requests in the log and releases those whose quarantine has expired.
     pub(crate) fn sweep_crashes(&mut self, now: Timestamp) {
         let certain = self.settings.announce_interval * 3 / 2;
         for (request, held) in self.crashes.requests.settle(now, certain) {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Tells gateways what is held back, when that has changed.
+    /// Sends the quarantined requests to gateways if they have changed.
     pub(crate) fn update_crashes(&mut self, now: Timestamp) {
         let revision = self.crashes.revision();
         let interval = self.gateways.update_interval(self.pace);
--- a/crates/millpass-fleet/src/demand.rs
+++ b/crates/millpass-fleet/src/demand.rs
@@ -1,49 +1,45 @@
-//! How much each model, and each adapter of it, is asked for over all gateways.
+//! Demand for models and adapters, aggregated over all gateways.
 
 use millpass_proto::{
     AdapterName, Duration, GatewayModelDemand, ModelName, ServiceName, Timestamp,
 };
 use std::collections::BTreeMap;
 
-/// Time over which the rate of arrivals is averaged, in seconds.
 const RATE_SECONDS: f64 = 6.0;
-/// Time over which the rate that decides what makes way is averaged, in seconds: rarely used models
-/// differ only over minutes.
+/// Averaging window for eviction decisions, in seconds: rarely used models differ only over
+/// minutes.
 const SLOW_SECONDS: f64 = 60.0;
-/// Time over which the rate of prompt tokens is averaged, in seconds.
 const TOKEN_SECONDS: f64 = 3.0;
-/// How long a need that was reported counts as unserved.
+/// Time for which reported demand counts as unmet.
 const NEED_LIFETIME: Duration = Duration::from_millis(3_000);
-/// Time between two looks for entries that nobody asks for any more.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Rate below which an entry without work in flight is forgotten, in requests a second.
+/// Requests a second below which an entry without requests in flight is removed.
 const FORGOTTEN_RATE: f64 = 0.001;
 
-/// A model of a service, or a model with an adapter.
+/// Identifies a model of a service, or an adapter of that model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ModelKey {
-    /// Service.
+    /// Service of the model.
     pub service: ServiceName,
-    /// Model.
+    /// Model name.
     pub model: ModelName,
-    /// Adapter.
+    /// Adapter of the model; none for the model itself.
     pub adapter: Option<AdapterName>,
 }
 
 #[derive(Default)]
 struct Entry {
-    /// Requests a second, averaged.
+    /// Requests a second, averaged over [`RATE_WINDOW_SECONDS`].
     rate: f64,
     rate_at: Timestamp,
-    /// Requests a second, averaged over long; of the same time.
+    /// Requests a second, averaged over [`SLOW_RATE_WINDOW_SECONDS`].
     slow: f64,
-    /// Prompt tokens to read a second, averaged; of the same time.
+    /// Unread prompt tokens a second, averaged over [`TOKEN_RATE_WINDOW_SECONDS`].
     tokens: f64,
-    /// Requests in flight, over all gateways.
     in_flight: u32,
     unserved: f64,
     unserved_at: Option<Timestamp>,
-    /// Since when it is unserved without a break.
+    /// Start of the current period of unmet demand.
     unserved_since: Timestamp,
     priority: u32,
 }
@@ -66,18 +62,17 @@
     (-now.since(since).as_secs_f64() / seconds).exp()
 }
 
-/// What a model is asked for.
+/// Load that a model's requests cause.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     /// Prompt tokens to read a second.
     pub(crate) tokens: f64,
-    /// Requests a second over the last minute or so, or lately if that is more.
+    /// Requests a second: the larger of the short and the long average.
     pub(crate) lasting_rate: f64,
-    /// Requests in flight.
     pub(crate) in_flight: u32,
 }
 
-/// A need that is not met.
+/// Demand for a model or adapter that is not loaded.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Unmet {
     pub(crate) key: ModelKey,
@@ -86,17 +81,16 @@
     since: Timestamp,
 }
 
-/// Demand of all gateways.
 #[derive(Default)]
 pub(crate) struct Demand {
     entries: BTreeMap<ModelKey, Entry>,
-    /// What each gateway said it has in flight.
+    /// Requests in flight at each gateway, as last reported.
     in_flight: BTreeMap<String, Vec<(ModelKey, u32)>>,
     swept_at: Timestamp,
 }
 
 impl Demand {
-    /// Takes what a gateway reports; a model that it leaves out has nothing in flight there.
+    /// Applies a gateway's report; models it does not list have no requests in flight there.
     pub(crate) fn report(&mut self, now: Timestamp, gateway: &str, needs: &[GatewayModelDemand]) {
         self.forget_in_flight(gateway);
         let mut in_flight = Vec::new();
@@ -142,7 +136,7 @@
         }
     }
 
-    /// A gateway is gone: what it had in flight is too.
+    /// Removes the requests in flight of a disconnected gateway.
     pub(crate) fn forget_in_flight(&mut self, gateway: &str) {
         for (key, count) in self.in_flight.remove(gateway).unwrap_or_default() {
             if let Some(entry) = self.entries.get_mut(&key) {
@@ -151,7 +145,7 @@
         }
     }
 
-    /// What each model of a service is asked for, with all of its adapters.
+    /// Returns the load of each model of a service, including its adapters.
     pub(crate) fn loads(&self, now: Timestamp, service: &ServiceName) -> BTreeMap<ModelName, Load> {
         let mut loads: BTreeMap<ModelName, Load> = BTreeMap::new();
         let entries = self.entries.iter();
@@ -164,14 +158,15 @@
         loads
     }
 
-    /// Requests a second for exactly this key.
+    /// Returns requests a second for exactly this key.
     pub(crate) fn rate(&self, now: Timestamp, key: &ModelKey) -> f64 {
         self.entries
             .get(key)
             .map_or(0.0, |entry| entry.rate_at(now))
     }
 
-    /// Needs of a service that were reported lately, the most urgent first, then the oldest.
+    /// Returns recently reported unmet demand of a service: most urgent first, then oldest, then
+    /// largest.
     pub(crate) fn unmet(&self, now: Timestamp, service: &ServiceName) -> Vec<Unmet> {
         let mut unmet: Vec<Unmet> = self
             .entries
@@ -196,7 +191,6 @@
         unmet
     }
 
-    /// A need is met: it no longer counts as unserved.
     pub(crate) fn met(&mut self, key: &ModelKey) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.unserved_at = None;
--- a/crates/millpass-fleet/src/documents.rs
+++ b/crates/millpass-fleet/src/documents.rs
@@ -1,13 +1,13 @@
-//! The last few documents that this member applied as committed, and when it applied each.
+//! Recent committed documents with the time each was applied here.
 //!
-//! Followers keep them too, so that a new leader can tell gateways what changed. No part of the replicated state: a
-//! member that started from a snapshot holds fewer, and sends the document whole.
+//! Followers keep them too, so that a new leader can send gateways only what changed. Not part of
+//! the replicated state: a member that restored a snapshot has fewer and sends whole documents.
 
 use millpass_proto::{DeploymentDocument, DocumentChange, Timestamp, codec};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most documents kept, the one in force among them. A gateway whose version is older than these gets the document
-/// whole; at 45 kB a document, some hundred kilobytes.
+/// Documents kept, including the current one. Gateways with older versions are sent the whole
+/// document.
 const MAXIMUM_DOCUMENTS: usize = 8;
 
 struct Applied {
@@ -15,21 +15,21 @@
     at: Timestamp,
 }
 
-/// Documents by version, the newest last.
+/// Documents by ascending version.
 #[derive(Default)]
 pub struct DocumentHistory {
     documents: VecDeque<Applied>,
 }
 
 impl DocumentHistory {
-    /// Knows none yet.
+    /// Creates an empty history.
     pub const fn new() -> Self {
         DocumentHistory {
             documents: VecDeque::new(),
         }
     }
 
-    /// Notes the document in force; one that is not above the newest changes nothing.
+    /// Records the current document; ignores versions that are not newer than the last one.
     pub fn record(&mut self, now: Timestamp, document: &DeploymentDocument) {
         let newest = self.documents.back();
         if newest.is_some_and(|newest| newest.document.version >= document.version) {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The document of a version, if it is still kept.
+    /// Returns the document of a version, if it is still kept.
     pub fn document(&self, version: u64) -> Option<&DeploymentDocument> {
         self.find(version).map(|found| &found.document)
     }
 
-    /// When a version was applied here.
+    /// Returns when a version was applied here, if it is still kept.
     pub fn applied_at(&self, version: u64) -> Option<Timestamp> {
         self.find(version).map(|found| found.at)
     }
@@ -60,18 +60,17 @@
     }
 }
 
-/// Changes to the document in force from earlier ones, each computed once for all gateways.
+/// Changes from earlier versions to the current document, each computed once for all gateways.
 #[derive(Default)]
 pub(crate) struct ChangeCache {
     version: u64,
-    /// Encoded size of the document, in bytes.
     document_bytes: usize,
     by_base: BTreeMap<u64, Option<DocumentChange>>,
 }
 
 impl ChangeCache {
-    /// What turns a version into the document; none where that version is not kept, or the change is not smaller
-    /// than the document.
+    /// Returns the change from `base` to the document. None if `base` is not kept or the change is
+    /// not smaller than the document.
     pub(crate) fn change(
         &mut self,
         base: u64,
--- a/crates/millpass-fleet/src/engine_answers.rs
+++ b/crates/millpass-fleet/src/engine_responses.rs
@@ -1,20 +1,20 @@
-//! Answers to calls to engines, as the leader takes and logs them.
+//! Handling and logging of engine responses.
 
-use crate::belief::{self, Word};
 use crate::engines::Heard;
 use crate::fleet::Fleet;
 use crate::interface::CallResult;
+use crate::observed_state::{self, Word};
 use millpass_proto::{CallId, InstanceId, InstructionResult, Timestamp};
 use std::collections::BTreeSet;
 
 impl Fleet {
-    /// Whether this call, an instruction, is still to be made.
+    /// Returns whether this instruction is still awaiting its response and may be sent.
     pub fn awaits_response(&self, instance: &InstanceId, call: CallId) -> bool {
         let engine = self.engines.engines.get(instance);
         engine.is_some_and(|engine| engine.awaits_order(call))
     }
 
-    /// Takes the answer of an engine.
+    /// Applies the response to a call to an engine.
     pub fn handle_call_result(&mut self, now: Timestamp, answered: &CallResult) {
         let CallResult {
             instance,
@@ -25,7 +25,7 @@
         let Some(engine) = self.engines.engines.get_mut(instance) else {
             return;
         };
-        let before = belief::held(engine);
+        let before = observed_state::held(engine);
         let under_way = engine.pending.as_ref().map(|pending| pending.call.0);
         if *answer == InstructionResult::OtherRun && engine.awaits(answered.call) {
             self.load_ended(now, instance);
@@ -46,7 +46,7 @@
             ("instance", instance.0.clone()),
             ("call", answered.call.0.to_string()),
             ("answer", outcome),
-            ("under_way", belief::or_none(under_way)),
+            ("under_way", observed_state::or_none(under_way)),
             ("awaited", (heard == Heard::Awaited).to_string()),
             ("waited_ms", answered.queue_time.as_millis().to_string()),
             ("took_ms", answered.response_time.as_millis().to_string()),
@@ -55,22 +55,30 @@
         self.log_lost(instance, word, &before);
     }
 
-    /// Logs what an answer took out of what an engine was believed to hold. Announcements take nothing out of a state that
-    /// is known; they come by the thousand a second.
-    fn log_lost(&mut self, instance: &InstanceId, word: Word, before: &BTreeSet<belief::Held>) {
+    /// Logs what a response removed from the recorded state of an engine. Announcements are not
+    /// logged: they remove nothing from a known state, and there are thousands a second.
+    fn log_lost(
+        &mut self,
+        instance: &InstanceId,
+        word: Word,
+        before: &BTreeSet<observed_state::Held>,
+    ) {
         let Some(engine) = self.engines.engines.get(instance) else {
             return;
         };
         let revision = engine.revision;
-        let lost: BTreeSet<_> = before.difference(&belief::held(engine)).cloned().collect();
+        let lost: BTreeSet<_> = before
+            .difference(&observed_state::held(engine))
+            .cloned()
+            .collect();
         if lost.is_empty() {
             return;
         }
         let pairs = vec![
             ("instance", instance.0.clone()),
-            ("lost", belief::list(&lost)),
+            ("lost", observed_state::list(&lost)),
             ("by", word.to_string()),
-            ("revision", belief::or_none(revision)),
+            ("revision", observed_state::or_none(revision)),
         ];
         self.event("engine-lost", pairs);
     }
--- a/crates/millpass-fleet/src/engines/announcements.rs
+++ b/crates/millpass-fleet/src/engines/announcements.rs
@@ -1,17 +1,18 @@
-//! What an engine announces of itself, and what of that is believed.
+//! Handling of engine announcements.
 
 use super::{Engine, REPORT_LAG, adapters, all_within, is_among, lists, take_copies};
 use millpass_proto::{
     AdapterName, Duration, HeldModel, InstructionOperation, ModelName, Timestamp,
 };
 
-/// How late an announcement may be on an ordinary day. One that differs in adapters from what is known, for longer than
-/// that after the last of them changed, makes the state be read.
+/// Expected maximum delay of an announcement. If adapters differ from the recorded ones for longer,
+/// the state is read.
 const ANNOUNCEMENT_LATENESS: Duration = Duration::from_millis(2_500);
 
 impl Engine {
-    /// Takes what the engine announced. It may be seconds old: while the state is known, it takes away nothing but copies of
-    /// weights, and where it differs from what is known, the state is read.
+    /// Applies an announcement, which may be seconds old. While the state is known, an announcement
+    /// removes only weight copies; a difference in models or adapters makes the leader read the
+    /// state.
     pub(crate) fn announced(
         &mut self,
         now: Timestamp,
@@ -26,7 +27,7 @@
         self.silent_reads = 0;
         self.forget_late_loads(now);
         if self.revision.is_none() {
-            // For gateways alone: nothing is ordered before the state is read.
+            // Used for gateway updates only: no order is sent before the state is read.
             self.held = held.to_vec();
             self.in_memory = in_memory.to_vec();
             self.on_disk = on_disk.to_vec();
@@ -43,7 +44,8 @@
         self.compare_adapters(now, held);
     }
 
-    /// Whether these models are those known, but for what is under way.
+    /// Returns whether the announced models match the recorded ones, except for the pending
+    /// instruction.
     fn explains(&self, held: &[HeldModel]) -> bool {
         let changing = self
             .pending
@@ -53,7 +55,7 @@
         all_within(changing, held, &self.held) && all_within(changing, &self.held, held)
     }
 
-    /// Adapters on their way that have come.
+    /// Moves announced adapters from loading to held.
     fn take_additions(&mut self, announced: &[HeldModel]) {
         let (come, coming): (Vec<_>, Vec<_>) = std::mem::take(&mut self.coming)
             .into_iter()
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The end of a load shows in what the engine announces; that of an unload is to be read.
+    /// Completes a pending load that is announced as done. The end of an unload must be confirmed.
     fn look_for_ends(&mut self, now: Timestamp, announced: &[HeldModel]) {
         let Some(pending) = &self.pending else {
             return;
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether an adapter is on its way to the engine.
+    /// Returns whether the adapter is being loaded.
     pub(crate) fn brings_adapter(&self, model: &ModelName, adapter: &AdapterName) -> bool {
         let pending = self.pending.as_ref();
         let pending = pending.is_some_and(|pending| {
@@ -116,7 +118,7 @@
         pending || is_among(&self.coming, model, adapter)
     }
 
-    /// Whether an adapter is being unloaded.
+    /// Returns whether the adapter is being unloaded.
     pub(super) fn sends_away(&self, model: &ModelName, adapter: &AdapterName) -> bool {
         let pending = self.pending.as_ref();
         let pending = pending.is_some_and(|pending| {
--- a/crates/millpass-fleet/src/engines/calls.rs
+++ b/crates/millpass-fleet/src/engines/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to an engine, one at a time, and what their answers change.
+//! Calls to an engine, one at a time, and the handling of their responses.
 
 use super::{CALL_LIMIT, Engine, REPORT_LAG, Reading, adapters, lists};
 use crate::pending::Pending;
@@ -6,34 +6,32 @@
     CallId, Duration, EngineState, InstructionOperation, InstructionResult, ModelName, Timestamp,
 };
 
-/// Time added to the expected end of an instruction before the engine's state is read.
+/// Time beyond the expected end of an instruction after which the engine's state is read.
 const OVERDUE_MARGIN: Duration = Duration::from_millis(700);
-/// Pause before the state of an engine that did not answer is read.
+/// Delay before the state is read again after an unanswered read.
 const READ_PAUSE: Duration = Duration::from_millis(400);
-/// Longest such pause: it doubles with each read that is not answered. Engines out of reach then take a quarter of the
-/// calls that they would.
+/// Upper bound of the delay, which doubles with each unanswered read.
 const LONGEST_READ_PAUSE: Duration = Duration::from_millis(1_600);
-/// How old a reported state may be at the very most ("some hundred milliseconds", docs/PLATFORM.md). A report of
-/// fewer orders than the engine has accepted, in answer to a read sent later than that after the last of them, is newer
-/// all the same: an acceptance that counted for nothing would else keep the engine from use for good.
+/// Maximum age of a reported state. A lower revision reported in response to a read sent later than
+/// this after the last accepted order is taken as current; otherwise an acceptance that the engine
+/// did not count would block it forever.
 const LONGEST_REPORT_LAG: Duration = Duration::from_millis(2_000);
-/// Pause between two reads of a state that is awaited: the engine has said that it is done.
+/// Interval between reads while the completion of an order is expected.
 const CHANGE_PAUSE: Duration = Duration::from_millis(100);
-/// Time from the acceptance of an adapter's instruction to its end.
+/// Time from acceptance to completion of an adapter instruction.
 const ADAPTER_SETTLING: Duration = Duration::from_millis(15);
 
-/// Whether an answer was awaited.
+/// Whether a response belongs to the pending call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Heard {
-    /// It was the answer to the call under way.
     Awaited,
-    /// No such call is under way: the state is read before the next order.
+    /// No such call is pending: the state must be read before the next order.
     NotAwaited,
 }
 
 impl Engine {
-    /// Takes the answer to a call. One to none that is awaited changes nothing but that the state is read: it may be of an
-    /// order that was given up, and carried out all the same.
+    /// Applies the response to a call. A response to a call that is not pending may belong to an
+    /// abandoned order that the engine carried out, so it only invalidates the recorded state.
     pub(crate) fn answered(
         &mut self,
         now: Timestamp,
@@ -58,14 +56,15 @@
         Heard::NotAwaited
     }
 
-    /// Whether this call, an order, is under way and not answered.
+    /// Returns whether this order is pending and has no response yet.
     pub(crate) fn awaits_order(&self, call: CallId) -> bool {
         let pending = self.pending.as_ref();
         let ordered = pending.is_some_and(|pending| pending.call == call && !pending.accepted);
         ordered || self.confirming == Some(call)
     }
 
-    /// The model whose unload, taken and by an announcement done, is to be ordered once more to be sure of it.
+    /// Returns the model whose accepted unload is announced as done and must be confirmed by
+    /// repeating the order.
     pub(crate) fn to_confirm(&self) -> Option<&ModelName> {
         let pending = self.pending.as_ref()?;
         let is_unload =
@@ -75,7 +74,7 @@
         (due && self.revision.is_some()).then_some(&pending.model)
     }
 
-    /// Notes that the unload under way is ordered once more.
+    /// Records that the pending unload is being repeated.
     pub(crate) fn confirms(&mut self, now: Timestamp, call: CallId) {
         self.confirming = Some(call);
         self.read_after = now + CALL_LIMIT;
@@ -84,11 +83,12 @@
         }
     }
 
-    /// Takes the answer to an unload that was ordered once more.
+    /// Applies the response to a repeated unload.
     fn confirmed(&mut self, now: Timestamp, answer: &InstructionResult) {
         match answer {
             InstructionResult::AlreadySo => {
-                // What is done already is no order taken. If the engine counts it, it refuses the next one.
+                // The repeated order does not count as accepted. If the engine counts it, it
+                // refuses the next order.
                 let Some(pending) = self.pending.take() else {
                     return;
                 };
@@ -96,7 +96,7 @@
                 self.forget_moving(&pending.model);
             }
             InstructionResult::Accepted => {
-                // The model was there all the same, and goes by this order.
+                // The model was still loaded and is unloaded by the repeated order.
                 if let Some(pending) = &mut self.pending {
                     pending.expected_revision += 1;
                 }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether this call is under way.
+    /// Returns whether this call is pending.
     pub(crate) fn awaits(&self, call: CallId) -> bool {
         let reading = self.reading.is_some_and(|reading| reading.call == call);
         reading || self.awaits_order(call)
@@ -140,13 +140,13 @@
             InstructionResult::Accepted => self.accepted(now),
             InstructionResult::AlreadySo => self.already_so(now),
             InstructionResult::NotSent => {
-                // Nothing has left: what is known holds.
+                // The order was not sent: the recorded state remains valid.
                 self.pending = None;
                 self.reserved = None;
             }
             InstructionResult::Conflict | InstructionResult::Refused(_) => self.give_up(now),
             _ => {
-                // It may have been taken, or be taken later.
+                // The order may have been accepted, or may be accepted later.
                 self.note_lost(now);
                 self.give_up(now);
                 self.read_after = now + READ_PAUSE;
@@ -166,8 +166,8 @@
         self.doubt(now);
     }
 
-    /// Takes the engine's state as read. A report lags: one of fewer orders than the engine has
-    /// surely taken is read again.
+    /// Applies a state read from the engine. Reports lag behind: one with a lower revision than
+    /// already confirmed is read again.
     fn read(&mut self, now: Timestamp, asked_at: Timestamp, state: &EngineState) {
         self.unreachable = false;
         self.silent_reads = 0;
@@ -196,7 +196,7 @@
                     READ_PAUSE
                 };
         } else {
-            // An order of somebody else, or a late one: look again.
+            // The engine carries out an unknown or late order: read again.
             self.pending = None;
             self.busy_elsewhere_at = Some(now);
             self.revision = None;
@@ -218,7 +218,7 @@
         self.differs_since = None;
     }
 
-    /// Notes an instruction that is being sent.
+    /// Records an instruction that is being sent.
     pub(crate) fn sent(&mut self, now: Timestamp, pending: Pending) {
         if pending.operation == InstructionOperation::Load && pending.adapter.is_none() {
             self.loaded_at.insert(pending.model.clone(), now);
@@ -228,10 +228,10 @@
         self.pending = Some(pending);
     }
 
-    /// The instruction was taken: the engine has taken one more order than it names. One for an adapter ends
-    /// shortly, and the engine does not say when.
+    /// Records the acceptance of the pending instruction, which increments the engine's revision.
+    /// Adapter instructions complete shortly afterwards without notification.
     fn accepted(&mut self, now: Timestamp) {
-        // Reports of the time before would show an older state.
+        // Earlier reports would show the state before the instruction.
         self.read_after = self.read_after.max(now + REPORT_LAG);
         let Some(pending) = &mut self.pending else {
             return;
@@ -247,8 +247,9 @@
         self.counted(now, revision);
     }
 
-    /// Ends an adapter's instruction whose time has come: one that was loaded serves, one that was unloaded keeps its
-    /// place until a report shows it gone. True if something changed.
+    /// Completes an adapter instruction whose expected time has elapsed. A loaded adapter is
+    /// served; an unloaded one keeps its slot until a report shows it gone. Returns whether
+    /// anything changed.
     pub(crate) fn adapter_settled(&mut self, now: Timestamp) -> bool {
         let settled = self.pending.take_if(|pending| {
             pending.accepted && pending.adapter.is_some() && now >= pending.done_at
@@ -270,9 +271,8 @@
         true
     }
 
-    /// The engine did it at once, or it held already: whether that counts as an order taken is to be read. A count that is
-    /// believed too high would let an order that is late pass at a state that nobody has seen: one of 8,000 seeded runs had
-    /// an engine ordered over its room so, as an adapter had left by itself before its unload came.
+    /// Handles an order that was already fulfilled. Whether the engine counted it must be read: a
+    /// recorded revision that is too high would let a late order pass at an unknown state.
     fn already_so(&mut self, now: Timestamp) {
         let done = self.pending.take();
         self.doubt(now);
@@ -292,7 +292,7 @@
         }
     }
 
-    /// The engine has surely taken so many orders, the last of them now.
+    /// Records the lowest revision that the engine can have, as of now.
     fn counted(&mut self, now: Timestamp, revision: u64) {
         self.accepted_at = now;
         self.least_revision = self.least_revision.max(revision);
@@ -301,7 +301,7 @@
         }
     }
 
-    /// What the engine did or will do is not known: read its state before the next instruction.
+    /// Invalidates the recorded state, which must be read before the next instruction.
     pub(crate) fn doubt(&mut self, now: Timestamp) {
         self.revision = None;
         self.reading = None;
@@ -310,7 +310,7 @@
         self.read_after = now + REPORT_LAG;
     }
 
-    /// Whether the engine's state is to be read now.
+    /// Returns whether the engine's state should be read now.
     pub(crate) fn read_due(&self, now: Timestamp) -> bool {
         let lost = |at: Timestamp| now.since(at) > CALL_LIMIT;
         if self.reading.is_some_and(|reading| !lost(reading.since)) || now < self.read_after {
@@ -326,14 +326,14 @@
         overdue || self.says_done || self.revision.is_none()
     }
 
-    /// Notes that the state is being read.
+    /// Records that the state is being read.
     pub(crate) fn reads(&mut self, now: Timestamp, call: CallId) {
         if self
             .pending
             .as_ref()
             .is_some_and(|pending| !pending.accepted)
         {
-            // Its answer was lost in this process.
+            // The response was lost within this process.
             self.note_lost(now);
             self.give_up(now);
         }
--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -1,15 +1,16 @@
-//! Engines as the leader steers them: one call at a time for each, and what each holds, as far as that is proven.
+//! Engines as instructed by the leader: one call at a time each, and the recorded state of each.
 //!
-//! An engine carries out an order only at the count of orders that the order names. So what is believed to fill its memory
-//! and its places may never be less than what the engine holds at that count. Anything may add to it. Only these take away:
-//! a report of the engine's state that covers all orders which it has surely taken, in answer to the read that is awaited;
-//! and the engine's word that an unload, the order that is awaited, is done already. Announcements carry no count and may
-//! be seconds old: one that differs makes the state be read.
+//! An engine carries out an order only at the revision (count of accepted orders) that the order
+//! names. The recorded use of memory and adapter slots must therefore never be below the actual use
+//! at that revision. Any source may add to it. Only two may subtract: a state report that covers
+//! all orders known to be accepted, in response to the pending read; and the response that the
+//! pending unload is already done. Announcements carry no revision and may be seconds old: a
+//! difference triggers a read.
 
 mod announcements;
 mod calls;
 
-use crate::belief::Word;
+use crate::observed_state::Word;
 use crate::pending::Pending;
 pub(crate) use calls::Heard;
 use millpass_proto::{
@@ -18,24 +19,23 @@
 };
 use std::collections::BTreeMap;
 
-/// How old a state may be that an engine reports.
+/// Expected maximum age of a reported state.
 const REPORT_LAG: Duration = Duration::from_millis(250);
-/// Time without an answer after which a call counts as lost inside this process: above the time that it may wait to leave
-/// and then to be answered.
+/// Time after which an unanswered call counts as lost within this process. Exceeds the longest
+/// queueing time plus the request timeout.
 const CALL_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// Time after which a load that was not answered is not carried out any more: engines do so some seconds later at most
-/// (docs/PLATFORM.md).
+/// Time after which an unanswered load can no longer be carried out: engines delay orders by at
+/// most a few seconds.
 const LATE_LOAD_LIMIT: Duration = Duration::from_secs(15);
 
-/// A read of the state under way.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     call: CallId,
     since: Timestamp,
 }
 
-/// A load that may be carried out late.
+/// An unanswered load that the engine may still carry out.
 #[derive(Clone, Debug)]
 pub(crate) struct LostLoad {
     pub(crate) model: ModelName,
@@ -44,7 +44,7 @@
 }
 
 impl LostLoad {
-    /// A load that was not answered by now.
+    /// Creates a load that is unanswered as of `now`.
     pub(crate) fn new(now: Timestamp, model: &ModelName, adapter: Option<&AdapterName>) -> Self {
         LostLoad {
             model: model.clone(),
@@ -54,59 +54,57 @@
     }
 }
 
-/// One engine.
 #[derive(Default)]
 pub(crate) struct Engine {
-    /// Orders it has taken; none while unknown.
+    /// Number of accepted orders; none if unknown.
     pub(crate) revision: Option<u64>,
-    /// Orders it has surely taken: a report of fewer is older than the last of them.
+    /// Number of orders known to be accepted: a report of fewer is stale.
     least_revision: u64,
-    /// When it accepted the last of them.
+    /// When the last of them was accepted.
     accepted_at: Timestamp,
     pub(crate) pending: Option<Pending>,
     pub(crate) held: Vec<HeldModel>,
     pub(crate) in_memory: Vec<ModelName>,
     pub(crate) on_disk: Vec<ModelName>,
-    /// Adapters on their way; no announcement lists them.
+    /// Adapters being loaded; announcements do not list them.
     coming: Vec<(ModelName, AdapterName)>,
-    /// Adapters among those held whose unload was accepted: they go once their runs are done.
+    /// Held adapters with an accepted unload: removed once their requests have completed.
     leaving: Vec<(ModelName, AdapterName)>,
-    /// Loads that were not answered, and when that was noticed.
+    /// Unanswered loads of this incarnation.
     lost: Vec<LostLoad>,
-    /// Those of an earlier run of the same instance: they may be carried out by this one, at whatever count it has then.
+    /// Unanswered loads of earlier incarnations, which this one may carry out at any revision.
     may_come: Vec<LostLoad>,
-    /// When adapters last came, or began to leave.
+    /// When the set of held adapters last changed.
     adapters_changed_at: Timestamp,
-    /// Since when announcements differ from what is known in adapters.
+    /// Start of the period in which announced adapters differ from the recorded ones.
     differs_since: Option<Timestamp>,
-    /// An announcement says that the unload under way is done.
+    /// An announcement shows that the pending unload is done.
     says_done: bool,
-    /// The same unload again, as a question: an engine answers one that is done with 200, at the count that it names, and
-    /// a report would show it a few hundred milliseconds later.
+    /// Repetition of the pending unload, which confirms it faster than a state report: the engine
+    /// responds that it is already done, at the revision named.
     confirming: Option<CallId>,
-    /// When it was last read to be busy with an order that is not known here.
+    /// When a read last showed the engine busy with an unknown order.
     busy_elsewhere_at: Option<Timestamp>,
-    /// Its state could not be read: it serves nothing until it is heard of again.
+    /// Its state could not be read: serves no requests until its next announcement.
     pub(crate) unreachable: bool,
-    /// Model to load once what is under way makes room.
+    /// Model to load once the pending unload has freed memory.
     pub(crate) reserved: Option<ModelName>,
     pub(crate) reserved_at: Timestamp,
     loaded_at: BTreeMap<ModelName, Timestamp>,
     reading: Option<Reading>,
     read_after: Timestamp,
-    /// Reads that were not answered since it was last heard of.
+    /// Unanswered reads since the last announcement or response.
     silent_reads: u32,
-    /// Word that last set what it is believed to hold, and when that came.
+    /// Source of the recorded state, and when it arrived.
     basis: Option<(Word, Timestamp)>,
 }
 
 impl Engine {
-    /// The word that what it is believed to hold rests on, and when that came; none before its state was first read.
+    /// Returns the source of the recorded state and when it arrived; none before the first read.
     pub(crate) fn basis(&self) -> Option<(Word, Timestamp)> {
         self.basis
     }
 
-    /// Notes the word that set what it is believed to hold.
     pub(crate) fn rests_on(&mut self, now: Timestamp, word: Word) {
         self.basis = Some((word, now));
     }
@@ -126,21 +124,21 @@
         }
     }
 
-    /// Adapters of a model that is gone are neither on their way nor leaving.
+    /// Discards adapter transitions of a model that is gone.
     fn forget_moving(&mut self, model: &ModelName) {
         self.coming.retain(|(of, _)| of != model);
         self.leaving.retain(|(of, _)| of != model);
     }
 
-    /// The load from the weight store that it carries out, as far as it is known to have begun.
+    /// Returns the load from the weight store that the engine has accepted.
     pub(crate) fn store_load(&self) -> Option<&Pending> {
         self.pending
             .as_ref()
             .filter(|pending| pending.from_store && pending.accepted)
     }
 
-    /// Whether it may carry out a load from the weight store: one that was sent, is about to follow
-    /// the room made for it, or is of an earlier leader.
+    /// Returns whether it may be loading from the weight store: by a sent instruction, a
+    /// reservation or an order of an earlier leader.
     pub(crate) fn may_load_from_store(&self, now: Timestamp) -> bool {
         let sent = self.pending.as_ref().is_some_and(|it| it.from_store);
         let follows = self.reserved.as_ref();
@@ -148,7 +146,7 @@
         sent || follows || self.is_busy_elsewhere(now)
     }
 
-    /// Whether it carries out an order that is not known here.
+    /// Returns whether it is carrying out an unknown order.
     pub(crate) fn is_busy_elsewhere(&self, now: Timestamp) -> bool {
         self.busy_elsewhere_at
             .is_some_and(|at| now.since(at) < CALL_LIMIT)
@@ -160,7 +158,7 @@
         })
     }
 
-    /// What it serves new requests with: all that it holds, but for what is on its way out.
+    /// Returns what it serves to new requests: everything held that is not being unloaded.
     pub(crate) fn serving(&self) -> Vec<HeldModel> {
         let mut serving = self.held.clone();
         serving.retain(|held| !self.unloading(&held.model));
@@ -170,7 +168,7 @@
         serving
     }
 
-    /// Where a model's weights would come from.
+    /// Returns where the model's weights would be loaded from.
     pub(crate) fn source_of(&self, model: &ModelName) -> WeightsSource {
         if self.in_memory.contains(model) {
             WeightsSource::Memory
@@ -181,21 +179,21 @@
         }
     }
 
-    /// Places that adapters take, over all models: those loaded, on their way, not proven to have left, and those that
-    /// may come.
+    /// Returns the adapter slots in use over all models, including adapters that are loading, not
+    /// confirmed as unloaded, or may still be loaded by a late order.
     pub(crate) fn adapter_count(&self) -> usize {
         let held: usize = self.held.iter().map(|held| held.adapters.len()).sum();
         let may_come = self.may_come.iter().filter(|lost| lost.adapter.is_some());
         held + self.coming.len() + may_come.count()
     }
 
-    /// Loads of an earlier run that this one may carry out.
+    /// Returns unanswered loads of earlier incarnations that this one may carry out.
     pub(crate) fn may_come(&self) -> &[LostLoad] {
         &self.may_come
     }
 
-    /// Loads that a later run of the instance may carry out: an engine checks the count of orders and its name, not which
-    /// run was meant.
+    /// Returns loads that a later incarnation may carry out: an engine checks the revision and its
+    /// name, but not the incarnation an order was meant for.
     pub(crate) fn left_to_later_runs(&self, now: Timestamp) -> Vec<LostLoad> {
         let lately = |lost: &&LostLoad| now.since(lost.at) < LATE_LOAD_LIMIT;
         let lost = self
@@ -209,7 +207,7 @@
             .collect()
     }
 
-    /// Takes over what earlier runs leave.
+    /// Adds unanswered loads of earlier incarnations.
     pub(crate) fn follows(&mut self, left: Vec<LostLoad>) {
         self.may_come.extend(left);
     }
@@ -220,17 +218,17 @@
         self.may_come.retain(lately);
     }
 
-    /// Whether an adapter is on its way out.
+    /// Returns whether the unload of the adapter has been accepted.
     pub(crate) fn is_leaving(&self, model: &ModelName, adapter: &AdapterName) -> bool {
         is_among(&self.leaving, model, adapter)
     }
 
-    /// Adapters on their way.
+    /// Returns the adapters being loaded.
     pub(crate) fn coming(&self) -> &[(ModelName, AdapterName)] {
         &self.coming
     }
 
-    /// Whether nothing is under way at it, and nothing may come late.
+    /// Returns whether nothing is pending and nothing may be carried out late.
     fn is_at_rest(&self) -> bool {
         let under_way = self.pending.is_some()
             || self.reading.is_some()
@@ -241,12 +239,12 @@
         !(under_way || may_come || moves)
     }
 
-    /// Whether an instruction may be given now.
+    /// Returns whether an instruction may be sent now.
     pub(crate) fn is_free(&self) -> bool {
         self.pending.is_none() && self.reading.is_none() && self.revision.is_some()
     }
 
-    /// Models whose load is under way or about to begin.
+    /// Returns models being loaded or about to be.
     pub(crate) fn brought(&self) -> impl Iterator<Item = &ModelName> {
         let load = InstructionOperation::Load;
         let pending = self.pending.as_ref();
@@ -255,8 +253,8 @@
         loading.into_iter().chain(&self.reserved)
     }
 
-    /// Time until a model that is being brought, whose load takes `load`, is there. What is overdue is
-    /// expected to take as long again.
+    /// Returns the time until an incoming model with load time `load` is ready. Overdue
+    /// instructions are expected to take as long again as they are overdue.
     pub(crate) fn ready_in(&self, now: Timestamp, model: &ModelName, load: Duration) -> Duration {
         let Some(pending) = &self.pending else {
             return load;
@@ -272,7 +270,6 @@
         left + load
     }
 
-    /// Whether the model is on its way out.
     pub(crate) fn unloading(&self, model: &ModelName) -> bool {
         self.pending.as_ref().is_some_and(|pending| {
             pending.operation == InstructionOperation::Unload
@@ -281,7 +278,7 @@
         })
     }
 
-    /// Whether the model came in less than `age` ago.
+    /// Returns whether a load of the model was sent less than `age` ago.
     pub(crate) fn is_fresh(&self, now: Timestamp, model: &ModelName, age: Duration) -> bool {
         self.loaded_at
             .get(model)
@@ -289,8 +286,9 @@
     }
 }
 
-/// Takes announced copies of weights: one that is there no more, and those that loads have left, of models that the engine
-/// holds. A copy that an older word names would count for a load that the weight store counts as well.
+/// Applies announced weight copies: removes copies that are gone and adds those of held models.
+/// Other copies may be stale, and their loads would be counted as loads from the weight store as
+/// well.
 fn take_copies(
     known: &mut Vec<ModelName>,
     announced: &[ModelName],
@@ -305,7 +303,6 @@
     known.extend(new);
 }
 
-/// Adapters of these models.
 fn adapters(held: &[HeldModel]) -> impl Iterator<Item = (&ModelName, &AdapterName)> {
     held.iter().flat_map(|held| {
         let adapters = held.adapters.iter();
@@ -313,7 +310,6 @@
     })
 }
 
-/// Whether an adapter is listed among these models.
 fn lists(held: &[HeldModel], model: &ModelName, adapter: &AdapterName) -> bool {
     let mut held = held.iter();
     held.any(|held| held.model == *model && held.adapters.contains(adapter))
@@ -323,7 +319,7 @@
     list.iter().any(|(of, name)| of == model && name == adapter)
 }
 
-/// Whether all models of `held`, but for one, are among `others`.
+/// Returns whether all models of `held`, except one, are among `others`.
 fn all_within(but: Option<&ModelName>, held: &[HeldModel], others: &[HeldModel]) -> bool {
     held.iter()
         .map(|held| &held.model)
@@ -331,14 +327,15 @@
         .all(|model| others.iter().any(|other| other.model == *model))
 }
 
-/// Engines by run.
+/// Engines by incarnation.
 #[derive(Default)]
 pub(crate) struct Engines {
     pub(crate) engines: BTreeMap<InstanceId, Engine>,
 }
 
 impl Engines {
-    /// Whether nothing is under way at an engine, and nothing may come late. What is no engine, is.
+    /// Returns whether nothing is pending at an engine and nothing may be carried out late. True
+    /// for instances that are not engines.
     pub(crate) fn is_at_rest(&self, instance: &InstanceId) -> bool {
         self.engines.get(instance).is_none_or(Engine::is_at_rest)
     }
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -1,23 +1,24 @@
-//! The core itself: takes what instances, gateways and engines say, and gives what to do.
+//! Decision core: handles messages of instances, gateways and engines and returns the actions to
+//! take.
 
-use crate::belief::{self, Word};
+use crate::contact_clock::HearingClock;
 use crate::crashes::Crashes;
 use crate::demand::Demand;
 use crate::documents::ChangeCache;
 use crate::engines::Engines;
 use crate::gateways::Gateways;
-use crate::handover::InstructionHistory;
-use crate::hearing::HearingClock;
+use crate::instruction_history::InstructionHistory;
 use crate::interface::{FleetEvent, FleetOutput, FleetSettings};
+use crate::local_share::Share;
+use crate::observed_state::{self, Word};
 use crate::pending::Pending;
 use crate::permits::StorePermits;
 use crate::planner::{self, Step, View};
 use crate::registry::Registry;
 use crate::rollout::{LAG, Rollout};
-use crate::share::Share;
 use crate::shares::{Holder, Shares};
 use crate::standby::Standby;
-use crate::store::{PendingLoad, StoreCapacity};
+use crate::store_capacity::{PendingLoad, StoreCapacity};
 use crate::traffic::Traffic;
 use crate::updates::GatewayContext;
 use millpass_limits::PermitLedger;
@@ -28,29 +29,28 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between two looks for work when nothing happens.
+/// Interval between planning rounds when nothing changes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest time between two notes of instances in the log.
+/// Minimum interval between records of instances in the log.
 const NOTE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Shortest time between two looks.
 const MINIMUM_PLAN_INTERVAL: Duration = Duration::from_millis(8);
-/// The same for each engine: a look takes time in proportion to them.
+/// Minimum planning interval per engine, because the cost of a round grows with their number.
 const PLAN_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(100);
 
-/// The leader's view of instances and gateways.
+/// Decision core of the leader for instances, engines and gateways.
 pub struct Fleet {
     pub(crate) settings: FleetSettings,
-    /// Active instances.
     pub(crate) registry: Registry,
     pub(crate) standby: Standby,
-    /// Since when active instances are needed by nobody.
+    /// Active instances without demand, and since when.
     pub(crate) idle_since: BTreeMap<InstanceId, Timestamp>,
     pub(crate) next_activation: Timestamp,
-    /// Grows when instances become active or stand by, or an active one announces itself at another member.
+    /// Increases when an instance becomes active or standby, or an active one moves to another
+    /// member.
     pub(crate) active_revision: u64,
     /// Instances that announce themselves at this member.
     pub(crate) share: Share,
-    /// Those that do at the others.
+    /// Instances that announce themselves at other members.
     pub(crate) shares: Shares,
     pub(crate) gateways: Gateways,
     pub(crate) rollout: Rollout,
@@ -63,39 +63,39 @@
     store: StoreCapacity,
     /// Instructions of earlier leaders.
     history: InstructionHistory,
-    /// When this member took charge.
+    /// When this member became leader.
     in_charge_since: Option<Timestamp>,
-    /// For how long this member could hear instances since then.
+    /// Time for which this member could receive announcements since then.
     pub(crate) hearing: HearingClock,
-    /// It did so for long enough to know every instance.
+    /// That time is long enough to have received every instance.
     pub(crate) complete: bool,
-    /// By how much longer than usual planning and updates wait, as this member has little processor.
+    /// Factor by which planning and update intervals are extended when this member lacks CPU time.
     pub(crate) pace: u32,
     pub(crate) term: u64,
     pub(crate) outlook: Vec<ModelReadyEstimate>,
     pub(crate) outlook_revision: u64,
-    /// When each entry of the outlook was told to be ready, and a revision that grows when those times move.
+    /// Ready times as published to gateways, and a revision that increases when they move.
     pub(crate) told_times: Vec<Timestamp>,
     pub(crate) times_revision: u64,
-    /// Loads last told, and a revision that grows when they change.
+    /// Loads as published to gateways, and a revision that increases when they change.
     pub(crate) told_loads: Vec<InstanceLoad>,
     pub(crate) loads_revision: u64,
     pub(crate) changes: ChangeCache,
-    /// Models that wait for an engine or the weight store.
+    /// Models waiting for an engine or for the weight store.
     waiting: BTreeSet<(ServiceName, ModelName)>,
     pub(crate) dirty: bool,
     next_plan: Timestamp,
     last_plan: Timestamp,
-    /// Registry revision that was noted in the log, and when.
+    /// Registry revision last recorded in the log, and when.
     noted: u64,
     noted_at: Timestamp,
-    /// Calls made to engines since this process began.
+    /// Calls to engines since this process started.
     calls: u64,
     pub(crate) out: Vec<FleetOutput>,
 }
 
 impl Fleet {
-    /// Starts without any belief.
+    /// Creates a core without any recorded state.
     pub fn new(settings: FleetSettings) -> Self {
         Fleet {
             history: InstructionHistory::new(Timestamp::ZERO, settings.order_handover),
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Drops every belief: another member leads, or this one begins to. Calls are numbered on: an answer to one of
-    /// before is none to a later one. What this member itself heard of instances stays.
+    /// Drops all leader state, keeping the instances announced at this member. Call ids continue,
+    /// so that a late response never matches a later call.
     pub fn reset(&mut self) {
         let calls = self.calls;
         let share = std::mem::take(&mut self.share);
@@ -154,14 +154,14 @@
         CallId(self.calls)
     }
 
-    /// Connections of gateways.
+    /// Returns the connections of gateways.
     pub fn connections(&self) -> Vec<u64> {
         self.gateways.sessions.keys().copied().collect()
     }
 
-    /// Begins, the first time it is called since this member took charge: with `records`, as a leader
-    /// before it noted them, the requests that are held back, and the instructions of those leaders. Records count
-    /// as heard now.
+    /// Starts leading on the first call since the last [`Fleet::reset`], with the instance records,
+    /// quarantined requests and instructions that earlier leaders recorded in the log. The records
+    /// count as received now.
     pub fn start_leading(
         &mut self,
         now: Timestamp,
@@ -177,7 +177,7 @@
         self.history = history.clone();
         self.restore_held(now, held);
         for mut record in records {
-            // Any word of the instance itself is newer.
+            // Any announcement of the instance is newer.
             record.sequence = 0;
             self.shares.noted(self.hearing.now(), &record.instance);
             self.take_active(now, record);
@@ -187,7 +187,7 @@
         self.take_charge(now);
     }
 
-    /// Takes charge of what this member itself has heard.
+    /// Becomes leader with the instances announced at this member.
     fn take_charge(&mut self, now: Timestamp) {
         self.in_charge_since = Some(now);
         let heard: Vec<InstanceRecord> = self.share.records().cloned().collect();
@@ -196,12 +196,12 @@
         }
     }
 
-    /// Whether this member was in charge since the beliefs were last dropped.
+    /// Returns whether this member has started leading since the last [`Fleet::reset`].
     pub fn has_started_leading(&self) -> bool {
         self.in_charge_since.is_some()
     }
 
-    /// What is to be noted now, if anything.
+    /// Records changed instances in the log, if due.
     fn note(&mut self, now: Timestamp) {
         let revision = self.registry.revision();
         if revision == self.noted || now.since(self.noted_at) < NOTE_INTERVAL {
@@ -216,12 +216,12 @@
         self.out.push(FleetOutput::RecordInstances(note));
     }
 
-    /// A departure was committed at this index of the log; its way to gateways is followed.
+    /// Records the log index of a committed departure, to track its propagation to gateways.
     pub fn record_departure_commit(&mut self, now: Timestamp, index: u64) {
         self.rollout.departed(now, index);
     }
 
-    /// Takes a gateway's report; it is answered by the next [`Fleet::run`].
+    /// Applies a gateway's report; the next [`Fleet::run`] returns the response.
     pub fn handle_report(&mut self, now: Timestamp, connection: u64, report: &GatewayReport) {
         if self.gateways.is_outlived(connection, &report.gateway) {
             let pairs = vec![
@@ -260,8 +260,8 @@
         }
     }
 
-    /// Updates begin to wait at a gateway's connection, as its socket does not take them, or none waits any more.
-    /// Until then nothing more is sent.
+    /// Records whether updates are queued at a gateway's connection because its socket does not
+    /// accept them. While they are, no further updates are sent.
     pub fn set_backlogged(&mut self, now: Timestamp, connection: u64, waits: bool) {
         let Some((gateway, behind)) = self.gateways.backlog(now, connection, waits) else {
             return;
@@ -273,7 +273,7 @@
         }
     }
 
-    /// A gateway's connection ended.
+    /// Removes the session of a closed gateway connection.
     pub fn handle_disconnect(&mut self, now: Timestamp, connection: u64) {
         let Some(session) = self.gateways.disconnected(connection) else {
             return;
@@ -284,19 +284,20 @@
         self.event("gateway-lost", vec![("gateway", session.name)]);
     }
 
-    /// Announcements were refused here, as too many waited: the silence of instances says nothing meanwhile.
+    /// Records that announcements were refused here due to overload, so that missing announcements
+    /// do not count as expired.
     pub fn record_refused_announcements(&mut self, now: Timestamp) {
         self.share.refused(now);
         self.hearing.refused(now);
     }
 
-    /// This member has so much less processor than it needs: planning and updates come so much less often. 1 for
-    /// enough.
+    /// Sets the factor by which planning and update intervals are extended; 1 for normal operation.
     pub fn set_slowdown(&mut self, pace: u32) {
         self.pace = pace.max(1);
     }
 
-    /// Does what is due; called only while this member is in charge. `context` is asked when a gateway connects.
+    /// Performs all due work; called only while this member is leading. `context` is queried when a
+    /// gateway connects.
     pub fn run(
         &mut self,
         now: Timestamp,
@@ -335,7 +336,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Learns how many loads at once the weight store serves well.
+    /// Updates the estimate of how many loads the weight store serves at once.
     fn observe_store(&mut self, now: Timestamp) {
         let engines = &self.engines.engines;
         let loads = engines.iter().filter_map(|(instance, engine)| {
@@ -370,7 +371,7 @@
         MINIMUM_PLAN_INTERVAL.max(interval) * self.pace
     }
 
-    /// Tells gateways of adapters whose instruction has had its time.
+    /// Completes adapter instructions whose expected time has elapsed.
     fn settle_adapters(&mut self, now: Timestamp) {
         for (instance, engine) in &mut self.engines.engines {
             if engine.adapter_settled(now) {
@@ -416,7 +417,7 @@
         self.refresh_outlook(now, document, awaited);
     }
 
-    /// Logs which models have begun to wait.
+    /// Logs models that have started to wait.
     fn log_waiting(&mut self, awaited: &[ModelReadyEstimate]) {
         let before = std::mem::take(&mut self.waiting);
         for outlook in awaited {
@@ -456,7 +457,7 @@
         let Some(expected_revision) = engine.revision else {
             return;
         };
-        let believed = belief::pairs(now, engine);
+        let believed = observed_state::pairs(now, engine);
         if step.confirms {
             engine.confirms(now, call);
         } else {
@@ -477,7 +478,7 @@
         }
         let unloads = operation == InstructionOperation::Unload;
         if unloads {
-            // No gateway sends to what is about to go.
+            // Gateways must stop sending requests to what is about to be unloaded.
             self.registry.serves(&step.instance, engine.serving());
         }
         let adapter_name = adapter.as_ref().map_or("none", |name| name.as_str());
--- a/crates/millpass-fleet/src/gateways.rs
+++ b/crates/millpass-fleet/src/gateways.rs
@@ -1,9 +1,9 @@
-//! Connected gateways and what each was sent.
+//! Sessions of connected gateways and what each was sent.
 
 use millpass_proto::{Duration, GatewayReport, Timestamp};
 use std::collections::{BTreeMap, HashSet};
 
-/// Which revision of something was sent on a connection, if any, and when.
+/// Revision last sent on a connection, if any, and when.
 #[derive(Default)]
 pub(crate) struct SentRevision {
     revision: Option<u64>,
@@ -11,7 +11,6 @@
 }
 
 impl SentRevision {
-    /// One that counts as sent.
     fn of(revision: u64) -> Self {
         SentRevision {
             revision: Some(revision),
@@ -19,7 +18,8 @@
         }
     }
 
-    /// Whether this revision is to be sent now, at most once in an interval; then it counts as sent.
+    /// Returns whether this revision is to be sent now, at most once per interval, and marks it as
+    /// sent.
     pub(crate) fn send(&mut self, now: Timestamp, interval: Duration, revision: u64) -> bool {
         if self.revision == Some(revision) || now.since(self.at) < interval {
             return false;
@@ -30,46 +30,41 @@
     }
 }
 
-/// One gateway on its connection.
+/// State of a gateway connection.
 pub(crate) struct GatewaySession {
     pub(crate) name: String,
-    /// Registry revision sent.
     pub(crate) sent_revision: u64,
-    /// Whether anything was sent on this connection.
+    /// Whether the first update was sent on this connection.
     pub(crate) greeted: bool,
-    /// Whether it was told that all instances have been named to it.
+    /// Whether an update sent on this connection was marked complete.
     pub(crate) sent_complete: bool,
-    /// Log index up to which it reports to have been told what binds it; 0 for none.
+    /// Log index up to which the gateway reports to have received required entries; 0 for none.
     pub(crate) as_of: u64,
-    /// Document version in force at the gateway, as it last reported.
     pub(crate) reported_version: u64,
-    /// Newest document version that was sent on this connection; it may not have arrived.
+    /// Newest document version sent on this connection; it may not have arrived.
     pub(crate) sent_version: u64,
-    /// The oldest version sent that it has not reported since, and when that was.
+    /// Oldest sent version that the gateway has not reported yet, and when it was sent.
     pub(crate) unreported: Option<(u64, Timestamp)>,
-    /// Digests of the instance records that it held when it connected; until the first update.
+    /// Digests of the records that the gateway held when it connected; cleared by the first update.
     pub(crate) held_instances: HashSet<u64>,
-    /// Number of its newest report.
+    /// Sequence number of its newest report.
     pub(crate) answers: u64,
-    /// Revision of the outlook sent.
     pub(crate) sent_outlook: u64,
-    /// Revision of the outlook's times sent.
+    /// Revision of the ready times sent.
     pub(crate) sent_times: u64,
-    /// Revision of the loads sent.
     pub(crate) sent_loads: u64,
-    /// Whether a report waits for its answer.
+    /// Whether a report awaits its response.
     pub(crate) owed: bool,
-    /// Requests held back, as they were sent.
+    /// Revision of the quarantined requests sent.
     pub(crate) crashes: SentRevision,
-    /// Instances' limits, as they were sent.
+    /// Revision of the instance limits sent.
     pub(crate) limits: SentRevision,
-    /// Since when updates wait at its connection: its socket does not take them.
+    /// Start of the backlog, while the socket does not accept updates.
     pub(crate) behind_since: Option<Timestamp>,
-    /// When it was last sent anything.
     pub(crate) sent_at: Timestamp,
     pub(crate) heard_at: Timestamp,
     pub(crate) connected_at: Timestamp,
-    /// Until when requests are expected to wait there for a model or an adapter.
+    /// Time until which requests are expected to wait there for a model or an adapter.
     awaits_until: Timestamp,
 }
 
@@ -93,19 +88,20 @@
         }
     }
 
-    /// Version that the gateway has once all that was sent on this connection has arrived.
+    /// Returns the version that the gateway has once everything sent has arrived.
     pub(crate) fn arriving_version(&self) -> u64 {
         self.reported_version.max(self.sent_version)
     }
 
-    /// Whether reports have gone on long enough without a version that was sent: it was lost on the way, or could not
-    /// be applied. While nothing is heard, more would only wait behind what waits already.
+    /// Returns whether the gateway has kept reporting without a version that was sent, which was
+    /// then lost or could not be applied. Without reports nothing is overdue: a resend would only
+    /// queue behind the rest.
     pub(crate) fn is_version_overdue(&self) -> bool {
         let overdue = |(_, sent_at)| self.heard_at.since(sent_at) >= RESEND_AFTER;
         self.unreported.is_some_and(overdue)
     }
 
-    /// Whether updates wait at its connection. One that has caught up was sent them just now.
+    /// Records whether updates are queued, and returns the duration of a backlog that has ended.
     fn backlog(&mut self, now: Timestamp, waits: bool) -> Option<Duration> {
         if waits {
             self.behind_since.get_or_insert(now);
@@ -117,12 +113,12 @@
         self.behind_since.take().map(|since| now.since(since))
     }
 
-    /// Whether its next update is due, where others are sent one each `interval`.
+    /// Returns whether its next update is due, at `interval` unless requests wait there.
     pub(crate) fn is_due(&self, now: Timestamp, interval: Duration) -> bool {
         now < self.awaits_until || now.since(self.sent_at) >= interval
     }
 
-    /// A document was put into an update.
+    /// Records that an update carries the document or a change to it.
     pub(crate) fn version_sent(&mut self, now: Timestamp, version: u64) {
         if self.unreported.is_none() || self.is_version_overdue() {
             self.unreported = Some((version, now));
@@ -131,23 +127,21 @@
     }
 }
 
-/// Time after which a version that was sent and is not reported is sent again, whole: several intervals of
-/// reports, and well within the time in which a change has to be in force.
+/// Time after which a document version that was sent and not reported is resent whole.
 const RESEND_AFTER: Duration = Duration::from_millis(1_000);
-/// Most updates a second, over all gateways. With many gateways and engines, each change sent to each
-/// gateway at once takes the leader's whole processor; several changes then travel in one update.
+/// Updates a second over all gateways. Bounds the leader's CPU time; several changes share one
+/// update.
 const UPDATES_PER_SECOND: u32 = 1_000;
-/// Longest time between two updates of a gateway that little processor makes: they confirm what gateways know, within a
-/// bound of some seconds.
+/// Upper bound of the update interval under a slowdown, so that gateways keep receiving
+/// confirmations.
 const LONGEST_SPACING: Duration = Duration::from_millis(500);
-/// Time for which a gateway that reported a need is told of changes at once, however many gateways there are: an adapter
-/// comes within some ten milliseconds, and its requests wait there. Gateways report the need again while they do.
+/// Time for which a gateway that reported unmet demand is sent changes immediately: an adapter
+/// loads within milliseconds, and gateways repeat the report while requests wait.
 const AWAITING_TIME: Duration = Duration::from_millis(1_000);
-/// Gateways up to which every change is sent at once.
+/// Number of gateways up to which every change is sent immediately.
 const FEW_GATEWAYS: usize = 16;
-/// Looks at who is to be sent an update, in the time between two updates of a gateway: each goes through all of them.
+/// Passes over all sessions per update interval.
 const LOOKS_PER_INTERVAL: u32 = 64;
-/// Shortest time between two such looks.
 const SHORTEST_LOOK: Duration = Duration::from_millis(5);
 
 /// Sessions by connection.
@@ -155,19 +149,18 @@
 pub(crate) struct Gateways {
     pub(crate) sessions: BTreeMap<u64, GatewaySession>,
     next_look: Timestamp,
-    /// Until when one of them awaits something.
+    /// Time until which any of the gateways is urgent.
     awaits_until: Timestamp,
 }
 
 impl Gateways {
-    /// Whether a gateway has connected anew since this connection: what still comes on the older one is older than what
-    /// the newer one says.
+    /// Returns whether the gateway has a newer connection, which makes messages on this one stale.
     pub(crate) fn is_outlived(&self, connection: u64, name: &str) -> bool {
         let mut newer = self.sessions.range(connection + 1..);
         newer.any(|(_, session)| session.name == name)
     }
 
-    /// Takes a report on a connection. True when the gateway is new there.
+    /// Applies a report received on a connection. Returns true if the gateway is new there.
     pub(crate) fn heard(
         &mut self,
         now: Timestamp,
@@ -179,7 +172,7 @@
             self.awaits_until = self.awaits_until.max(session.awaits_until);
             return false;
         }
-        // A gateway that reconnects has one session: the newest.
+        // Drops the session of an older connection of the same gateway.
         self.sessions
             .retain(|_, session| session.name != report.gateway);
         let session = GatewaySession {
@@ -198,7 +191,7 @@
             sent_loads: 0,
             owed: true,
             crashes: SentRevision::default(),
-            // Before the first limit there is nothing to tell.
+            // There is nothing to send before the first limit.
             limits: SentRevision::of(0),
             behind_since: None,
             sent_at: Timestamp::ZERO,
@@ -210,13 +203,15 @@
         true
     }
 
-    /// Log index up to which a gateway was told, as it last reported on this connection.
+    /// Returns the log index up to which the gateway last reported to have received required
+    /// entries.
     pub(crate) fn as_of(&self, connection: u64) -> Option<u64> {
         let session = self.sessions.get(&connection)?;
         Some(session.as_of)
     }
 
-    /// Updates begin to wait at a connection, or none waits any more; gives who was behind, and for how long.
+    /// Records whether updates are queued at a connection. Returns the gateway and the duration of
+    /// a backlog that has ended.
     pub(crate) fn backlog(
         &mut self,
         now: Timestamp,
@@ -232,7 +227,7 @@
         self.sessions.remove(&connection)
     }
 
-    /// Document version that a gateway last reported, on this connection or on one that has not ended yet.
+    /// Returns the version last reported by a gateway, on this connection or an older one.
     pub(crate) fn reported_version(&self, connection: u64, name: &str) -> Option<u64> {
         let session = self.sessions.get(&connection);
         let mut others = self.sessions.values();
@@ -240,7 +235,7 @@
         Some(session.reported_version)
     }
 
-    /// Shortest time between two updates of one gateway, where processor for a part of them only is left (`pace`).
+    /// Returns the minimum interval between updates of one gateway under the given slowdown.
     pub(crate) fn update_interval(&self, pace: u32) -> Duration {
         if self.sessions.len() <= FEW_GATEWAYS {
             return Duration::ZERO;
@@ -249,7 +244,7 @@
         interval.max(LONGEST_SPACING.min(interval * pace))
     }
 
-    /// Whether it is time to look who is to be sent an update; then the next time is set.
+    /// Returns whether a pass over the sessions is due, and schedules the next one.
     pub(crate) fn is_look_due(&mut self, now: Timestamp, pace: u32) -> bool {
         if self.sessions.len() <= FEW_GATEWAYS {
             return true;
@@ -265,7 +260,6 @@
         true
     }
 
-    /// Gateways connected.
     pub(crate) fn count(&self) -> u32 {
         u32::try_from(self.sessions.len()).unwrap_or(u32::MAX)
     }
--- a/crates/millpass-fleet/src/instances.rs
+++ b/crates/millpass-fleet/src/instances.rs
@@ -1,4 +1,5 @@
-//! What instances say of themselves, as the leader takes it, at whichever member they say it.
+//! Handling of announcements and departures of instances, received by this member or forwarded by
+//! others.
 
 use crate::fleet::Fleet;
 use crate::interface::FleetSizes;
@@ -7,8 +8,8 @@
 use millpass_proto::{InstanceId, InstanceRecord, Timestamp};
 
 impl Fleet {
-    /// Takes what an instance says of itself at this member, whether it leads or not. `ended` says whether it has departed
-    /// for good.
+    /// Applies an announcement received by this member, leading or not. `ended` states whether the
+    /// instance has departed for good.
     pub fn handle_announcement(&mut self, now: Timestamp, record: InstanceRecord, ended: bool) {
         if ended {
             self.share.ended(&record.instance);
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Takes an instance's word from the member where it announces itself.
+    /// Applies an announcement that the holder member received.
     pub(crate) fn hear(
         &mut self,
         now: Timestamp,
@@ -34,7 +35,7 @@
         if ended {
             return self.forget(&record.instance, "departed");
         }
-        // An earlier run never speaks again: a later one holds and knows nothing of what it says.
+        // Messages of an earlier incarnation are stale, whatever their sequence number.
         if self.has_later_run(&record.instance) {
             return self.log_late(&record);
         }
@@ -45,7 +46,7 @@
             false => self.take_standby(now, record),
         };
         if announced == Announced::Late && !self.shares.is_unheld(&instance) {
-            // Another member has heard it since.
+            // Another member has received a newer announcement.
             return;
         }
         let moved = self.shares.heard(&instance, holder);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Whether an instance that is not active is from now on. One that drains and was never active never is.
+    /// Returns whether an instance that is not active becomes active.
     fn becomes_active(&self, record: &InstanceRecord) -> bool {
         let is_new = self.standby.get(&record.instance).is_none();
         is_new && self.uses_whole(&record.service)
@@ -80,7 +81,7 @@
         Announced::Changed
     }
 
-    /// Takes the word of an active instance, or of one that becomes active.
+    /// Records an announcement of an instance that is active or becomes active.
     pub(crate) fn take_active(&mut self, now: Timestamp, record: InstanceRecord) -> Announced {
         let announced = self.registry.announce(record.clone());
         if announced == Announced::Late {
@@ -124,7 +125,7 @@
         self.event("announcement-late", pairs);
     }
 
-    /// Whether a later run of a run's instance is known, or was removed lately.
+    /// Returns whether a later incarnation of the instance is known or was removed recently.
     fn has_later_run(&self, instance: &InstanceId) -> bool {
         if self.standby.get(instance).is_some() {
             return false;
@@ -133,7 +134,7 @@
         self.registry.has_later_run(instance) || standing_by.any(|run| instance.is_before(run))
     }
 
-    /// A run has begun: those before it have ended, with all that was known of them.
+    /// Removes earlier incarnations of an instance; the new one inherits their unanswered loads.
     fn end_earlier_runs(&mut self, now: Timestamp, instance: &InstanceId) {
         let mut left = Vec::new();
         let standing_by = self.standby.runs_of(instance);
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The latest run that is known of an instance.
+    /// Returns the latest known incarnation of an instance.
     pub fn latest_incarnation(&self, instance: &InstanceId) -> Option<InstanceId> {
         let standing_by = self.standby.runs_of(instance);
         let known = self.registry.latest_run(instance).into_iter();
@@ -161,8 +162,8 @@
         latest.cloned()
     }
 
-    /// An instance leaves, or has ended. Where this member does not lead, there is nobody to tell: it begins with what
-    /// the log knows.
+    /// Applies a departure: the instance drains or has ended. Without recorded state, as on
+    /// followers, there is nothing to update: a new leader starts from the log.
     pub fn handle_departure(&mut self, instance: &InstanceId, ended: bool) {
         if ended {
             self.share.ended(instance);
@@ -186,7 +187,7 @@
                 self.standby.put(record);
             }
             if self.complete {
-                // No gateway knows it: each holds what this leader has named, and nothing else.
+                // No gateway holds the instance: each holds only what this leader has sent.
                 return;
             }
         }
@@ -210,7 +211,7 @@
         }
     }
 
-    /// How many instances are known here.
+    /// Returns the number of instances known at this member.
     pub fn sizes(&self) -> FleetSizes {
         FleetSizes {
             local: self.share.len(),
@@ -219,12 +220,12 @@
         }
     }
 
-    /// Active instances, as gateways are told of them.
+    /// Returns the active instances as sent to gateways.
     pub fn active_instances(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.registry.records()
     }
 
-    /// All instances that the leader knows.
+    /// Returns all instances known to the leader, active and standby.
     pub fn known_instances(&self) -> impl Iterator<Item = &InstanceId> {
         let active = self.registry.records().map(|record| &record.instance);
         active.chain(self.standby.instances())
--- a/crates/millpass-fleet/src/handover.rs
+++ b/crates/millpass-fleet/src/instruction_history.rs
@@ -1,29 +1,29 @@
-//! What a leader knows of the instructions of the leaders before it.
+//! Instructions of earlier leaders, from the replicated log.
 //!
-//! Engines may hear from one leader only for some time after the last instruction of another. Each
-//! instruction is noted in the replicated log before it leaves, so a new leader knows which engines
-//! nobody has instructed lately, and steers those at once.
+//! Engines must not receive instructions from two leaders within a handover period. Each
+//! instruction is recorded in the log before it is sent, so a new leader knows which engines it may
+//! instruct at once.
 
 use millpass_proto::{Duration, InstanceId, InstructionIntent, Timestamp};
 use std::collections::BTreeMap;
 
-/// Instructions as the replicated log told them, by the clock of this member. A note is applied
-/// after its instruction may have left no earlier than the note was committed; a member that applies
-/// it late believes it to be younger than it is, never older.
+/// Instructions recorded in the replicated log, by the clock of this member. A record is applied
+/// after it was committed, so an instruction may be older than assumed, never younger.
 #[derive(Clone, Debug)]
 pub struct InstructionHistory {
-    /// Instructions noted before this time may be missing.
+    /// Instructions recorded before this time may be missing.
     complete_since: Timestamp,
-    /// By name: engines may not hear from two leaders in turn, whichever of their runs each meant.
+    /// By instance name, because the handover period applies to all incarnations.
     last: BTreeMap<String, Timestamp>,
     store_loads: Vec<Timestamp>,
-    /// Loads from the weight store at once that go at full speed, in hundredths, as last noted.
+    /// Loads from the weight store at full speed at once, in hundredths, as last recorded.
     store_capacity: Option<u32>,
     keep: Duration,
 }
 
 impl InstructionHistory {
-    /// Begins to listen; what was noted before is not known. Notes are kept for `keep` at least.
+    /// Creates an empty history; earlier records are unknown. Records are kept for at least
+    /// `retention`.
     pub fn new(now: Timestamp, keep: Duration) -> Self {
         InstructionHistory {
             complete_since: now,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes a note that was committed.
+    /// Applies a committed instruction record.
     pub fn record(&mut self, now: Timestamp, note: &InstructionIntent) {
         let keep = self.keep;
         self.last.retain(|_, at| now.since(*at) < keep);
@@ -45,30 +45,30 @@
         self.store_loads.extend((0..note.store_loads).map(|_| now));
     }
 
-    /// Takes what a leader knew of the weight store.
+    /// Applies a committed store capacity, in hundredths of a load.
     pub fn record_store_capacity(&mut self, hundredths: u32) {
         self.store_capacity = Some(hundredths);
     }
 
-    /// Loads from the weight store at once that go at full speed, in hundredths, as far as an earlier leader
-    /// knew.
+    /// Returns the store capacity recorded by earlier leaders, in hundredths of a load; none if
+    /// unknown.
     pub(crate) fn store_capacity(&self) -> Option<u32> {
         self.store_capacity
     }
 
-    /// When another leader than the one of the last note may instruct an engine, if engines must
-    /// not hear from two of them within `pause`.
+    /// Returns when another leader may instruct the engine, if `pause` must pass after its last
+    /// instruction.
     pub(crate) fn open_from(&self, instance: &InstanceId, pause: Duration) -> Timestamp {
         let last = self.last.get(instance.name()).copied();
         last.unwrap_or(self.complete_since) + pause
     }
 
-    /// Since when it holds every note.
+    /// Returns the time since which all records are known.
     pub(crate) fn complete_since(&self) -> Timestamp {
         self.complete_since
     }
 
-    /// When loads from the weight store were noted, the oldest first.
+    /// Returns when loads from the weight store were recorded, the oldest first.
     pub(crate) fn store_loads(&self) -> &[Timestamp] {
         &self.store_loads
     }
--- a/crates/millpass-fleet/src/interface.rs
+++ b/crates/millpass-fleet/src/interface.rs
@@ -1,4 +1,4 @@
-//! Settings of the core, and what it wants of its host.
+//! Settings, inputs and outputs of the core.
 
 use millpass_proto::{
     CallId, CrashUpdate, Duration, EngineInstruction, GatewayUpdate, InstanceChanges, InstanceId,
@@ -9,18 +9,19 @@
 /// Settings of the core.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Name under which this process gives orders.
+    /// Name under which this process sends orders to engines.
     pub holder: String,
-    /// Time between two announcements of an instance.
+    /// Interval between announcements of an instance.
     pub announce_interval: Duration,
-    /// Time after which an instance that is not heard of is gone.
+    /// Time without announcements after which an instance is removed.
     pub instance_timeout: Duration,
-    /// Time after an engine's last instruction for which no other leader instructs it.
+    /// Time after an engine's last instruction during which no other leader instructs it.
     pub order_handover: Duration,
-    /// Longest time from the commit of an instruction's note to its last byte. Another leader waits for so much longer
-    /// than `order_handover`, which counts from the last byte.
+    /// Maximum time from the commit of an instruction record to the last byte of the instruction.
+    /// Another leader waits this much longer than `order_handover`, which counts from the last
+    /// byte.
     pub order_lifetime: Duration,
-    /// What the contract bears above tenants' limits.
+    /// Tolerance above tenants' limits.
     pub quota: QuotaTerms,
 }
 
@@ -37,90 +38,90 @@
     }
 }
 
-/// Instances known at a member.
+/// Number of instances known at a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetSizes {
-    /// Those that announce themselves here.
+    /// Instances that announce themselves at this member.
     pub local: usize,
-    /// Those that gateways are told of; 0 where this member does not lead.
+    /// Instances sent to gateways; 0 unless this member leads.
     pub active: usize,
-    /// Those that stand by; 0 where this member does not lead.
+    /// Instances on standby; 0 unless this member leads.
     pub standby: usize,
 }
 
-/// An event worth a log line.
+/// A log event.
 #[derive(Clone, Debug)]
 pub struct FleetEvent {
-    /// Name.
+    /// Event name.
     pub name: &'static str,
-    /// Pairs, in order.
+    /// Key-value pairs, in output order.
     pub pairs: Vec<(&'static str, String)>,
 }
 
-/// What became of a call to an engine.
+/// Outcome of a call to an engine.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// Run it was for.
+    /// Incarnation that was called.
     pub instance: InstanceId,
-    /// The call that it answers.
+    /// Call that this is the response to.
     pub call: CallId,
-    /// Answer.
+    /// Response of the engine, or why there is none.
     pub result: InstructionResult,
-    /// For how long the call waited before it left.
+    /// Time the call was queued before it was sent.
     pub queue_time: Duration,
-    /// Time from then to the answer.
+    /// Time from sending to the response.
     pub response_time: Duration,
 }
 
-/// What is to be done.
+/// An action for the host to perform.
 #[derive(Clone, Debug)]
 pub enum FleetOutput {
-    /// Send to a gateway on its connection.
+    /// Sends an update to a gateway.
     Update {
-        /// Connection, numbered by the host.
+        /// Gateway connection, as numbered by the host.
         connection: u64,
-        /// Update.
+        /// Update to send.
         update: Box<GatewayUpdate>,
     },
-    /// Tell a gateway what is held back.
+    /// Sends the quarantined requests to a gateway.
     Crashes {
-        /// Connection, numbered by the host.
+        /// Gateway connection, as numbered by the host.
         connection: u64,
-        /// Update.
+        /// Quarantined requests.
         update: CrashUpdate,
     },
-    /// Send to a gateway which limits instances state.
+    /// Sends the limits stated by instances to a gateway.
     Limits {
-        /// Its connection.
+        /// Gateway connection, as numbered by the host.
         connection: u64,
-        /// Limits.
+        /// Limits of instances.
         update: LimitUpdate,
     },
-    /// Keep a request that is held back in the replicated log.
+    /// Records a quarantined request in the replicated log.
     QuarantineRequest(QuarantineRecord),
-    /// Take it from there.
+    /// Removes a released request from the replicated log.
     LiftQuarantine(RequestFingerprint),
-    /// Give an engine an instruction.
+    /// Sends an instruction to an engine.
     Instruct(EngineInstruction),
-    /// Read an engine's state.
+    /// Reads the state of an engine.
     ReadEngine {
-        /// Run.
+        /// Incarnation to read.
         instance: InstanceId,
         /// IP address and port.
         address: String,
-        /// The call, named by its answer.
+        /// Call id to repeat in the response.
         call: CallId,
     },
-    /// Keep what changed in the replicated log.
+    /// Records changed instances in the replicated log.
     RecordInstances(InstanceChanges),
-    /// Keep in the replicated log how many loads from the weight store at once go at full speed, in
-    /// hundredths.
+    /// Records in the replicated log how many loads the weight store serves at full speed at once,
+    /// in hundredths of a load.
     RecordStoreCapacity(u32),
-    /// A gateway reported the newest document for the first time on its connection, this long after it was
-    /// committed.
+    /// A gateway reported the current document for the first time on its connection. Carries the
+    /// time since its commit.
     DocumentAcknowledged(Duration),
-    /// A gateway reported that it has been told of a departure, this long after it was committed.
+    /// A gateway reported to have received a departure. Carries the time since its commit.
     DepartureAcknowledged(Duration),
-    /// Log.
+    /// Writes a log event.
     Event(FleetEvent),
 }
--- a/crates/millpass-fleet/src/lib.rs
+++ b/crates/millpass-fleet/src/lib.rs
@@ -1,74 +1,74 @@
-//! Decision core of the leader for instances that announce themselves: which instances there are,
-//! which engine loads which model, and what gateways are told. Without input/output, clock or
-//! threads; everything in it is soft state that a new leader learns anew.
+//! Decision core of the leader for self-announcing instances: tracks instances, assigns models to
+//! engines and computes gateway updates. It performs no I/O, reads no clock and starts no threads.
+//! All of its state is soft: a new leader rebuilds it.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | `share` | instances that announce themselves at this member, and what of them the leader was told |
-//! | `shares` | which member each instance announces itself at, as the leader knows it |
-//! | `share_words` | what members and the leader say to each other of them |
-//! | `instances` | what instances say of themselves, as the leader takes it |
-//! | `registry` | active instances, with a revision for each change |
-//! | `standby` | instances that stand by, found by zone and model |
-//! | `activation` | which instances are active |
-//! | `gateways` | connected gateways and what each was sent |
-//! | `demand` | how much each model and adapter is asked for |
-//! | `traffic` | requests in flight at each instance, over all gateways |
-//! | `belief` | what is believed of an engine, in words for the log |
-//! | `engines` | one call at a time for each engine, and what it holds as far as that is proven |
-//! | `engine_answers` | answers to calls to engines, as the leader takes and logs them |
-//! | `pending` | an instruction to an engine that is under way |
-//! | `hearing` | the time for which this member could hear instances |
-//! | `handover` | what is known of the instructions of earlier leaders |
-//! | `permits` | loads that the weight store allows |
-//! | `store` | how many loads at once the weight store serves well |
-//! | `cost` | what a placement costs and saves, in one unit |
-//! | `round` | what a round of planning looks up often |
-//! | `adapters` | which engine loads an adapter |
-//! | `planner` | which model or adapter to load or unload next, and where |
-//! | `updates` | what gateways are told |
-//! | `documents` | the last documents in force, to tell what changed |
-//! | `rollout` | how a version reaches each gateway, and who lacks it |
-//! | `crashes` | requests and loads that end the instances that run them |
-//! | `limits` | limits that instances state, and what gateways may send them |
-//! | `interface` | settings of the core, and what it wants of its host |
+//! | `local_share` | instances that announce themselves at this member, reported to the leader |
+//! | `shares` | which member holds each instance, at the leader |
+//! | `share_reports` | reports between members and the leader |
+//! | `instances` | announcements and departures of instances |
+//! | `registry` | active instances, with a revision per change |
+//! | `standby` | standby instances, indexed by zone and model |
+//! | `activation` | selection of active instances |
+//! | `gateways` | sessions of connected gateways |
+//! | `demand` | demand for models and adapters |
+//! | `traffic` | requests in flight at each instance |
+//! | `observed_state` | recorded engine state as log fields |
+//! | `engines` | calls to engines and their recorded state |
+//! | `engine_responses` | handling and logging of engine responses |
+//! | `pending` | the pending instruction of an engine |
+//! | `contact_clock` | time for which this member could receive announcements |
+//! | `instruction_history` | instructions of earlier leaders |
+//! | `permits` | rate limit of loads from the weight store |
+//! | `store_capacity` | estimate of concurrent loads that the weight store serves |
+//! | `cost` | cost model for placements |
+//! | `round` | data of one planning round |
+//! | `adapters` | placement of adapters |
+//! | `planner` | loads and unloads of models |
+//! | `updates` | updates sent to gateways |
+//! | `documents` | recent documents, to compute changes |
+//! | `rollout` | propagation of documents and departures to gateways |
+//! | `crashes` | quarantine of requests and loads that crash instances |
+//! | `limits` | limits stated by instances, and request permits |
+//! | `interface` | settings, inputs and outputs |
 //! | `fleet` | the core itself |
 
 mod activation;
 mod adapters;
-mod belief;
+mod contact_clock;
 mod cost;
 mod crashes;
 mod demand;
 mod documents;
-mod engine_answers;
+mod engine_responses;
 mod engines;
 mod fleet;
 mod gateways;
-mod handover;
-mod hearing;
 mod instances;
+mod instruction_history;
 mod interface;
 mod limits;
+mod local_share;
+mod observed_state;
 mod pending;
 mod permits;
 mod planner;
 mod registry;
 mod rollout;
 mod round;
-mod share;
-mod share_words;
+mod share_reports;
 mod shares;
 mod standby;
-mod store;
+mod store_capacity;
 mod traffic;
 mod updates;
 
 pub use demand::ModelKey;
 pub use documents::DocumentHistory;
 pub use fleet::Fleet;
-pub use handover::InstructionHistory;
+pub use instruction_history::InstructionHistory;
 pub use interface::{CallResult, FleetEvent, FleetOutput, FleetSettings, FleetSizes};
 pub use permits::StorePermits;
-pub use store::{PendingLoad, StoreCapacity};
+pub use store_capacity::{PendingLoad, StoreCapacity};
 pub use updates::GatewayContext;
--- a/crates/millpass-fleet/src/limits.rs
+++ b/crates/millpass-fleet/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that instances state on the requests they take from all gateways together, as gateways tell them.
+//! Limits that instances state on requests from all gateways together, as reported by gateways.
 
 use crate::fleet::Fleet;
 use crate::interface::FleetOutput;
@@ -6,7 +6,7 @@
 use millpass_proto::{PermitRequest, PermitResponse, Timestamp};
 
 impl Fleet {
-    /// Answers a gateway that tells of limits, or asks for permits.
+    /// Applies a gateway's limit reports and responds to its permit request.
     pub fn handle_permit_request(
         &mut self,
         now: Timestamp,
@@ -46,7 +46,7 @@
         self.event("permits-exhausted", pairs);
     }
 
-    /// Tells gateways of limits that have changed.
+    /// Sends changed limits to gateways.
     pub(crate) fn update_limits(&mut self, now: Timestamp) {
         let revision = self.limits.revision();
         let interval = self.gateways.update_interval(self.pace);
--- a/crates/millpass-fleet/src/share.rs
+++ b/crates/millpass-fleet/src/local_share.rs
@@ -1,10 +1,11 @@
-//! Instances that announce themselves at this member, and what of them the leader has been told.
+//! Instances that announce themselves at this member, and how much of them the leader has
+//! confirmed.
 //!
-//! Any member takes announcements: an unchanged one ends here. The leader is told what changed, as a difference to what it
-//! last confirmed, and that the member lives. So the leader's work follows what changes, and not how many instances there
-//! are.
+//! Any member accepts announcements, and unchanged ones are not forwarded. The leader is sent
+//! changes since the last confirmed revision, and keepalives. Its work follows the number of
+//! changes, not the number of instances.
 
-use crate::hearing::HearingClock;
+use crate::contact_clock::HearingClock;
 use crate::registry::{Announced, same_but_sequence};
 use millpass_proto::{
     Duration, InstanceHeartbeat, InstanceId, InstanceRecord, MemberAddress, ShareReport,
@@ -12,75 +13,73 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Shortest time between two reports: many changes travel in one.
+/// Minimum interval between reports, so that several changes share one.
 const CHANGE_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two reports while nothing changes; the leader takes one for a sign of life.
+/// Interval between reports without changes, which serve as keepalives.
 const SIGN_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after which a report that was not answered counts as lost.
 const ANSWER_PATIENCE: Duration = Duration::from_millis(500);
-/// Most records in one report: some 90 KB, and a few milliseconds of the leader's core.
+/// Records in one report: about 90 KB.
 const MAXIMUM_RECORDS: usize = 256;
-/// Most instances that fell silent remembered for the leader; beyond, it is told the share anew.
+/// Expired instances kept for the leader; beyond that, the whole share is sent again.
 const MAXIMUM_SILENT: usize = 4_096;
-/// Time between two looks for instances that fell silent.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 struct Entry {
     record: InstanceRecord,
-    /// By the hearing clock.
+    /// By the contact clock.
     heard_at: Timestamp,
     revision: u64,
 }
 
-/// An instance that fell silent.
+/// An instance that has expired.
 struct Silent {
     sequence: u64,
     revision: u64,
 }
 
-/// A report that is not answered yet.
+/// A report without a response yet.
 struct UnderWay {
     number: u64,
     sent_at: Timestamp,
 }
 
-/// The instances of one member.
+/// Instances of this member.
 #[derive(Default)]
 pub(crate) struct Share {
     run: u64,
     entries: BTreeMap<InstanceId, Entry>,
     silent: BTreeMap<InstanceId, Silent>,
-    /// Each instance heard or silent, by the revision of its last change.
+    /// Recorded and expired instances by the revision of their last change.
     changes: BTreeMap<u64, InstanceId>,
     revision: u64,
     hearing: HearingClock,
     next_sweep: Timestamp,
-    /// Revision that the leader confirmed; 0 for none.
+    /// Revision confirmed by the leader; 0 for none.
     known: u64,
     number: u64,
     under_way: Option<UnderWay>,
     sent_at: Option<Timestamp>,
-    /// The last answer was no leader's.
+    /// Whether the last response came from a member that does not lead.
     is_leaderless: bool,
-    /// Active instances among these, as the leader last told.
+    /// Active instances among these, as last sent by the leader.
     active: BTreeSet<InstanceId>,
     active_revision: u64,
-    /// Those of them that announced themselves unchanged since the last report.
+    /// Active instances announced unchanged since the last report, with their sequence numbers.
     seen: BTreeMap<InstanceId, u64>,
 }
 
 impl Share {
-    /// Time passes in which this member could hear.
+    /// Advances the contact clock.
     pub(crate) fn advance(&mut self, now: Timestamp) {
         self.hearing.advance(now);
     }
 
-    /// Announcements were refused here.
+    /// Records that announcements were refused.
     pub(crate) fn refused(&mut self, now: Timestamp) {
         self.hearing.refused(now);
     }
 
-    /// Takes an announcement. An instance that drains stays draining.
+    /// Applies an announcement. A draining instance stays draining.
     pub(crate) fn announce(&mut self, record: &InstanceRecord) -> Announced {
         let instance = &record.instance;
         let Some(entry) = self.entries.get_mut(instance) else {
@@ -124,7 +123,7 @@
         self.entries.insert(instance, entry);
     }
 
-    /// Forgets an instance without a word to the leader.
+    /// Removes an instance without reporting it to the leader.
     fn forget(&mut self, instance: &InstanceId) -> Option<InstanceRecord> {
         self.seen.remove(instance);
         if let Some(silent) = self.silent.remove(instance) {
@@ -150,7 +149,7 @@
         })
     }
 
-    /// Drops instances that were not heard of for longer than `silence`, and names them.
+    /// Removes and returns instances without announcements for longer than `timeout`.
     pub(crate) fn sweep(&mut self, now: Timestamp, silence: Duration) -> Vec<InstanceHeartbeat> {
         if now < self.next_sweep {
             return Vec::new();
@@ -172,7 +171,7 @@
         gone
     }
 
-    /// Takes what is known of departures: whether an instance that leaves has ended.
+    /// Applies committed departures; `departed` returns whether a departing instance has ended.
     pub(crate) fn take_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
         let known: Vec<InstanceId> = self.entries.keys().cloned().collect();
         for instance in known {
@@ -193,12 +192,12 @@
         }
     }
 
-    /// Drops an instance that has ended.
     pub(crate) fn ended(&mut self, instance: &InstanceId) {
         self.fall_silent(instance);
     }
 
-    /// The leader is told everything with the next report: what fell silent before need not be remembered.
+    /// Makes the next report send the whole share, so that earlier expired instances need not be
+    /// kept.
     fn begin_anew(&mut self) {
         self.known = 0;
         self.active.clear();
@@ -208,23 +207,21 @@
         }
     }
 
-    /// How many instances are heard here.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Instances heard here.
     pub(crate) fn records(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Whether the last report was not answered in time.
+    /// Returns whether the last report timed out.
     pub(crate) fn is_unanswered(&self, now: Timestamp) -> bool {
         let under_way = self.under_way.as_ref();
         under_way.is_some_and(|report| now.since(report.sent_at) >= ANSWER_PATIENCE)
     }
 
-    /// Whether a report is due.
+    /// Returns whether a report is due.
     pub(crate) fn is_due(&self, now: Timestamp) -> bool {
         if self.under_way.is_some() && !self.is_unanswered(now) {
             return false;
@@ -234,8 +231,8 @@
         self.sent_at.is_none_or(|at| now.since(at) >= pause)
     }
 
-    /// The next report. `run` names this process' run. One that does not go to a leader, as far as is known, asks only who
-    /// leads.
+    /// Returns the next report. `run` identifies this process run. A report that is not sent to a
+    /// known leader only asks who leads.
     pub(crate) fn report(
         &mut self,
         now: Timestamp,
@@ -289,7 +286,7 @@
         }
     }
 
-    /// Takes the answer to the report under way; any other changes nothing.
+    /// Applies the response to the pending report; ignores any other.
     pub(crate) fn answered(&mut self, answer: &ShareResponse) {
         let awaited = self
             .under_way
--- a/crates/millpass-fleet/src/belief.rs
+++ b/crates/millpass-fleet/src/observed_state.rs
@@ -1,16 +1,15 @@
-//! What the leader believes of an engine, in words for the log: what it holds, at which count of orders, and which word
-//! that rests on.
+//! Recorded engine state as log fields: held models and adapters, and the evidence for them.
 
 use crate::engines::Engine;
 use millpass_proto::{AdapterName, CallId, HeldModel, ModelName, Timestamp};
 use std::collections::BTreeSet;
 
-/// A word that changed what is believed of an engine.
+/// Source of the recorded state of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Word {
-    /// The answer to this call.
+    /// Response to this call.
     Answer(CallId),
-    /// No word: the time that an instruction takes has passed.
+    /// An instruction's expected duration has elapsed.
     Time,
 }
 
@@ -23,10 +22,9 @@
     }
 }
 
-/// A model, or an adapter of it, that an engine holds.
+/// A model, or an adapter of a model, held by an engine.
 pub(crate) type Held = (ModelName, Option<AdapterName>);
 
-/// What the engine is believed to hold.
 pub(crate) fn held(engine: &Engine) -> BTreeSet<Held> {
     let models = engine.held.iter().map(|held| (held.model.clone(), None));
     models.chain(adapters(&engine.held)).collect()
@@ -39,7 +37,7 @@
     })
 }
 
-/// `MODEL` or `MODEL/ADAPTER`, joined by commas; `none` for nothing.
+/// Formats items as comma-separated `MODEL` or `MODEL/ADAPTER`; `none` if empty.
 pub(crate) fn list(held: &BTreeSet<Held>) -> String {
     let name = |(model, adapter): &Held| match adapter {
         None => model.0.clone(),
@@ -52,12 +50,11 @@
     }
 }
 
-/// A number, or `none`.
 pub(crate) fn or_none(number: Option<u64>) -> String {
     number.map_or_else(|| "none".to_owned(), |number| number.to_string())
 }
 
-/// What is believed of an engine, as pairs of a log line.
+/// Returns the recorded engine state as key-value pairs of a log event.
 pub(crate) fn pairs(now: Timestamp, engine: &Engine) -> Vec<(&'static str, String)> {
     let mut believed = held(engine);
     let coming = engine.coming().iter().cloned();
--- a/crates/millpass-fleet/src/permits.rs
+++ b/crates/millpass-fleet/src/permits.rs
@@ -1,31 +1,29 @@
-//! Loads that the weight store allows: a rate over a sliding window.
+//! Rate limit of loads from the weight store, over a sliding window.
 //!
-//! The store counts what begins in each window of some seconds. A load begins some time after its
-//! instruction is sent, so the allowance is kept below the store's: two loads that were sent apart
-//! may begin closer together.
+//! The store counts loads when they begin, some time after their instructions are sent. Loads may
+//! move closer together in between, so the rate used is below the store's.
 
-use crate::handover::InstructionHistory;
+use crate::instruction_history::InstructionHistory;
 use millpass_proto::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Length of the window.
 const WINDOW: Duration = Duration::from_secs(5);
-/// Share of the store's rate that is used, in percent.
+/// Fraction of the store's rate that is used, in percent.
 const USED_PERCENT: u64 = 90;
-/// Share of the window's permits that earlier loads count for while they are not known. Together with
-/// all permits of an earlier leader, the rest stays within a tenth above the store's rate.
+/// Fraction of the window's permits reserved for unknown loads of an earlier leader. Even if that
+/// leader used all permits, the total stays within 10 % above the store's rate.
 const UNKNOWN_SHARE: f64 = 0.78;
 
 /// Permits for loads from the weight store, counted from when an instruction is sent.
 #[derive(Debug, Default)]
 pub struct StorePermits {
     taken: VecDeque<Timestamp>,
-    /// Until then, loads of an earlier leader that are not known may count.
+    /// Time until which unknown loads of an earlier leader may count.
     unknown_until: Timestamp,
 }
 
 impl StorePermits {
-    /// Goes on after earlier leaders.
+    /// Continues from the loads recorded by earlier leaders.
     pub fn from_history(history: &InstructionHistory) -> Self {
         StorePermits {
             taken: history.store_loads().iter().copied().collect(),
@@ -33,14 +31,15 @@
         }
     }
 
-    /// Share of the window's permits that is taken, from 0 to 1.
+    /// Returns the fraction of the window's permits in use, from 0 to 1.
     pub fn used_fraction(&mut self, now: Timestamp, milliloads_per_second: u64) -> f64 {
         self.drop_old(now);
         let taken = self.taken.len() as f64 / allowed(milliloads_per_second) as f64;
         taken + self.unknown_share(now)
     }
 
-    /// Takes a permit if the rate, in thousandths of a load a second, allows one now.
+    /// Takes a permit and returns true if the rate, in thousandths of a load a second, allows one
+    /// now.
     pub fn try_acquire(&mut self, now: Timestamp, milliloads_per_second: u64) -> bool {
         self.drop_old(now);
         let allowed = allowed(milliloads_per_second) as f64;
@@ -51,7 +50,7 @@
         true
     }
 
-    /// Time until a permit is free.
+    /// Returns the time until a permit is available.
     pub fn time_until_available(&mut self, now: Timestamp, milliloads_per_second: u64) -> Duration {
         self.drop_old(now);
         let allowed = usize::try_from(allowed(milliloads_per_second)).unwrap_or(usize::MAX);
@@ -60,7 +59,6 @@
         frees.max(self.unknown_until).since(now)
     }
 
-    /// Share of the window's permits that loads which are not known may have taken.
     fn unknown_share(&self, now: Timestamp) -> f64 {
         if now < self.unknown_until {
             UNKNOWN_SHARE
@@ -80,7 +78,7 @@
     }
 }
 
-/// Loads allowed in a window; at least one.
+/// Returns the number of loads allowed in a window; at least one.
 fn allowed(milliloads_per_second: u64) -> u64 {
     let allowed = milliloads_per_second * WINDOW.as_secs() * USED_PERCENT / 100_000;
     allowed.max(1)
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -1,19 +1,19 @@
-//! Which model or adapter to load or unload next, and on which engine.
+//! Decides which models and adapters to load and unload, and where.
 //!
-//! What a load would serve, a need that gateways report or a replica that a busy model lacks, is met in the order of
-//! the delay that it saves. A model goes where requests are delayed least, by its load and by what has to make way;
-//! the better place is waited for while it opens soon. Loads from the weight store need a place among those that it
-//! serves at once, and a permit; without them the need waits for the next round.
+//! Unmet demand and missing replicas of busy models are served in the order of the delay they save.
+//! A model goes to the engine with the lowest cost, including evictions; if that engine becomes
+//! available soon, the planner waits for it. Loads from the weight store need a concurrency slot
+//! and a permit; without them the demand waits for the next round.
 
 use crate::cost;
 use crate::crashes::Crashes;
 use crate::demand::{Demand, ModelKey, Unmet};
 use crate::engines::{Engine, Engines};
-use crate::handover::InstructionHistory;
+use crate::instruction_history::InstructionHistory;
 use crate::permits::StorePermits;
 use crate::registry::Registry;
 use crate::round::{Place, Round};
-use crate::store::StoreCapacity;
+use crate::store_capacity::StoreCapacity;
 use crate::updates::model_outlook;
 use millpass_limits::PermitLedger;
 use millpass_proto::{
@@ -21,39 +21,39 @@
     ModelReadyEstimate, ServiceName, Timestamp, WeightsSource,
 };
 
-/// Time a model is kept at least after its load began.
+/// Minimum time a model stays loaded after its load was sent.
 pub(crate) const MINIMUM_STAY: Duration = Duration::from_millis(4_000);
-/// Expected time of an unload; it waits for the model's runs.
+/// Expected duration of an unload, which waits for the model's running requests.
 pub(crate) const UNLOAD_TIME: Duration = Duration::from_millis(300);
-/// Time after which a reservation that led to nothing lapses.
+/// Time after which an unused reservation expires.
 const RESERVATION_LIFETIME: Duration = Duration::from_millis(8_000);
-/// How many times as soon as the first a second load must end.
+/// Factor by which a second load of an incoming model must be faster than the first.
 const MUCH_SOONER: u32 = 3;
-/// Cost of loading a model that is on its way already, in milliseconds by which requests are delayed.
+/// Cost of a second load of an incoming model, in milliseconds of request delay.
 const SECOND_LOAD_COST: f64 = 2_000.0;
-/// Share of the weight store's permits up to which replicas of busy models may take them.
+/// Fraction of the weight store's permits up to which replicas of busy models may use them.
 const SPREAD_PERMITS: f64 = 0.6;
 
-/// A model or an adapter, and what to do with it.
+/// Operation on a model, or on an adapter of it.
 pub(crate) type Instruction = (InstructionOperation, ModelName, Option<AdapterName>);
 
-/// What the planner decided for one engine.
+/// Planned action for one engine.
 pub(crate) struct Step {
     pub(crate) instance: InstanceId,
-    /// None: read the engine's state.
+    /// None to read the engine's state.
     pub(crate) instruction: Option<Instruction>,
-    /// Expected time.
+    /// Expected duration.
     pub(crate) takes: Duration,
-    /// The weights come from the weight store.
+    /// Whether the weights come from the weight store.
     pub(crate) from_store: bool,
-    /// It is an unload that the engine has taken, ordered once more to be sure that it is done.
+    /// Whether it repeats an accepted unload to confirm that it is done.
     pub(crate) confirms: bool,
-    /// Memory that the engine's models and adapters are believed to take before it, in KB.
+    /// Recorded memory use of the engine before this step, in KB.
     pub(crate) used_kilobytes: u64,
     pub(crate) reason: &'static str,
 }
 
-/// What the planner sees of one service.
+/// Planner's view of one service.
 pub(crate) struct View<'a> {
     pub(crate) now: Timestamp,
     pub(crate) service: &'a ServiceName,
@@ -63,13 +63,13 @@
     pub(crate) demand: &'a mut Demand,
     pub(crate) permits: &'a mut StorePermits,
     pub(crate) store: &'a StoreCapacity,
-    /// Loads that end engines.
+    /// Quarantined loads.
     pub(crate) crashes: &'a Crashes,
-    /// Limits that engines state.
+    /// Limits stated by engines.
     pub(crate) limits: &'a PermitLedger,
-    /// Takes when models that wait for an engine or a permit of the weight store are expected to serve.
+    /// Collects ready estimates of models that wait for an engine or a permit.
     pub(crate) awaited: &'a mut Vec<ModelReadyEstimate>,
-    /// Instructions of earlier leaders, and how long engines are left alone after them.
+    /// Instructions of earlier leaders, and how long engines must not be instructed after them.
     pub(crate) history: &'a InstructionHistory,
     pub(crate) handover: Duration,
 }
@@ -88,22 +88,22 @@
     }
 }
 
-/// Something that a load would serve.
+/// A potential load.
 struct Want<'a> {
-    /// Delay of requests that it would save, in milliseconds; see [`cost`].
+    /// Request delay saved, in milliseconds; see [`cost`].
     worth: f64,
     what: Wanted<'a>,
 }
 
 enum Wanted<'a> {
-    /// A model or adapter that requests wait for.
+    /// Loads a model or adapter that requests wait for.
     Need(&'a Unmet),
-    /// A further replica of a busy model.
+    /// Adds a replica of a busy model.
     Replica(ModelName),
 }
 
-/// What loads would serve, the most worth first: the weight store's time is scarce. What is worth the same
-/// goes by urgency, then by age.
+/// Returns potential loads by descending benefit, because weight store capacity is scarce. Equal
+/// benefits keep the order of urgency and age.
 fn wants<'a>(unmet: &'a [Unmet], round: &Round) -> Vec<Want<'a>> {
     let needs = unmet.iter().map(|need| Want {
         worth: cost::serving(need.requests + round.expected(&need.key.model)),
@@ -119,7 +119,7 @@
 }
 
 impl View<'_> {
-    /// Engines of the service that take new work, in order of their names.
+    /// Returns the available engines of the service, in order of their names.
     pub(crate) fn taking(&self) -> impl Iterator<Item = &InstanceId> {
         self.registry
             .taking(self.service)
@@ -130,13 +130,13 @@
         self.engines.engines.get(instance)
     }
 
-    /// Whether the engine may be instructed now.
+    /// Returns whether the engine may be instructed now.
     pub(crate) fn is_free(&self, instance: &InstanceId) -> bool {
         let open = self.now >= self.history.open_from(instance, self.handover);
         open && self.engine(instance).is_some_and(Engine::is_free)
     }
 
-    /// Whether loads of a model, or of an adapter of it, are held back: they ended the engines that began them.
+    /// Returns whether loads of the model or adapter are quarantined because they crashed engines.
     pub(crate) fn is_held_back(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
         let key = ModelKey {
             service: self.service.clone(),
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Loads what room was made for, or makes more room.
+    /// Loads models for which memory was freed, or frees more.
     fn follow_reservations(&mut self, round: &mut Round, steps: &mut Vec<Step>) {
         for instance in round.reserved.clone() {
             if !self.is_free(&instance) {
@@ -225,15 +225,15 @@
         }
     }
 
-    /// Brings a model that nobody holds. One that is on its way comes a second time where that is so much
-    /// sooner that it is worth it.
+    /// Loads a model that no engine holds. If it is already incoming, a second load must be much
+    /// faster and worth its cost.
     fn meet_model(&mut self, need: &Unmet, round: &mut Round, steps: &mut Vec<Step>) {
         let model = &need.key.model;
         let Some(place) = round.place_for(self.specification, model, need.requests) else {
             return;
         };
         if !place.opens_in.is_zero() {
-            // The better place opens soon: it is waited for.
+            // The cheapest engine becomes available soon: wait for it.
             if round.coming_in(model).is_none() {
                 self.await_model(model, place.ready_in());
             }
@@ -253,13 +253,13 @@
         self.begin(&place, model, reason, round, steps);
     }
 
-    /// Notes that a model waits, for gateways to be told.
+    /// Records a waiting model, to be published to gateways.
     fn await_model(&mut self, model: &ModelName, ready_in: Duration) {
         self.awaited
             .push(model_outlook(self.service, model, None, ready_in));
     }
 
-    /// Begins to load, or to make room and reserve it.
+    /// Starts the load, or evicts a model and reserves the freed memory.
     fn begin(
         &mut self,
         place: &Place,
@@ -320,8 +320,8 @@
         });
     }
 
-    /// Gives a busy model a further replica: where a copy is at hand, or from the weight store while
-    /// needs that nobody serves leave it enough permits.
+    /// Adds a replica of a busy model from a local copy, or from the weight store while unmet
+    /// demand leaves enough permits.
     fn add_replica(&mut self, model: &ModelName, round: &mut Round, steps: &mut Vec<Step>) {
         let milliloads = self.specification.milliloads_per_second;
         let spare = self.permits.used_fraction(self.now, milliloads) < SPREAD_PERMITS;
@@ -333,8 +333,8 @@
 }
 
 impl Round {
-    /// Where a further replica of a model costs least; only engines that are much less busy than
-    /// its holders.
+    /// Returns the cheapest placement of a further replica, on engines much less utilized than the
+    /// holders.
     fn replica_place(
         &self,
         specification: &EngineSpec,
@@ -348,7 +348,7 @@
         })
     }
 
-    /// Where a model that nobody holds costs least.
+    /// Returns the cheapest placement of a model that no engine holds.
     fn place_for(
         &self,
         specification: &EngineSpec,
--- a/crates/millpass-fleet/src/registry.rs
+++ b/crates/millpass-fleet/src/registry.rs
@@ -1,38 +1,38 @@
-//! Active instances as they announce themselves.
+//! Active instances as announced.
 
 use millpass_proto::{HeldModel, InstanceId, InstanceRecord, ServiceName};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Most removals remembered for gateways that have not been told; one that was told before the oldest of them is told
-/// everything.
+/// Removals kept for gateways that have not received them. Gateways that lack older ones are sent a
+/// full update.
 const MAXIMUM_REMOVALS: usize = 1_024;
 
-/// What became of an announcement.
+/// Outcome of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Announced {
-    /// A run that was not known.
+    /// Unknown incarnation.
     New,
-    /// Something that matters to gateways or placement changed.
+    /// Something relevant to gateways or placement changed.
     Changed,
-    /// Nothing new.
+    /// No relevant change.
     Same,
-    /// Older than what is known; ignored.
+    /// Older than the recorded announcement; ignored.
     Late,
 }
 
 struct Entry {
-    /// With the models that it serves new requests with.
+    /// Its models are those served to new requests.
     record: InstanceRecord,
-    /// Models that it last announced.
+    /// Models as last announced.
     announced: Vec<HeldModel>,
-    /// Of the record; gateways that come back say by digests what they hold.
+    /// Digest of the record; reconnecting gateways list the digests they hold.
     digest: u64,
     revision: u64,
 }
 
 impl Entry {
-    /// Whether an announcement differs from the last one in nothing but how new it is. What the instance serves may differ
-    /// from both.
+    /// Returns whether an announcement differs from the last one in its sequence number only. The
+    /// served models may differ from both.
     fn announces_the_same(&self, record: &InstanceRecord) -> bool {
         let mut last = self.record.clone();
         last.models.clone_from(&self.announced);
@@ -40,33 +40,32 @@
     }
 }
 
-/// What a gateway lacks that says by digests which records it holds.
+/// Difference between the registry and the digests that a gateway holds.
 pub(crate) struct Lacking {
-    /// Records that it does not hold.
+    /// Records that the gateway does not hold.
     pub(crate) records: Vec<InstanceRecord>,
-    /// Digests of those that it holds as they stand here.
+    /// Digests held by the gateway that are current.
     pub(crate) kept: Vec<u64>,
 }
 
-/// Known instances. Each change gets a revision, so that gateways are sent only what changed.
+/// Active instances. Each change increases the revision, so that gateways are sent only changes.
 #[derive(Default)]
 pub(crate) struct Registry {
     entries: BTreeMap<InstanceId, Entry>,
-    /// How many there are of each service.
+    /// Number of instances of each service.
     counts: BTreeMap<ServiceName, usize>,
     removals: VecDeque<(u64, InstanceId)>,
-    /// Revision of the newest removal that is remembered no more.
+    /// Revision of the newest removal that was discarded.
     forgotten: u64,
     revision: u64,
 }
 
 impl Registry {
-    /// Newest revision.
     pub(crate) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes an announcement. An instance that drains stays draining.
+    /// Applies an announcement. A draining instance stays draining.
     pub(crate) fn announce(&mut self, mut record: InstanceRecord) -> Announced {
         let Some(entry) = self.entries.get_mut(&record.instance) else {
             self.revision += 1;
@@ -76,7 +75,7 @@
                 digest: record.digest(),
                 record,
             };
-            // Named beside its record, the removal of before would undo it.
+            // A removal sent along with the record would undo it.
             let instance = entry.record.instance.clone();
             self.forget_removal(&instance);
             *self.counts.entry(entry.record.service.clone()).or_default() += 1;
@@ -106,16 +105,16 @@
         Announced::Changed
     }
 
-    /// Earlier runs of a run's instance that are still known.
+    /// Returns known earlier incarnations of an instance.
     pub(crate) fn earlier_runs(&self, instance: &InstanceId) -> Vec<InstanceId> {
         let runs = instance.runs_in(&self.entries);
         let earlier = runs.filter(|known| known.is_before(instance));
         earlier.cloned().collect()
     }
 
-    /// Whether a later run of a run's instance is known, or was removed lately. A run that is known has none: it ended
-    /// with the first word of a later one. So a heartbeat costs one look, and only the first of a run goes through the
-    /// removals: 79 us an announcement where each did, 1.9 us so (release build, 3,000 instances, 1,024 removals).
+    /// Returns whether a later incarnation of the instance is known or was removed recently. A
+    /// known incarnation has none, because it is removed when a later one is announced; this check
+    /// keeps heartbeats from scanning the removals.
     pub(crate) fn has_later_run(&self, instance: &InstanceId) -> bool {
         if self.entries.contains_key(instance) {
             return false;
@@ -126,14 +125,13 @@
             || removed.any(|removed| instance.is_before(removed))
     }
 
-    /// The latest known run of an instance.
     pub(crate) fn latest_run(&self, instance: &InstanceId) -> Option<&InstanceId> {
         let runs = instance.runs_in(&self.entries);
         runs.max_by_key(|run| run.incarnation())
     }
 
-    /// An instance leaves, or has ended. Gateways are told of it also if this leader never heard of it: they may know
-    /// it from an earlier one.
+    /// Applies a departure: the instance drains or has ended. Also recorded for unknown instances,
+    /// which gateways may have received from an earlier leader.
     pub(crate) fn depart(&mut self, instance: &InstanceId, ended: bool) {
         if !ended && self.entries.contains_key(instance) {
             return self.update(instance, |record| record.draining = true);
@@ -152,17 +150,17 @@
         true
     }
 
-    /// Instances of a service, those that drain included.
+    /// Returns the number of instances of a service, including draining ones.
     pub(crate) fn count(&self, service: &ServiceName) -> usize {
         self.counts.get(service).copied().unwrap_or_default()
     }
 
-    /// What an instance serves new requests with.
+    /// Sets the models that an instance serves to new requests.
     pub(crate) fn serves(&mut self, instance: &InstanceId, models: Vec<HeldModel>) {
         self.update(instance, |record| record.models = models);
     }
 
-    /// Changes a record; a change that does nothing gets no revision.
+    /// Changes a record; the revision increases only if it differs afterwards.
     fn update(&mut self, instance: &InstanceId, change: impl FnOnce(&mut InstanceRecord)) {
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
@@ -176,7 +174,7 @@
         }
     }
 
-    /// Removes an instance. True if it was known.
+    /// Removes an instance. Returns true if it was known.
     pub(crate) fn remove(&mut self, instance: &InstanceId) -> bool {
         let known = self.take_out(instance);
         if known {
@@ -200,7 +198,7 @@
         self.removals.retain(|(_, removed)| removed != instance);
     }
 
-    /// Whether all removals after a revision are remembered.
+    /// Returns whether all removals after a revision are kept.
     pub(crate) fn remembers_since(&self, revision: u64) -> bool {
         revision >= self.forgotten
     }
@@ -209,12 +207,11 @@
         self.entries.get(instance).map(|entry| &entry.record)
     }
 
-    /// How many there are, of all services.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// What an instance last announced.
+    /// Returns the record of an instance as last announced.
     pub(crate) fn announced(&self, instance: &InstanceId) -> Option<InstanceRecord> {
         let entry = self.entries.get(instance)?;
         let mut record = entry.record.clone();
@@ -226,7 +223,7 @@
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Instances of a service that take new work, in order of their names.
+    /// Returns instances of a service that are not draining, in order of their names.
     pub(crate) fn taking<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -235,7 +232,7 @@
             .filter(move |record| record.service == *service && !record.draining)
     }
 
-    /// What a gateway lacks that holds records of these digests.
+    /// Compares the registry with the digests that a gateway holds.
     pub(crate) fn lacking(&self, held: &HashSet<u64>) -> Lacking {
         let mut lacking = Lacking {
             records: Vec::new(),
@@ -251,10 +248,10 @@
         lacking
     }
 
-    /// Records changed after a revision; all of them after 0.
+    /// Returns records changed after a revision; all of them for 0.
     pub(crate) fn changed_since(&self, revision: u64) -> Vec<InstanceRecord> {
         if revision >= self.revision {
-            // Most updates answer a report after which nothing changed.
+            // Common case: nothing changed since the last update.
             return Vec::new();
         }
         self.entries
@@ -264,7 +261,6 @@
             .collect()
     }
 
-    /// Instances removed after a revision.
     pub(crate) fn removed_since(&self, revision: u64) -> Vec<InstanceId> {
         self.removals
             .iter()
@@ -274,11 +270,11 @@
     }
 }
 
-/// Whether nothing changed but how new the word is.
+/// Returns whether two records differ in their sequence number only.
 pub(crate) fn same_but_sequence(left: &InstanceRecord, right: &InstanceRecord) -> bool {
     let mut compared = right.clone();
     compared.sequence = left.sequence;
-    // A warm-up that runs down is no news.
+    // The countdown of a warm-up is not a relevant change.
     if left.warmup_millis > 0 && right.warmup_millis > 0 {
         compared.warmup_millis = left.warmup_millis;
     }
--- a/crates/millpass-fleet/src/rollout.rs
+++ b/crates/millpass-fleet/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The way of a document's version to each gateway: how long each took to report it, and who lacks it.
+//! Propagation of documents and departures to gateways.
 
 use crate::fleet::Fleet;
 use crate::gateways::GatewaySession;
@@ -7,16 +7,15 @@
 use millpass_proto::{DeploymentDocument, Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time after which a gateway that does not report the version in force lags. Gateways report several times a
-/// second, so this is some reports late, and well within the time in which a change has to be in force.
+/// Time after which a gateway that has not reported the current version counts as lagging. Several
+/// report intervals, and well below the time within which a change must be in force.
 pub(crate) const LAG: Duration = Duration::from_millis(1_000);
-/// Most gateways named in one look at those that lag.
+/// Lagging gateways logged per check.
 const MAXIMUM_NAMED: usize = 8;
-/// Most lost gateways remembered.
 const MAXIMUM_LOST: usize = 1_024;
-/// Most departures whose way is followed; a wave of restarts in a second is fewer.
+/// Departures tracked; more than a wave of restarts produces in a second.
 const MAXIMUM_DEPARTURES: usize = 256;
-/// Time for which a lost gateway is looked for.
+/// Time for which a disconnected gateway is included in lag checks.
 const LOST_MEMORY: Duration = Duration::from_secs(60);
 
 /// A gateway whose connection ended.
@@ -26,15 +25,15 @@
     lost_at: Timestamp,
 }
 
-/// Who has the version in force.
+/// Progress of the current document version.
 #[derive(Default)]
 pub(crate) struct Rollout {
     version: u64,
-    /// When it was committed, as far as this member knows.
+    /// When the version was committed, as far as this member knows.
     since: Timestamp,
-    /// All gateways that were connected at one time had it.
+    /// Whether all connected gateways have reported the version at some point.
     everywhere: bool,
-    /// When those that lag are named next, and the pause after that; it doubles while they do.
+    /// Time of the next lag check. The interval doubles while gateways lag.
     next_look: Timestamp,
     pause: Duration,
     lost: BTreeMap<String, LostGateway>,
@@ -43,7 +42,7 @@
 }
 
 impl Rollout {
-    /// A departure was committed at this index of the log.
+    /// Records a departure committed at this log index.
     pub(crate) fn departed(&mut self, now: Timestamp, index: u64) {
         self.departures.push_back((index, now));
         if self.departures.len() > MAXIMUM_DEPARTURES {
@@ -51,7 +50,7 @@
         }
     }
 
-    /// A gateway's connection ended.
+    /// Records that a gateway's connection ended.
     pub(crate) fn lost(&mut self, now: Timestamp, session: &GatewaySession) {
         if self.lost.len() >= MAXIMUM_LOST {
             return;
@@ -64,12 +63,12 @@
         self.lost.insert(session.name.clone(), lost);
     }
 
-    /// Version that a lost gateway had.
+    /// Returns the version last reported by a disconnected gateway.
     pub(crate) fn held_when_lost(&self, name: &str) -> Option<u64> {
         self.lost.get(name).map(|lost| lost.reported)
     }
 
-    /// A gateway is connected again, or for the first time.
+    /// Records that a gateway has connected.
     pub(crate) fn connected(&mut self, name: &str) {
         self.lost.remove(name);
     }
@@ -89,7 +88,7 @@
 }
 
 impl GatewaySession {
-    /// Why it does not report a version that others have.
+    /// Returns why the gateway has not reported a version.
     fn lag_reason(&self, version: u64) -> &'static str {
         if self.behind_since.is_some() {
             "not-taken"
@@ -102,7 +101,7 @@
 }
 
 impl Fleet {
-    /// Follows the version in force; names who lags.
+    /// Tracks the current version and logs lagging gateways.
     pub(crate) fn follow_rollout(
         &mut self,
         now: Timestamp,
@@ -128,7 +127,7 @@
         let after = now.since(self.rollout.since);
         let mut lines = Vec::new();
         for session in self.gateways.sessions.values() {
-            // One that has just connected is told with the first update.
+            // The first update of a new connection is still on its way.
             let age = now.since(session.connected_at);
             if session.reported_version >= version || age < LAG {
                 continue;
@@ -155,7 +154,8 @@
             ]);
         }
         if lines.is_empty() {
-            // Whoever connects with an older version later is looked at soon.
+            // Resets the interval, so that a gateway that connects later with an older version is
+            // logged soon.
             self.rollout.pause = LAG;
             return;
         }
@@ -171,10 +171,10 @@
         }
     }
 
-    /// A gateway that had been told up to `before` reports to have been told up to `as_of`.
+    /// Outputs the propagation time of departures that a gateway received between two reports.
     pub(crate) fn departures_reached(&mut self, now: Timestamp, before: Option<u64>, as_of: u64) {
         let Some(before) = before else {
-            // What it was told earlier is not known here.
+            // What the gateway received earlier is unknown.
             return;
         };
         let newest_first = self.rollout.departures.iter().rev();
@@ -185,8 +185,8 @@
         self.out.extend(reached);
     }
 
-    /// A gateway reported a version. `before` is what it had reported earlier; one that was not known to this leader
-    /// may have had it for long, and is not measured.
+    /// Outputs the propagation time of the current version. Without a `previous` version, the
+    /// gateway may have had it before this leader was elected, and no time is output.
     pub(crate) fn reached(&mut self, now: Timestamp, before: Option<u64>, reported: u64) {
         let version = self.rollout.version;
         if version == 0 || before >= Some(version) || reported < version {
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -1,5 +1,5 @@
-//! What a round of planning looks up often, gathered once: with hundreds of engines and models,
-//! gathering it for each need takes the leader's whole processor.
+//! Data of one planning round, gathered once: with hundreds of engines and models, gathering it for
+//! each model would saturate the leader.
 
 use crate::cost;
 use crate::demand::{Load, Unmet};
@@ -11,60 +11,60 @@
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Cost of placing a model on an engine that reads prompts all the time, in milliseconds.
+/// Cost of placing a model on a fully utilized engine, in milliseconds of request delay.
 const BUSY_COST: f64 = 1_000.0;
-/// Prompt tokens that an engine reads in a second.
+/// Prompt tokens that an engine processes a second.
 const TOKENS_PER_SECOND: f64 = 38_000.0;
-/// Least time that something under way is expected to go on.
+/// Lower bound of the estimated remaining time of a pending instruction.
 const LEAST_LEFT: Duration = Duration::from_millis(50);
-/// Share of its time that one engine may spend on a model before the model gets another replica.
+/// Utilization of an engine by a model above which the model gets another replica.
 pub(crate) const COMFORTABLE_SHARE: f64 = 0.3;
 
-/// A place for a model, and what must make way there.
+/// A placement of a model on an engine.
 pub(crate) struct Place {
     pub(crate) instance: InstanceId,
     pub(crate) victim: Option<ModelName>,
-    /// Delay of requests, in milliseconds; see [`cost`].
+    /// Request delay, in milliseconds; see [`cost`].
     pub(crate) cost: f64,
-    /// Time until the engine may be instructed.
+    /// Time until the engine can be instructed.
     pub(crate) opens_in: Duration,
-    /// Time from then until the model serves.
+    /// Time from then until the model is ready.
     pub(crate) takes: Duration,
 }
 
 impl Place {
-    /// Time until the model serves there.
+    /// Returns the time until the model is ready.
     pub(crate) fn ready_in(&self) -> Duration {
         self.opens_in + self.takes
     }
 }
 
-/// A model that may make way.
+/// A model that may be evicted.
 struct Evictable {
     model: ModelName,
     loss: Loss,
     kilobytes: u64,
 }
 
-/// Delay of requests that the absence of a replica causes.
+/// Request delay caused by removing a replica.
 #[derive(Clone, Copy)]
 enum Loss {
-    /// Others serve on: the delay, in milliseconds.
+    /// Other replicas remain: the delay, in milliseconds.
     Replica(f64),
-    /// It is the only one.
+    /// Last replica.
     Only {
         /// Requests a second.
         rate: f64,
-        /// Time to bring it back, in milliseconds.
+        /// Time to reload it, in milliseconds.
         restore_millis: f64,
-        /// Its weights are at another engine too. Otherwise they come back only once the engine has
-        /// loaded what took its place.
+        /// Whether another engine has a copy of its weights. Otherwise it can be reloaded only
+        /// after the model that replaces it is loaded.
         elsewhere: bool,
     },
 }
 
 impl Loss {
-    /// In milliseconds, if what takes its place loads for `load`.
+    /// Returns the delay in milliseconds, if the replacing model takes `load` to load.
     fn millis(self, load: Duration) -> f64 {
         match self {
             Loss::Replica(millis) => millis,
@@ -84,52 +84,51 @@
 pub(crate) struct Site {
     instance: InstanceId,
     free_kilobytes: u64,
-    /// Share of its time that it spends on its models' requests.
+    /// Fraction of time spent on requests.
     pub(crate) busyness: f64,
-    /// Time until it may be instructed.
+    /// Time until it can be instructed.
     opens_in: Duration,
-    /// What may make way, the least valuable first.
+    /// Models that may be evicted, the cheapest first.
     evictable: Vec<Evictable>,
 }
 
-/// Where a copy of a model's weights is.
+/// Location of a copy of a model's weights.
 struct Copy {
     site: usize,
     source: WeightsSource,
 }
 
-/// What a round looks up.
+/// Data of one planning round.
 #[derive(Default)]
 pub(crate) struct Round {
     /// Index of each model in the specification.
     models: HashMap<ModelName, usize>,
-    /// Engines that hold each model and can be reached.
+    /// Reachable engines that hold each model.
     holders: BTreeMap<ModelName, Vec<InstanceId>>,
-    /// Models that are being loaded, or about to be, and when the first replica will be there.
+    /// Time until the first incoming replica of each model is ready.
     coming: BTreeMap<ModelName, Duration>,
-    /// How many replicas of each are coming.
+    /// Number of incoming replicas of each model.
     coming_replicas: BTreeMap<ModelName, usize>,
-    /// Engines that each model's requests would fill: the time that their prompts take to read, or the
-    /// places that they take, whichever is more.
+    /// Load offered by each model's requests, in engines.
     business: BTreeMap<ModelName, f64>,
     /// Requests a second for each model.
     rates: BTreeMap<ModelName, f64>,
     /// Engines on which a model may be placed, now or soon.
     sites: Vec<Site>,
-    /// Copies of weights at those.
+    /// Weight copies on these engines.
     copies: HashMap<ModelName, Vec<Copy>>,
-    /// Engines that make room for a model.
+    /// Engines with memory reserved for a model.
     pub(crate) reserved: Vec<InstanceId>,
-    /// Models that somebody waits for; they don't make way.
+    /// Models with unmet demand, which must not be evicted.
     wanted: BTreeSet<ModelName>,
-    /// Engines for which an instruction was planned in this round.
+    /// Engines with a planned instruction in this round.
     instructed: BTreeSet<InstanceId>,
-    /// Loads from the weight store that are under way or about to begin, and how many there may be.
+    /// Loads from the weight store that are pending or about to start, and their limit.
     pub(crate) store_loads: usize,
     store_limit: usize,
-    /// Loads that wait for the weight store.
+    /// Loads waiting for the weight store.
     pub(crate) store_queue: usize,
-    /// Time until the first load under way should end.
+    /// Expected time until the next pending load ends.
     store_opens_in: Duration,
 }
 
@@ -174,7 +173,7 @@
     }
 
     fn note_models(&mut self, view: &View<'_>, instance: &InstanceId, engine: &Engine) {
-        // An engine that states a limit is in need: its models' requests are better served elsewhere.
+        // An engine that states a limit is overloaded: its models need replicas elsewhere.
         let is_limited = view.limits.is_limited(instance);
         for held in &engine.held {
             if !engine.unloading(&held.model) && !is_limited {
@@ -239,7 +238,7 @@
             .collect();
         let loss = |evictable: &Evictable| evictable.loss.millis(Duration::ZERO);
         evictable.sort_by(|left, right| loss(left).total_cmp(&loss(right)));
-        // What the configuration does not name goes first: nobody can ask for it.
+        // Models missing from the configuration go first: no request can use them.
         evictable.sort_by_key(|evictable| self.models.contains_key(&evictable.model));
         Site {
             instance,
@@ -252,7 +251,7 @@
         }
     }
 
-    /// What the configuration says of a model.
+    /// Returns the configuration of a model.
     pub(crate) fn model<'a>(
         &self,
         specification: &'a EngineSpec,
@@ -261,39 +260,39 @@
         specification.models.get(*self.models.get(model)?)
     }
 
-    /// How many engines hold a model.
+    /// Returns the number of engines that hold a model.
     pub(crate) fn holders(&self, model: &ModelName) -> usize {
         self.holders_of(model).len()
     }
 
-    /// Engines that hold a model.
     pub(crate) fn holders_of(&self, model: &ModelName) -> &[InstanceId] {
         self.holders.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// When a model that is being loaded, or about to be, will be there.
+    /// Returns the time until the first incoming replica of a model is ready.
     pub(crate) fn coming_in(&self, model: &ModelName) -> Option<Duration> {
         self.coming.get(model).copied()
     }
 
-    /// A model is about to be brought somewhere.
+    /// Records an incoming replica of a model.
     pub(crate) fn comes(&mut self, model: &ModelName, ready: Duration) {
         let known = self.coming.entry(model.clone()).or_insert(ready);
         *known = ready.min(*known);
         *self.coming_replicas.entry(model.clone()).or_default() += 1;
     }
 
-    /// An instruction for an engine was planned: it gets no other in this round.
+    /// Marks an engine as instructed: it receives no other instruction in this round.
     pub(crate) fn instruct(&mut self, instance: &InstanceId) {
         self.instructed.insert(instance.clone());
     }
 
-    /// Whether no further load from the weight store may begin.
+    /// Returns whether no further load from the weight store may start.
     pub(crate) fn store_is_full(&self) -> bool {
         self.store_loads >= self.store_limit
     }
 
-    /// Time until a further load from the weight store may begin, if loads take `load`.
+    /// Returns the time until another load from the weight store may start, for loads that take
+    /// `load`.
     fn store_wait(&self, load: Duration) -> Duration {
         if !self.store_is_full() {
             return Duration::ZERO;
@@ -303,13 +302,12 @@
         self.store_opens_in + load.saturating_mul(queue) / limit
     }
 
-    /// Whether an instruction for an engine was planned in this round.
     pub(crate) fn is_instructed(&self, instance: &InstanceId) -> bool {
         self.instructed.contains(instance)
     }
 
-    /// The cheapest place for a model that `waiting` requests wait for, among the sites that are `fit`,
-    /// which is told where its weights would come from. What makes way costs `limit` at most.
+    /// Returns the cheapest placement of a model for `waiting` requests, among the sites accepted
+    /// by `fit`, which receives the source of the weights. Evictions may cost at most `limit`.
     pub(crate) fn cheapest(
         &self,
         specification: &EngineSpec,
@@ -344,14 +342,15 @@
             .min_by(|left, right| left.cost.total_cmp(&right.cost))
     }
 
-    /// Delay of the requests that wait for a model, and of those that come meanwhile, if it takes so long.
+    /// Returns the delay of the requests waiting for a model, and of those arriving meanwhile, if
+    /// it takes this long to be ready.
     pub(crate) fn waiting_cost(&self, model: &ModelName, waiting: f64, takes: Duration) -> f64 {
         let rate = self.rates.get(model).copied().unwrap_or_default();
         let delay = takes.as_secs_f64();
         (waiting + rate * delay) * delay * 1_000.0
     }
 
-    /// A place for a model on an engine that makes room for it, whatever must make way.
+    /// Returns the placement of a model on an engine with reserved memory, at any eviction cost.
     pub(crate) fn place_at(
         &self,
         view: &View<'_>,
@@ -365,13 +364,13 @@
         site.place(wanted.weights_kilobytes, load, f64::MAX)
     }
 
-    /// Models that take more of their replicas' time than those serve well in, once for each replica that
-    /// they lack, with the delay of requests that it saves.
+    /// Returns models whose replicas are overutilized, once per missing replica, with the delay it
+    /// saves.
     pub(crate) fn busy_models(&self) -> Vec<(f64, ModelName)> {
         let mut busy = Vec::new();
         for (model, business) in &self.business {
             let replicas = self.replicas(model).max(1);
-            // No more than there are engines to place them on, whatever is reported.
+            // Bounded by the number of engines, whatever is reported.
             let lacking = (replicas..replicas + self.sites.len())
                 .take_while(|replicas| business / *replicas as f64 >= COMFORTABLE_SHARE);
             busy.extend(lacking.map(|replicas| {
@@ -382,17 +381,17 @@
         busy
     }
 
-    /// Share of its time that a replica of a model spends on it, once all that are coming are there.
+    /// Returns the utilization of each replica by a model, including incoming replicas.
     pub(crate) fn share(&self, model: &ModelName) -> f64 {
         self.business_of(model) / self.replicas(model).max(1) as f64
     }
 
-    /// Delay of requests that a further replica of a model saves.
+    /// Returns the delay saved by one more replica of a model.
     pub(crate) fn replica_gain(&self, model: &ModelName) -> f64 {
         cost::replica_gain(self.business_of(model), self.replicas(model))
     }
 
-    /// Requests that are expected for a model within the horizon.
+    /// Returns the number of requests expected for a model within the horizon.
     pub(crate) fn expected(&self, model: &ModelName) -> f64 {
         cost::expected(self.rates.get(model).copied().unwrap_or_default())
     }
@@ -401,20 +400,20 @@
         self.business.get(model).copied().unwrap_or_default()
     }
 
-    /// Engines that hold a model or will.
+    /// Returns the number of current and incoming replicas.
     fn replicas(&self, model: &ModelName) -> usize {
         let coming = self.coming_replicas.get(model).copied().unwrap_or_default();
         self.holders(model) + coming
     }
 
-    /// What the absence of this replica, which counts among the holders, causes.
+    /// Returns the cost of removing one of the model's replicas.
     fn loss(&self, specification: &EngineSpec, model: &ModelName) -> Loss {
         let others = self.holders(model).saturating_sub(1);
         if others > 0 {
             let business = self.business_of(model);
             return Loss::Replica(cost::replica_loss(business, others));
         }
-        // Its load left a copy on the disk.
+        // The load has left a copy on disk.
         let load = self
             .model(specification, model)
             .map_or(0, |model| model.disk_load_millis.min(model.load_millis));
@@ -425,7 +424,7 @@
         }
     }
 
-    /// Notes which models have copies at more than one site.
+    /// Marks evictable models that have weight copies at other sites.
     fn note_copies_elsewhere(&mut self) {
         for (index, site) in self.sites.iter_mut().enumerate() {
             for evictable in &mut site.evictable {
@@ -438,7 +437,7 @@
         }
     }
 
-    /// Share of its time that an engine spends on its models' requests.
+    /// Returns the utilization of an engine by its models.
     pub(crate) fn busyness(&self, engine: &Engine) -> f64 {
         engine
             .held
@@ -450,8 +449,8 @@
             .sum()
     }
 
-    /// Memory that an engine's models and adapters take, with what is being loaded. What the configuration does not name
-    /// is of unknown size: it takes the whole.
+    /// Returns the memory used by an engine's models and adapters, including incoming ones. A model
+    /// missing from the configuration has an unknown size and counts as the whole memory.
     pub(crate) fn used_kilobytes(&self, specification: &EngineSpec, engine: &Engine) -> u64 {
         let adapter = |model: &ModelName| self.adapter_kilobytes(specification, model);
         let adapters = engine.coming().iter().map(|(model, _)| adapter(model));
@@ -477,7 +476,7 @@
             .fold(coming, u64::saturating_add)
     }
 
-    /// A model that the engine holds and the configuration does not name.
+    /// Returns a held model that is missing from the configuration.
     pub(crate) fn unnamed<'a>(&self, engine: &'a Engine) -> Option<&'a ModelName> {
         let mut held = engine.held.iter().map(|held| &held.model);
         held.find(|model| !self.models.contains_key(*model))
@@ -500,16 +499,16 @@
     }
 }
 
-/// Engines that a model's requests would fill: the time that their prompts take to read, or the places that they take,
-/// whichever is more.
+/// Returns the load offered by a model's requests, in engines: the larger of prompt processing time
+/// and slots in use.
 pub(crate) fn business(load: &Load, slots: f64) -> f64 {
     let reading = load.tokens / TOKENS_PER_SECOND;
     let running = f64::from(load.in_flight) / slots;
     reading.max(running)
 }
 
-/// Time until an engine may be instructed; none while that is not known. Only a load that the engine has
-/// taken and that is not overdue is worth waiting for.
+/// Returns the time until an engine can be instructed; none if unknown. Only accepted loads that
+/// are not overdue are worth waiting for.
 fn opens_in(view: &View<'_>, instance: &InstanceId, engine: &Engine) -> Option<Duration> {
     if view.is_free(instance) {
         return Some(Duration::ZERO);
@@ -525,8 +524,8 @@
 }
 
 impl Site {
-    /// What it costs to bring a model of this size here, whose load takes `load`, and the first model
-    /// that must make way; all that must make way costs `limit` at most.
+    /// Returns the placement of a model of this size here, including the evictions needed. None if
+    /// it does not fit or the evictions cost more than `limit`.
     fn place(&self, kilobytes: u64, load: Duration, limit: f64) -> Option<Place> {
         let mut free = self.free_kilobytes;
         let mut lost = 0.0;
--- a/crates/millpass-fleet/src/share_words.rs
+++ b/crates/millpass-fleet/src/share_reports.rs
@@ -1,4 +1,4 @@
-//! What members say to each other of the instances that announce themselves there: reports to the leader, and its answers.
+//! Reports of instances from members to the leader, and its responses.
 
 use crate::fleet::Fleet;
 use crate::shares::{Admission, Holder};
@@ -7,8 +7,9 @@
 };
 
 impl Fleet {
-    /// Takes another member's word of the instances that announce themselves there; `departed` says of those that the log
-    /// knows as leaving whether they have ended. Gives the answer.
+    /// Applies another member's report of the instances that announce themselves there, and returns
+    /// the response. `departed` returns, for an instance that departs according to the log, whether
+    /// it has ended.
     pub fn handle_share_report(
         &mut self,
         now: Timestamp,
@@ -92,7 +93,7 @@
         self.forget(instance, reason);
     }
 
-    /// Forgets instances that nobody has heard of for long.
+    /// Removes expired instances.
     pub(crate) fn forget_silent(&mut self, now: Timestamp) {
         let silence = self.settings.instance_timeout;
         let silent = self.share.sweep(now, silence);
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Keeps what this member itself hears, whether it leads or not.
+    /// Maintains the instances announced at this member, leading or not.
     pub fn maintain_share(&mut self, now: Timestamp) {
         self.share.advance(now);
         if !self.has_started_leading() {
@@ -121,18 +122,19 @@
         }
     }
 
-    /// Takes what the log knows of departures into what this member itself hears: before it takes charge, it may have
-    /// heard a late word of an instance whose departure it had not applied.
+    /// Applies committed departures to the instances announced at this member: it may have received
+    /// a late announcement of an instance before it applied the departure.
     pub fn apply_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
         self.share.take_departures(departed);
     }
 
-    /// Whether a report of this member's instances to the leader is due.
+    /// Returns whether a report of this member's instances to the leader is due.
     pub fn is_share_report_due(&self, now: Timestamp) -> bool {
         self.share.is_due(now)
     }
 
-    /// That report. `run` names this process' run; one that is not `to_leader` asks only who leads.
+    /// Returns the next report. `run` identifies this process run; without `to_leader`, the report
+    /// only asks who leads.
     pub fn next_share_report(
         &mut self,
         now: Timestamp,
@@ -143,12 +145,12 @@
         self.share.report(now, run, own, to_leader)
     }
 
-    /// Whether the last report was not answered in time.
+    /// Returns whether the last report timed out.
     pub fn is_share_report_timed_out(&self, now: Timestamp) -> bool {
         self.share.is_unanswered(now)
     }
 
-    /// Takes the answer to the last report.
+    /// Applies the response to the last report.
     pub fn handle_share_response(&mut self, answer: &ShareResponse) {
         self.share.answered(answer);
     }
--- a/crates/millpass-fleet/src/shares.rs
+++ b/crates/millpass-fleet/src/shares.rs
@@ -1,60 +1,60 @@
-//! Which member each instance announces itself at, as the leader knows it.
+//! Which member each instance announces itself at, as recorded by the leader.
 //!
-//! A member's word of an instance is as new as the instance's own sequence in it. That an instance fell silent at a member
-//! says nothing once another member has heard it since; and a member that is silent itself says nothing of its instances:
-//! those that live call another member within seconds.
+//! Announcements are ordered by the sequence number of the instance. An expiry reported by a member
+//! is ignored if another member has received the instance since. Instances of an unreachable member
+//! do not expire with it: live ones switch to another member within seconds.
 
 use millpass_proto::{Duration, InstanceHeartbeat, InstanceId, MemberId, ShareReport, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an instance announces itself.
+/// Member at which an instance announces itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Holder {
-    /// At this member.
+    /// This member.
     Own,
-    /// At another one.
+    /// Another member.
     Member(MemberId),
 }
 
-/// Intervals of `instance_silence` after which the instances of a silent member that no other has heard are gone: it may
-/// be cut off from the leader alone, and its instances live.
+/// Multiple of the instance timeout after which the instances of an unreachable member expire: the
+/// member may be cut off from the leader only, while its instances are alive.
 const LOST_SHARE_PATIENCE: u32 = 2;
-/// Most members whose shares are known.
 const MAXIMUM_MEMBERS: usize = 1_024;
 
-/// The share of one other member.
+/// The share of another member.
 struct MemberShare {
     run: u64,
-    /// Of its newest report: an older one that comes late says nothing.
+    /// Sequence number of its newest report; older ones are stale.
     number: u64,
-    /// Revision up to which it is known.
+    /// Last applied revision of the share.
     known: u64,
     heard_at: Timestamp,
     instances: BTreeSet<InstanceId>,
 }
 
-/// What a report is to the leader.
+/// Outcome of checking a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It continues what is known, or begins anew: its content is to be taken.
+    /// Continues the recorded share or starts a new one.
     Taken,
-    /// It continues something else: the member tells its share anew.
+    /// Continues an unknown share: the member must send its whole share.
     Unfit,
-    /// A newer one was taken before it.
+    /// Older than a report already applied.
     Outdated,
 }
 
-/// Shares by member. Times are of the leader's hearing clock.
+/// Shares by member. Times are by the leader's contact clock.
 #[derive(Default)]
 pub(crate) struct Shares {
     members: BTreeMap<MemberId, MemberShare>,
     holders: BTreeMap<InstanceId, Holder>,
-    /// Instances that no member holds, and since when: noted by an earlier leader, or no more named by their member.
+    /// Instances without a holder, and since when: recorded by an earlier leader, or no longer
+    /// listed by their member.
     unheld: BTreeMap<InstanceId, Timestamp>,
 }
 
 impl Shares {
-    /// Admits a report; from then on the member counts as heard.
+    /// Checks a report, and records contact with the member if it is accepted.
     pub(crate) fn admit(&mut self, now: Timestamp, report: &ShareReport) -> Admission {
         let member = report.from.member;
         let known = self.members.get(&member);
@@ -83,7 +83,8 @@
         Admission::Taken
     }
 
-    /// The share of a member begins anew: what it does not name again is held by nobody.
+    /// Starts a new share of a member. Instances of the previous one have no holder until listed
+    /// again.
     fn begin(&mut self, now: Timestamp, member: MemberId, run: u64) {
         let share = MemberShare {
             run,
@@ -99,12 +100,12 @@
         }
     }
 
-    /// Revision up to which a member's share is known; 0 for none.
+    /// Returns the last applied revision of a member's share; 0 for none.
     pub(crate) fn known(&self, member: MemberId) -> u64 {
         self.members.get(&member).map_or(0, |share| share.known)
     }
 
-    /// An instance was heard at a member. True where it was not held there before.
+    /// Records the holder of an instance. Returns true if it has changed.
     pub(crate) fn heard(&mut self, instance: &InstanceId, holder: Holder) -> bool {
         if self.holders.get(instance) == Some(&holder) {
             return false;
@@ -119,22 +120,20 @@
         true
     }
 
-    /// An instance is known that no member has named yet.
+    /// Records an instance without a holder.
     pub(crate) fn noted(&mut self, now: Timestamp, instance: &InstanceId) {
         self.unheld.insert(instance.clone(), now);
     }
 
-    /// Whether no member holds an instance.
+    /// Returns whether no member holds an instance.
     pub(crate) fn is_unheld(&self, instance: &InstanceId) -> bool {
         !self.holders.contains_key(instance)
     }
 
-    /// Whether an instance announces itself at this member, as far as is known.
     pub(crate) fn is_held_by(&self, instance: &InstanceId, holder: Holder) -> bool {
         self.holders.get(instance) == Some(&holder)
     }
 
-    /// An instance is gone.
     pub(crate) fn forget(&mut self, instance: &InstanceId) {
         self.unheld.remove(instance);
         if let Some(Holder::Member(member)) = self.holders.remove(instance)
@@ -144,7 +143,7 @@
         }
     }
 
-    /// Those of a report's silent instances that no other member has heard since.
+    /// Returns the expired instances that no other member has received since.
     pub(crate) fn silent<'a>(
         &'a self,
         holder: Holder,
@@ -154,13 +153,13 @@
         silent.iter().filter(held)
     }
 
-    /// Instances of a member's share, in order.
+    /// Returns the instances of a member's share, in order.
     pub(crate) fn of(&self, member: MemberId) -> impl Iterator<Item = &InstanceId> {
         let share = self.members.get(&member);
         share.into_iter().flat_map(|share| &share.instances)
     }
 
-    /// Drops the shares of members that are silent for long; names their instances that nobody else heard.
+    /// Removes shares of unreachable members and returns their instances.
     pub(crate) fn lost(
         &mut self,
         now: Timestamp,
@@ -182,7 +181,7 @@
         named
     }
 
-    /// Instances that no member has held for longer than `silence`.
+    /// Returns instances without a holder for longer than `timeout`.
     pub(crate) fn unheld(&self, now: Timestamp, silence: Duration) -> Vec<InstanceId> {
         let unheld = self.unheld.iter();
         let long = unheld.filter(|(_, since)| now.since(**since) > silence);
--- a/crates/millpass-fleet/src/standby.rs
+++ b/crates/millpass-fleet/src/standby.rs
@@ -1,14 +1,14 @@
-//! Instances that stand by: known, not told to gateways, and not steered.
+//! Standby instances: known, but neither sent to gateways nor instructed.
 //!
-//! A service needs as many instances as it is asked for, and there may be many times as many. The others cost a record
-//! each, found by zone and by the models that they hold, and nothing while they do not change.
+//! A service may have many more instances than it needs. Each costs one indexed record, and no
+//! further work while it does not change.
 
 use millpass_proto::{InstanceId, InstanceRecord, ModelName, ServiceName, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 
 type ByZone = BTreeMap<ZoneName, BTreeSet<InstanceId>>;
 
-/// Instances that stand by. Those that drain are known, and never found.
+/// Standby instances. Draining ones are recorded, but not indexed.
 #[derive(Default)]
 pub(crate) struct Standby {
     records: BTreeMap<InstanceId, InstanceRecord>,
@@ -17,7 +17,7 @@
 }
 
 impl Standby {
-    /// Adds an instance, or takes its newer record.
+    /// Adds an instance or replaces its record.
     pub(crate) fn put(&mut self, record: InstanceRecord) {
         self.remove(&record.instance);
         if !record.draining {
@@ -26,7 +26,6 @@
         self.records.insert(record.instance.clone(), record);
     }
 
-    /// Takes an instance out.
     pub(crate) fn remove(&mut self, instance: &InstanceId) -> Option<InstanceRecord> {
         let record = self.records.remove(instance)?;
         if !record.draining {
@@ -65,14 +64,14 @@
         self.records.get(instance)
     }
 
-    /// A newer announcement without a change.
+    /// Records a newer announcement without changes.
     pub(crate) fn seen(&mut self, instance: &InstanceId, sequence: u64) {
         if let Some(record) = self.records.get_mut(instance) {
             record.sequence = record.sequence.max(sequence);
         }
     }
 
-    /// Runs of an instance that stand by.
+    /// Returns standby incarnations of an instance.
     pub(crate) fn runs_of<'a>(
         &'a self,
         instance: &InstanceId,
@@ -84,18 +83,17 @@
         self.records.keys()
     }
 
-    /// Instances that stand by, over all services.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Instances of a service that could become active.
+    /// Returns the number of instances of a service that can become active.
     pub(crate) fn count(&self, service: &ServiceName) -> usize {
         let zones = self.by_service.get(service);
         zones.map_or(0, |zones| zones.values().map(BTreeSet::len).sum())
     }
 
-    /// Zones in which instances of a service stand by, and the first of each.
+    /// Returns the first standby instance of a service in each zone.
     pub(crate) fn of_service<'a>(
         &'a self,
         service: &ServiceName,
@@ -103,7 +101,7 @@
         firsts(self.by_service.get(service))
     }
 
-    /// The same of those that hold a model.
+    /// Returns the first standby instance in each zone that holds a model.
     pub(crate) fn holding<'a>(
         &'a self,
         service: &ServiceName,
--- a/crates/millpass-fleet/src/store.rs
+++ b/crates/millpass-fleet/src/store_capacity.rs
@@ -1,76 +1,73 @@
-//! How many loads from the weight store go on at once at full speed, learned from how long they take.
+//! Estimate of how many concurrent loads the weight store serves at full speed.
 //!
-//! Beyond some number of loads at once the store serves each of them more slowly. More loads then end no
-//! sooner than fewer, and each holds up its engine for longer. The configuration states how long a load
-//! takes, not that number.
+//! Beyond its capacity the store slows down every load, so more concurrent loads end no sooner and
+//! block their engines for longer. The configuration states the duration of a load, but not the
+//! capacity.
 //!
-//! A store that serves `capacity` loads at full speed gives each of `n` loads the share
-//! `min(1, capacity / n)` of that speed. A load that ended tells the capacity for which its shares add
-//! up to the stated time. One that took no longer than stated only tells that the capacity is not
-//! less than the loads beside it. The limit grows while loads are not slowed, and is what they tell once
-//! they are. Doubling and halving the limit as TCP does was weighed: loads take seconds, so a limit that
-//! oscillates is wrong for minutes.
+//! With capacity `c`, each of `n` loads progresses at `min(1, c / n)` of full speed. A slowed load
+//! yields the `c` for which its progress adds up to the nominal time. A load at full speed only
+//! shows that the capacity is not below its concurrency. The limit grows while loads are not slowed
+//! and otherwise follows these samples. It is not halved on slowdown as in TCP: a load takes
+//! seconds, so an oscillating limit would be wrong for minutes.
 
-use crate::handover::InstructionHistory;
+use crate::instruction_history::InstructionHistory;
 use millpass_proto::{Duration, InstanceId, ModelName, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Loads at once before anything is known: enough to see one beside another.
+/// Limit before the first sample; large enough for loads to overlap.
 const FIRST_LIMIT: f64 = 3.0;
-/// Growth of the limit at the end of a load that was not slowed: between TCP's slow start, which overshoots
-/// by up to as much again, and one more at a time, which takes minutes where loads take seconds.
+/// Growth after a load that was not slowed.
 const GROWTH: f64 = 1.5;
-/// Share of the stated time by which a load that is not slowed may take longer.
+/// Fraction of the nominal time by which a load at full speed may take longer.
 const TOLERANCE: f64 = 0.15;
-/// Time by which the end of a load may be noticed late: the engine's word travels, and reads are paced.
+/// Maximum delay in detecting the end of a load.
 const NOTICE: Duration = Duration::from_millis(300);
-/// Times the stated time after which a load under way counts as slowed.
+/// Multiple of the nominal time after which a pending load counts as slowed.
 const OVERDUE: f64 = 1.5;
-/// Time after a slowed load for which the limit does not grow. A store that was disturbed gets another
-/// chance after it.
+/// Time after a slowed load during which the limit does not grow.
 const CAUTION: Duration = Duration::from_secs(30);
-/// Loads whose ends are remembered. The greatest capacity among them counts: a load may be slow for a
-/// reason of its own, never fast.
+/// Samples kept. The largest one counts, because a load may be slow for other reasons, but never
+/// fast.
 const REMEMBERED: usize = 4;
-/// Share of the limit that loads must have used for the limit to grow.
+/// Fraction of the limit that must have been used for the limit to grow.
 const USED_SHARE: f64 = 0.7;
 
-/// A load under way.
+/// A pending load.
 struct StoreLoad {
     model: ModelName,
     stated: Duration,
-    /// Time spent beside how many loads at once, itself included.
+    /// Time spent at each concurrency, this load included.
     beside: BTreeMap<AtOnce, Duration>,
 }
 
-/// Loads under way at the same time.
+/// Number of concurrent loads.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AtOnce {
-    /// Those, and what else may be one.
+    /// Includes loads that other leaders may have started.
     at_most: u32,
-    /// Those that this leader began.
+    /// Loads started by this leader.
     at_least: u32,
 }
 
-/// A load from the weight store that is under way now.
+/// A pending load from the weight store.
 pub struct PendingLoad {
-    /// Engine that loads.
+    /// Engine that loads the model.
     pub instance: InstanceId,
-    /// Model.
+    /// Model being loaded.
     pub model: ModelName,
-    /// Time that the load takes at full speed.
+    /// Duration of the load at full speed.
     pub nominal_time: Duration,
 }
 
-/// Learns how many loads at once the weight store serves at full speed.
+/// Estimates how many concurrent loads the weight store serves at full speed.
 pub struct StoreCapacity {
     limit: f64,
     under_way: BTreeMap<InstanceId, StoreLoad>,
-    /// Loads under way that this leader did not begin.
+    /// Pending loads that this leader did not start.
     others: usize,
     observed_at: Timestamp,
     slowed_at: Option<Timestamp>,
-    /// What the last loads told.
+    /// Capacities derived from the last loads.
     told: VecDeque<f64>,
 }
 
@@ -88,7 +85,7 @@
 }
 
 impl StoreCapacity {
-    /// Goes on with what earlier leaders learned.
+    /// Continues from the capacity recorded by earlier leaders.
     pub fn from_history(history: &InstructionHistory) -> Self {
         let known = history.store_capacity();
         StoreCapacity {
@@ -97,18 +94,19 @@
         }
     }
 
-    /// The limit in hundredths, for the leaders to come.
+    /// Returns the limit in hundredths of a load, to be recorded for later leaders.
     pub(crate) fn hundredths(&self) -> u32 {
         (self.limit * 100.0).round() as u32
     }
 
-    /// Loads that may be under way at once.
+    /// Returns the number of loads that may be pending at once.
     pub fn limit(&self) -> usize {
         self.limit.round().max(1.0) as usize
     }
 
-    /// Takes which loads are under way, besides `others` that this leader did not begin. `ended` says
-    /// whether a load that is no longer under way brought its model. True if the limit changed.
+    /// Updates the estimate from the pending loads and the number of `unknown_loads` that this
+    /// leader did not start. `ended` returns whether a load that is no longer pending has
+    /// completed. Returns true if the limit changed.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -139,7 +137,7 @@
         self.limit() != before
     }
 
-    /// Time until the first of the loads under way should end.
+    /// Returns the expected time until the first pending load ends.
     pub fn time_until_slot(&self) -> Duration {
         let left = |load: &StoreLoad| {
             let speed = (self.limit / self.under_way.len().max(1) as f64).min(1.0);
@@ -182,8 +180,8 @@
         }
     }
 
-    /// Lowers the limit before slowed loads end: they may take long. One slow load alone says nothing of
-    /// the store.
+    /// Lowers the limit before slowed loads end, which may take long. A single slow load is no
+    /// evidence against the store.
     fn notice_overdue(&mut self, now: Timestamp) {
         let overdue: Vec<f64> = self
             .under_way
@@ -211,7 +209,7 @@
         self.beside.values().copied().sum()
     }
 
-    /// Longest time that counts as not slowed.
+    /// Returns the maximum duration that counts as full speed.
     fn full_speed(&self) -> Duration {
         Duration::from_secs_f64(self.stated.as_secs_f64() * (1.0 + TOLERANCE)) + NOTICE
     }
@@ -227,7 +225,7 @@
         self.beside.iter().map(weighed).sum::<f64>() / total
     }
 
-    /// Seconds of full speed that it got if the store serves `capacity` loads at full speed.
+    /// Returns the progress, in seconds at full speed, if the store has this capacity.
     fn progress(&self, capacity: f64) -> f64 {
         let share = |at_once: &AtOnce| (capacity / f64::from(at_once.at_most.max(1))).min(1.0);
         self.beside
@@ -236,13 +234,13 @@
             .sum()
     }
 
-    /// The capacity for which the progress is the stated time.
+    /// Returns the capacity for which the progress equals the nominal time.
     fn capacity(&self) -> f64 {
         let stated = self.stated.as_secs_f64();
         let mut low = 0.0;
         let most = self.beside.keys().last();
         let mut high = most.map_or(1.0, |at_once| f64::from(at_once.at_most));
-        // Each step halves the interval: twenty give a millionth of it.
+        // Bisection: 20 steps reduce the interval to a millionth.
         for _ in 0..20 {
             let middle = (low + high) / 2.0;
             if self.progress(middle) < stated {
--- a/crates/millpass-fleet/src/traffic.rs
+++ b/crates/millpass-fleet/src/traffic.rs
@@ -1,14 +1,13 @@
-//! Requests in flight at each instance, over all gateways: one gateway among many sees too little of an
-//! instance's load to spread its requests well.
+//! Requests in flight at each instance over all gateways. With many gateways, a single one sees too
+//! little of an instance's load to balance well.
 
 use millpass_proto::{InstanceId, InstanceLoad, InstanceRecord};
 use std::collections::{BTreeMap, HashMap};
 
-/// Most instances that gateways are told the load of. The busiest count: they are to be passed over. Bounds
-/// an update to about a kilobyte more, however many instances there are.
+/// Number of busiest instances whose load is sent to gateways. Bounds the size of updates.
 const MOST_TOLD: usize = 64;
 
-/// What gateways said they have in flight.
+/// Requests in flight as reported by gateways.
 #[derive(Default)]
 pub(crate) struct Traffic {
     by_gateway: BTreeMap<String, Vec<InstanceLoad>>,
@@ -16,7 +15,7 @@
 }
 
 impl Traffic {
-    /// Takes what a gateway has in flight now.
+    /// Replaces the requests in flight at a gateway.
     pub(crate) fn report(&mut self, gateway: &str, sent: &[InstanceLoad]) {
         self.forget(gateway);
         for load in sent {
@@ -28,7 +27,7 @@
         }
     }
 
-    /// A gateway is gone, and what it had in flight with it.
+    /// Removes the requests in flight at a disconnected gateway.
     pub(crate) fn forget(&mut self, gateway: &str) {
         for load in self.by_gateway.remove(gateway).unwrap_or_default() {
             let Some(total) = self.totals.get_mut(&load.instance) else {
@@ -41,18 +40,18 @@
         }
     }
 
-    /// Requests in flight at these instances together.
+    /// Returns the total requests in flight at these instances.
     pub(crate) fn in_flight<'a>(&self, records: impl Iterator<Item = &'a InstanceRecord>) -> u32 {
         let totals = records.filter_map(|record| self.totals.get(&record.instance));
         totals.copied().fold(0, u32::saturating_add)
     }
 
-    /// Whether anything is in flight at an instance.
+    /// Returns whether an instance has requests in flight.
     pub(crate) fn is_used(&self, instance: &InstanceId) -> bool {
         self.totals.contains_key(instance)
     }
 
-    /// The busiest instances.
+    /// Returns the busiest instances by descending load.
     pub(crate) fn busiest(&self) -> Vec<InstanceLoad> {
         let mut loads: Vec<InstanceLoad> = self
             .totals
--- a/crates/millpass-fleet/src/updates.rs
+++ b/crates/millpass-fleet/src/updates.rs
@@ -1,4 +1,5 @@
-//! What gateways are told: what changed since their last update, and what is being loaded.
+//! Updates sent to gateways: changes since their last update, and ready estimates of incoming
+//! models.
 
 use crate::documents::DocumentHistory;
 use crate::engines::Engine;
@@ -11,30 +12,29 @@
     ModelName, ModelReadyEstimate, ServiceName, ServiceSpec, Timestamp,
 };
 
-/// How far an estimate may be off what gateways were told; beyond a tenth of the time that is left it counts too.
-/// One look for work apart, estimates differ by less.
+/// Difference between a published and a current ready time, below which gateways are not updated.
+/// For distant times, a tenth of the remaining time applies.
 const OUTLOOK_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Records named in the first updates of one look, after which other gateways wait for the next: some 6 ms of the core. So
-/// gateways which come all at once, at the start or after a change of leader, do not keep it from its lease, and updates
-/// do not pile up before they are encoded.
+/// Bound of the records in the first updates of one pass, after which other gateways wait for the
+/// next. Keeps reconnecting gateways from delaying the renewal of the leader lease.
 const GREETED_RECORDS: usize = 4_096;
-/// Records that a gateway holds already, and which are only compared, cost this part of those that are named, as its inverse.
+/// Divisor for the cost of a compared record, relative to a sent one.
 const COMPARED_SHARE: usize = 8;
 
-/// What the control plane knows beside the fleet, asked for when a gateway connects.
+/// Information from the control plane for updates, queried when a gateway connects.
 pub struct GatewayContext<'a> {
-    /// Addresses of the control members.
+    /// Returns the addresses of the control members.
     pub members: &'a dyn Fn() -> Vec<String>,
-    /// Instances that leave or have ended, as the log says after the index up to which a gateway was told.
+    /// Returns the instances that depart or have ended according to the log after this index.
     pub departed: &'a dyn Fn(u64) -> Vec<InstanceId>,
-    /// Log index up to which document and departures are applied here.
+    /// Log index up to which the document and departures are applied here.
     pub as_of: u64,
-    /// The last documents in force.
+    /// Recent documents.
     pub documents: &'a DocumentHistory,
 }
 
-/// Departed instances, but for those that the leader knows as leaving: their records say so.
+/// Returns departed instances except those known to be draining, whose records state it.
 fn departed_elsewhere(
     registry: &Registry,
     context: &GatewayContext<'_>,
@@ -46,7 +46,7 @@
 }
 
 impl Fleet {
-    /// What is being loaded or `awaited`, for gateways to estimate waits.
+    /// Refreshes the ready estimates of incoming and `waiting` models for gateways.
     pub(crate) fn refresh_outlook(
         &mut self,
         now: Timestamp,
@@ -82,18 +82,17 @@
         self.outlook = outlook;
     }
 
-    /// Whether an estimate is off what was told by more than gateways' waits can bear.
+    /// Returns whether ready times differ from the published ones by more than the tolerance.
     fn times_moved(&self, now: Timestamp, outlook: &[ModelReadyEstimate]) -> bool {
         outlook.iter().zip(&self.told_times).any(|(entry, told)| {
             let ready = ready_at(now, entry);
-            // What is past due serves now, for gateways as well.
+            // Gateways treat elapsed ready times as now.
             let told = (*told).max(now);
             let off = ready.since(told).max(told.since(ready));
             off > OUTLOOK_TOLERANCE.max(ready.since(now) / 10)
         })
     }
 
-    /// Revision of the busiest instances' loads, which are gathered anew.
     fn refresh_loads(&mut self) {
         let loads = self.traffic.busiest();
         if loads != self.told_loads {
@@ -125,7 +124,7 @@
             };
             let is_first = self.needs_all(&session);
             if is_first && greeted >= GREETED_RECORDS {
-                // With one of the next looks.
+                // Sent in a later pass.
                 self.gateways.sessions.insert(connection, session);
                 continue;
             }
@@ -135,7 +134,8 @@
             }
             self.gateways.sessions.insert(connection, session);
             if complete {
-                // Before that only some have found this leader, and each would take the others' shares.
+                // Set only when complete: until then some gateways have not connected yet, and the
+                // others would take over their portions of shared limits.
                 update.gateways = self.gateways.count();
             }
             self.out.push(FleetOutput::Update {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Connections of gateways to which something is to be sent now.
+    /// Returns the connections of gateways that are due for an update.
     fn gateways_due(
         &self,
         now: Timestamp,
@@ -165,21 +165,21 @@
         };
         let sessions = self.gateways.sessions.iter();
         sessions
-            // Behind what waits at a connection a second update would be old when it is taken: the difference grows
-            // here instead.
+            // An update behind a backlog would be stale on arrival; changes accumulate here
+            // instead.
             .filter(|(_, session)| session.behind_since.is_none())
             .filter(|(_, session)| wants(session) && session.is_due(now, interval))
             .map(|(connection, _)| *connection)
             .collect()
     }
 
-    /// Whether a gateway has to be told of all instances: nothing was sent yet, or what has left since the last update
-    /// is not remembered any more.
+    /// Returns whether a gateway needs a full update: nothing was sent yet, or removals since the
+    /// last update have been discarded.
     fn needs_all(&self, session: &GatewaySession) -> bool {
         !session.greeted || !self.registry.remembers_since(session.sent_revision)
     }
 
-    /// The next update of a gateway, which counts as sent.
+    /// Returns the next update of a gateway and marks it as sent.
     fn update_of(
         &mut self,
         now: Timestamp,
@@ -232,8 +232,8 @@
         update
     }
 
-    /// Instances in the first update of a connection: those that the gateway lacks. Seventy gateways that come back at
-    /// once would otherwise take the leader's core for as long as its lease lasts.
+    /// Fills the first update of a connection with the instances that the gateway does not hold.
+    /// Full updates for many reconnecting gateways could delay the leader past its lease.
     fn greet(
         &self,
         session: &mut GatewaySession,
@@ -242,8 +242,8 @@
     ) {
         let held = std::mem::take(&mut session.held_instances);
         let lacking = self.registry.lacking(&held);
-        // A leader that does not know every instance yet says which it knows to be gone: the gateway would keep
-        // them. One that holds none but those named here has nothing to drop.
+        // An incomplete leader lists the instances known to have ended, which the gateway would
+        // otherwise keep. A gateway that holds only the records kept here has nothing to drop.
         let holds_others = held.is_empty() || lacking.kept.len() < held.len();
         if !update.complete && holds_others {
             update.removed = departed_elsewhere(&self.registry, context, session.as_of);
@@ -252,8 +252,8 @@
         update.unchanged_instance_digests = lacking.kept;
     }
 
-    /// The document, or what changed since the one that the gateway will have when this arrives. What was sent counts
-    /// as arrived only once the gateway reports it.
+    /// Adds the document, or the change to it from the version that the gateway will have when the
+    /// update arrives. A sent version counts as arrived only once the gateway reports it.
     fn put_document(
         &mut self,
         now: Timestamp,
@@ -277,7 +277,7 @@
     }
 }
 
-/// An empty list where what was told still holds.
+/// Returns an empty list if the last sent one is still valid.
 fn kept_unless<T: Clone>(same: bool, items: &[T]) -> Vec<T> {
     if same { Vec::new() } else { items.to_vec() }
 }
@@ -286,7 +286,7 @@
     now + Duration::from_millis(entry.ready_in_millis)
 }
 
-/// What an engine is bringing, and when it will be there.
+/// Returns the ready estimates of models and adapters that an engine is loading.
 fn outlook_of(now: Timestamp, service: &ServiceSpec, engine: &Engine) -> Vec<ModelReadyEstimate> {
     let Some(specification) = &service.engine else {
         return Vec::new();
@@ -315,7 +315,6 @@
     loading.into_iter().chain(models).collect()
 }
 
-/// When a model, or adapter, will be ready.
 pub(crate) fn model_outlook(
     service: &ServiceName,
     model: &ModelName,
