--- a/crates/millpass-fleet/src/activation.rs
+++ b/crates/millpass-fleet/src/activation.rs
@@ -16,33 +16,33 @@
 use std::collections::BTreeMap;
 
 /// Services with up to this many instances keep all of them active.
-pub(crate) const WHOLE_SERVICE: usize = 256;
+pub(crate) const ALL_ACTIVE_LIMIT: usize = 256;
 /// Active replicas kept per model where available, so that the loss of a zone leaves one.
-const LEAST_REPLICAS: usize = 2;
+const MIN_REPLICAS: usize = 2;
 /// Zones that the active replicas of a model are spread over, where available.
-const LEAST_ZONES: usize = 2;
+const MIN_ZONES: usize = 2;
 /// Active instances kept per service and zone, as spare capacity for demand peaks and placements.
-const LEAST_IN_ZONE: usize = 8;
+const MIN_ACTIVE_PER_ZONE: usize = 8;
 /// Mean fraction of slots in use up to which plain instances are loaded.
-const LIGHT_USE: f64 = 0.25;
+const TARGET_UTILIZATION: f64 = 0.25;
 /// Bounds the duration of a pass.
-const MAXIMUM_CALLED_UP: usize = 64;
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_ACTIVATIONS_PER_PASS: usize = 64;
+const ACTIVATION_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without demand after which an active instance returns to standby.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Available active instances of one service.
 #[derive(Default)]
-struct Census {
+struct ActiveCounts {
     total: usize,
     zones: BTreeMap<ZoneName, usize>,
     /// By zone.
     replicas: BTreeMap<ModelName, BTreeMap<ZoneName, usize>>,
 }
 
-impl Census {
-    fn of<'a>(records: impl Iterator<Item = &'a InstanceRecord>) -> Census {
-        let mut census = Census::default();
+impl ActiveCounts {
+    fn of<'a>(records: impl Iterator<Item = &'a InstanceRecord>) -> ActiveCounts {
+        let mut census = ActiveCounts::default();
         records.for_each(|record| census.add(record));
         census
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    fn in_zone(&self, zone: &ZoneName) -> usize {
+    fn count_in_zone(&self, zone: &ZoneName) -> usize {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
@@ -75,7 +75,7 @@
         zones.map_or(0, |zones| zones.values().sum())
     }
 
-    fn zones_of(&self, model: &ModelName) -> usize {
+    fn zone_count(&self, model: &ModelName) -> usize {
         let zones = self.replicas.get(model);
         let held = |zones: &BTreeMap<ZoneName, usize>| {
             zones.values().filter(|replicas| **replicas > 0).count()
@@ -93,85 +93,98 @@
 }
 
 /// Number of instances a service needs active.
-struct Wanted {
+struct ActivationTarget {
     /// Over all models.
     total: usize,
     /// Replicas of each model in demand; [`MIN_REPLICAS`] for the others.
     replicas: BTreeMap<ModelName, usize>,
 }
 
-impl Wanted {
+impl ActivationTarget {
     fn replicas(&self, model: &ModelName) -> usize {
         let replicas = self.replicas.get(model).copied().unwrap_or_default();
-        replicas.max(LEAST_REPLICAS)
+        replicas.max(MIN_REPLICAS)
     }
 }
 
 /// Returns the number of replicas that keep utilization below the target.
-fn replicas_for(load: &Load, slots: f64) -> usize {
+fn required_replicas(load: &Load, slots: f64) -> usize {
     (round::business(load, slots) / COMFORTABLE_SHARE) as usize + 1
 }
 
 impl Fleet {
     /// Returns whether all instances stay active if the service gains one more.
-    pub(crate) fn uses_whole(&self, service: &ServiceName) -> bool {
-        self.registry.count(service) + self.standby.count(service) < WHOLE_SERVICE
+    pub(crate) fn keeps_all_active(&self, service: &ServiceName) -> bool {
+        self.registry.count(service) + self.standby.count(service) < ALL_ACTIVE_LIMIT
     }
 
     /// Activates instances that demand requires and returns idle ones to standby.
-    pub(crate) fn keep_active(&mut self, now: Timestamp, document: &DeploymentDocument) {
+    pub(crate) fn adjust_active_instances(
+        &mut self,
+        now: Timestamp,
+        document: &DeploymentDocument,
+    ) {
         if now < self.next_activation {
             return;
         }
-        self.next_activation = now + LOOK_INTERVAL;
+        self.next_activation = now + ACTIVATION_INTERVAL;
         for service in &document.services {
             let stands_by = self.standby.count(&service.name);
-            if stands_by == 0 && self.registry.count(&service.name) <= WHOLE_SERVICE {
+            if stands_by == 0 && self.registry.count(&service.name) <= ALL_ACTIVE_LIMIT {
                 continue;
             }
-            let mut census = Census::of(self.registry.taking(&service.name));
-            let wanted = self.wanted(now, service, &census);
-            self.call_up(now, service, &wanted, &mut census);
-            self.release_idle(now, service, &wanted, &mut census);
+            let mut census = ActiveCounts::of(self.registry.taking(&service.name));
+            let wanted = self.activation_target(now, service, &census);
+            self.activate_for_demand(now, service, &wanted, &mut census);
+            self.deactivate_idle(now, service, &wanted, &mut census);
         }
     }
 
-    fn wanted(&self, now: Timestamp, service: &ServiceSpec, census: &Census) -> Wanted {
-        let whole = census.total + self.standby.count(&service.name) <= WHOLE_SERVICE;
+    fn activation_target(
+        &self,
+        now: Timestamp,
+        service: &ServiceSpec,
+        census: &ActiveCounts,
+    ) -> ActivationTarget {
+        let whole = census.total + self.standby.count(&service.name) <= ALL_ACTIVE_LIMIT;
         let Some(engine) = &service.engine else {
             let places = self.registry.taking(&service.name);
             let slots = places.map(|record| record.slots).max().unwrap_or(1).max(1);
             let in_flight = self.traffic.in_flight(self.registry.taking(&service.name));
-            let total = f64::from(in_flight) / (f64::from(slots) * LIGHT_USE);
-            return Wanted {
-                total: if whole { WHOLE_SERVICE } else { total as usize },
+            let total = f64::from(in_flight) / (f64::from(slots) * TARGET_UTILIZATION);
+            return ActivationTarget {
+                total: if whole {
+                    ALL_ACTIVE_LIMIT
+                } else {
+                    total as usize
+                },
                 replicas: BTreeMap::new(),
             };
         };
         let slots = f64::from(engine.slots.max(1));
         let loads = self.demand.loads(now, &service.name).into_iter();
         let replicas = loads.map(|(model, load)| {
-            let replicas = replicas_for(&load, slots);
+            let replicas = required_replicas(&load, slots);
             (model, replicas)
         });
-        Wanted {
-            total: if whole { WHOLE_SERVICE } else { 0 },
+        ActivationTarget {
+            total: if whole { ALL_ACTIVE_LIMIT } else { 0 },
             replicas: replicas.collect(),
         }
     }
 
-    fn call_up(
+    fn activate_for_demand(
         &mut self,
         now: Timestamp,
         service: &ServiceSpec,
-        wanted: &Wanted,
-        census: &mut Census,
+        wanted: &ActivationTarget,
+        census: &mut ActiveCounts,
     ) {
-        let mut left = MAXIMUM_CALLED_UP;
+        let mut left = MAX_ACTIVATIONS_PER_PASS;
         let models = service.engine.iter().flat_map(|engine| &engine.models);
         for model in models {
             while left > 0
-                && let Some(instance) = self.lacking_replica(service, model, wanted, census)
+                && let Some(instance) = self.missing_replica(service, model, wanted, census)
             {
                 self.activate(now, &instance, "model", census);
                 left -= 1;
@@ -179,8 +192,8 @@
         }
         while left > 0 {
             let zones = self.standby.of_service(&service.name);
-            let emptiest = zones.min_by_key(|(zone, _)| census.in_zone(zone));
-            let lacks = |zone: &ZoneName| census.in_zone(zone) < LEAST_IN_ZONE;
+            let emptiest = zones.min_by_key(|(zone, _)| census.count_in_zone(zone));
+            let lacks = |zone: &ZoneName| census.count_in_zone(zone) < MIN_ACTIVE_PER_ZONE;
             let lacking = emptiest.filter(|(zone, _)| lacks(zone) || census.total < wanted.total);
             let Some(instance) = lacking.map(|(_, instance)| instance.clone()) else {
                 return;
@@ -191,19 +204,19 @@
     }
 
     /// Returns a standby instance that adds a missing replica or zone of a model.
-    fn lacking_replica(
+    fn missing_replica(
         &self,
         service: &ServiceSpec,
         model: &EngineModelSpec,
-        wanted: &Wanted,
-        census: &Census,
+        wanted: &ActivationTarget,
+        census: &ActiveCounts,
     ) -> Option<InstanceId> {
         let model = &model.name;
         let holding = self.standby.holding(&service.name, model);
         let (zone, instance) = holding.min_by_key(|(zone, _)| census.replicas_in(model, zone))?;
         let too_few = census.replicas(model) < wanted.replicas(model);
         let spreads = census.replicas_in(model, zone) == 0;
-        let too_close = census.zones_of(model) < LEAST_ZONES && spreads;
+        let too_close = census.zone_count(model) < MIN_ZONES && spreads;
         (too_few || too_close).then(|| instance.clone())
     }
 
@@ -212,7 +225,7 @@
         now: Timestamp,
         instance: &InstanceId,
         reason: &'static str,
-        census: &mut Census,
+        census: &mut ActiveCounts,
     ) {
         let Some(record) = self.standby.remove(instance) else {
             return;
@@ -230,39 +243,39 @@
     }
 
     /// Returns at most one idle instance to standby.
-    fn release_idle(
+    fn deactivate_idle(
         &mut self,
         now: Timestamp,
         service: &ServiceSpec,
-        wanted: &Wanted,
-        census: &mut Census,
+        wanted: &ActivationTarget,
+        census: &mut ActiveCounts,
     ) {
         let mut released = None;
         for record in self.registry.taking(&service.name) {
             let models = &record.models;
-            let spare = census.total > WHOLE_SERVICE.max(wanted.total)
-                && census.in_zone(&record.zone) > LEAST_IN_ZONE
+            let spare = census.total > ALL_ACTIVE_LIMIT.max(wanted.total)
+                && census.count_in_zone(&record.zone) > MIN_ACTIVE_PER_ZONE
                 && models
                     .iter()
                     .all(|held| census.replicas(&held.model) > wanted.replicas(&held.model))
                 && !self.traffic.is_used(&record.instance)
-                && self.engines.is_at_rest(&record.instance);
+                && self.engines.is_quiescent(&record.instance);
             if !spare {
                 self.idle_since.remove(&record.instance);
                 continue;
             }
             let since = self.idle_since.entry(record.instance.clone());
-            if now.since(*since.or_insert(now)) >= IDLE_TIME {
+            if now.since(*since.or_insert(now)) >= IDLE_TIMEOUT {
                 released.get_or_insert_with(|| record.clone());
             }
         }
         if let Some(record) = released {
             census.remove(&record);
-            self.stand_by(record);
+            self.deactivate(record);
         }
     }
 
-    fn stand_by(&mut self, record: InstanceRecord) {
+    fn deactivate(&mut self, record: InstanceRecord) {
         let instance = &record.instance.clone();
         let pairs = vec![("instance", instance.0.clone())];
         self.idle_since.remove(instance);
--- a/crates/millpass-fleet/src/adapters.rs
+++ b/crates/millpass-fleet/src/adapters.rs
@@ -6,9 +6,9 @@
 use millpass_proto::{AdapterName, Duration, InstanceId, InstructionOperation, ModelName};
 
 /// Expected duration of loading or unloading an adapter.
-const ADAPTER_TIME: Duration = Duration::from_millis(20);
+const ADAPTER_OPERATION_TIME: Duration = Duration::from_millis(20);
 /// Cost of placing an adapter on a fully utilized engine, in loaded adapters.
-const ADAPTER_BUSY_COST: f64 = 10.0;
+const ADAPTER_UTILIZATION_COST: f64 = 10.0;
 
 impl View<'_> {
     /// Loads an adapter on an engine that holds its model, unless it is loaded or loading already.
@@ -25,19 +25,20 @@
         let holders = round.holders_of(&key.model);
         let engines = || holders.iter().filter_map(|instance| self.engine(instance));
         if engines().any(|engine| engine.holds(&key.model, Some(adapter))) {
-            return self.demand.met(key);
+            return self.demand.mark_met(key);
         }
         let coming = engines().any(|engine| {
             let pending = engine.pending.as_ref();
-            let pending = pending.is_some_and(|pending| pending.concerns(&key.model, adapter));
-            pending || engine.brings_adapter(&key.model, adapter)
+            let pending =
+                pending.is_some_and(|pending| pending.targets_adapter(&key.model, adapter));
+            pending || engine.is_loading_adapter(&key.model, adapter)
         });
         if coming {
             return;
         }
         let cost = |instance: &InstanceId| {
             self.engine(instance).map_or(f64::MAX, |engine| {
-                round.busyness(engine) * ADAPTER_BUSY_COST + engine.adapter_count() as f64
+                round.busyness(engine) * ADAPTER_UTILIZATION_COST + engine.adapter_count() as f64
             })
         };
         let best = holders
@@ -57,7 +58,7 @@
         steps.push(Step {
             instance,
             instruction: Some(instruction),
-            takes: ADAPTER_TIME,
+            takes: ADAPTER_OPERATION_TIME,
             from_store: false,
             confirms: false,
             used_kilobytes,
@@ -100,7 +101,7 @@
             .held
             .iter()
             .flat_map(|held| held.adapters.iter().map(move |name| (&held.model, name)))
-            .filter(|(model, name)| !engine.is_leaving(model, name))
+            .filter(|(model, name)| !engine.is_unload_accepted(model, name))
             .min_by(|left, right| rate(left.0, left.1).total_cmp(&rate(right.0, right.1)))?;
         let unload = InstructionOperation::Unload;
         Some((unload, least.0.clone(), Some(least.1.clone())))
--- a/crates/millpass-fleet/src/cost.rs
+++ b/crates/millpass-fleet/src/cost.rs
@@ -9,17 +9,17 @@
 const UNSERVED_MILLIS: f64 = 5_000.0;
 /// Factor applied to demand before a replica is removed, because demand rises faster than replicas
 /// load.
-const HEADROOM: f64 = 1.4;
+const DEMAND_HEADROOM: f64 = 1.4;
 /// Upper bound of utilization in the queueing model; delays diverge at 1.
-const FULLEST: f64 = 0.95;
+const MAX_UTILIZATION: f64 = 0.95;
 
 /// Weight of requests beyond the capacity of all replicas, relative to the queue of a fully
 /// utilized replica. Must exceed 1, otherwise a further replica appears to lengthen the queues.
-const OVERLOAD: f64 = 2.0;
+const OVERLOAD_WEIGHT: f64 = 2.0;
 
 /// Returns the delay caused by evicting the only replica of a model with `rate` requests a second
 /// that takes `restore_millis` to reload.
-pub(crate) fn absence(rate: f64, restore_millis: f64) -> f64 {
+pub(crate) fn last_replica_loss(rate: f64, restore_millis: f64) -> f64 {
     let asked_for = 1.0 - (-rate * HORIZON_SECONDS).exp();
     let delayed = 1.0 + rate * restore_millis / 1_000.0;
     asked_for * delayed * restore_millis
@@ -28,35 +28,35 @@
 /// Returns the delay saved by one more replica, where requests offer a load of `offered_load`
 /// engines.
 pub(crate) fn replica_gain(business: f64, replicas: usize) -> f64 {
-    queueing(business, replicas) - queueing(business, replicas + 1)
+    queueing_delay(business, replicas) - queueing_delay(business, replicas + 1)
 }
 
 /// Returns the delay caused by removing one replica so that `others` remain.
 pub(crate) fn replica_loss(business: f64, others: usize) -> f64 {
-    replica_gain(HEADROOM * business, others)
+    replica_gain(DEMAND_HEADROOM * business, others)
 }
 
 /// Returns the delay of requests queued at the replicas of a model, including requests beyond their
 /// capacity.
-fn queueing(business: f64, replicas: usize) -> f64 {
+fn queueing_delay(business: f64, replicas: usize) -> f64 {
     let replicas = replicas.max(1) as f64;
-    let queued = replicas * queue((business / replicas).min(FULLEST));
-    let beyond = (business - FULLEST * replicas).max(0.0);
-    let overload = beyond * OVERLOAD * queue(FULLEST) / FULLEST;
+    let queued = replicas * mean_queue((business / replicas).min(MAX_UTILIZATION));
+    let beyond = (business - MAX_UTILIZATION * replicas).max(0.0);
+    let overload = beyond * OVERLOAD_WEIGHT * mean_queue(MAX_UTILIZATION) / MAX_UTILIZATION;
     (queued + overload) * HORIZON_SECONDS * 1_000.0
 }
 
 /// Returns the mean queue length of an engine with deterministic service times (M/D/1).
-fn queue(share: f64) -> f64 {
+fn mean_queue(share: f64) -> f64 {
     share * share / (1.0 - share) / 2.0
 }
 
 /// Returns the number of requests within the horizon at `rate` requests a second.
-pub(crate) fn expected(rate: f64) -> f64 {
+pub(crate) fn expected_requests(rate: f64) -> f64 {
     rate * HORIZON_SECONDS
 }
 
 /// Returns the delay charged for leaving `waiting` requests unserved.
-pub(crate) fn serving(waiting: f64) -> f64 {
+pub(crate) fn unserved_delay(waiting: f64) -> f64 {
     waiting * UNSERVED_MILLIS
 }
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -19,18 +19,18 @@
 
 /// Requests and loads to which crashes are attributed.
 #[derive(Default)]
-pub(crate) struct Crashes {
+pub(crate) struct CrashTracker {
     requests: Quarantine<RequestFingerprint>,
     /// Loads of models and adapters.
     loads: Quarantine<ModelKey>,
 }
 
-impl Crashes {
+impl CrashTracker {
     pub(crate) fn revision(&self) -> u64 {
         self.requests.revision()
     }
 
-    pub(crate) fn holds_load(&self, now: Timestamp, key: &ModelKey) -> bool {
+    pub(crate) fn is_load_quarantined(&self, now: Timestamp, key: &ModelKey) -> bool {
         self.loads.held_for(now, key).is_some()
     }
 
@@ -53,7 +53,7 @@
 
 impl Fleet {
     /// Restores quarantined requests recorded in the log.
-    pub(crate) fn restore_held(
+    pub(crate) fn restore_quarantined(
         &mut self,
         now: Timestamp,
         held: impl Iterator<Item = QuarantineRecord>,
@@ -69,7 +69,7 @@
     pub fn handle_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
         for request in &report.served {
             if self.crashes.requests.release(request) {
-                self.log_lifted(request, "served");
+                self.log_released(request, "served");
                 self.out.push(FleetOutput::LiftQuarantine(request.clone()));
             }
         }
@@ -84,17 +84,17 @@
                     ("requests", ended.requests.len().to_string()),
                 ];
                 self.event("instance-ended", pairs);
-                self.load_ended(now, &ended.instance);
+                self.attribute_crash_to_load(now, &ended.instance);
             }
             let requests = &mut self.crashes.requests;
             requests.ended(now, &ended.instance, &ended.requests);
-            self.log_held(now, &ended.requests);
+            self.log_quarantined(now, &ended.requests);
         }
     }
 
     /// Withdraws the crash of an instance that announces itself: the gateway's connection was
     /// refused for another reason.
-    pub(crate) fn survived(&mut self, now: Timestamp, instance: &InstanceId) {
+    pub(crate) fn record_survival(&mut self, now: Timestamp, instance: &InstanceId) {
         let ended_at = self.crashes.requests.ended_at(instance);
         if ended_at.is_none_or(|at| now.since(at) < SURVIVAL_TIME) {
             return;
@@ -107,7 +107,7 @@
     }
 
     /// Attributes the end of an engine to the load it was carrying out.
-    pub(crate) fn load_ended(&mut self, now: Timestamp, instance: &InstanceId) {
+    pub(crate) fn attribute_crash_to_load(&mut self, now: Timestamp, instance: &InstanceId) {
         let Some(record) = self.registry.get(instance) else {
             return;
         };
@@ -124,10 +124,10 @@
             model: pending.model.clone(),
             adapter: pending.adapter.clone(),
         };
-        let held = self.crashes.holds_load(now, &key);
+        let held = self.crashes.is_load_quarantined(now, &key);
         let loads = &mut self.crashes.loads;
         loads.ended(now, instance, std::slice::from_ref(&key));
-        if !held && self.crashes.holds_load(now, &key) {
+        if !held && self.crashes.is_load_quarantined(now, &key) {
             let adapter = key.adapter.as_ref().map_or("none", |name| name.as_str());
             let pairs = vec![
                 ("service", key.service.0.clone()),
@@ -139,7 +139,7 @@
     }
 
     /// Releases models and adapters that an engine has loaded.
-    pub(crate) fn models_held(&mut self, service: &ServiceName, models: &[HeldModel]) {
+    pub(crate) fn release_held_models(&mut self, service: &ServiceName, models: &[HeldModel]) {
         if self.crashes.loads.is_empty() {
             return;
         }
@@ -161,7 +161,7 @@
     pub fn lift_quarantine(&mut self, request: &RequestFingerprint) -> bool {
         let known = self.crashes.requests.release(request);
         if known {
-            self.log_lifted(request, "operator");
+            self.log_released(request, "operator");
         }
         known
     }
@@ -175,19 +175,19 @@
     }
 
     /// Records confirmed requests in the log and releases those whose quarantine has expired.
-    pub(crate) fn sweep_crashes(&mut self, now: Timestamp) {
+    pub(crate) fn expire_quarantine(&mut self, now: Timestamp) {
         let certain = self.settings.announce_interval * 3 / 2;
         for (request, held) in self.crashes.requests.settle(now, certain) {
-            self.note_held(request, &held);
+            self.output_quarantined(request, &held);
         }
         for (request, held) in self.crashes.requests.lapse(now) {
-            self.log_lifted(&request, "time");
-            self.note_held(request, &held);
+            self.log_released(&request, "time");
+            self.output_quarantined(request, &held);
         }
         self.crashes.loads.lapse(now);
     }
 
-    fn note_held(&mut self, request: RequestFingerprint, held: &HeldItem) {
+    fn output_quarantined(&mut self, request: RequestFingerprint, held: &HeldItem) {
         self.out
             .push(FleetOutput::QuarantineRequest(QuarantineRecord {
                 request,
@@ -196,7 +196,7 @@
             }));
     }
 
-    fn log_lifted(&mut self, request: &RequestFingerprint, reason: &str) {
+    fn log_released(&mut self, request: &RequestFingerprint, reason: &str) {
         let pairs = vec![
             ("fingerprint", request.to_string()),
             ("reason", reason.to_owned()),
@@ -204,7 +204,7 @@
         self.event("request-lifted", pairs);
     }
 
-    fn log_held(&mut self, now: Timestamp, requests: &[RequestFingerprint]) {
+    fn log_quarantined(&mut self, now: Timestamp, requests: &[RequestFingerprint]) {
         for request in requests {
             let Some(left) = self.crashes.requests.held_for(now, request) else {
                 continue;
@@ -218,7 +218,7 @@
     }
 
     /// Sends the quarantined requests to gateways if they have changed.
-    pub(crate) fn update_crashes(&mut self, now: Timestamp) {
+    pub(crate) fn send_crash_updates(&mut self, now: Timestamp) {
         let revision = self.crashes.revision();
         let interval = self.gateways.update_interval(self.pace);
         let mut update = None;
--- a/crates/millpass-fleet/src/demand.rs
+++ b/crates/millpass-fleet/src/demand.rs
@@ -5,16 +5,16 @@
 };
 use std::collections::BTreeMap;
 
-const RATE_SECONDS: f64 = 6.0;
+const RATE_WINDOW_SECONDS: f64 = 6.0;
 /// Averaging window for eviction decisions, in seconds: rarely used models differ only over
 /// minutes.
-const SLOW_SECONDS: f64 = 60.0;
-const TOKEN_SECONDS: f64 = 3.0;
+const SLOW_RATE_WINDOW_SECONDS: f64 = 60.0;
+const TOKEN_RATE_WINDOW_SECONDS: f64 = 3.0;
 /// Time for which reported demand counts as unmet.
-const NEED_LIFETIME: Duration = Duration::from_millis(3_000);
+const UNMET_LIFETIME: Duration = Duration::from_millis(3_000);
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Requests a second below which an entry without requests in flight is removed.
-const FORGOTTEN_RATE: f64 = 0.001;
+const MIN_TRACKED_RATE: f64 = 0.001;
 
 /// Identifies a model of a service, or an adapter of that model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,11 +31,11 @@
 struct Entry {
     /// Requests a second, averaged over [`RATE_WINDOW_SECONDS`].
     rate: f64,
-    rate_at: Timestamp,
+    updated_at: Timestamp,
     /// Requests a second, averaged over [`SLOW_RATE_WINDOW_SECONDS`].
-    slow: f64,
+    slow_rate: f64,
     /// Unread prompt tokens a second, averaged over [`TOKEN_RATE_WINDOW_SECONDS`].
-    tokens: f64,
+    token_rate: f64,
     in_flight: u32,
     unserved: f64,
     unserved_at: Option<Timestamp>,
@@ -46,15 +46,15 @@
 
 impl Entry {
     fn rate_at(&self, now: Timestamp) -> f64 {
-        self.rate * decay(now, self.rate_at, RATE_SECONDS)
+        self.rate * decay(now, self.updated_at, RATE_WINDOW_SECONDS)
     }
 
-    fn slow_at(&self, now: Timestamp) -> f64 {
-        self.slow * decay(now, self.rate_at, SLOW_SECONDS)
+    fn slow_rate_at(&self, now: Timestamp) -> f64 {
+        self.slow_rate * decay(now, self.updated_at, SLOW_RATE_WINDOW_SECONDS)
     }
 
-    fn tokens_at(&self, now: Timestamp) -> f64 {
-        self.tokens * decay(now, self.rate_at, TOKEN_SECONDS)
+    fn token_rate_at(&self, now: Timestamp) -> f64 {
+        self.token_rate * decay(now, self.updated_at, TOKEN_RATE_WINDOW_SECONDS)
     }
 }
 
@@ -66,15 +66,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     /// Prompt tokens to read a second.
-    pub(crate) tokens: f64,
+    pub(crate) token_rate: f64,
     /// Requests a second: the larger of the short and the long average.
-    pub(crate) lasting_rate: f64,
+    pub(crate) request_rate: f64,
     pub(crate) in_flight: u32,
 }
 
 /// Demand for a model or adapter that is not loaded.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Unmet {
+pub(crate) struct UnmetDemand {
     pub(crate) key: ModelKey,
     pub(crate) requests: f64,
     pub(crate) priority: u32,
@@ -91,8 +91,13 @@
 
 impl Demand {
     /// Applies a gateway's report; models it does not list have no requests in flight there.
-    pub(crate) fn report(&mut self, now: Timestamp, gateway: &str, needs: &[GatewayModelDemand]) {
-        self.forget_in_flight(gateway);
+    pub(crate) fn record_report(
+        &mut self,
+        now: Timestamp,
+        gateway: &str,
+        needs: &[GatewayModelDemand],
+    ) {
+        self.remove_gateway(gateway);
         let mut in_flight = Vec::new();
         for need in needs {
             let key = ModelKey {
@@ -101,10 +106,12 @@
                 adapter: need.adapter.clone(),
             };
             let entry = self.entries.entry(key.clone()).or_default();
-            entry.tokens = entry.tokens_at(now) + need.unread_tokens as f64 / TOKEN_SECONDS;
-            entry.slow = entry.slow_at(now) + f64::from(need.arrivals) / SLOW_SECONDS;
-            entry.rate = entry.rate_at(now) + f64::from(need.arrivals) / RATE_SECONDS;
-            entry.rate_at = now;
+            entry.token_rate =
+                entry.token_rate_at(now) + need.unread_tokens as f64 / TOKEN_RATE_WINDOW_SECONDS;
+            entry.slow_rate =
+                entry.slow_rate_at(now) + f64::from(need.arrivals) / SLOW_RATE_WINDOW_SECONDS;
+            entry.rate = entry.rate_at(now) + f64::from(need.arrivals) / RATE_WINDOW_SECONDS;
+            entry.updated_at = now;
             entry.in_flight = entry.in_flight.saturating_add(need.in_flight);
             if need.in_flight > 0 {
                 in_flight.push((key, need.in_flight));
@@ -112,7 +119,7 @@
             if need.unserved > 0 {
                 let waited = entry
                     .unserved_at
-                    .is_some_and(|at| now.since(at) < NEED_LIFETIME);
+                    .is_some_and(|at| now.since(at) < UNMET_LIFETIME);
                 let before = if waited { entry.unserved } else { 0.0 };
                 entry.priority = if waited {
                     entry.priority.min(need.priority)
@@ -131,13 +138,14 @@
         }
         if now.since(self.swept_at) >= SWEEP_INTERVAL {
             self.swept_at = now;
-            self.entries
-                .retain(|_, entry| entry.in_flight > 0 || entry.slow_at(now) > FORGOTTEN_RATE);
+            self.entries.retain(|_, entry| {
+                entry.in_flight > 0 || entry.slow_rate_at(now) > MIN_TRACKED_RATE
+            });
         }
     }
 
     /// Removes the requests in flight of a disconnected gateway.
-    pub(crate) fn forget_in_flight(&mut self, gateway: &str) {
+    pub(crate) fn remove_gateway(&mut self, gateway: &str) {
         for (key, count) in self.in_flight.remove(gateway).unwrap_or_default() {
             if let Some(entry) = self.entries.get_mut(&key) {
                 entry.in_flight = entry.in_flight.saturating_sub(count);
@@ -151,8 +159,8 @@
         let entries = self.entries.iter();
         for (key, entry) in entries.filter(|(key, _)| key.service == *service) {
             let load = loads.entry(key.model.clone()).or_default();
-            load.tokens += entry.tokens_at(now);
-            load.lasting_rate += entry.slow_at(now).max(entry.rate_at(now));
+            load.token_rate += entry.token_rate_at(now);
+            load.request_rate += entry.slow_rate_at(now).max(entry.rate_at(now));
             load.in_flight = load.in_flight.saturating_add(entry.in_flight);
         }
         loads
@@ -167,15 +175,15 @@
 
     /// Returns recently reported unmet demand of a service: most urgent first, then oldest, then
     /// largest.
-    pub(crate) fn unmet(&self, now: Timestamp, service: &ServiceName) -> Vec<Unmet> {
-        let mut unmet: Vec<Unmet> = self
+    pub(crate) fn unmet(&self, now: Timestamp, service: &ServiceName) -> Vec<UnmetDemand> {
+        let mut unmet: Vec<UnmetDemand> = self
             .entries
             .iter()
             .filter(|(key, entry)| {
-                let lately = |at| now.since(at) < NEED_LIFETIME;
+                let lately = |at| now.since(at) < UNMET_LIFETIME;
                 key.service == *service && entry.unserved_at.is_some_and(lately)
             })
-            .map(|(key, entry)| Unmet {
+            .map(|(key, entry)| UnmetDemand {
                 key: key.clone(),
                 requests: entry.unserved,
                 priority: entry.priority,
@@ -191,7 +199,7 @@
         unmet
     }
 
-    pub(crate) fn met(&mut self, key: &ModelKey) {
+    pub(crate) fn mark_met(&mut self, key: &ModelKey) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.unserved_at = None;
             entry.unserved = 0.0;
--- a/crates/millpass-fleet/src/documents.rs
+++ b/crates/millpass-fleet/src/documents.rs
@@ -8,17 +8,17 @@
 
 /// Documents kept, including the current one. Gateways with older versions are sent the whole
 /// document.
-const MAXIMUM_DOCUMENTS: usize = 8;
+const MAX_DOCUMENTS: usize = 8;
 
-struct Applied {
+struct AppliedDocument {
     document: DeploymentDocument,
-    at: Timestamp,
+    applied_at: Timestamp,
 }
 
 /// Documents by ascending version.
 #[derive(Default)]
 pub struct DocumentHistory {
-    documents: VecDeque<Applied>,
+    documents: VecDeque<AppliedDocument>,
 }
 
 impl DocumentHistory {
@@ -35,11 +35,11 @@
         if newest.is_some_and(|newest| newest.document.version >= document.version) {
             return;
         }
-        self.documents.push_back(Applied {
+        self.documents.push_back(AppliedDocument {
             document: document.clone(),
-            at: now,
+            applied_at: now,
         });
-        if self.documents.len() > MAXIMUM_DOCUMENTS {
+        if self.documents.len() > MAX_DOCUMENTS {
             self.documents.pop_front();
         }
     }
@@ -51,10 +51,10 @@
 
     /// Returns when a version was applied here, if it is still kept.
     pub fn applied_at(&self, version: u64) -> Option<Timestamp> {
-        self.find(version).map(|found| found.at)
+        self.find(version).map(|found| found.applied_at)
     }
 
-    fn find(&self, version: u64) -> Option<&Applied> {
+    fn find(&self, version: u64) -> Option<&AppliedDocument> {
         let mut documents = self.documents.iter();
         documents.find(|found| found.document.version == version)
     }
--- a/crates/millpass-fleet/src/engine_responses.rs
+++ b/crates/millpass-fleet/src/engine_responses.rs
@@ -1,9 +1,9 @@
 //! Handling and logging of engine responses.
 
-use crate::engines::Heard;
+use crate::engines::ResponseMatch;
 use crate::fleet::Fleet;
 use crate::interface::CallResult;
-use crate::observed_state::{self, Word};
+use crate::observed_state::{self, Evidence};
 use millpass_proto::{CallId, InstanceId, InstructionResult, Timestamp};
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
     /// Returns whether this instruction is still awaiting its response and may be sent.
     pub fn awaits_response(&self, instance: &InstanceId, call: CallId) -> bool {
         let engine = self.engines.engines.get(instance);
-        engine.is_some_and(|engine| engine.awaits_order(call))
+        engine.is_some_and(|engine| engine.awaits_order_response(call))
     }
 
     /// Applies the response to a call to an engine.
@@ -21,22 +21,22 @@
             result: answer,
             ..
         } = answered;
-        let word = Word::Answer(answered.call);
+        let word = Evidence::Response(answered.call);
         let Some(engine) = self.engines.engines.get_mut(instance) else {
             return;
         };
-        let before = observed_state::held(engine);
+        let before = observed_state::held_items(engine);
         let under_way = engine.pending.as_ref().map(|pending| pending.call.0);
-        if *answer == InstructionResult::OtherRun && engine.awaits(answered.call) {
-            self.load_ended(now, instance);
+        if *answer == InstructionResult::OtherRun && engine.awaits_response(answered.call) {
+            self.attribute_crash_to_load(now, instance);
             self.forget(instance, "replaced");
             return;
         }
-        let heard = engine.answered(now, answered.call, answer);
+        let heard = engine.handle_response(now, answered.call, answer);
         if matches!(answer, InstructionResult::State(_)) {
-            engine.rests_on(now, word);
+            engine.set_evidence(now, word);
         }
-        self.registry.serves(instance, engine.serving());
+        self.registry.serves(instance, engine.served_models());
         self.dirty = true;
         let outcome = match answer {
             InstructionResult::State(state) => format!("state:{}", state.revision),
@@ -46,29 +46,29 @@
             ("instance", instance.0.clone()),
             ("call", answered.call.0.to_string()),
             ("answer", outcome),
-            ("under_way", observed_state::or_none(under_way)),
-            ("awaited", (heard == Heard::Awaited).to_string()),
+            ("under_way", observed_state::format_or_none(under_way)),
+            ("awaited", (heard == ResponseMatch::Pending).to_string()),
             ("waited_ms", answered.queue_time.as_millis().to_string()),
             ("took_ms", answered.response_time.as_millis().to_string()),
         ];
         self.event("engine-answered", pairs);
-        self.log_lost(instance, word, &before);
+        self.log_removed_items(instance, word, &before);
     }
 
     /// Logs what a response removed from the recorded state of an engine. Announcements are not
     /// logged: they remove nothing from a known state, and there are thousands a second.
-    fn log_lost(
+    fn log_removed_items(
         &mut self,
         instance: &InstanceId,
-        word: Word,
-        before: &BTreeSet<observed_state::Held>,
+        word: Evidence,
+        before: &BTreeSet<observed_state::Item>,
     ) {
         let Some(engine) = self.engines.engines.get(instance) else {
             return;
         };
         let revision = engine.revision;
         let lost: BTreeSet<_> = before
-            .difference(&observed_state::held(engine))
+            .difference(&observed_state::held_items(engine))
             .cloned()
             .collect();
         if lost.is_empty() {
@@ -76,9 +76,9 @@
         }
         let pairs = vec![
             ("instance", instance.0.clone()),
-            ("lost", observed_state::list(&lost)),
+            ("lost", observed_state::format_items(&lost)),
             ("by", word.to_string()),
-            ("revision", observed_state::or_none(revision)),
+            ("revision", observed_state::format_or_none(revision)),
         ];
         self.event("engine-lost", pairs);
     }
--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -10,9 +10,9 @@
 mod announcements;
 mod calls;
 
-use crate::observed_state::Word;
-use crate::pending::Pending;
-pub(crate) use calls::Heard;
+use crate::observed_state::Evidence;
+use crate::pending::PendingInstruction;
+pub(crate) use calls::ResponseMatch;
 use millpass_proto::{
     AdapterName, CallId, Duration, HeldModel, InstanceId, InstructionOperation, ModelName,
     Timestamp, WeightsSource,
@@ -23,33 +23,33 @@
 const REPORT_LAG: Duration = Duration::from_millis(250);
 /// Time after which an unanswered call counts as lost within this process. Exceeds the longest
 /// queueing time plus the request timeout.
-const CALL_LIMIT: Duration = Duration::from_millis(2_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time after which an unanswered load can no longer be carried out: engines delay orders by at
 /// most a few seconds.
-const LATE_LOAD_LIMIT: Duration = Duration::from_secs(15);
+const LATE_LOAD_WINDOW: Duration = Duration::from_secs(15);
 
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct PendingRead {
     call: CallId,
-    since: Timestamp,
+    sent_at: Timestamp,
 }
 
 /// An unanswered load that the engine may still carry out.
 #[derive(Clone, Debug)]
-pub(crate) struct LostLoad {
+pub(crate) struct UnansweredLoad {
     pub(crate) model: ModelName,
     pub(crate) adapter: Option<AdapterName>,
-    at: Timestamp,
+    recorded_at: Timestamp,
 }
 
-impl LostLoad {
+impl UnansweredLoad {
     /// Creates a load that is unanswered as of `now`.
     pub(crate) fn new(now: Timestamp, model: &ModelName, adapter: Option<&AdapterName>) -> Self {
-        LostLoad {
+        UnansweredLoad {
             model: model.clone(),
             adapter: adapter.cloned(),
-            at: now,
+            recorded_at: now,
         }
     }
 }
@@ -59,54 +59,54 @@
     /// Number of accepted orders; none if unknown.
     pub(crate) revision: Option<u64>,
     /// Number of orders known to be accepted: a report of fewer is stale.
-    least_revision: u64,
+    min_revision: u64,
     /// When the last of them was accepted.
     accepted_at: Timestamp,
-    pub(crate) pending: Option<Pending>,
+    pub(crate) pending: Option<PendingInstruction>,
     pub(crate) held: Vec<HeldModel>,
     pub(crate) in_memory: Vec<ModelName>,
     pub(crate) on_disk: Vec<ModelName>,
     /// Adapters being loaded; announcements do not list them.
-    coming: Vec<(ModelName, AdapterName)>,
+    loading_adapters: Vec<(ModelName, AdapterName)>,
     /// Held adapters with an accepted unload: removed once their requests have completed.
-    leaving: Vec<(ModelName, AdapterName)>,
+    unloading_adapters: Vec<(ModelName, AdapterName)>,
     /// Unanswered loads of this incarnation.
-    lost: Vec<LostLoad>,
+    unanswered_loads: Vec<UnansweredLoad>,
     /// Unanswered loads of earlier incarnations, which this one may carry out at any revision.
-    may_come: Vec<LostLoad>,
+    inherited_loads: Vec<UnansweredLoad>,
     /// When the set of held adapters last changed.
     adapters_changed_at: Timestamp,
     /// Start of the period in which announced adapters differ from the recorded ones.
-    differs_since: Option<Timestamp>,
+    adapters_differ_since: Option<Timestamp>,
     /// An announcement shows that the pending unload is done.
-    says_done: bool,
+    unload_announced: bool,
     /// Repetition of the pending unload, which confirms it faster than a state report: the engine
     /// responds that it is already done, at the revision named.
-    confirming: Option<CallId>,
+    confirmation: Option<CallId>,
     /// When a read last showed the engine busy with an unknown order.
-    busy_elsewhere_at: Option<Timestamp>,
+    unknown_order_seen_at: Option<Timestamp>,
     /// Its state could not be read: serves no requests until its next announcement.
     pub(crate) unreachable: bool,
     /// Model to load once the pending unload has freed memory.
-    pub(crate) reserved: Option<ModelName>,
+    pub(crate) reserved_model: Option<ModelName>,
     pub(crate) reserved_at: Timestamp,
-    loaded_at: BTreeMap<ModelName, Timestamp>,
-    reading: Option<Reading>,
-    read_after: Timestamp,
+    load_sent_at: BTreeMap<ModelName, Timestamp>,
+    pending_read: Option<PendingRead>,
+    next_read_at: Timestamp,
     /// Unanswered reads since the last announcement or response.
-    silent_reads: u32,
+    unanswered_reads: u32,
     /// Source of the recorded state, and when it arrived.
-    basis: Option<(Word, Timestamp)>,
+    evidence: Option<(Evidence, Timestamp)>,
 }
 
 impl Engine {
     /// Returns the source of the recorded state and when it arrived; none before the first read.
-    pub(crate) fn basis(&self) -> Option<(Word, Timestamp)> {
-        self.basis
+    pub(crate) fn evidence(&self) -> Option<(Evidence, Timestamp)> {
+        self.evidence
     }
 
-    pub(crate) fn rests_on(&mut self, now: Timestamp, word: Word) {
-        self.basis = Some((word, now));
+    pub(crate) fn set_evidence(&mut self, now: Timestamp, word: Evidence) {
+        self.evidence = Some((word, now));
     }
 
     fn add_adapter(&mut self, model: &ModelName, adapter: AdapterName) {
@@ -118,20 +118,20 @@
         }
     }
 
-    fn drop_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
+    fn remove_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
         for held in self.held.iter_mut().filter(|held| held.model == *model) {
             held.adapters.retain(|name| name != adapter);
         }
     }
 
     /// Discards adapter transitions of a model that is gone.
-    fn forget_moving(&mut self, model: &ModelName) {
-        self.coming.retain(|(of, _)| of != model);
-        self.leaving.retain(|(of, _)| of != model);
+    fn discard_adapter_transitions(&mut self, model: &ModelName) {
+        self.loading_adapters.retain(|(of, _)| of != model);
+        self.unloading_adapters.retain(|(of, _)| of != model);
     }
 
     /// Returns the load from the weight store that the engine has accepted.
-    pub(crate) fn store_load(&self) -> Option<&Pending> {
+    pub(crate) fn store_load(&self) -> Option<&PendingInstruction> {
         self.pending
             .as_ref()
             .filter(|pending| pending.from_store && pending.accepted)
@@ -141,15 +141,16 @@
     /// reservation or an order of an earlier leader.
     pub(crate) fn may_load_from_store(&self, now: Timestamp) -> bool {
         let sent = self.pending.as_ref().is_some_and(|it| it.from_store);
-        let follows = self.reserved.as_ref();
-        let follows = follows.is_some_and(|model| self.source_of(model) == WeightsSource::Store);
-        sent || follows || self.is_busy_elsewhere(now)
+        let follows = self.reserved_model.as_ref();
+        let follows =
+            follows.is_some_and(|model| self.weights_source(model) == WeightsSource::Store);
+        sent || follows || self.has_unknown_order(now)
     }
 
     /// Returns whether it is carrying out an unknown order.
-    pub(crate) fn is_busy_elsewhere(&self, now: Timestamp) -> bool {
-        self.busy_elsewhere_at
-            .is_some_and(|at| now.since(at) < CALL_LIMIT)
+    pub(crate) fn has_unknown_order(&self, now: Timestamp) -> bool {
+        self.unknown_order_seen_at
+            .is_some_and(|at| now.since(at) < CALL_TIMEOUT)
     }
 
     pub(crate) fn holds(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
@@ -159,17 +160,17 @@
     }
 
     /// Returns what it serves to new requests: everything held that is not being unloaded.
-    pub(crate) fn serving(&self) -> Vec<HeldModel> {
+    pub(crate) fn served_models(&self) -> Vec<HeldModel> {
         let mut serving = self.held.clone();
-        serving.retain(|held| !self.unloading(&held.model));
+        serving.retain(|held| !self.is_unloading(&held.model));
         for HeldModel { model, adapters } in &mut serving {
-            adapters.retain(|adapter| !self.sends_away(model, adapter));
+            adapters.retain(|adapter| !self.is_unloading_adapter(model, adapter));
         }
         serving
     }
 
     /// Returns where the model's weights would be loaded from.
-    pub(crate) fn source_of(&self, model: &ModelName) -> WeightsSource {
+    pub(crate) fn weights_source(&self, model: &ModelName) -> WeightsSource {
         if self.in_memory.contains(model) {
             WeightsSource::Memory
         } else if self.on_disk.contains(model) {
@@ -183,86 +184,94 @@
     /// confirmed as unloaded, or may still be loaded by a late order.
     pub(crate) fn adapter_count(&self) -> usize {
         let held: usize = self.held.iter().map(|held| held.adapters.len()).sum();
-        let may_come = self.may_come.iter().filter(|lost| lost.adapter.is_some());
-        held + self.coming.len() + may_come.count()
+        let may_come = self
+            .inherited_loads
+            .iter()
+            .filter(|lost| lost.adapter.is_some());
+        held + self.loading_adapters.len() + may_come.count()
     }
 
     /// Returns unanswered loads of earlier incarnations that this one may carry out.
-    pub(crate) fn may_come(&self) -> &[LostLoad] {
-        &self.may_come
+    pub(crate) fn inherited_loads(&self) -> &[UnansweredLoad] {
+        &self.inherited_loads
     }
 
     /// Returns loads that a later incarnation may carry out: an engine checks the revision and its
     /// name, but not the incarnation an order was meant for.
-    pub(crate) fn left_to_later_runs(&self, now: Timestamp) -> Vec<LostLoad> {
-        let lately = |lost: &&LostLoad| now.since(lost.at) < LATE_LOAD_LIMIT;
+    pub(crate) fn loads_to_inherit(&self, now: Timestamp) -> Vec<UnansweredLoad> {
+        let lately = |lost: &&UnansweredLoad| now.since(lost.recorded_at) < LATE_LOAD_WINDOW;
         let lost = self
-            .lost
+            .unanswered_loads
             .iter()
-            .chain(&self.may_come)
+            .chain(&self.inherited_loads)
             .filter(lately)
             .cloned();
         let pending = self.pending.iter().filter(|pending| !pending.accepted);
-        lost.chain(pending.filter_map(|pending| pending.lost(now)))
+        lost.chain(pending.filter_map(|pending| pending.unanswered_load(now)))
             .collect()
     }
 
     /// Adds unanswered loads of earlier incarnations.
-    pub(crate) fn follows(&mut self, left: Vec<LostLoad>) {
-        self.may_come.extend(left);
+    pub(crate) fn inherit_loads(&mut self, left: Vec<UnansweredLoad>) {
+        self.inherited_loads.extend(left);
     }
 
-    fn forget_late_loads(&mut self, now: Timestamp) {
-        let lately = |lost: &LostLoad| now.since(lost.at) < LATE_LOAD_LIMIT;
-        self.lost.retain(lately);
-        self.may_come.retain(lately);
+    fn expire_late_loads(&mut self, now: Timestamp) {
+        let lately = |lost: &UnansweredLoad| now.since(lost.recorded_at) < LATE_LOAD_WINDOW;
+        self.unanswered_loads.retain(lately);
+        self.inherited_loads.retain(lately);
     }
 
     /// Returns whether the unload of the adapter has been accepted.
-    pub(crate) fn is_leaving(&self, model: &ModelName, adapter: &AdapterName) -> bool {
-        is_among(&self.leaving, model, adapter)
+    pub(crate) fn is_unload_accepted(&self, model: &ModelName, adapter: &AdapterName) -> bool {
+        contains_adapter(&self.unloading_adapters, model, adapter)
     }
 
     /// Returns the adapters being loaded.
-    pub(crate) fn coming(&self) -> &[(ModelName, AdapterName)] {
-        &self.coming
+    pub(crate) fn loading_adapters(&self) -> &[(ModelName, AdapterName)] {
+        &self.loading_adapters
     }
 
     /// Returns whether nothing is pending and nothing may be carried out late.
-    fn is_at_rest(&self) -> bool {
+    fn is_quiescent(&self) -> bool {
         let under_way = self.pending.is_some()
-            || self.reading.is_some()
-            || self.confirming.is_some()
-            || self.reserved.is_some();
-        let may_come = !self.lost.is_empty() || !self.may_come.is_empty();
-        let moves = !self.coming.is_empty() || !self.leaving.is_empty();
+            || self.pending_read.is_some()
+            || self.confirmation.is_some()
+            || self.reserved_model.is_some();
+        let may_come = !self.unanswered_loads.is_empty() || !self.inherited_loads.is_empty();
+        let moves = !self.loading_adapters.is_empty() || !self.unloading_adapters.is_empty();
         !(under_way || may_come || moves)
     }
 
     /// Returns whether an instruction may be sent now.
-    pub(crate) fn is_free(&self) -> bool {
-        self.pending.is_none() && self.reading.is_none() && self.revision.is_some()
+    pub(crate) fn can_be_instructed(&self) -> bool {
+        self.pending.is_none() && self.pending_read.is_none() && self.revision.is_some()
     }
 
     /// Returns models being loaded or about to be.
-    pub(crate) fn brought(&self) -> impl Iterator<Item = &ModelName> {
+    pub(crate) fn incoming_models(&self) -> impl Iterator<Item = &ModelName> {
         let load = InstructionOperation::Load;
         let pending = self.pending.as_ref();
         let loading = pending.filter(|it| it.operation == load && it.adapter.is_none());
         let loading = loading.map(|pending| &pending.model);
-        loading.into_iter().chain(&self.reserved)
+        loading.into_iter().chain(&self.reserved_model)
     }
 
     /// Returns the time until an incoming model with load time `load` is ready. Overdue
     /// instructions are expected to take as long again as they are overdue.
-    pub(crate) fn ready_in(&self, now: Timestamp, model: &ModelName, load: Duration) -> Duration {
+    pub(crate) fn time_until_ready(
+        &self,
+        now: Timestamp,
+        model: &ModelName,
+        load: Duration,
+    ) -> Duration {
         let Some(pending) = &self.pending else {
             return load;
         };
-        let left = if now < pending.done_at {
-            pending.done_at.since(now)
+        let left = if now < pending.expected_end {
+            pending.expected_end.since(now)
         } else {
-            now.since(pending.done_at)
+            now.since(pending.expected_end)
         };
         if pending.operation == InstructionOperation::Load && pending.model == *model {
             return left;
@@ -270,7 +279,7 @@
         left + load
     }
 
-    pub(crate) fn unloading(&self, model: &ModelName) -> bool {
+    pub(crate) fn is_unloading(&self, model: &ModelName) -> bool {
         self.pending.as_ref().is_some_and(|pending| {
             pending.operation == InstructionOperation::Unload
                 && pending.adapter.is_none()
@@ -279,8 +288,13 @@
     }
 
     /// Returns whether a load of the model was sent less than `age` ago.
-    pub(crate) fn is_fresh(&self, now: Timestamp, model: &ModelName, age: Duration) -> bool {
-        self.loaded_at
+    pub(crate) fn was_loaded_within(
+        &self,
+        now: Timestamp,
+        model: &ModelName,
+        age: Duration,
+    ) -> bool {
+        self.load_sent_at
             .get(model)
             .is_some_and(|at| now.since(*at) < age)
     }
@@ -289,7 +303,7 @@
 /// Applies announced weight copies: removes copies that are gone and adds those of held models.
 /// Other copies may be stale, and their loads would be counted as loads from the weight store as
 /// well.
-fn take_copies(
+fn update_weight_copies(
     known: &mut Vec<ModelName>,
     announced: &[ModelName],
     holds: impl Fn(&ModelName) -> bool,
@@ -310,17 +324,21 @@
     })
 }
 
-fn lists(held: &[HeldModel], model: &ModelName, adapter: &AdapterName) -> bool {
+fn lists_adapter(held: &[HeldModel], model: &ModelName, adapter: &AdapterName) -> bool {
     let mut held = held.iter();
     held.any(|held| held.model == *model && held.adapters.contains(adapter))
 }
 
-fn is_among(list: &[(ModelName, AdapterName)], model: &ModelName, adapter: &AdapterName) -> bool {
+fn contains_adapter(
+    list: &[(ModelName, AdapterName)],
+    model: &ModelName,
+    adapter: &AdapterName,
+) -> bool {
     list.iter().any(|(of, name)| of == model && name == adapter)
 }
 
 /// Returns whether all models of `held`, except one, are among `others`.
-fn all_within(but: Option<&ModelName>, held: &[HeldModel], others: &[HeldModel]) -> bool {
+fn is_subset_except(but: Option<&ModelName>, held: &[HeldModel], others: &[HeldModel]) -> bool {
     held.iter()
         .map(|held| &held.model)
         .filter(|model| Some(*model) != but)
@@ -336,7 +354,7 @@
 impl Engines {
     /// Returns whether nothing is pending at an engine and nothing may be carried out late. True
     /// for instances that are not engines.
-    pub(crate) fn is_at_rest(&self, instance: &InstanceId) -> bool {
-        self.engines.get(instance).is_none_or(Engine::is_at_rest)
+    pub(crate) fn is_quiescent(&self, instance: &InstanceId) -> bool {
+        self.engines.get(instance).is_none_or(Engine::is_quiescent)
     }
 }
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -2,7 +2,7 @@
 //! take.
 
 use crate::contact_clock::HearingClock;
-use crate::crashes::Crashes;
+use crate::crashes::CrashTracker;
 use crate::demand::Demand;
 use crate::documents::ChangeCache;
 use crate::engines::Engines;
@@ -10,8 +10,8 @@
 use crate::instruction_history::InstructionHistory;
 use crate::interface::{FleetEvent, FleetOutput, FleetSettings};
 use crate::local_share::Share;
-use crate::observed_state::{self, Word};
-use crate::pending::Pending;
+use crate::observed_state::{self, Evidence};
+use crate::pending::PendingInstruction;
 use crate::permits::StorePermits;
 use crate::planner::{self, Step, View};
 use crate::registry::Registry;
@@ -57,7 +57,7 @@
     pub(crate) demand: Demand,
     pub(crate) traffic: Traffic,
     pub(crate) engines: Engines,
-    pub(crate) crashes: Crashes,
+    pub(crate) crashes: CrashTracker,
     pub(crate) limits: PermitLedger,
     permits: StorePermits,
     store: StoreCapacity,
@@ -112,7 +112,7 @@
             demand: Demand::default(),
             traffic: Traffic::default(),
             engines: Engines::default(),
-            crashes: Crashes::default(),
+            crashes: CrashTracker::default(),
             limits: PermitLedger::default(),
             permits: StorePermits::default(),
             store: StoreCapacity::default(),
@@ -175,7 +175,7 @@
         self.permits = StorePermits::from_history(history);
         self.store = StoreCapacity::from_history(history);
         self.history = history.clone();
-        self.restore_held(now, held);
+        self.restore_quarantined(now, held);
         for mut record in records {
             // Any announcement of the instance is newer.
             record.sequence = 0;
@@ -247,7 +247,8 @@
         }
         self.reached(now, before, report.version);
         self.departures_reached(now, told, report.as_of);
-        self.demand.report(now, &report.gateway, &report.demand);
+        self.demand
+            .record_report(now, &report.gateway, &report.demand);
         self.traffic.report(&report.gateway, &report.in_flight);
         self.dirty |= report.demand.iter().any(|need| need.unserved > 0);
         self.dirty |= !report.inconsistent.is_empty();
@@ -255,7 +256,7 @@
             if let Some(engine) = self.engines.engines.get_mut(instance)
                 && engine.pending.is_none()
             {
-                engine.doubt(now);
+                engine.invalidate_state(now);
             }
         }
     }
@@ -279,7 +280,7 @@
             return;
         };
         self.rollout.lost(now, &session);
-        self.demand.forget_in_flight(&session.name);
+        self.demand.remove_gateway(&session.name);
         self.traffic.forget(&session.name);
         self.event("gateway-lost", vec![("gateway", session.name)]);
     }
@@ -318,17 +319,17 @@
             self.last_plan = now;
             self.dirty = false;
             self.settle_adapters(now);
-            self.sweep_crashes(now);
+            self.expire_quarantine(now);
             self.forget_silent(now);
             self.observe_store(now);
             if let Some(document) = document {
-                self.keep_active(now, document);
+                self.adjust_active_instances(now, document);
                 self.plan(now, document);
             }
         }
         self.note(now);
         self.follow_rollout(now, document, context);
-        self.update_crashes(now);
+        self.send_crash_updates(now);
         self.update_limits(now);
         let heard_for = self.hearing.now().since(Timestamp::ZERO);
         self.complete = heard_for >= self.settings.announce_interval * 3;
@@ -344,12 +345,12 @@
             Some(PendingLoad {
                 instance: instance.clone(),
                 model: pending.model.clone(),
-                nominal_time: pending.takes,
+                nominal_time: pending.expected_time,
             })
         });
         let busy = engines
             .values()
-            .filter(|engine| engine.is_busy_elsewhere(now));
+            .filter(|engine| engine.has_unknown_order(now));
         let ended = |instance: &InstanceId, model: &ModelName| {
             let engine = engines.get(instance);
             engine.is_some_and(|engine| engine.holds(model, None))
@@ -374,9 +375,9 @@
     /// Completes adapter instructions whose expected time has elapsed.
     fn settle_adapters(&mut self, now: Timestamp) {
         for (instance, engine) in &mut self.engines.engines {
-            if engine.adapter_settled(now) {
-                engine.rests_on(now, Word::Time);
-                self.registry.serves(instance, engine.serving());
+            if engine.complete_adapter_instruction(now) {
+                engine.set_evidence(now, Evidence::Elapsed);
+                self.registry.serves(instance, engine.served_models());
             }
             let settles = engine
                 .pending
@@ -446,7 +447,7 @@
             return;
         };
         let Some((operation, model, adapter)) = step.instruction else {
-            engine.reads(now, call);
+            engine.record_read(now, call);
             self.out.push(FleetOutput::ReadEngine {
                 instance: step.instance,
                 address,
@@ -457,29 +458,29 @@
         let Some(expected_revision) = engine.revision else {
             return;
         };
-        let believed = observed_state::pairs(now, engine);
+        let believed = observed_state::log_pairs(now, engine);
         if step.confirms {
-            engine.confirms(now, call);
+            engine.record_confirmation(now, call);
         } else {
-            let pending = Pending {
+            let pending = PendingInstruction {
                 operation,
                 model: model.clone(),
                 adapter: adapter.clone(),
                 sent_at: now,
                 accepted: false,
-                was_confirmed: false,
+                confirmation_sent: false,
                 call,
                 expected_revision,
                 from_store: step.from_store,
-                takes: step.takes,
-                done_at: now + step.takes,
+                expected_time: step.takes,
+                expected_end: now + step.takes,
             };
-            engine.sent(now, pending);
+            engine.record_sent(now, pending);
         }
         let unloads = operation == InstructionOperation::Unload;
         if unloads {
             // Gateways must stop sending requests to what is about to be unloaded.
-            self.registry.serves(&step.instance, engine.serving());
+            self.registry.serves(&step.instance, engine.served_models());
         }
         let adapter_name = adapter.as_ref().map_or("none", |name| name.as_str());
         let mut pairs = vec![
--- a/crates/millpass-fleet/src/instances.rs
+++ b/crates/millpass-fleet/src/instances.rs
@@ -58,11 +58,11 @@
     /// Returns whether an instance that is not active becomes active.
     fn becomes_active(&self, record: &InstanceRecord) -> bool {
         let is_new = self.standby.get(&record.instance).is_none();
-        is_new && self.uses_whole(&record.service)
+        is_new && self.keeps_all_active(&record.service)
     }
 
     fn take_standby(&mut self, now: Timestamp, mut record: InstanceRecord) -> Announced {
-        self.models_held(&record.service, &record.models);
+        self.release_held_models(&record.service, &record.models);
         let Some(known) = self.standby.get(&record.instance) else {
             self.end_earlier_runs(now, &record.instance);
             self.standby.put(record);
@@ -94,15 +94,16 @@
         if announced == Announced::New {
             self.end_earlier_runs(now, &record.instance);
         }
-        self.survived(now, &record.instance);
-        self.models_held(&record.service, &record.models);
+        self.record_survival(now, &record.instance);
+        self.release_held_models(&record.service, &record.models);
         let engine = self
             .engines
             .engines
             .entry(record.instance.clone())
             .or_default();
-        engine.announced(now, &record.models, &record.in_memory, &record.on_disk);
-        self.registry.serves(&record.instance, engine.serving());
+        engine.handle_announcement(now, &record.models, &record.in_memory, &record.on_disk);
+        self.registry
+            .serves(&record.instance, engine.served_models());
         if announced == Announced::New {
             self.event(
                 "instance-known",
@@ -143,14 +144,14 @@
         earlier_runs.extend(self.registry.earlier_runs(instance));
         for earlier in earlier_runs {
             if let Some(engine) = self.engines.engines.get(&earlier) {
-                left.extend(engine.left_to_later_runs(now));
+                left.extend(engine.loads_to_inherit(now));
             }
-            self.load_ended(now, &earlier);
+            self.attribute_crash_to_load(now, &earlier);
             self.forget(&earlier, "reborn");
         }
         if !left.is_empty() {
             let engine = self.engines.engines.entry(instance.clone()).or_default();
-            engine.follows(left);
+            engine.inherit_loads(left);
         }
     }
 
--- a/crates/millpass-fleet/src/observed_state.rs
+++ b/crates/millpass-fleet/src/observed_state.rs
@@ -6,31 +6,31 @@
 
 /// Source of the recorded state of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Word {
+pub(crate) enum Evidence {
     /// Response to this call.
-    Answer(CallId),
+    Response(CallId),
     /// An instruction's expected duration has elapsed.
-    Time,
+    Elapsed,
 }
 
-impl std::fmt::Display for Word {
+impl std::fmt::Display for Evidence {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Word::Answer(call) => write!(formatter, "answer:{}", call.0),
-            Word::Time => formatter.write_str("time"),
+            Evidence::Response(call) => write!(formatter, "answer:{}", call.0),
+            Evidence::Elapsed => formatter.write_str("time"),
         }
     }
 }
 
 /// A model, or an adapter of a model, held by an engine.
-pub(crate) type Held = (ModelName, Option<AdapterName>);
+pub(crate) type Item = (ModelName, Option<AdapterName>);
 
-pub(crate) fn held(engine: &Engine) -> BTreeSet<Held> {
+pub(crate) fn held_items(engine: &Engine) -> BTreeSet<Item> {
     let models = engine.held.iter().map(|held| (held.model.clone(), None));
-    models.chain(adapters(&engine.held)).collect()
+    models.chain(held_adapters(&engine.held)).collect()
 }
 
-fn adapters(held: &[HeldModel]) -> impl Iterator<Item = Held> {
+fn held_adapters(held: &[HeldModel]) -> impl Iterator<Item = Item> {
     held.iter().flat_map(|held| {
         let adapters = held.adapters.iter();
         adapters.map(|adapter| (held.model.clone(), Some(adapter.clone())))
@@ -38,8 +38,8 @@
 }
 
 /// Formats items as comma-separated `MODEL` or `MODEL/ADAPTER`; `none` if empty.
-pub(crate) fn list(held: &BTreeSet<Held>) -> String {
-    let name = |(model, adapter): &Held| match adapter {
+pub(crate) fn format_items(held: &BTreeSet<Item>) -> String {
+    let name = |(model, adapter): &Item| match adapter {
         None => model.0.clone(),
         Some(adapter) => format!("{}/{}", model.0, adapter.as_str()),
     };
@@ -50,17 +50,17 @@
     }
 }
 
-pub(crate) fn or_none(number: Option<u64>) -> String {
+pub(crate) fn format_or_none(number: Option<u64>) -> String {
     number.map_or_else(|| "none".to_owned(), |number| number.to_string())
 }
 
 /// Returns the recorded engine state as key-value pairs of a log event.
-pub(crate) fn pairs(now: Timestamp, engine: &Engine) -> Vec<(&'static str, String)> {
-    let mut believed = held(engine);
-    let coming = engine.coming().iter().cloned();
+pub(crate) fn log_pairs(now: Timestamp, engine: &Engine) -> Vec<(&'static str, String)> {
+    let mut believed = held_items(engine);
+    let coming = engine.loading_adapters().iter().cloned();
     believed.extend(coming.map(|(model, adapter)| (model, Some(adapter))));
-    let mut pairs = vec![("believed", list(&believed))];
-    if let Some((word, at)) = engine.basis() {
+    let mut pairs = vec![("believed", format_items(&believed))];
+    if let Some((word, at)) = engine.evidence() {
         pairs.push(("from", word.to_string()));
         pairs.push(("age_ms", now.since(at).as_millis().to_string()));
     }
--- a/crates/millpass-fleet/src/pending.rs
+++ b/crates/millpass-fleet/src/pending.rs
@@ -1,10 +1,10 @@
 //! The pending instruction of an engine.
 
-use crate::engines::LostLoad;
+use crate::engines::UnansweredLoad;
 use millpass_proto::{AdapterName, CallId, Duration, InstructionOperation, ModelName, Timestamp};
 
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingInstruction {
     pub(crate) operation: InstructionOperation,
     pub(crate) model: ModelName,
     pub(crate) adapter: Option<AdapterName>,
@@ -14,24 +14,24 @@
     pub(crate) sent_at: Timestamp,
     pub(crate) accepted: bool,
     /// Whether the unload was repeated to confirm that it is done.
-    pub(crate) was_confirmed: bool,
+    pub(crate) confirmation_sent: bool,
     /// Whether the weights come from the weight store.
     pub(crate) from_store: bool,
     /// Expected duration at full speed.
-    pub(crate) takes: Duration,
+    pub(crate) expected_time: Duration,
     /// Expected time of completion.
-    pub(crate) done_at: Timestamp,
+    pub(crate) expected_end: Timestamp,
 }
 
-impl Pending {
+impl PendingInstruction {
     /// Returns what the engine may still carry out if there is no response; none for an unload.
-    pub(crate) fn lost(&self, now: Timestamp) -> Option<LostLoad> {
+    pub(crate) fn unanswered_load(&self, now: Timestamp) -> Option<UnansweredLoad> {
         let loads = self.operation == InstructionOperation::Load;
-        loads.then(|| LostLoad::new(now, &self.model, self.adapter.as_ref()))
+        loads.then(|| UnansweredLoad::new(now, &self.model, self.adapter.as_ref()))
     }
 
     /// Returns whether it loads or unloads this adapter.
-    pub(crate) fn concerns(&self, model: &ModelName, adapter: &AdapterName) -> bool {
+    pub(crate) fn targets_adapter(&self, model: &ModelName, adapter: &AdapterName) -> bool {
         self.model == *model && self.adapter.as_ref() == Some(adapter)
     }
 }
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -6,8 +6,8 @@
 //! and a permit; without them the demand waits for the next round.
 
 use crate::cost;
-use crate::crashes::Crashes;
-use crate::demand::{Demand, ModelKey, Unmet};
+use crate::crashes::CrashTracker;
+use crate::demand::{Demand, ModelKey, UnmetDemand};
 use crate::engines::{Engine, Engines};
 use crate::instruction_history::InstructionHistory;
 use crate::permits::StorePermits;
@@ -64,7 +64,7 @@
     pub(crate) permits: &'a mut StorePermits,
     pub(crate) store: &'a StoreCapacity,
     /// Quarantined loads.
-    pub(crate) crashes: &'a Crashes,
+    pub(crate) crashes: &'a CrashTracker,
     /// Limits stated by engines.
     pub(crate) limits: &'a PermitLedger,
     /// Collects ready estimates of models that wait for an engine or a permit.
@@ -97,16 +97,16 @@
 
 enum Wanted<'a> {
     /// Loads a model or adapter that requests wait for.
-    Need(&'a Unmet),
+    Need(&'a UnmetDemand),
     /// Adds a replica of a busy model.
     Replica(ModelName),
 }
 
 /// Returns potential loads by descending benefit, because weight store capacity is scarce. Equal
 /// benefits keep the order of urgency and age.
-fn wants<'a>(unmet: &'a [Unmet], round: &Round) -> Vec<Want<'a>> {
+fn wants<'a>(unmet: &'a [UnmetDemand], round: &Round) -> Vec<Want<'a>> {
     let needs = unmet.iter().map(|need| Want {
-        worth: cost::serving(need.requests + round.expected(&need.key.model)),
+        worth: cost::unserved_delay(need.requests + round.expected(&need.key.model)),
         what: Wanted::Need(need),
     });
     let replicas = round.busy_models().into_iter().map(|(worth, model)| Want {
@@ -133,7 +133,7 @@
     /// Returns whether the engine may be instructed now.
     pub(crate) fn is_free(&self, instance: &InstanceId) -> bool {
         let open = self.now >= self.history.open_from(instance, self.handover);
-        open && self.engine(instance).is_some_and(Engine::is_free)
+        open && self.engine(instance).is_some_and(Engine::can_be_instructed)
     }
 
     /// Returns whether loads of the model or adapter are quarantined because they crashed engines.
@@ -143,7 +143,7 @@
             model: model.clone(),
             adapter: adapter.cloned(),
         };
-        self.crashes.holds_load(self.now, &key)
+        self.crashes.is_load_quarantined(self.now, &key)
     }
 
     fn read_unknown(&mut self, steps: &mut Vec<Step>) {
@@ -153,10 +153,12 @@
             let Some(engine) = self.engines.engines.get_mut(&instance) else {
                 continue;
             };
-            if engine.reserved.is_some() && now.since(engine.reserved_at) > RESERVATION_LIFETIME {
-                engine.reserved = None;
+            if engine.reserved_model.is_some()
+                && now.since(engine.reserved_at) > RESERVATION_LIFETIME
+            {
+                engine.reserved_model = None;
             }
-            if engine.read_due(now) {
+            if engine.is_read_due(now) {
                 steps.push(Step {
                     instance,
                     instruction: None,
@@ -166,7 +168,7 @@
                     used_kilobytes: 0,
                     reason: "state-unknown",
                 });
-            } else if let Some(model) = engine.to_confirm() {
+            } else if let Some(model) = engine.unload_to_confirm() {
                 steps.push(Step {
                     instruction: Some((InstructionOperation::Unload, model.clone(), None)),
                     instance,
@@ -189,7 +191,7 @@
             let Some(engine) = self.engine(&instance) else {
                 continue;
             };
-            let Some(model) = engine.reserved.clone() else {
+            let Some(model) = engine.reserved_model.clone() else {
                 continue;
             };
             let place = if engine.holds(&model, None) {
@@ -206,11 +208,11 @@
 
     fn release(&mut self, instance: &InstanceId) {
         if let Some(engine) = self.engines.engines.get_mut(instance) {
-            engine.reserved = None;
+            engine.reserved_model = None;
         }
     }
 
-    fn meet(&mut self, need: &Unmet, round: &mut Round, steps: &mut Vec<Step>) {
+    fn meet(&mut self, need: &UnmetDemand, round: &mut Round, steps: &mut Vec<Step>) {
         let model = &need.key.model;
         let Some(adapters) = round.model(self.specification, model).map(|it| it.adapters) else {
             return;
@@ -221,13 +223,13 @@
         }
         match &need.key.adapter {
             Some(adapter) if adapters > 0 => self.load_adapter(&need.key, adapter, round, steps),
-            _ => self.demand.met(&need.key),
+            _ => self.demand.mark_met(&need.key),
         }
     }
 
     /// Loads a model that no engine holds. If it is already incoming, a second load must be much
     /// faster and worth its cost.
-    fn meet_model(&mut self, need: &Unmet, round: &mut Round, steps: &mut Vec<Step>) {
+    fn meet_model(&mut self, need: &UnmetDemand, round: &mut Round, steps: &mut Vec<Step>) {
         let model = &need.key.model;
         let Some(place) = round.place_for(self.specification, model, need.requests) else {
             return;
@@ -279,9 +281,9 @@
         let Some(engine) = self.engines.engines.get_mut(&place.instance) else {
             return;
         };
-        let source = engine.source_of(model);
+        let source = engine.weights_source(model);
         let from_store = place.victim.is_none() && source == WeightsSource::Store;
-        if source == WeightsSource::Store && engine.reserved.as_ref() != Some(model) {
+        if source == WeightsSource::Store && engine.reserved_model.as_ref() != Some(model) {
             if round.store_is_full() {
                 round.store_queue += 1;
                 self.await_model(model, place.takes);
@@ -292,7 +294,7 @@
         let used_kilobytes = round.used_kilobytes(self.specification, engine);
         let (operation, subject, takes) = match &place.victim {
             Some(victim) => {
-                engine.reserved = Some(model.clone());
+                engine.reserved_model = Some(model.clone());
                 engine.reserved_at = now;
                 (InstructionOperation::Unload, victim.clone(), UNLOAD_TIME)
             }
@@ -303,7 +305,7 @@
                     return;
                 }
                 let takes = specification.load_time(source);
-                engine.reserved = None;
+                engine.reserved_model = None;
                 (InstructionOperation::Load, model.clone(), takes)
             }
         };
@@ -355,7 +357,7 @@
         model: &ModelName,
         waiting: f64,
     ) -> Option<Place> {
-        let limit = cost::serving(waiting);
+        let limit = cost::unserved_delay(waiting);
         self.cheapest(specification, model, waiting, limit, |_, _| true)
     }
 }
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -2,7 +2,7 @@
 //! each model would saturate the leader.
 
 use crate::cost;
-use crate::demand::{Load, Unmet};
+use crate::demand::{Load, UnmetDemand};
 use crate::engines::Engine;
 use crate::planner::{MINIMUM_STAY, UNLOAD_TIME, View};
 use millpass_proto::{
@@ -74,7 +74,7 @@
                 elsewhere,
             } => {
                 let held_up = if elsewhere { Duration::ZERO } else { load };
-                cost::absence(rate, restore_millis + held_up.as_secs_f64() * 1_000.0)
+                cost::last_replica_loss(rate, restore_millis + held_up.as_secs_f64() * 1_000.0)
             }
         }
     }
@@ -133,7 +133,7 @@
 }
 
 impl Round {
-    pub(crate) fn gather(view: &View<'_>, unmet: &[Unmet]) -> Round {
+    pub(crate) fn gather(view: &View<'_>, unmet: &[UnmetDemand]) -> Round {
         let mut round = Round::default();
         let models = view.specification.models.iter().enumerate();
         round.models = models
@@ -150,7 +150,7 @@
         let slots = f64::from(view.specification.slots.max(1));
         for (model, load) in view.demand.loads(view.now, view.service) {
             round.business.insert(model.clone(), business(&load, slots));
-            round.rates.insert(model, load.lasting_rate);
+            round.rates.insert(model, load.request_rate);
         }
         let engines = usable.iter().map(|(_, engine)| engine);
         round.store_loads = engines
@@ -160,7 +160,7 @@
         round.store_opens_in = view.store.time_until_slot();
         round.wanted = unmet.iter().map(|need| need.key.model.clone()).collect();
         for (instance, engine) in usable {
-            if engine.reserved.is_some() {
+            if engine.reserved_model.is_some() {
                 round.reserved.push(instance);
             } else if !view.limits.is_limited(&instance)
                 && let Some(opens_in) = opens_in(view, &instance, engine)
@@ -176,18 +176,18 @@
         // An engine that states a limit is overloaded: its models need replicas elsewhere.
         let is_limited = view.limits.is_limited(instance);
         for held in &engine.held {
-            if !engine.unloading(&held.model) && !is_limited {
+            if !engine.is_unloading(&held.model) && !is_limited {
                 let holders = self.holders.entry(held.model.clone()).or_default();
                 holders.push(instance.clone());
             }
         }
-        for model in engine.brought() {
+        for model in engine.incoming_models() {
             let load = self
                 .model(view.specification, model)
                 .map_or(Duration::ZERO, |found| {
-                    found.load_time(engine.source_of(model))
+                    found.load_time(engine.weights_source(model))
                 });
-            let ready = engine.ready_in(view.now, model, load);
+            let ready = engine.time_until_ready(view.now, model, load);
             self.comes(model, ready);
         }
     }
@@ -224,7 +224,7 @@
     ) -> Site {
         let specification = view.specification;
         let may_go = |model: &ModelName| {
-            !self.wanted.contains(model) && !engine.is_fresh(view.now, model, MINIMUM_STAY)
+            !self.wanted.contains(model) && !engine.was_loaded_within(view.now, model, MINIMUM_STAY)
         };
         let mut evictable: Vec<Evictable> = engine
             .held
@@ -360,7 +360,7 @@
         let engine = view.engine(instance)?;
         let wanted = self.model(view.specification, model)?;
         let site = self.site(view, instance.clone(), engine, Duration::ZERO);
-        let load = wanted.load_time(engine.source_of(model));
+        let load = wanted.load_time(engine.weights_source(model));
         site.place(wanted.weights_kilobytes, load, f64::MAX)
     }
 
@@ -393,7 +393,7 @@
 
     /// Returns the number of requests expected for a model within the horizon.
     pub(crate) fn expected(&self, model: &ModelName) -> f64 {
-        cost::expected(self.rates.get(model).copied().unwrap_or_default())
+        cost::expected_requests(self.rates.get(model).copied().unwrap_or_default())
     }
 
     fn business_of(&self, model: &ModelName) -> f64 {
@@ -453,7 +453,10 @@
     /// missing from the configuration has an unknown size and counts as the whole memory.
     pub(crate) fn used_kilobytes(&self, specification: &EngineSpec, engine: &Engine) -> u64 {
         let adapter = |model: &ModelName| self.adapter_kilobytes(specification, model);
-        let adapters = engine.coming().iter().map(|(model, _)| adapter(model));
+        let adapters = engine
+            .loading_adapters()
+            .iter()
+            .map(|(model, _)| adapter(model));
         let held = engine.held.iter();
         let held = held.map(|held| self.held_kilobytes(specification, held));
         let coming = engine.pending.as_ref().map_or(0, |pending| {
@@ -467,10 +470,13 @@
                 false => 0,
             }
         });
-        let late = engine.may_come().iter().map(|lost| match lost.adapter {
-            None => self.weights_kilobytes(specification, &lost.model),
-            Some(_) => adapter(&lost.model),
-        });
+        let late = engine
+            .inherited_loads()
+            .iter()
+            .map(|lost| match lost.adapter {
+                None => self.weights_kilobytes(specification, &lost.model),
+                Some(_) => adapter(&lost.model),
+            });
         held.chain(adapters)
             .chain(late)
             .fold(coming, u64::saturating_add)
@@ -502,7 +508,7 @@
 /// Returns the load offered by a model's requests, in engines: the larger of prompt processing time
 /// and slots in use.
 pub(crate) fn business(load: &Load, slots: f64) -> f64 {
-    let reading = load.tokens / TOKENS_PER_SECOND;
+    let reading = load.token_rate / TOKENS_PER_SECOND;
     let running = f64::from(load.in_flight) / slots;
     reading.max(running)
 }
@@ -514,12 +520,12 @@
         return Some(Duration::ZERO);
     }
     let pending = engine.pending.as_ref()?;
-    let timely = pending.accepted && view.now < pending.done_at;
+    let timely = pending.accepted && view.now < pending.expected_end;
     if engine.revision.is_none() || !timely {
         return None;
     }
     let open = view.history.open_from(instance, view.handover);
-    let until = pending.done_at.max(open);
+    let until = pending.expected_end.max(open);
     Some(until.since(view.now).max(LEAST_LEFT))
 }
 
--- a/crates/millpass-fleet/src/share_reports.rs
+++ b/crates/millpass-fleet/src/share_reports.rs
@@ -89,7 +89,7 @@
     }
 
     fn end_silent(&mut self, now: Timestamp, instance: &InstanceId, reason: &str) {
-        self.load_ended(now, instance);
+        self.attribute_crash_to_load(now, instance);
         self.forget(instance, reason);
     }
 
--- a/crates/millpass-fleet/src/updates.rs
+++ b/crates/millpass-fleet/src/updates.rs
@@ -293,23 +293,23 @@
     };
     let loading = engine.pending.as_ref().and_then(|pending| {
         let adapter = pending.adapter.clone()?;
-        let left = pending.done_at.since(now);
+        let left = pending.expected_end.since(now);
         let load = pending.operation == InstructionOperation::Load;
         load.then(|| model_outlook(&service.name, &pending.model, Some(adapter), left))
     });
-    let models = engine.brought().map(|model| {
+    let models = engine.incoming_models().map(|model| {
         let found = specification
             .models
             .iter()
             .find(|found| found.name == *model);
         let load = found.map_or(Duration::ZERO, |found| {
-            found.load_time(engine.source_of(model))
+            found.load_time(engine.weights_source(model))
         });
         model_outlook(
             &service.name,
             model,
             None,
-            engine.ready_in(now, model, load),
+            engine.time_until_ready(now, model, load),
         )
     });
     loading.into_iter().chain(models).collect()
