--- a/crates/millpass-fleet/src/activation.rs
+++ b/crates/millpass-fleet/src/activation.rs
@@ -8,7 +8,7 @@
 
 use crate::demand::Load;
 use crate::fleet::Fleet;
-use crate::round::{self, COMFORTABLE_SHARE};
+use crate::round::{self, MAX_REPLICA_UTILIZATION};
 use millpass_proto::{
     DeploymentDocument, Duration, EngineModelSpec, InstanceId, InstanceRecord, ModelName,
     ServiceName, ServiceSpec, Timestamp, ZoneName,
@@ -109,7 +109,7 @@
 
 /// Returns the number of replicas that keep utilization below the target.
 fn required_replicas(load: &Load, slots: f64) -> usize {
-    (round::business(load, slots) / COMFORTABLE_SHARE) as usize + 1
+    (round::offered_load(load, slots) / MAX_REPLICA_UTILIZATION) as usize + 1
 }
 
 impl Fleet {
@@ -133,7 +133,7 @@
             if stands_by == 0 && self.registry.count(&service.name) <= ALL_ACTIVE_LIMIT {
                 continue;
             }
-            let mut census = ActiveCounts::of(self.registry.taking(&service.name));
+            let mut census = ActiveCounts::of(self.registry.available(&service.name));
             let wanted = self.activation_target(now, service, &census);
             self.activate_for_demand(now, service, &wanted, &mut census);
             self.deactivate_idle(now, service, &wanted, &mut census);
@@ -148,9 +148,11 @@
     ) -> ActivationTarget {
         let whole = census.total + self.standby.count(&service.name) <= ALL_ACTIVE_LIMIT;
         let Some(engine) = &service.engine else {
-            let places = self.registry.taking(&service.name);
+            let places = self.registry.available(&service.name);
             let slots = places.map(|record| record.slots).max().unwrap_or(1).max(1);
-            let in_flight = self.traffic.in_flight(self.registry.taking(&service.name));
+            let in_flight = self
+                .traffic
+                .in_flight(self.registry.available(&service.name));
             let total = f64::from(in_flight) / (f64::from(slots) * TARGET_UTILIZATION);
             return ActivationTarget {
                 total: if whole {
@@ -191,7 +193,7 @@
             }
         }
         while left > 0 {
-            let zones = self.standby.of_service(&service.name);
+            let zones = self.standby.first_by_zone(&service.name);
             let emptiest = zones.min_by_key(|(zone, _)| census.count_in_zone(zone));
             let lacks = |zone: &ZoneName| census.count_in_zone(zone) < MIN_ACTIVE_PER_ZONE;
             let lacking = emptiest.filter(|(zone, _)| lacks(zone) || census.total < wanted.total);
@@ -212,7 +214,7 @@
         census: &ActiveCounts,
     ) -> Option<InstanceId> {
         let model = &model.name;
-        let holding = self.standby.holding(&service.name, model);
+        let holding = self.standby.first_holders_by_zone(&service.name, model);
         let (zone, instance) = holding.min_by_key(|(zone, _)| census.replicas_in(model, zone))?;
         let too_few = census.replicas(model) < wanted.replicas(model);
         let spreads = census.replicas_in(model, zone) == 0;
@@ -237,7 +239,7 @@
             ("active", census.total.to_string()),
             ("standby", self.standby.len().to_string()),
         ];
-        self.take_active(now, record);
+        self.record_active(now, record);
         self.active_revision += 1;
         self.event("instance-activated", pairs);
     }
@@ -251,14 +253,14 @@
         census: &mut ActiveCounts,
     ) {
         let mut released = None;
-        for record in self.registry.taking(&service.name) {
+        for record in self.registry.available(&service.name) {
             let models = &record.models;
             let spare = census.total > ALL_ACTIVE_LIMIT.max(wanted.total)
                 && census.count_in_zone(&record.zone) > MIN_ACTIVE_PER_ZONE
                 && models
                     .iter()
                     .all(|held| census.replicas(&held.model) > wanted.replicas(&held.model))
-                && !self.traffic.is_used(&record.instance)
+                && !self.traffic.has_requests(&record.instance)
                 && self.engines.is_quiescent(&record.instance);
             if !spare {
                 self.idle_since.remove(&record.instance);
@@ -279,10 +281,10 @@
         let instance = &record.instance.clone();
         let pairs = vec![("instance", instance.0.clone())];
         self.idle_since.remove(instance);
-        let announced = self.registry.announced(instance);
+        let announced = self.registry.last_announced(instance);
         self.engines.engines.remove(instance);
         self.registry.remove(instance);
-        self.standby.put(announced.unwrap_or(record));
+        self.standby.insert(announced.unwrap_or(record));
         self.active_revision += 1;
         self.dirty = true;
         self.event("instance-stands-by", pairs);
--- a/crates/millpass-fleet/src/adapters.rs
+++ b/crates/millpass-fleet/src/adapters.rs
@@ -1,8 +1,8 @@
 //! Placement of adapters on engines that hold their model.
 
 use crate::demand::ModelKey;
-use crate::planner::{Instruction, Step, View};
-use crate::round::Round;
+use crate::planner::{Instruction, ServiceView, Step};
+use crate::round::PlanningRound;
 use millpass_proto::{AdapterName, Duration, InstanceId, InstructionOperation, ModelName};
 
 /// Expected duration of loading or unloading an adapter.
@@ -10,16 +10,16 @@
 /// Cost of placing an adapter on a fully utilized engine, in loaded adapters.
 const ADAPTER_UTILIZATION_COST: f64 = 10.0;
 
-impl View<'_> {
+impl ServiceView<'_> {
     /// Loads an adapter on an engine that holds its model, unless it is loaded or loading already.
     pub(crate) fn load_adapter(
         &mut self,
         key: &ModelKey,
         adapter: &AdapterName,
-        round: &mut Round,
+        round: &mut PlanningRound,
         steps: &mut Vec<Step>,
     ) {
-        if self.is_held_back(&key.model, Some(adapter)) {
+        if self.is_load_quarantined(&key.model, Some(adapter)) {
             return;
         }
         let holders = round.holders_of(&key.model);
@@ -38,12 +38,13 @@
         }
         let cost = |instance: &InstanceId| {
             self.engine(instance).map_or(f64::MAX, |engine| {
-                round.busyness(engine) * ADAPTER_UTILIZATION_COST + engine.adapter_count() as f64
+                round.engine_utilization(engine) * ADAPTER_UTILIZATION_COST
+                    + engine.adapter_count() as f64
             })
         };
         let best = holders
             .iter()
-            .filter(|instance| self.is_free(instance) && !round.is_instructed(instance))
+            .filter(|instance| self.can_be_instructed(instance) && !round.is_instructed(instance))
             .min_by(|left, right| cost(left).total_cmp(&cost(right)));
         let Some(instance) = best.cloned() else {
             return;
@@ -54,13 +55,13 @@
         let used_kilobytes = self
             .engine(&instance)
             .map_or(0, |engine| round.used_kilobytes(self.specification, engine));
-        round.instruct(&instance);
+        round.mark_instructed(&instance);
         steps.push(Step {
             instance,
             instruction: Some(instruction),
-            takes: ADAPTER_OPERATION_TIME,
+            expected_time: ADAPTER_OPERATION_TIME,
             from_store: false,
-            confirms: false,
+            is_confirmation: false,
             used_kilobytes,
             reason: "unserved-adapter",
         });
@@ -69,7 +70,7 @@
     /// Returns the load of the adapter, or the unload of the least used one if no slot is free.
     fn adapter_instruction(
         &self,
-        round: &Round,
+        round: &PlanningRound,
         instance: &InstanceId,
         key: &ModelKey,
         adapter: &AdapterName,
@@ -85,7 +86,7 @@
             let load = InstructionOperation::Load;
             return Some((load, key.model.clone(), Some(adapter.clone())));
         }
-        if let Some(unnamed) = round.unnamed(engine) {
+        if let Some(unnamed) = round.unconfigured_model(engine) {
             // A model of unknown size occupies the whole memory: unloading adapters would not help.
             return Some((InstructionOperation::Unload, unnamed.clone(), None));
         }
--- a/crates/millpass-fleet/src/contact_clock.rs
+++ b/crates/millpass-fleet/src/contact_clock.rs
@@ -8,42 +8,44 @@
 
 /// Upper bound of counted time between two runs of the core. A longer gap means an expired lease or
 /// a stalled process.
-const LONGEST_GAP: Duration = Duration::from_millis(500);
+const MAX_COUNTED_GAP: Duration = Duration::from_millis(500);
 /// Time for which a refused announcement implies that others are refused: as long as senders wait.
-const REFUSED_FOR: Duration = Duration::from_millis(1_000);
+const REFUSAL_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// Divisor of counted time while announcements are refused: some still arrive, and ended instances
 /// must expire eventually.
-const REFUSING_SHARE: u32 = 4;
+const REFUSAL_DIVISOR: u32 = 4;
 
 /// A clock that stops while this member receives nothing and slows down while it refuses
 /// announcements.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct HearingClock {
-    heard: Timestamp,
-    last: Option<Timestamp>,
+pub(crate) struct ContactClock {
+    elapsed: Timestamp,
+    advanced_at: Option<Timestamp>,
     refused_at: Option<Timestamp>,
 }
 
-impl HearingClock {
+impl ContactClock {
     /// Advances the clock at each run of the core.
     pub(crate) fn advance(&mut self, now: Timestamp) {
-        let gap = self.last.map_or(Duration::ZERO, |last| now.since(last));
-        self.last = Some(now);
+        let gap = self
+            .advanced_at
+            .map_or(Duration::ZERO, |last| now.since(last));
+        self.advanced_at = Some(now);
         let refuses = self
             .refused_at
-            .is_some_and(|at| now.since(at) < REFUSED_FOR);
-        let share = if refuses { REFUSING_SHARE } else { 1 };
-        self.heard = self.heard + gap.min(LONGEST_GAP) / share;
+            .is_some_and(|at| now.since(at) < REFUSAL_PERIOD);
+        let share = if refuses { REFUSAL_DIVISOR } else { 1 };
+        self.elapsed = self.elapsed + gap.min(MAX_COUNTED_GAP) / share;
     }
 
     /// Records that announcements were refused.
-    pub(crate) fn refused(&mut self, now: Timestamp) {
+    pub(crate) fn record_refusal(&mut self, now: Timestamp) {
         self.refused_at = Some(now);
     }
 
     /// Returns the time counted so far.
     pub(crate) fn now(&self) -> Timestamp {
-        self.heard
+        self.elapsed
     }
 }
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -220,11 +220,11 @@
     /// Sends the quarantined requests to gateways if they have changed.
     pub(crate) fn send_crash_updates(&mut self, now: Timestamp) {
         let revision = self.crashes.revision();
-        let interval = self.gateways.update_interval(self.pace);
+        let interval = self.gateways.update_interval(self.slowdown);
         let mut update = None;
         for (connection, session) in &mut self.gateways.sessions {
-            let behind = session.behind_since.is_some();
-            if behind || !session.crashes.send(now, interval, revision) {
+            let behind = session.backlogged_since.is_some();
+            if behind || !session.crashes.mark_sent_if_due(now, interval, revision) {
                 continue;
             }
             let update = update.get_or_insert_with(|| self.crashes.update(now, self.term));
--- a/crates/millpass-fleet/src/engine_responses.rs
+++ b/crates/millpass-fleet/src/engine_responses.rs
@@ -29,14 +29,15 @@
         let under_way = engine.pending.as_ref().map(|pending| pending.call.0);
         if *answer == InstructionResult::OtherRun && engine.awaits_response(answered.call) {
             self.attribute_crash_to_load(now, instance);
-            self.forget(instance, "replaced");
+            self.remove_instance(instance, "replaced");
             return;
         }
         let heard = engine.handle_response(now, answered.call, answer);
         if matches!(answer, InstructionResult::State(_)) {
             engine.set_evidence(now, word);
         }
-        self.registry.serves(instance, engine.served_models());
+        self.registry
+            .set_served_models(instance, engine.served_models());
         self.dirty = true;
         let outcome = match answer {
             InstructionResult::State(state) => format!("state:{}", state.revision),
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Decision core: handles messages of instances, gateways and engines and returns the actions to
 //! take.
 
-use crate::contact_clock::HearingClock;
+use crate::contact_clock::ContactClock;
 use crate::crashes::CrashTracker;
 use crate::demand::Demand;
 use crate::documents::ChangeCache;
@@ -9,13 +9,13 @@
 use crate::gateways::Gateways;
 use crate::instruction_history::InstructionHistory;
 use crate::interface::{FleetEvent, FleetOutput, FleetSettings};
-use crate::local_share::Share;
+use crate::local_share::LocalShare;
 use crate::observed_state::{self, Evidence};
 use crate::pending::PendingInstruction;
 use crate::permits::StorePermits;
-use crate::planner::{self, Step, View};
+use crate::planner::{self, ServiceView, Step};
 use crate::registry::Registry;
-use crate::rollout::{LAG, Rollout};
+use crate::rollout::{LAG_THRESHOLD, Rollout};
 use crate::shares::{Holder, Shares};
 use crate::standby::Standby;
 use crate::store_capacity::{PendingLoad, StoreCapacity};
@@ -32,8 +32,8 @@
 /// Interval between planning rounds when nothing changes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum interval between records of instances in the log.
-const NOTE_INTERVAL: Duration = Duration::from_millis(1_000);
-const MINIMUM_PLAN_INTERVAL: Duration = Duration::from_millis(8);
+const RECORD_INTERVAL: Duration = Duration::from_millis(1_000);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(8);
 /// Minimum planning interval per engine, because the cost of a round grows with their number.
 const PLAN_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(100);
 
@@ -49,7 +49,7 @@
     /// member.
     pub(crate) active_revision: u64,
     /// Instances that announce themselves at this member.
-    pub(crate) share: Share,
+    pub(crate) local_share: LocalShare,
     /// Instances that announce themselves at other members.
     pub(crate) shares: Shares,
     pub(crate) gateways: Gateways,
@@ -64,33 +64,33 @@
     /// Instructions of earlier leaders.
     history: InstructionHistory,
     /// When this member became leader.
-    in_charge_since: Option<Timestamp>,
+    leading_since: Option<Timestamp>,
     /// Time for which this member could receive announcements since then.
-    pub(crate) hearing: HearingClock,
+    pub(crate) contact_clock: ContactClock,
     /// That time is long enough to have received every instance.
     pub(crate) complete: bool,
     /// Factor by which planning and update intervals are extended when this member lacks CPU time.
-    pub(crate) pace: u32,
+    pub(crate) slowdown: u32,
     pub(crate) term: u64,
-    pub(crate) outlook: Vec<ModelReadyEstimate>,
-    pub(crate) outlook_revision: u64,
+    pub(crate) ready_estimates: Vec<ModelReadyEstimate>,
+    pub(crate) ready_estimates_revision: u64,
     /// Ready times as published to gateways, and a revision that increases when they move.
-    pub(crate) told_times: Vec<Timestamp>,
-    pub(crate) times_revision: u64,
+    pub(crate) published_ready_times: Vec<Timestamp>,
+    pub(crate) ready_times_revision: u64,
     /// Loads as published to gateways, and a revision that increases when they change.
-    pub(crate) told_loads: Vec<InstanceLoad>,
+    pub(crate) published_loads: Vec<InstanceLoad>,
     pub(crate) loads_revision: u64,
     pub(crate) changes: ChangeCache,
     /// Models waiting for an engine or for the weight store.
-    waiting: BTreeSet<(ServiceName, ModelName)>,
+    waiting_models: BTreeSet<(ServiceName, ModelName)>,
     pub(crate) dirty: bool,
     next_plan: Timestamp,
     last_plan: Timestamp,
     /// Registry revision last recorded in the log, and when.
-    noted: u64,
-    noted_at: Timestamp,
+    recorded_revision: u64,
+    recorded_at: Timestamp,
     /// Calls to engines since this process started.
-    calls: u64,
+    call_count: u64,
     pub(crate) out: Vec<FleetOutput>,
 }
 
@@ -105,7 +105,7 @@
             idle_since: BTreeMap::new(),
             next_activation: Timestamp::ZERO,
             active_revision: 1,
-            share: Share::default(),
+            local_share: LocalShare::default(),
             shares: Shares::default(),
             gateways: Gateways::default(),
             rollout: Rollout::default(),
@@ -116,25 +116,25 @@
             limits: PermitLedger::default(),
             permits: StorePermits::default(),
             store: StoreCapacity::default(),
-            in_charge_since: None,
-            hearing: HearingClock::default(),
+            leading_since: None,
+            contact_clock: ContactClock::default(),
             complete: false,
-            pace: 1,
+            slowdown: 1,
             term: 0,
-            outlook: Vec::new(),
-            outlook_revision: 0,
-            told_times: Vec::new(),
-            times_revision: 0,
-            told_loads: Vec::new(),
+            ready_estimates: Vec::new(),
+            ready_estimates_revision: 0,
+            published_ready_times: Vec::new(),
+            ready_times_revision: 0,
+            published_loads: Vec::new(),
             loads_revision: 0,
             changes: ChangeCache::default(),
-            waiting: BTreeSet::new(),
+            waiting_models: BTreeSet::new(),
             dirty: false,
             next_plan: Timestamp::ZERO,
             last_plan: Timestamp::ZERO,
-            noted: 0,
-            noted_at: Timestamp::ZERO,
-            calls: 0,
+            recorded_revision: 0,
+            recorded_at: Timestamp::ZERO,
+            call_count: 0,
             out: Vec::new(),
         }
     }
@@ -142,16 +142,16 @@
     /// Drops all leader state, keeping the instances announced at this member. Call ids continue,
     /// so that a late response never matches a later call.
     pub fn reset(&mut self) {
-        let calls = self.calls;
-        let share = std::mem::take(&mut self.share);
+        let calls = self.call_count;
+        let share = std::mem::take(&mut self.local_share);
         *self = Fleet::new(self.settings.clone());
-        self.calls = calls;
-        self.share = share;
+        self.call_count = calls;
+        self.local_share = share;
     }
 
     fn next_call(&mut self) -> CallId {
-        self.calls += 1;
-        CallId(self.calls)
+        self.call_count += 1;
+        CallId(self.call_count)
     }
 
     /// Returns the connections of gateways.
@@ -179,51 +179,52 @@
         for mut record in records {
             // Any announcement of the instance is newer.
             record.sequence = 0;
-            self.shares.noted(self.hearing.now(), &record.instance);
-            self.take_active(now, record);
+            self.shares
+                .record_unheld(self.contact_clock.now(), &record.instance);
+            self.record_active(now, record);
         }
-        self.noted = self.registry.revision();
-        self.noted_at = now;
-        self.take_charge(now);
+        self.recorded_revision = self.registry.revision();
+        self.recorded_at = now;
+        self.become_leader(now);
     }
 
     /// Becomes leader with the instances announced at this member.
-    fn take_charge(&mut self, now: Timestamp) {
-        self.in_charge_since = Some(now);
-        let heard: Vec<InstanceRecord> = self.share.records().cloned().collect();
+    fn become_leader(&mut self, now: Timestamp) {
+        self.leading_since = Some(now);
+        let heard: Vec<InstanceRecord> = self.local_share.records().cloned().collect();
         for record in heard {
-            self.hear(now, Holder::Own, record, false);
+            self.apply_announcement(now, Holder::Own, record, false);
         }
     }
 
     /// Returns whether this member has started leading since the last [`Fleet::reset`].
     pub fn has_started_leading(&self) -> bool {
-        self.in_charge_since.is_some()
+        self.leading_since.is_some()
     }
 
     /// Records changed instances in the log, if due.
-    fn note(&mut self, now: Timestamp) {
+    fn record_instances(&mut self, now: Timestamp) {
         let revision = self.registry.revision();
-        if revision == self.noted || now.since(self.noted_at) < NOTE_INTERVAL {
+        if revision == self.recorded_revision || now.since(self.recorded_at) < RECORD_INTERVAL {
             return;
         }
         let note = InstanceChanges {
-            instances: self.registry.changed_since(self.noted),
-            removed: self.registry.removed_since(self.noted),
+            instances: self.registry.changed_since(self.recorded_revision),
+            removed: self.registry.removed_since(self.recorded_revision),
         };
-        self.noted = revision;
-        self.noted_at = now;
+        self.recorded_revision = revision;
+        self.recorded_at = now;
         self.out.push(FleetOutput::RecordInstances(note));
     }
 
     /// Records the log index of a committed departure, to track its propagation to gateways.
     pub fn record_departure_commit(&mut self, now: Timestamp, index: u64) {
-        self.rollout.departed(now, index);
+        self.rollout.record_departure(now, index);
     }
 
     /// Applies a gateway's report; the next [`Fleet::run`] returns the response.
     pub fn handle_report(&mut self, now: Timestamp, connection: u64, report: &GatewayReport) {
-        if self.gateways.is_outlived(connection, &report.gateway) {
+        if self.gateways.is_superseded(connection, &report.gateway) {
             let pairs = vec![
                 ("gateway", report.gateway.clone()),
                 ("sequence", report.sequence.to_string()),
@@ -231,11 +232,11 @@
             return self.event("report-late", pairs);
         }
         let before = self.gateways.reported_version(connection, &report.gateway);
-        let before = before.or_else(|| self.rollout.held_when_lost(&report.gateway));
+        let before = before.or_else(|| self.rollout.last_reported_version(&report.gateway));
         let told = self.gateways.as_of(connection);
-        let new = self.gateways.heard(now, connection, report);
+        let new = self.gateways.record_report(now, connection, report);
         if new {
-            self.rollout.connected(&report.gateway);
+            self.rollout.record_connect(&report.gateway);
             self.event(
                 "gateway-connected",
                 vec![
@@ -245,11 +246,12 @@
                 ],
             );
         }
-        self.reached(now, before, report.version);
-        self.departures_reached(now, told, report.as_of);
+        self.acknowledge_version(now, before, report.version);
+        self.acknowledge_departures(now, told, report.as_of);
         self.demand
             .record_report(now, &report.gateway, &report.demand);
-        self.traffic.report(&report.gateway, &report.in_flight);
+        self.traffic
+            .record_report(&report.gateway, &report.in_flight);
         self.dirty |= report.demand.iter().any(|need| need.unserved > 0);
         self.dirty |= !report.inconsistent.is_empty();
         for instance in &report.inconsistent {
@@ -264,10 +266,10 @@
     /// Records whether updates are queued at a gateway's connection because its socket does not
     /// accept them. While they are, no further updates are sent.
     pub fn set_backlogged(&mut self, now: Timestamp, connection: u64, waits: bool) {
-        let Some((gateway, behind)) = self.gateways.backlog(now, connection, waits) else {
+        let Some((gateway, behind)) = self.gateways.set_backlogged(now, connection, waits) else {
             return;
         };
-        if behind >= LAG {
+        if behind >= LAG_THRESHOLD {
             let behind = behind.as_millis().to_string();
             let pairs = vec![("gateway", gateway), ("behind_ms", behind)];
             self.event("gateway-caught-up", pairs);
@@ -276,25 +278,25 @@
 
     /// Removes the session of a closed gateway connection.
     pub fn handle_disconnect(&mut self, now: Timestamp, connection: u64) {
-        let Some(session) = self.gateways.disconnected(connection) else {
+        let Some(session) = self.gateways.remove(connection) else {
             return;
         };
-        self.rollout.lost(now, &session);
+        self.rollout.record_disconnect(now, &session);
         self.demand.remove_gateway(&session.name);
-        self.traffic.forget(&session.name);
+        self.traffic.remove_gateway(&session.name);
         self.event("gateway-lost", vec![("gateway", session.name)]);
     }
 
     /// Records that announcements were refused here due to overload, so that missing announcements
     /// do not count as expired.
     pub fn record_refused_announcements(&mut self, now: Timestamp) {
-        self.share.refused(now);
-        self.hearing.refused(now);
+        self.local_share.record_refusal(now);
+        self.contact_clock.record_refusal(now);
     }
 
     /// Sets the factor by which planning and update intervals are extended; 1 for normal operation.
     pub fn set_slowdown(&mut self, pace: u32) {
-        self.pace = pace.max(1);
+        self.slowdown = pace.max(1);
     }
 
     /// Performs all due work; called only while this member is leading. `context` is queried when a
@@ -307,33 +309,33 @@
         context: &GatewayContext<'_>,
     ) -> Vec<FleetOutput> {
         if !self.has_started_leading() {
-            self.take_charge(now);
+            self.become_leader(now);
         }
         self.term = term;
-        self.share.advance(now);
-        self.hearing.advance(now);
+        self.local_share.advance(now);
+        self.contact_clock.advance(now);
         let due = now >= self.next_plan
-            || (self.dirty && now.since(self.last_plan) >= self.shortest_plan_interval());
+            || (self.dirty && now.since(self.last_plan) >= self.min_plan_interval());
         if due {
             self.next_plan = now + PLAN_INTERVAL;
             self.last_plan = now;
             self.dirty = false;
-            self.settle_adapters(now);
+            self.complete_adapter_instructions(now);
             self.expire_quarantine(now);
-            self.forget_silent(now);
+            self.remove_expired_instances(now);
             self.observe_store(now);
             if let Some(document) = document {
                 self.adjust_active_instances(now, document);
                 self.plan(now, document);
             }
         }
-        self.note(now);
-        self.follow_rollout(now, document, context);
+        self.record_instances(now);
+        self.track_rollout(now, document, context);
         self.send_crash_updates(now);
-        self.update_limits(now);
-        let heard_for = self.hearing.now().since(Timestamp::ZERO);
+        self.send_limit_updates(now);
+        let heard_for = self.contact_clock.now().since(Timestamp::ZERO);
         self.complete = heard_for >= self.settings.announce_interval * 3;
-        self.update_gateways(now, document, context);
+        self.send_gateway_updates(now, document, context);
         std::mem::take(&mut self.out)
     }
 
@@ -366,18 +368,19 @@
         }
     }
 
-    fn shortest_plan_interval(&self) -> Duration {
+    fn min_plan_interval(&self) -> Duration {
         let engines = u32::try_from(self.engines.engines.len()).unwrap_or(u32::MAX);
         let interval = PLAN_INTERVAL_PER_ENGINE.saturating_mul(engines);
-        MINIMUM_PLAN_INTERVAL.max(interval) * self.pace
+        MIN_PLAN_INTERVAL.max(interval) * self.slowdown
     }
 
     /// Completes adapter instructions whose expected time has elapsed.
-    fn settle_adapters(&mut self, now: Timestamp) {
+    fn complete_adapter_instructions(&mut self, now: Timestamp) {
         for (instance, engine) in &mut self.engines.engines {
             if engine.complete_adapter_instruction(now) {
                 engine.set_evidence(now, Evidence::Elapsed);
-                self.registry.serves(instance, engine.served_models());
+                self.registry
+                    .set_served_models(instance, engine.served_models());
             }
             let settles = engine
                 .pending
@@ -394,7 +397,7 @@
             let Some(specification) = &service.engine else {
                 continue;
             };
-            let mut view = View {
+            let mut view = ServiceView {
                 now,
                 service: &service.name,
                 specification,
@@ -405,26 +408,26 @@
                 store: &self.store,
                 crashes: &self.crashes,
                 limits: &self.limits,
-                awaited: &mut awaited,
+                waiting: &mut awaited,
                 history: &self.history,
                 handover: self.settings.order_handover + self.settings.order_lifetime,
             };
             planner::plan(&mut view, &mut steps);
         }
         for step in steps {
-            self.carry_out(now, step);
+            self.execute_step(now, step);
         }
         self.log_waiting(&awaited);
-        self.refresh_outlook(now, document, awaited);
+        self.refresh_ready_estimates(now, document, awaited);
     }
 
     /// Logs models that have started to wait.
     fn log_waiting(&mut self, awaited: &[ModelReadyEstimate]) {
-        let before = std::mem::take(&mut self.waiting);
+        let before = std::mem::take(&mut self.waiting_models);
         for outlook in awaited {
             let key = (outlook.service.clone(), outlook.model.clone());
             let waited = before.contains(&key);
-            if !self.waiting.insert(key) || waited {
+            if !self.waiting_models.insert(key) || waited {
                 continue;
             }
             let pairs = vec![
@@ -437,7 +440,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Timestamp, step: Step) {
+    fn execute_step(&mut self, now: Timestamp, step: Step) {
         let Some(record) = self.registry.get(&step.instance) else {
             return;
         };
@@ -459,7 +462,7 @@
             return;
         };
         let believed = observed_state::log_pairs(now, engine);
-        if step.confirms {
+        if step.is_confirmation {
             engine.record_confirmation(now, call);
         } else {
             let pending = PendingInstruction {
@@ -472,15 +475,16 @@
                 call,
                 expected_revision,
                 from_store: step.from_store,
-                expected_time: step.takes,
-                expected_end: now + step.takes,
+                expected_time: step.expected_time,
+                expected_end: now + step.expected_time,
             };
             engine.record_sent(now, pending);
         }
         let unloads = operation == InstructionOperation::Unload;
         if unloads {
             // Gateways must stop sending requests to what is about to be unloaded.
-            self.registry.serves(&step.instance, engine.served_models());
+            self.registry
+                .set_served_models(&step.instance, engine.served_models());
         }
         let adapter_name = adapter.as_ref().map_or("none", |name| name.as_str());
         let mut pairs = vec![
@@ -492,7 +496,7 @@
             ("expected_revision", expected_revision.to_string()),
             ("term", self.term.to_string()),
             ("reason", step.reason.to_owned()),
-            ("takes_ms", step.takes.as_millis().to_string()),
+            ("takes_ms", step.expected_time.as_millis().to_string()),
             ("used_kb", step.used_kilobytes.to_string()),
         ];
         pairs.extend(believed);
--- a/crates/millpass-fleet/src/gateways.rs
+++ b/crates/millpass-fleet/src/gateways.rs
@@ -11,7 +11,7 @@
 }
 
 impl SentRevision {
-    fn of(revision: u64) -> Self {
+    fn already_sent(revision: u64) -> Self {
         SentRevision {
             revision: Some(revision),
             at: Timestamp::ZERO,
@@ -20,7 +20,12 @@
 
     /// Returns whether this revision is to be sent now, at most once per interval, and marks it as
     /// sent.
-    pub(crate) fn send(&mut self, now: Timestamp, interval: Duration, revision: u64) -> bool {
+    pub(crate) fn mark_sent_if_due(
+        &mut self,
+        now: Timestamp,
+        interval: Duration,
+        revision: u64,
+    ) -> bool {
         if self.revision == Some(revision) || now.since(self.at) < interval {
             return false;
         }
@@ -35,7 +40,7 @@
     pub(crate) name: String,
     pub(crate) sent_revision: u64,
     /// Whether the first update was sent on this connection.
-    pub(crate) greeted: bool,
+    pub(crate) first_update_sent: bool,
     /// Whether an update sent on this connection was marked complete.
     pub(crate) sent_complete: bool,
     /// Log index up to which the gateway reports to have received required entries; 0 for none.
@@ -44,52 +49,52 @@
     /// Newest document version sent on this connection; it may not have arrived.
     pub(crate) sent_version: u64,
     /// Oldest sent version that the gateway has not reported yet, and when it was sent.
-    pub(crate) unreported: Option<(u64, Timestamp)>,
+    pub(crate) unacknowledged: Option<(u64, Timestamp)>,
     /// Digests of the records that the gateway held when it connected; cleared by the first update.
     pub(crate) held_instances: HashSet<u64>,
     /// Sequence number of its newest report.
-    pub(crate) answers: u64,
-    pub(crate) sent_outlook: u64,
+    pub(crate) last_report: u64,
+    pub(crate) sent_estimates: u64,
     /// Revision of the ready times sent.
-    pub(crate) sent_times: u64,
+    pub(crate) sent_ready_times: u64,
     pub(crate) sent_loads: u64,
     /// Whether a report awaits its response.
-    pub(crate) owed: bool,
+    pub(crate) response_pending: bool,
     /// Revision of the quarantined requests sent.
     pub(crate) crashes: SentRevision,
     /// Revision of the instance limits sent.
     pub(crate) limits: SentRevision,
     /// Start of the backlog, while the socket does not accept updates.
-    pub(crate) behind_since: Option<Timestamp>,
+    pub(crate) backlogged_since: Option<Timestamp>,
     pub(crate) sent_at: Timestamp,
-    pub(crate) heard_at: Timestamp,
+    pub(crate) last_report_at: Timestamp,
     pub(crate) connected_at: Timestamp,
     /// Time until which requests are expected to wait there for a model or an adapter.
-    awaits_until: Timestamp,
+    urgent_until: Timestamp,
 }
 
 impl GatewaySession {
-    fn heard(&mut self, now: Timestamp, report: &GatewayReport) {
-        self.heard_at = now;
-        self.owed = true;
+    fn record_report(&mut self, now: Timestamp, report: &GatewayReport) {
+        self.last_report_at = now;
+        self.response_pending = true;
         if report.demand.iter().any(|need| need.unserved > 0) {
-            self.awaits_until = now + AWAITING_TIME;
+            self.urgent_until = now + URGENT_PERIOD;
         }
-        self.answers = report.sequence;
+        self.last_report = report.sequence;
         self.as_of = report.as_of;
         self.reported_version = report.version;
-        let Some((oldest, _)) = self.unreported else {
+        let Some((oldest, _)) = self.unacknowledged else {
             return;
         };
         if report.version >= self.sent_version {
-            self.unreported = None;
+            self.unacknowledged = None;
         } else if report.version >= oldest {
-            self.unreported = Some((self.sent_version, now));
+            self.unacknowledged = Some((self.sent_version, now));
         }
     }
 
     /// Returns the version that the gateway has once everything sent has arrived.
-    pub(crate) fn arriving_version(&self) -> u64 {
+    pub(crate) fn expected_version(&self) -> u64 {
         self.reported_version.max(self.sent_version)
     }
 
@@ -97,79 +102,79 @@
     /// then lost or could not be applied. Without reports nothing is overdue: a resend would only
     /// queue behind the rest.
     pub(crate) fn is_version_overdue(&self) -> bool {
-        let overdue = |(_, sent_at)| self.heard_at.since(sent_at) >= RESEND_AFTER;
-        self.unreported.is_some_and(overdue)
+        let overdue = |(_, sent_at)| self.last_report_at.since(sent_at) >= RESEND_TIMEOUT;
+        self.unacknowledged.is_some_and(overdue)
     }
 
     /// Records whether updates are queued, and returns the duration of a backlog that has ended.
-    fn backlog(&mut self, now: Timestamp, waits: bool) -> Option<Duration> {
+    fn set_backlogged(&mut self, now: Timestamp, waits: bool) -> Option<Duration> {
         if waits {
-            self.behind_since.get_or_insert(now);
+            self.backlogged_since.get_or_insert(now);
             return None;
         }
-        if let Some((_, sent_at)) = &mut self.unreported {
+        if let Some((_, sent_at)) = &mut self.unacknowledged {
             *sent_at = now;
         }
-        self.behind_since.take().map(|since| now.since(since))
+        self.backlogged_since.take().map(|since| now.since(since))
     }
 
     /// Returns whether its next update is due, at `interval` unless requests wait there.
     pub(crate) fn is_due(&self, now: Timestamp, interval: Duration) -> bool {
-        now < self.awaits_until || now.since(self.sent_at) >= interval
+        now < self.urgent_until || now.since(self.sent_at) >= interval
     }
 
     /// Records that an update carries the document or a change to it.
-    pub(crate) fn version_sent(&mut self, now: Timestamp, version: u64) {
-        if self.unreported.is_none() || self.is_version_overdue() {
-            self.unreported = Some((version, now));
+    pub(crate) fn record_sent_version(&mut self, now: Timestamp, version: u64) {
+        if self.unacknowledged.is_none() || self.is_version_overdue() {
+            self.unacknowledged = Some((version, now));
         }
         self.sent_version = version;
     }
 }
 
 /// Time after which a document version that was sent and not reported is resent whole.
-const RESEND_AFTER: Duration = Duration::from_millis(1_000);
+const RESEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Updates a second over all gateways. Bounds the leader's CPU time; several changes share one
 /// update.
-const UPDATES_PER_SECOND: u32 = 1_000;
+const MAX_UPDATES_PER_SECOND: u32 = 1_000;
 /// Upper bound of the update interval under a slowdown, so that gateways keep receiving
 /// confirmations.
-const LONGEST_SPACING: Duration = Duration::from_millis(500);
+const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for which a gateway that reported unmet demand is sent changes immediately: an adapter
 /// loads within milliseconds, and gateways repeat the report while requests wait.
-const AWAITING_TIME: Duration = Duration::from_millis(1_000);
+const URGENT_PERIOD: Duration = Duration::from_millis(1_000);
 /// Number of gateways up to which every change is sent immediately.
-const FEW_GATEWAYS: usize = 16;
+const MAX_UNTHROTTLED_GATEWAYS: usize = 16;
 /// Passes over all sessions per update interval.
-const LOOKS_PER_INTERVAL: u32 = 64;
-const SHORTEST_LOOK: Duration = Duration::from_millis(5);
+const PASSES_PER_INTERVAL: u32 = 64;
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Sessions by connection.
 #[derive(Default)]
 pub(crate) struct Gateways {
     pub(crate) sessions: BTreeMap<u64, GatewaySession>,
-    next_look: Timestamp,
+    next_pass: Timestamp,
     /// Time until which any of the gateways is urgent.
     awaits_until: Timestamp,
 }
 
 impl Gateways {
     /// Returns whether the gateway has a newer connection, which makes messages on this one stale.
-    pub(crate) fn is_outlived(&self, connection: u64, name: &str) -> bool {
+    pub(crate) fn is_superseded(&self, connection: u64, name: &str) -> bool {
         let mut newer = self.sessions.range(connection + 1..);
         newer.any(|(_, session)| session.name == name)
     }
 
     /// Applies a report received on a connection. Returns true if the gateway is new there.
-    pub(crate) fn heard(
+    pub(crate) fn record_report(
         &mut self,
         now: Timestamp,
         connection: u64,
         report: &GatewayReport,
     ) -> bool {
         if let Some(session) = self.sessions.get_mut(&connection) {
-            session.heard(now, report);
-            self.awaits_until = self.awaits_until.max(session.awaits_until);
+            session.record_report(now, report);
+            self.awaits_until = self.awaits_until.max(session.urgent_until);
             return false;
         }
         // Drops the session of an older connection of the same gateway.
@@ -178,26 +183,26 @@
         let session = GatewaySession {
             name: report.gateway.clone(),
             sent_revision: 0,
-            greeted: false,
+            first_update_sent: false,
             sent_complete: false,
             as_of: report.as_of,
             reported_version: report.version,
             sent_version: 0,
-            unreported: None,
+            unacknowledged: None,
             held_instances: report.known_instance_digests.iter().copied().collect(),
-            answers: report.sequence,
-            sent_outlook: 0,
-            sent_times: 0,
+            last_report: report.sequence,
+            sent_estimates: 0,
+            sent_ready_times: 0,
             sent_loads: 0,
-            owed: true,
+            response_pending: true,
             crashes: SentRevision::default(),
             // There is nothing to send before the first limit.
-            limits: SentRevision::of(0),
-            behind_since: None,
+            limits: SentRevision::already_sent(0),
+            backlogged_since: None,
             sent_at: Timestamp::ZERO,
-            heard_at: now,
+            last_report_at: now,
             connected_at: now,
-            awaits_until: Timestamp::ZERO,
+            urgent_until: Timestamp::ZERO,
         };
         self.sessions.insert(connection, session);
         true
@@ -212,18 +217,18 @@
 
     /// Records whether updates are queued at a connection. Returns the gateway and the duration of
     /// a backlog that has ended.
-    pub(crate) fn backlog(
+    pub(crate) fn set_backlogged(
         &mut self,
         now: Timestamp,
         connection: u64,
         waits: bool,
     ) -> Option<(String, Duration)> {
         let session = self.sessions.get_mut(&connection)?;
-        let behind = session.backlog(now, waits)?;
+        let behind = session.set_backlogged(now, waits)?;
         Some((session.name.clone(), behind))
     }
 
-    pub(crate) fn disconnected(&mut self, connection: u64) -> Option<GatewaySession> {
+    pub(crate) fn remove(&mut self, connection: u64) -> Option<GatewaySession> {
         self.sessions.remove(&connection)
     }
 
@@ -237,26 +242,26 @@
 
     /// Returns the minimum interval between updates of one gateway under the given slowdown.
     pub(crate) fn update_interval(&self, pace: u32) -> Duration {
-        if self.sessions.len() <= FEW_GATEWAYS {
+        if self.sessions.len() <= MAX_UNTHROTTLED_GATEWAYS {
             return Duration::ZERO;
         }
-        let interval = Duration::from_secs(1) * self.count() / UPDATES_PER_SECOND;
-        interval.max(LONGEST_SPACING.min(interval * pace))
+        let interval = Duration::from_secs(1) * self.count() / MAX_UPDATES_PER_SECOND;
+        interval.max(MAX_UPDATE_INTERVAL.min(interval * pace))
     }
 
     /// Returns whether a pass over the sessions is due, and schedules the next one.
-    pub(crate) fn is_look_due(&mut self, now: Timestamp, pace: u32) -> bool {
-        if self.sessions.len() <= FEW_GATEWAYS {
+    pub(crate) fn start_pass_if_due(&mut self, now: Timestamp, pace: u32) -> bool {
+        if self.sessions.len() <= MAX_UNTHROTTLED_GATEWAYS {
             return true;
         }
-        if now < self.next_look {
+        if now < self.next_pass {
             return false;
         }
         let pause = match now < self.awaits_until {
-            true => SHORTEST_LOOK,
-            false => self.update_interval(pace) / LOOKS_PER_INTERVAL,
+            true => MIN_PASS_INTERVAL,
+            false => self.update_interval(pace) / PASSES_PER_INTERVAL,
         };
-        self.next_look = now + SHORTEST_LOOK.max(pause);
+        self.next_pass = now + MIN_PASS_INTERVAL.max(pause);
         true
     }
 
--- a/crates/millpass-fleet/src/instances.rs
+++ b/crates/millpass-fleet/src/instances.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::Fleet;
 use crate::interface::FleetSizes;
-use crate::registry::{Announced, same_but_sequence};
+use crate::registry::{AnnouncementOutcome, equal_except_sequence};
 use crate::shares::Holder;
 use millpass_proto::{InstanceId, InstanceRecord, Timestamp};
 
@@ -12,20 +12,20 @@
     /// instance has departed for good.
     pub fn handle_announcement(&mut self, now: Timestamp, record: InstanceRecord, ended: bool) {
         if ended {
-            self.share.ended(&record.instance);
-            self.forget(&record.instance, "departed");
+            self.local_share.remove_ended(&record.instance);
+            self.remove_instance(&record.instance, "departed");
             return;
         }
-        if self.share.announce(&record) == Announced::Late {
-            return self.log_late(&record);
+        if self.local_share.apply_announcement(&record) == AnnouncementOutcome::Stale {
+            return self.log_stale(&record);
         }
         if self.has_started_leading() {
-            self.hear(now, Holder::Own, record, false);
+            self.apply_announcement(now, Holder::Own, record, false);
         }
     }
 
     /// Applies an announcement that the holder member received.
-    pub(crate) fn hear(
+    pub(crate) fn apply_announcement(
         &mut self,
         now: Timestamp,
         holder: Holder,
@@ -33,23 +33,23 @@
         ended: bool,
     ) {
         if ended {
-            return self.forget(&record.instance, "departed");
+            return self.remove_instance(&record.instance, "departed");
         }
         // Messages of an earlier incarnation are stale, whatever their sequence number.
-        if self.has_later_run(&record.instance) {
-            return self.log_late(&record);
+        if self.has_later_incarnation(&record.instance) {
+            return self.log_stale(&record);
         }
         let instance = record.instance.clone();
         let is_active = self.registry.get(&instance).is_some();
         let announced = match is_active || self.becomes_active(&record) {
-            true => self.take_active(now, record),
-            false => self.take_standby(now, record),
+            true => self.record_active(now, record),
+            false => self.record_standby(now, record),
         };
-        if announced == Announced::Late && !self.shares.is_unheld(&instance) {
+        if announced == AnnouncementOutcome::Stale && !self.shares.is_unheld(&instance) {
             // Another member has received a newer announcement.
             return;
         }
-        let moved = self.shares.heard(&instance, holder);
+        let moved = self.shares.record_holder(&instance, holder);
         if moved && self.registry.get(&instance).is_some() {
             self.active_revision += 1;
         }
@@ -61,38 +61,47 @@
         is_new && self.keeps_all_active(&record.service)
     }
 
-    fn take_standby(&mut self, now: Timestamp, mut record: InstanceRecord) -> Announced {
+    fn record_standby(
+        &mut self,
+        now: Timestamp,
+        mut record: InstanceRecord,
+    ) -> AnnouncementOutcome {
         self.release_held_models(&record.service, &record.models);
         let Some(known) = self.standby.get(&record.instance) else {
-            self.end_earlier_runs(now, &record.instance);
-            self.standby.put(record);
-            return Announced::New;
+            self.remove_earlier_incarnations(now, &record.instance);
+            self.standby.insert(record);
+            return AnnouncementOutcome::New;
         };
         if record.sequence < known.sequence {
-            self.log_late(&record);
-            return Announced::Late;
+            self.log_stale(&record);
+            return AnnouncementOutcome::Stale;
         }
         record.draining |= known.draining;
-        if same_but_sequence(known, &record) {
-            self.standby.seen(&record.instance, record.sequence);
-            return Announced::Same;
+        if equal_except_sequence(known, &record) {
+            self.standby
+                .update_sequence(&record.instance, record.sequence);
+            return AnnouncementOutcome::Unchanged;
         }
-        self.standby.put(record);
-        Announced::Changed
+        self.standby.insert(record);
+        AnnouncementOutcome::Changed
     }
 
     /// Records an announcement of an instance that is active or becomes active.
-    pub(crate) fn take_active(&mut self, now: Timestamp, record: InstanceRecord) -> Announced {
-        let announced = self.registry.announce(record.clone());
-        if announced == Announced::Late {
-            self.log_late(&record);
+    pub(crate) fn record_active(
+        &mut self,
+        now: Timestamp,
+        record: InstanceRecord,
+    ) -> AnnouncementOutcome {
+        let announced = self.registry.apply_announcement(record.clone());
+        if announced == AnnouncementOutcome::Stale {
+            self.log_stale(&record);
             return announced;
         }
-        if announced != Announced::Same {
+        if announced != AnnouncementOutcome::Unchanged {
             self.dirty = true;
         }
-        if announced == Announced::New {
-            self.end_earlier_runs(now, &record.instance);
+        if announced == AnnouncementOutcome::New {
+            self.remove_earlier_incarnations(now, &record.instance);
         }
         self.record_survival(now, &record.instance);
         self.release_held_models(&record.service, &record.models);
@@ -103,8 +112,8 @@
             .or_default();
         engine.handle_announcement(now, &record.models, &record.in_memory, &record.on_disk);
         self.registry
-            .serves(&record.instance, engine.served_models());
-        if announced == Announced::New {
+            .set_served_models(&record.instance, engine.served_models());
+        if announced == AnnouncementOutcome::New {
             self.event(
                 "instance-known",
                 vec![
@@ -118,7 +127,7 @@
         announced
     }
 
-    fn log_late(&mut self, record: &InstanceRecord) {
+    fn log_stale(&mut self, record: &InstanceRecord) {
         let pairs = vec![
             ("instance", record.instance.0.clone()),
             ("sequence", record.sequence.to_string()),
@@ -127,27 +136,28 @@
     }
 
     /// Returns whether a later incarnation of the instance is known or was removed recently.
-    fn has_later_run(&self, instance: &InstanceId) -> bool {
+    fn has_later_incarnation(&self, instance: &InstanceId) -> bool {
         if self.standby.get(instance).is_some() {
             return false;
         }
-        let mut standing_by = self.standby.runs_of(instance);
-        self.registry.has_later_run(instance) || standing_by.any(|run| instance.is_before(run))
+        let mut standing_by = self.standby.incarnations_of(instance);
+        self.registry.has_later_incarnation(instance)
+            || standing_by.any(|run| instance.is_before(run))
     }
 
     /// Removes earlier incarnations of an instance; the new one inherits their unanswered loads.
-    fn end_earlier_runs(&mut self, now: Timestamp, instance: &InstanceId) {
+    fn remove_earlier_incarnations(&mut self, now: Timestamp, instance: &InstanceId) {
         let mut left = Vec::new();
-        let standing_by = self.standby.runs_of(instance);
+        let standing_by = self.standby.incarnations_of(instance);
         let standing_by = standing_by.filter(|run| run.is_before(instance)).cloned();
         let mut earlier_runs: Vec<InstanceId> = standing_by.collect();
-        earlier_runs.extend(self.registry.earlier_runs(instance));
+        earlier_runs.extend(self.registry.earlier_incarnations(instance));
         for earlier in earlier_runs {
             if let Some(engine) = self.engines.engines.get(&earlier) {
                 left.extend(engine.loads_to_inherit(now));
             }
             self.attribute_crash_to_load(now, &earlier);
-            self.forget(&earlier, "reborn");
+            self.remove_instance(&earlier, "reborn");
         }
         if !left.is_empty() {
             let engine = self.engines.engines.entry(instance.clone()).or_default();
@@ -157,8 +167,8 @@
 
     /// Returns the latest known incarnation of an instance.
     pub fn latest_incarnation(&self, instance: &InstanceId) -> Option<InstanceId> {
-        let standing_by = self.standby.runs_of(instance);
-        let known = self.registry.latest_run(instance).into_iter();
+        let standing_by = self.standby.incarnations_of(instance);
+        let known = self.registry.latest_incarnation(instance).into_iter();
         let latest = known.chain(standing_by).max_by_key(|run| run.incarnation());
         latest.cloned()
     }
@@ -167,7 +177,7 @@
     /// followers, there is nothing to update: a new leader starts from the log.
     pub fn handle_departure(&mut self, instance: &InstanceId, ended: bool) {
         if ended {
-            self.share.ended(instance);
+            self.local_share.remove_ended(instance);
         }
         if !self.has_started_leading() && self.registry.get(instance).is_none() {
             return;
@@ -179,13 +189,13 @@
         self.event("instance-departs", pairs);
         self.idle_since.remove(instance);
         if ended {
-            self.shares.forget(instance);
+            self.shares.remove(instance);
             self.engines.engines.remove(instance);
         }
         if let Some(mut record) = self.standby.remove(instance) {
             if !ended {
                 record.draining = true;
-                self.standby.put(record);
+                self.standby.insert(record);
             }
             if self.complete {
                 // No gateway holds the instance: each holds only what this leader has sent.
@@ -193,12 +203,12 @@
             }
         }
         self.dirty = true;
-        self.registry.depart(instance, ended);
+        self.registry.apply_departure(instance, ended);
     }
 
-    pub(crate) fn forget(&mut self, instance: &InstanceId, reason: &str) {
+    pub(crate) fn remove_instance(&mut self, instance: &InstanceId, reason: &str) {
         self.engines.engines.remove(instance);
-        self.shares.forget(instance);
+        self.shares.remove(instance);
         self.idle_since.remove(instance);
         let stood_by = self.standby.remove(instance).is_some();
         let was_active = self.registry.remove(instance);
@@ -215,7 +225,7 @@
     /// Returns the number of instances known at this member.
     pub fn sizes(&self) -> FleetSizes {
         FleetSizes {
-            local: self.share.len(),
+            local: self.local_share.len(),
             active: self.registry.len(),
             standby: self.standby.len(),
         }
--- a/crates/millpass-fleet/src/instruction_history.rs
+++ b/crates/millpass-fleet/src/instruction_history.rs
@@ -14,11 +14,11 @@
     /// Instructions recorded before this time may be missing.
     complete_since: Timestamp,
     /// By instance name, because the handover period applies to all incarnations.
-    last: BTreeMap<String, Timestamp>,
+    last_instructions: BTreeMap<String, Timestamp>,
     store_loads: Vec<Timestamp>,
     /// Loads from the weight store at full speed at once, in hundredths, as last recorded.
     store_capacity: Option<u32>,
-    keep: Duration,
+    retention: Duration,
 }
 
 impl InstructionHistory {
@@ -27,20 +27,21 @@
     pub fn new(now: Timestamp, keep: Duration) -> Self {
         InstructionHistory {
             complete_since: now,
-            last: BTreeMap::new(),
+            last_instructions: BTreeMap::new(),
             store_loads: Vec::new(),
             store_capacity: None,
-            keep,
+            retention: keep,
         }
     }
 
     /// Applies a committed instruction record.
     pub fn record(&mut self, now: Timestamp, note: &InstructionIntent) {
-        let keep = self.keep;
-        self.last.retain(|_, at| now.since(*at) < keep);
+        let keep = self.retention;
+        self.last_instructions.retain(|_, at| now.since(*at) < keep);
         self.store_loads.retain(|at| now.since(*at) < keep);
         for instance in &note.instances {
-            self.last.insert(instance.name().to_owned(), now);
+            self.last_instructions
+                .insert(instance.name().to_owned(), now);
         }
         self.store_loads.extend((0..note.store_loads).map(|_| now));
     }
@@ -58,8 +59,8 @@
 
     /// Returns when another leader may instruct the engine, if `pause` must pass after its last
     /// instruction.
-    pub(crate) fn open_from(&self, instance: &InstanceId, pause: Duration) -> Timestamp {
-        let last = self.last.get(instance.name()).copied();
+    pub(crate) fn instructable_from(&self, instance: &InstanceId, pause: Duration) -> Timestamp {
+        let last = self.last_instructions.get(instance.name()).copied();
         last.unwrap_or(self.complete_since) + pause
     }
 
--- a/crates/millpass-fleet/src/limits.rs
+++ b/crates/millpass-fleet/src/limits.rs
@@ -47,13 +47,13 @@
     }
 
     /// Sends changed limits to gateways.
-    pub(crate) fn update_limits(&mut self, now: Timestamp) {
+    pub(crate) fn send_limit_updates(&mut self, now: Timestamp) {
         let revision = self.limits.revision();
-        let interval = self.gateways.update_interval(self.pace);
+        let interval = self.gateways.update_interval(self.slowdown);
         let mut update = None;
         for (connection, session) in &mut self.gateways.sessions {
-            let behind = session.behind_since.is_some();
-            if behind || !session.limits.send(now, interval, revision) {
+            let behind = session.backlogged_since.is_some();
+            if behind || !session.limits.mark_sent_if_due(now, interval, revision) {
                 continue;
             }
             let update = update.get_or_insert_with(|| self.limits.update(now, self.term));
--- a/crates/millpass-fleet/src/local_share.rs
+++ b/crates/millpass-fleet/src/local_share.rs
@@ -5,8 +5,8 @@
 //! changes since the last confirmed revision, and keepalives. Its work follows the number of
 //! changes, not the number of instances.
 
-use crate::contact_clock::HearingClock;
-use crate::registry::{Announced, same_but_sequence};
+use crate::contact_clock::ContactClock;
+use crate::registry::{AnnouncementOutcome, equal_except_sequence};
 use millpass_proto::{
     Duration, InstanceHeartbeat, InstanceId, InstanceRecord, MemberAddress, ShareReport,
     ShareResponse, Timestamp,
@@ -14,119 +14,119 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Minimum interval between reports, so that several changes share one.
-const CHANGE_PAUSE: Duration = Duration::from_millis(20);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval between reports without changes, which serve as keepalives.
-const SIGN_INTERVAL: Duration = Duration::from_millis(200);
-const ANSWER_PATIENCE: Duration = Duration::from_millis(500);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Records in one report: about 90 KB.
-const MAXIMUM_RECORDS: usize = 256;
+const MAX_RECORDS: usize = 256;
 /// Expired instances kept for the leader; beyond that, the whole share is sent again.
-const MAXIMUM_SILENT: usize = 4_096;
+const MAX_EXPIRED: usize = 4_096;
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 struct Entry {
     record: InstanceRecord,
     /// By the contact clock.
-    heard_at: Timestamp,
+    announced_at: Timestamp,
     revision: u64,
 }
 
 /// An instance that has expired.
-struct Silent {
+struct Expired {
     sequence: u64,
     revision: u64,
 }
 
 /// A report without a response yet.
-struct UnderWay {
+struct PendingReport {
     number: u64,
     sent_at: Timestamp,
 }
 
 /// Instances of this member.
 #[derive(Default)]
-pub(crate) struct Share {
+pub(crate) struct LocalShare {
     run: u64,
     entries: BTreeMap<InstanceId, Entry>,
-    silent: BTreeMap<InstanceId, Silent>,
+    expired: BTreeMap<InstanceId, Expired>,
     /// Recorded and expired instances by the revision of their last change.
     changes: BTreeMap<u64, InstanceId>,
     revision: u64,
-    hearing: HearingClock,
+    contact_clock: ContactClock,
     next_sweep: Timestamp,
     /// Revision confirmed by the leader; 0 for none.
-    known: u64,
+    acknowledged_revision: u64,
     number: u64,
-    under_way: Option<UnderWay>,
+    pending_report: Option<PendingReport>,
     sent_at: Option<Timestamp>,
     /// Whether the last response came from a member that does not lead.
-    is_leaderless: bool,
+    has_no_leader: bool,
     /// Active instances among these, as last sent by the leader.
     active: BTreeSet<InstanceId>,
     active_revision: u64,
     /// Active instances announced unchanged since the last report, with their sequence numbers.
-    seen: BTreeMap<InstanceId, u64>,
+    heartbeats: BTreeMap<InstanceId, u64>,
 }
 
-impl Share {
+impl LocalShare {
     /// Advances the contact clock.
     pub(crate) fn advance(&mut self, now: Timestamp) {
-        self.hearing.advance(now);
+        self.contact_clock.advance(now);
     }
 
     /// Records that announcements were refused.
-    pub(crate) fn refused(&mut self, now: Timestamp) {
-        self.hearing.refused(now);
+    pub(crate) fn record_refusal(&mut self, now: Timestamp) {
+        self.contact_clock.record_refusal(now);
     }
 
     /// Applies an announcement. A draining instance stays draining.
-    pub(crate) fn announce(&mut self, record: &InstanceRecord) -> Announced {
+    pub(crate) fn apply_announcement(&mut self, record: &InstanceRecord) -> AnnouncementOutcome {
         let instance = &record.instance;
         let Some(entry) = self.entries.get_mut(instance) else {
             let known: Vec<InstanceId> = instance.runs_in(&self.entries).cloned().collect();
             if known.iter().any(|run| instance.is_before(run)) {
-                return Announced::Late;
+                return AnnouncementOutcome::Stale;
             }
             for earlier in known {
-                self.fall_silent(&earlier);
+                self.expire(&earlier);
             }
-            self.change(record.clone());
-            return Announced::New;
+            self.record_change(record.clone());
+            return AnnouncementOutcome::New;
         };
         if record.sequence < entry.record.sequence {
-            return Announced::Late;
+            return AnnouncementOutcome::Stale;
         }
-        entry.heard_at = self.hearing.now();
+        entry.announced_at = self.contact_clock.now();
         let mut record = record.clone();
         record.draining |= entry.record.draining;
-        if same_but_sequence(&entry.record, &record) {
+        if equal_except_sequence(&entry.record, &record) {
             entry.record.sequence = record.sequence;
             if self.active.contains(instance) {
-                self.seen.insert(instance.clone(), record.sequence);
+                self.heartbeats.insert(instance.clone(), record.sequence);
             }
-            return Announced::Same;
+            return AnnouncementOutcome::Unchanged;
         }
-        self.change(record);
-        Announced::Changed
+        self.record_change(record);
+        AnnouncementOutcome::Changed
     }
 
-    fn change(&mut self, record: InstanceRecord) {
+    fn record_change(&mut self, record: InstanceRecord) {
         let instance = record.instance.clone();
-        self.forget(&instance);
+        self.remove(&instance);
         self.revision += 1;
         self.changes.insert(self.revision, instance.clone());
         let entry = Entry {
             record,
-            heard_at: self.hearing.now(),
+            announced_at: self.contact_clock.now(),
             revision: self.revision,
         };
         self.entries.insert(instance, entry);
     }
 
     /// Removes an instance without reporting it to the leader.
-    fn forget(&mut self, instance: &InstanceId) -> Option<InstanceRecord> {
-        self.seen.remove(instance);
-        if let Some(silent) = self.silent.remove(instance) {
+    fn remove(&mut self, instance: &InstanceId) -> Option<InstanceRecord> {
+        self.heartbeats.remove(instance);
+        if let Some(silent) = self.expired.remove(instance) {
             self.changes.remove(&silent.revision);
         }
         let entry = self.entries.remove(instance)?;
@@ -134,15 +134,15 @@
         Some(entry.record)
     }
 
-    fn fall_silent(&mut self, instance: &InstanceId) -> Option<InstanceHeartbeat> {
-        let record = self.forget(instance)?;
+    fn expire(&mut self, instance: &InstanceId) -> Option<InstanceHeartbeat> {
+        let record = self.remove(instance)?;
         self.revision += 1;
         self.changes.insert(self.revision, instance.clone());
-        let silent = Silent {
+        let silent = Expired {
             sequence: record.sequence,
             revision: self.revision,
         };
-        self.silent.insert(instance.clone(), silent);
+        self.expired.insert(instance.clone(), silent);
         Some(InstanceHeartbeat {
             instance: record.instance,
             sequence: record.sequence,
@@ -150,59 +150,61 @@
     }
 
     /// Removes and returns instances without announcements for longer than `timeout`.
-    pub(crate) fn sweep(&mut self, now: Timestamp, silence: Duration) -> Vec<InstanceHeartbeat> {
+    pub(crate) fn expire_unannounced(
+        &mut self,
+        now: Timestamp,
+        silence: Duration,
+    ) -> Vec<InstanceHeartbeat> {
         if now < self.next_sweep {
             return Vec::new();
         }
         self.next_sweep = now + SWEEP_INTERVAL;
-        let heard = self.hearing.now();
+        let heard = self.contact_clock.now();
         let entries = self.entries.iter();
         let gone: Vec<InstanceId> = entries
-            .filter(|(_, entry)| heard.since(entry.heard_at) > silence)
+            .filter(|(_, entry)| heard.since(entry.announced_at) > silence)
             .map(|(instance, _)| instance.clone())
             .collect();
-        let gone = gone
-            .iter()
-            .filter_map(|instance| self.fall_silent(instance));
+        let gone = gone.iter().filter_map(|instance| self.expire(instance));
         let gone = gone.collect();
-        if self.silent.len() > MAXIMUM_SILENT {
-            self.begin_anew();
+        if self.expired.len() > MAX_EXPIRED {
+            self.resend_all();
         }
         gone
     }
 
     /// Applies committed departures; `departed` returns whether a departing instance has ended.
-    pub(crate) fn take_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
+    pub(crate) fn apply_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
         let known: Vec<InstanceId> = self.entries.keys().cloned().collect();
         for instance in known {
             match departed(&instance) {
-                Some(true) => self.ended(&instance),
-                Some(false) => self.drains(&instance),
+                Some(true) => self.remove_ended(&instance),
+                Some(false) => self.mark_draining(&instance),
                 None => {}
             }
         }
     }
 
-    fn drains(&mut self, instance: &InstanceId) {
+    fn mark_draining(&mut self, instance: &InstanceId) {
         let entry = self.entries.get(instance);
         if let Some(entry) = entry.filter(|entry| !entry.record.draining) {
             let mut record = entry.record.clone();
             record.draining = true;
-            self.change(record);
+            self.record_change(record);
         }
     }
 
-    pub(crate) fn ended(&mut self, instance: &InstanceId) {
-        self.fall_silent(instance);
+    pub(crate) fn remove_ended(&mut self, instance: &InstanceId) {
+        self.expire(instance);
     }
 
     /// Makes the next report send the whole share, so that earlier expired instances need not be
     /// kept.
-    fn begin_anew(&mut self) {
-        self.known = 0;
+    fn resend_all(&mut self) {
+        self.acknowledged_revision = 0;
         self.active.clear();
         self.active_revision = 0;
-        for silent in std::mem::take(&mut self.silent).into_values() {
+        for silent in std::mem::take(&mut self.expired).into_values() {
             self.changes.remove(&silent.revision);
         }
     }
@@ -216,24 +218,28 @@
     }
 
     /// Returns whether the last report timed out.
-    pub(crate) fn is_unanswered(&self, now: Timestamp) -> bool {
-        let under_way = self.under_way.as_ref();
-        under_way.is_some_and(|report| now.since(report.sent_at) >= ANSWER_PATIENCE)
+    pub(crate) fn is_report_timed_out(&self, now: Timestamp) -> bool {
+        let under_way = self.pending_report.as_ref();
+        under_way.is_some_and(|report| now.since(report.sent_at) >= RESPONSE_TIMEOUT)
     }
 
     /// Returns whether a report is due.
-    pub(crate) fn is_due(&self, now: Timestamp) -> bool {
-        if self.under_way.is_some() && !self.is_unanswered(now) {
+    pub(crate) fn is_report_due(&self, now: Timestamp) -> bool {
+        if self.pending_report.is_some() && !self.is_report_timed_out(now) {
             return false;
         }
-        let tells = self.known < self.revision && !self.is_leaderless;
-        let pause = if tells { CHANGE_PAUSE } else { SIGN_INTERVAL };
+        let tells = self.acknowledged_revision < self.revision && !self.has_no_leader;
+        let pause = if tells {
+            MIN_REPORT_INTERVAL
+        } else {
+            KEEPALIVE_INTERVAL
+        };
         self.sent_at.is_none_or(|at| now.since(at) >= pause)
     }
 
     /// Returns the next report. `run` identifies this process run. A report that is not sent to a
     /// known leader only asks who leads.
-    pub(crate) fn report(
+    pub(crate) fn next_report(
         &mut self,
         now: Timestamp,
         run: u64,
@@ -243,7 +249,7 @@
         self.run = run;
         self.number += 1;
         self.sent_at = Some(now);
-        self.under_way = Some(UnderWay {
+        self.pending_report = Some(PendingReport {
             number: self.number,
             sent_at: now,
         });
@@ -251,33 +257,33 @@
             from: from.clone(),
             run,
             number: self.number,
-            base: self.known,
-            revision: self.known,
+            base: self.acknowledged_revision,
+            revision: self.acknowledged_revision,
             instances: Vec::new(),
             expired: Vec::new(),
             heartbeats: Vec::new(),
             active_revision: self.active_revision,
         };
         if to_leader {
-            report.heartbeats = self.take_seen();
-            self.put_changes(&mut report);
+            report.heartbeats = self.take_heartbeats();
+            self.add_changes(&mut report);
         }
         report
     }
 
-    fn take_seen(&mut self) -> Vec<InstanceHeartbeat> {
-        let seen = std::mem::take(&mut self.seen).into_iter();
+    fn take_heartbeats(&mut self) -> Vec<InstanceHeartbeat> {
+        let seen = std::mem::take(&mut self.heartbeats).into_iter();
         let seen = seen.map(|(instance, sequence)| InstanceHeartbeat { instance, sequence });
         seen.collect()
     }
 
-    fn put_changes(&self, report: &mut ShareReport) {
-        let lacking = self.changes.range(self.known + 1..);
-        for (revision, instance) in lacking.take(MAXIMUM_RECORDS) {
+    fn add_changes(&self, report: &mut ShareReport) {
+        let lacking = self.changes.range(self.acknowledged_revision + 1..);
+        for (revision, instance) in lacking.take(MAX_RECORDS) {
             report.revision = *revision;
             if let Some(entry) = self.entries.get(instance) {
                 report.instances.push(entry.record.clone());
-            } else if let Some(silent) = self.silent.get(instance) {
+            } else if let Some(silent) = self.expired.get(instance) {
                 report.expired.push(InstanceHeartbeat {
                     instance: instance.clone(),
                     sequence: silent.sequence,
@@ -287,17 +293,17 @@
     }
 
     /// Applies the response to the pending report; ignores any other.
-    pub(crate) fn answered(&mut self, answer: &ShareResponse) {
+    pub(crate) fn handle_response(&mut self, answer: &ShareResponse) {
         let awaited = self
-            .under_way
+            .pending_report
             .take_if(|report| report.number == answer.number);
         if awaited.is_none() || answer.run != self.run {
             return;
         }
-        self.is_leaderless = answer.acknowledged_revision.is_none();
+        self.has_no_leader = answer.acknowledged_revision.is_none();
         match answer.acknowledged_revision {
-            Some(0) if self.known > 0 => self.begin_anew(),
-            Some(known) => self.confirmed(known.min(self.revision)),
+            Some(0) if self.acknowledged_revision > 0 => self.resend_all(),
+            Some(known) => self.acknowledge(known.min(self.revision)),
             None => {}
         }
         if let Some(active) = &answer.active {
@@ -306,16 +312,16 @@
         }
     }
 
-    fn confirmed(&mut self, known: u64) {
-        self.known = known;
+    fn acknowledge(&mut self, known: u64) {
+        self.acknowledged_revision = known;
         let settled = self.changes.range(..=known);
-        let settled = settled.filter(|(_, instance)| self.silent.contains_key(*instance));
+        let settled = settled.filter(|(_, instance)| self.expired.contains_key(*instance));
         let settled: Vec<(u64, InstanceId)> = settled
             .map(|(revision, instance)| (*revision, instance.clone()))
             .collect();
         for (revision, instance) in settled {
             self.changes.remove(&revision);
-            self.silent.remove(&instance);
+            self.expired.remove(&instance);
         }
     }
 }
--- a/crates/millpass-fleet/src/permits.rs
+++ b/crates/millpass-fleet/src/permits.rs
@@ -12,12 +12,12 @@
 const USED_PERCENT: u64 = 90;
 /// Fraction of the window's permits reserved for unknown loads of an earlier leader. Even if that
 /// leader used all permits, the total stays within 10 % above the store's rate.
-const UNKNOWN_SHARE: f64 = 0.78;
+const UNKNOWN_FRACTION: f64 = 0.78;
 
 /// Permits for loads from the weight store, counted from when an instruction is sent.
 #[derive(Debug, Default)]
 pub struct StorePermits {
-    taken: VecDeque<Timestamp>,
+    acquired_at: VecDeque<Timestamp>,
     /// Time until which unknown loads of an earlier leader may count.
     unknown_until: Timestamp,
 }
@@ -26,54 +26,54 @@
     /// Continues from the loads recorded by earlier leaders.
     pub fn from_history(history: &InstructionHistory) -> Self {
         StorePermits {
-            taken: history.store_loads().iter().copied().collect(),
+            acquired_at: history.store_loads().iter().copied().collect(),
             unknown_until: history.complete_since() + WINDOW,
         }
     }
 
     /// Returns the fraction of the window's permits in use, from 0 to 1.
     pub fn used_fraction(&mut self, now: Timestamp, milliloads_per_second: u64) -> f64 {
-        self.drop_old(now);
-        let taken = self.taken.len() as f64 / allowed(milliloads_per_second) as f64;
-        taken + self.unknown_share(now)
+        self.drop_expired(now);
+        let taken = self.acquired_at.len() as f64 / allowed(milliloads_per_second) as f64;
+        taken + self.unknown_fraction(now)
     }
 
     /// Takes a permit and returns true if the rate, in thousandths of a load a second, allows one
     /// now.
     pub fn try_acquire(&mut self, now: Timestamp, milliloads_per_second: u64) -> bool {
-        self.drop_old(now);
+        self.drop_expired(now);
         let allowed = allowed(milliloads_per_second) as f64;
-        if (self.taken.len() + 1) as f64 > allowed * (1.0 - self.unknown_share(now)) {
+        if (self.acquired_at.len() + 1) as f64 > allowed * (1.0 - self.unknown_fraction(now)) {
             return false;
         }
-        self.taken.push_back(now);
+        self.acquired_at.push_back(now);
         true
     }
 
     /// Returns the time until a permit is available.
     pub fn time_until_available(&mut self, now: Timestamp, milliloads_per_second: u64) -> Duration {
-        self.drop_old(now);
+        self.drop_expired(now);
         let allowed = usize::try_from(allowed(milliloads_per_second)).unwrap_or(usize::MAX);
-        let blocking = self.taken.len().checked_sub(allowed);
-        let frees = blocking.map_or(now, |first| self.taken[first] + WINDOW);
+        let blocking = self.acquired_at.len().checked_sub(allowed);
+        let frees = blocking.map_or(now, |first| self.acquired_at[first] + WINDOW);
         frees.max(self.unknown_until).since(now)
     }
 
-    fn unknown_share(&self, now: Timestamp) -> f64 {
+    fn unknown_fraction(&self, now: Timestamp) -> f64 {
         if now < self.unknown_until {
-            UNKNOWN_SHARE
+            UNKNOWN_FRACTION
         } else {
             0.0
         }
     }
 
-    fn drop_old(&mut self, now: Timestamp) {
+    fn drop_expired(&mut self, now: Timestamp) {
         while self
-            .taken
+            .acquired_at
             .front()
             .is_some_and(|at| now.since(*at) >= WINDOW)
         {
-            self.taken.pop_front();
+            self.acquired_at.pop_front();
         }
     }
 }
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -12,9 +12,9 @@
 use crate::instruction_history::InstructionHistory;
 use crate::permits::StorePermits;
 use crate::registry::Registry;
-use crate::round::{Place, Round};
+use crate::round::{Placement, PlanningRound};
 use crate::store_capacity::StoreCapacity;
-use crate::updates::model_outlook;
+use crate::updates::ready_estimate;
 use millpass_limits::PermitLedger;
 use millpass_proto::{
     AdapterName, Duration, EngineSpec, InstanceId, InstructionOperation, ModelName,
@@ -22,17 +22,17 @@
 };
 
 /// Minimum time a model stays loaded after its load was sent.
-pub(crate) const MINIMUM_STAY: Duration = Duration::from_millis(4_000);
+pub(crate) const MIN_RESIDENCE: Duration = Duration::from_millis(4_000);
 /// Expected duration of an unload, which waits for the model's running requests.
 pub(crate) const UNLOAD_TIME: Duration = Duration::from_millis(300);
 /// Time after which an unused reservation expires.
-const RESERVATION_LIFETIME: Duration = Duration::from_millis(8_000);
+const RESERVATION_TIMEOUT: Duration = Duration::from_millis(8_000);
 /// Factor by which a second load of an incoming model must be faster than the first.
-const MUCH_SOONER: u32 = 3;
+const SECOND_LOAD_SPEEDUP: u32 = 3;
 /// Cost of a second load of an incoming model, in milliseconds of request delay.
 const SECOND_LOAD_COST: f64 = 2_000.0;
 /// Fraction of the weight store's permits up to which replicas of busy models may use them.
-const SPREAD_PERMITS: f64 = 0.6;
+const MAX_REPLICA_PERMIT_FRACTION: f64 = 0.6;
 
 /// Operation on a model, or on an adapter of it.
 pub(crate) type Instruction = (InstructionOperation, ModelName, Option<AdapterName>);
@@ -43,18 +43,18 @@
     /// None to read the engine's state.
     pub(crate) instruction: Option<Instruction>,
     /// Expected duration.
-    pub(crate) takes: Duration,
+    pub(crate) expected_time: Duration,
     /// Whether the weights come from the weight store.
     pub(crate) from_store: bool,
     /// Whether it repeats an accepted unload to confirm that it is done.
-    pub(crate) confirms: bool,
+    pub(crate) is_confirmation: bool,
     /// Recorded memory use of the engine before this step, in KB.
     pub(crate) used_kilobytes: u64,
     pub(crate) reason: &'static str,
 }
 
 /// Planner's view of one service.
-pub(crate) struct View<'a> {
+pub(crate) struct ServiceView<'a> {
     pub(crate) now: Timestamp,
     pub(crate) service: &'a ServiceName,
     pub(crate) specification: &'a EngineSpec,
@@ -68,61 +68,64 @@
     /// Limits stated by engines.
     pub(crate) limits: &'a PermitLedger,
     /// Collects ready estimates of models that wait for an engine or a permit.
-    pub(crate) awaited: &'a mut Vec<ModelReadyEstimate>,
+    pub(crate) waiting: &'a mut Vec<ModelReadyEstimate>,
     /// Instructions of earlier leaders, and how long engines must not be instructed after them.
     pub(crate) history: &'a InstructionHistory,
     pub(crate) handover: Duration,
 }
 
 /// Plans one round for one service.
-pub(crate) fn plan(view: &mut View<'_>, steps: &mut Vec<Step>) {
-    view.read_unknown(steps);
+pub(crate) fn plan(view: &mut ServiceView<'_>, steps: &mut Vec<Step>) {
+    view.plan_reads(steps);
     let unmet = view.demand.unmet(view.now, view.service);
-    let mut round = Round::gather(view, &unmet);
-    view.follow_reservations(&mut round, steps);
-    for want in wants(&unmet, &round) {
-        match want.what {
-            Wanted::Need(need) => view.meet(need, &mut round, steps),
-            Wanted::Replica(model) => view.add_replica(&model, &mut round, steps),
+    let mut round = PlanningRound::gather(view, &unmet);
+    view.continue_reservations(&mut round, steps);
+    for want in load_candidates(&unmet, &round) {
+        match want.purpose {
+            LoadPurpose::UnmetDemand(need) => view.serve_demand(need, &mut round, steps),
+            LoadPurpose::Replica(model) => view.add_replica(&model, &mut round, steps),
         }
     }
 }
 
 /// A potential load.
-struct Want<'a> {
+struct LoadCandidate<'a> {
     /// Request delay saved, in milliseconds; see [`cost`].
-    worth: f64,
-    what: Wanted<'a>,
+    benefit: f64,
+    purpose: LoadPurpose<'a>,
 }
 
-enum Wanted<'a> {
+enum LoadPurpose<'a> {
     /// Loads a model or adapter that requests wait for.
-    Need(&'a UnmetDemand),
+    UnmetDemand(&'a UnmetDemand),
     /// Adds a replica of a busy model.
     Replica(ModelName),
 }
 
 /// Returns potential loads by descending benefit, because weight store capacity is scarce. Equal
 /// benefits keep the order of urgency and age.
-fn wants<'a>(unmet: &'a [UnmetDemand], round: &Round) -> Vec<Want<'a>> {
-    let needs = unmet.iter().map(|need| Want {
-        worth: cost::unserved_delay(need.requests + round.expected(&need.key.model)),
-        what: Wanted::Need(need),
+fn load_candidates<'a>(unmet: &'a [UnmetDemand], round: &PlanningRound) -> Vec<LoadCandidate<'a>> {
+    let needs = unmet.iter().map(|need| LoadCandidate {
+        benefit: cost::unserved_delay(need.requests + round.expected_requests(&need.key.model)),
+        purpose: LoadPurpose::UnmetDemand(need),
     });
-    let replicas = round.busy_models().into_iter().map(|(worth, model)| Want {
-        worth,
-        what: Wanted::Replica(model),
-    });
-    let mut wants: Vec<Want<'_>> = needs.chain(replicas).collect();
-    wants.sort_by(|left, right| right.worth.total_cmp(&left.worth));
+    let replicas = round
+        .missing_replicas()
+        .into_iter()
+        .map(|(worth, model)| LoadCandidate {
+            benefit: worth,
+            purpose: LoadPurpose::Replica(model),
+        });
+    let mut wants: Vec<LoadCandidate<'_>> = needs.chain(replicas).collect();
+    wants.sort_by(|left, right| right.benefit.total_cmp(&left.benefit));
     wants
 }
 
-impl View<'_> {
+impl ServiceView<'_> {
     /// Returns the available engines of the service, in order of their names.
-    pub(crate) fn taking(&self) -> impl Iterator<Item = &InstanceId> {
+    pub(crate) fn available(&self) -> impl Iterator<Item = &InstanceId> {
         self.registry
-            .taking(self.service)
+            .available(self.service)
             .map(|record| &record.instance)
     }
 
@@ -131,13 +134,17 @@
     }
 
     /// Returns whether the engine may be instructed now.
-    pub(crate) fn is_free(&self, instance: &InstanceId) -> bool {
-        let open = self.now >= self.history.open_from(instance, self.handover);
+    pub(crate) fn can_be_instructed(&self, instance: &InstanceId) -> bool {
+        let open = self.now >= self.history.instructable_from(instance, self.handover);
         open && self.engine(instance).is_some_and(Engine::can_be_instructed)
     }
 
     /// Returns whether loads of the model or adapter are quarantined because they crashed engines.
-    pub(crate) fn is_held_back(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
+    pub(crate) fn is_load_quarantined(
+        &self,
+        model: &ModelName,
+        adapter: Option<&AdapterName>,
+    ) -> bool {
         let key = ModelKey {
             service: self.service.clone(),
             model: model.clone(),
@@ -146,15 +153,15 @@
         self.crashes.is_load_quarantined(self.now, &key)
     }
 
-    fn read_unknown(&mut self, steps: &mut Vec<Step>) {
-        let taking: Vec<InstanceId> = self.taking().cloned().collect();
+    fn plan_reads(&mut self, steps: &mut Vec<Step>) {
+        let taking: Vec<InstanceId> = self.available().cloned().collect();
         for instance in taking {
             let now = self.now;
             let Some(engine) = self.engines.engines.get_mut(&instance) else {
                 continue;
             };
             if engine.reserved_model.is_some()
-                && now.since(engine.reserved_at) > RESERVATION_LIFETIME
+                && now.since(engine.reserved_at) > RESERVATION_TIMEOUT
             {
                 engine.reserved_model = None;
             }
@@ -162,9 +169,9 @@
                 steps.push(Step {
                     instance,
                     instruction: None,
-                    takes: Duration::ZERO,
+                    expected_time: Duration::ZERO,
                     from_store: false,
-                    confirms: false,
+                    is_confirmation: false,
                     used_kilobytes: 0,
                     reason: "state-unknown",
                 });
@@ -172,9 +179,9 @@
                 steps.push(Step {
                     instruction: Some((InstructionOperation::Unload, model.clone(), None)),
                     instance,
-                    takes: Duration::ZERO,
+                    expected_time: Duration::ZERO,
                     from_store: false,
-                    confirms: true,
+                    is_confirmation: true,
                     used_kilobytes: 0,
                     reason: "confirm-unloaded",
                 });
@@ -183,9 +190,9 @@
     }
 
     /// Loads models for which memory was freed, or frees more.
-    fn follow_reservations(&mut self, round: &mut Round, steps: &mut Vec<Step>) {
+    fn continue_reservations(&mut self, round: &mut PlanningRound, steps: &mut Vec<Step>) {
         for instance in round.reserved.clone() {
-            if !self.is_free(&instance) {
+            if !self.can_be_instructed(&instance) {
                 continue;
             }
             let Some(engine) = self.engine(&instance) else {
@@ -197,28 +204,33 @@
             let place = if engine.holds(&model, None) {
                 None
             } else {
-                round.place_at(self, &instance, &model)
+                round.placement_at(self, &instance, &model)
             };
             match place {
-                Some(place) => self.begin(&place, &model, "room-made", round, steps),
-                None => self.release(&instance),
+                Some(place) => self.start_load(&place, &model, "room-made", round, steps),
+                None => self.release_reservation(&instance),
             }
         }
     }
 
-    fn release(&mut self, instance: &InstanceId) {
+    fn release_reservation(&mut self, instance: &InstanceId) {
         if let Some(engine) = self.engines.engines.get_mut(instance) {
             engine.reserved_model = None;
         }
     }
 
-    fn meet(&mut self, need: &UnmetDemand, round: &mut Round, steps: &mut Vec<Step>) {
+    fn serve_demand(
+        &mut self,
+        need: &UnmetDemand,
+        round: &mut PlanningRound,
+        steps: &mut Vec<Step>,
+    ) {
         let model = &need.key.model;
         let Some(adapters) = round.model(self.specification, model).map(|it| it.adapters) else {
             return;
         };
-        if round.holders(model) == 0 {
-            self.meet_model(need, round, steps);
+        if round.holder_count(model) == 0 {
+            self.load_missing_model(need, round, steps);
             return;
         }
         match &need.key.adapter {
@@ -229,48 +241,53 @@
 
     /// Loads a model that no engine holds. If it is already incoming, a second load must be much
     /// faster and worth its cost.
-    fn meet_model(&mut self, need: &UnmetDemand, round: &mut Round, steps: &mut Vec<Step>) {
+    fn load_missing_model(
+        &mut self,
+        need: &UnmetDemand,
+        round: &mut PlanningRound,
+        steps: &mut Vec<Step>,
+    ) {
         let model = &need.key.model;
-        let Some(place) = round.place_for(self.specification, model, need.requests) else {
+        let Some(place) = round.placement_for(self.specification, model, need.requests) else {
             return;
         };
-        if !place.opens_in.is_zero() {
+        if !place.available_in.is_zero() {
             // The cheapest engine becomes available soon: wait for it.
-            if round.coming_in(model).is_none() {
-                self.await_model(model, place.ready_in());
+            if round.incoming_ready_in(model).is_none() {
+                self.record_waiting(model, place.ready_in());
             }
             return;
         }
-        let reason = match round.coming_in(model) {
+        let reason = match round.incoming_ready_in(model) {
             None => "unserved",
             Some(coming) => {
-                let wait = round.waiting_cost(model, need.requests, coming);
+                let wait = round.waiting_delay(model, need.requests, coming);
                 let second = place.cost + SECOND_LOAD_COST;
-                if second >= wait || place.ready_in() * MUCH_SOONER > coming {
+                if second >= wait || place.ready_in() * SECOND_LOAD_SPEEDUP > coming {
                     return;
                 }
                 "comes-too-late"
             }
         };
-        self.begin(&place, model, reason, round, steps);
+        self.start_load(&place, model, reason, round, steps);
     }
 
     /// Records a waiting model, to be published to gateways.
-    fn await_model(&mut self, model: &ModelName, ready_in: Duration) {
-        self.awaited
-            .push(model_outlook(self.service, model, None, ready_in));
+    fn record_waiting(&mut self, model: &ModelName, ready_in: Duration) {
+        self.waiting
+            .push(ready_estimate(self.service, model, None, ready_in));
     }
 
     /// Starts the load, or evicts a model and reserves the freed memory.
-    fn begin(
+    fn start_load(
         &mut self,
-        place: &Place,
+        place: &Placement,
         model: &ModelName,
         reason: &'static str,
-        round: &mut Round,
+        round: &mut PlanningRound,
         steps: &mut Vec<Step>,
     ) {
-        if self.is_held_back(model, None) {
+        if self.is_load_quarantined(model, None) {
             return;
         }
         let milliloads = self.specification.milliloads_per_second;
@@ -286,7 +303,7 @@
         if source == WeightsSource::Store && engine.reserved_model.as_ref() != Some(model) {
             if round.store_is_full() {
                 round.store_queue += 1;
-                self.await_model(model, place.takes);
+                self.record_waiting(model, place.load_time);
                 return;
             }
             round.store_loads += 1;
@@ -301,7 +318,7 @@
             None => {
                 if from_store && !self.permits.try_acquire(now, milliloads) {
                     let wait = self.permits.time_until_available(now, milliloads);
-                    self.await_model(model, wait + place.takes);
+                    self.record_waiting(model, wait + place.load_time);
                     return;
                 }
                 let takes = specification.load_time(source);
@@ -309,14 +326,14 @@
                 (InstructionOperation::Load, model.clone(), takes)
             }
         };
-        round.comes(model, place.takes);
-        round.instruct(&place.instance);
+        round.add_incoming(model, place.load_time);
+        round.mark_instructed(&place.instance);
         steps.push(Step {
             instance: place.instance.clone(),
             instruction: Some((operation, subject, None)),
-            takes,
+            expected_time: takes,
             from_store,
-            confirms: false,
+            is_confirmation: false,
             used_kilobytes,
             reason,
         });
@@ -324,40 +341,40 @@
 
     /// Adds a replica of a busy model from a local copy, or from the weight store while unmet
     /// demand leaves enough permits.
-    fn add_replica(&mut self, model: &ModelName, round: &mut Round, steps: &mut Vec<Step>) {
+    fn add_replica(&mut self, model: &ModelName, round: &mut PlanningRound, steps: &mut Vec<Step>) {
         let milliloads = self.specification.milliloads_per_second;
-        let spare = self.permits.used_fraction(self.now, milliloads) < SPREAD_PERMITS;
-        let place = round.replica_place(self.specification, model, spare);
-        if let Some(place) = place.filter(|place| place.opens_in.is_zero()) {
-            self.begin(&place, model, "busy", round, steps);
+        let spare = self.permits.used_fraction(self.now, milliloads) < MAX_REPLICA_PERMIT_FRACTION;
+        let place = round.replica_placement(self.specification, model, spare);
+        if let Some(place) = place.filter(|place| place.available_in.is_zero()) {
+            self.start_load(&place, model, "busy", round, steps);
         }
     }
 }
 
-impl Round {
+impl PlanningRound {
     /// Returns the cheapest placement of a further replica, on engines much less utilized than the
     /// holders.
-    fn replica_place(
+    fn replica_placement(
         &self,
         specification: &EngineSpec,
         model: &ModelName,
         from_store: bool,
-    ) -> Option<Place> {
+    ) -> Option<Placement> {
         let gain = self.replica_gain(model);
-        let share = self.share(model);
-        self.cheapest(specification, model, 0.0, gain, |site, source| {
-            site.busyness < share / 2.0 && (from_store || source != WeightsSource::Store)
+        let share = self.replica_utilization(model);
+        self.cheapest_placement(specification, model, 0.0, gain, |site, source| {
+            site.utilization < share / 2.0 && (from_store || source != WeightsSource::Store)
         })
     }
 
     /// Returns the cheapest placement of a model that no engine holds.
-    fn place_for(
+    fn placement_for(
         &self,
         specification: &EngineSpec,
         model: &ModelName,
         waiting: f64,
-    ) -> Option<Place> {
+    ) -> Option<Placement> {
         let limit = cost::unserved_delay(waiting);
-        self.cheapest(specification, model, waiting, limit, |_, _| true)
+        self.cheapest_placement(specification, model, waiting, limit, |_, _| true)
     }
 }
--- a/crates/millpass-fleet/src/registry.rs
+++ b/crates/millpass-fleet/src/registry.rs
@@ -5,19 +5,19 @@
 
 /// Removals kept for gateways that have not received them. Gateways that lack older ones are sent a
 /// full update.
-const MAXIMUM_REMOVALS: usize = 1_024;
+const MAX_REMOVALS: usize = 1_024;
 
 /// Outcome of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Announced {
+pub(crate) enum AnnouncementOutcome {
     /// Unknown incarnation.
     New,
     /// Something relevant to gateways or placement changed.
     Changed,
     /// No relevant change.
-    Same,
+    Unchanged,
     /// Older than the recorded announcement; ignored.
-    Late,
+    Stale,
 }
 
 struct Entry {
@@ -33,19 +33,19 @@
 impl Entry {
     /// Returns whether an announcement differs from the last one in its sequence number only. The
     /// served models may differ from both.
-    fn announces_the_same(&self, record: &InstanceRecord) -> bool {
+    fn is_repeated_by(&self, record: &InstanceRecord) -> bool {
         let mut last = self.record.clone();
         last.models.clone_from(&self.announced);
-        same_but_sequence(&last, record)
+        equal_except_sequence(&last, record)
     }
 }
 
 /// Difference between the registry and the digests that a gateway holds.
-pub(crate) struct Lacking {
+pub(crate) struct MissingRecords {
     /// Records that the gateway does not hold.
     pub(crate) records: Vec<InstanceRecord>,
     /// Digests held by the gateway that are current.
-    pub(crate) kept: Vec<u64>,
+    pub(crate) unchanged: Vec<u64>,
 }
 
 /// Active instances. Each change increases the revision, so that gateways are sent only changes.
@@ -56,7 +56,7 @@
     counts: BTreeMap<ServiceName, usize>,
     removals: VecDeque<(u64, InstanceId)>,
     /// Revision of the newest removal that was discarded.
-    forgotten: u64,
+    discarded_revision: u64,
     revision: u64,
 }
 
@@ -66,7 +66,7 @@
     }
 
     /// Applies an announcement. A draining instance stays draining.
-    pub(crate) fn announce(&mut self, mut record: InstanceRecord) -> Announced {
+    pub(crate) fn apply_announcement(&mut self, mut record: InstanceRecord) -> AnnouncementOutcome {
         let Some(entry) = self.entries.get_mut(&record.instance) else {
             self.revision += 1;
             let entry = Entry {
@@ -77,18 +77,18 @@
             };
             // A removal sent along with the record would undo it.
             let instance = entry.record.instance.clone();
-            self.forget_removal(&instance);
+            self.discard_removal(&instance);
             *self.counts.entry(entry.record.service.clone()).or_default() += 1;
             self.entries.insert(instance, entry);
-            return Announced::New;
+            return AnnouncementOutcome::New;
         };
         if record.sequence < entry.record.sequence {
-            return Announced::Late;
+            return AnnouncementOutcome::Stale;
         }
         record.draining |= entry.record.draining;
-        if entry.announces_the_same(&record) {
+        if entry.is_repeated_by(&record) {
             entry.record.sequence = record.sequence;
-            return Announced::Same;
+            return AnnouncementOutcome::Unchanged;
         }
         self.revision += 1;
         entry.announced.clone_from(&record.models);
@@ -102,11 +102,11 @@
             }
             *self.counts.entry(service).or_default() += 1;
         }
-        Announced::Changed
+        AnnouncementOutcome::Changed
     }
 
     /// Returns known earlier incarnations of an instance.
-    pub(crate) fn earlier_runs(&self, instance: &InstanceId) -> Vec<InstanceId> {
+    pub(crate) fn earlier_incarnations(&self, instance: &InstanceId) -> Vec<InstanceId> {
         let runs = instance.runs_in(&self.entries);
         let earlier = runs.filter(|known| known.is_before(instance));
         earlier.cloned().collect()
@@ -115,7 +115,7 @@
     /// Returns whether a later incarnation of the instance is known or was removed recently. A
     /// known incarnation has none, because it is removed when a later one is announced; this check
     /// keeps heartbeats from scanning the removals.
-    pub(crate) fn has_later_run(&self, instance: &InstanceId) -> bool {
+    pub(crate) fn has_later_incarnation(&self, instance: &InstanceId) -> bool {
         if self.entries.contains_key(instance) {
             return false;
         }
@@ -125,22 +125,22 @@
             || removed.any(|removed| instance.is_before(removed))
     }
 
-    pub(crate) fn latest_run(&self, instance: &InstanceId) -> Option<&InstanceId> {
+    pub(crate) fn latest_incarnation(&self, instance: &InstanceId) -> Option<&InstanceId> {
         let runs = instance.runs_in(&self.entries);
         runs.max_by_key(|run| run.incarnation())
     }
 
     /// Applies a departure: the instance drains or has ended. Also recorded for unknown instances,
     /// which gateways may have received from an earlier leader.
-    pub(crate) fn depart(&mut self, instance: &InstanceId, ended: bool) {
+    pub(crate) fn apply_departure(&mut self, instance: &InstanceId, ended: bool) {
         if !ended && self.entries.contains_key(instance) {
             return self.update(instance, |record| record.draining = true);
         }
-        self.take_out(instance);
-        self.note_removal(instance);
+        self.remove_entry(instance);
+        self.record_removal(instance);
     }
 
-    fn take_out(&mut self, instance: &InstanceId) -> bool {
+    fn remove_entry(&mut self, instance: &InstanceId) -> bool {
         let Some(entry) = self.entries.remove(instance) else {
             return false;
         };
@@ -156,7 +156,7 @@
     }
 
     /// Sets the models that an instance serves to new requests.
-    pub(crate) fn serves(&mut self, instance: &InstanceId, models: Vec<HeldModel>) {
+    pub(crate) fn set_served_models(&mut self, instance: &InstanceId, models: Vec<HeldModel>) {
         self.update(instance, |record| record.models = models);
     }
 
@@ -176,31 +176,31 @@
 
     /// Removes an instance. Returns true if it was known.
     pub(crate) fn remove(&mut self, instance: &InstanceId) -> bool {
-        let known = self.take_out(instance);
+        let known = self.remove_entry(instance);
         if known {
-            self.note_removal(instance);
+            self.record_removal(instance);
         }
         known
     }
 
-    fn note_removal(&mut self, instance: &InstanceId) {
-        self.forget_removal(instance);
+    fn record_removal(&mut self, instance: &InstanceId) {
+        self.discard_removal(instance);
         self.revision += 1;
         self.removals.push_back((self.revision, instance.clone()));
-        if self.removals.len() > MAXIMUM_REMOVALS
+        if self.removals.len() > MAX_REMOVALS
             && let Some((revision, _)) = self.removals.pop_front()
         {
-            self.forgotten = revision;
+            self.discarded_revision = revision;
         }
     }
 
-    fn forget_removal(&mut self, instance: &InstanceId) {
+    fn discard_removal(&mut self, instance: &InstanceId) {
         self.removals.retain(|(_, removed)| removed != instance);
     }
 
     /// Returns whether all removals after a revision are kept.
-    pub(crate) fn remembers_since(&self, revision: u64) -> bool {
-        revision >= self.forgotten
+    pub(crate) fn has_removals_since(&self, revision: u64) -> bool {
+        revision >= self.discarded_revision
     }
 
     pub(crate) fn get(&self, instance: &InstanceId) -> Option<&InstanceRecord> {
@@ -212,7 +212,7 @@
     }
 
     /// Returns the record of an instance as last announced.
-    pub(crate) fn announced(&self, instance: &InstanceId) -> Option<InstanceRecord> {
+    pub(crate) fn last_announced(&self, instance: &InstanceId) -> Option<InstanceRecord> {
         let entry = self.entries.get(instance)?;
         let mut record = entry.record.clone();
         record.models.clone_from(&entry.announced);
@@ -224,7 +224,7 @@
     }
 
     /// Returns instances of a service that are not draining, in order of their names.
-    pub(crate) fn taking<'a>(
+    pub(crate) fn available<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = &'a InstanceRecord> {
@@ -233,14 +233,14 @@
     }
 
     /// Compares the registry with the digests that a gateway holds.
-    pub(crate) fn lacking(&self, held: &HashSet<u64>) -> Lacking {
-        let mut lacking = Lacking {
+    pub(crate) fn missing_records(&self, held: &HashSet<u64>) -> MissingRecords {
+        let mut lacking = MissingRecords {
             records: Vec::new(),
-            kept: Vec::new(),
+            unchanged: Vec::new(),
         };
         for entry in self.entries.values() {
             if held.contains(&entry.digest) {
-                lacking.kept.push(entry.digest);
+                lacking.unchanged.push(entry.digest);
             } else {
                 lacking.records.push(entry.record.clone());
             }
@@ -271,7 +271,7 @@
 }
 
 /// Returns whether two records differ in their sequence number only.
-pub(crate) fn same_but_sequence(left: &InstanceRecord, right: &InstanceRecord) -> bool {
+pub(crate) fn equal_except_sequence(left: &InstanceRecord, right: &InstanceRecord) -> bool {
     let mut compared = right.clone();
     compared.sequence = left.sequence;
     // The countdown of a warm-up is not a relevant change.
--- a/crates/millpass-fleet/src/rollout.rs
+++ b/crates/millpass-fleet/src/rollout.rs
@@ -9,20 +9,20 @@
 
 /// Time after which a gateway that has not reported the current version counts as lagging. Several
 /// report intervals, and well below the time within which a change must be in force.
-pub(crate) const LAG: Duration = Duration::from_millis(1_000);
+pub(crate) const LAG_THRESHOLD: Duration = Duration::from_millis(1_000);
 /// Lagging gateways logged per check.
-const MAXIMUM_NAMED: usize = 8;
-const MAXIMUM_LOST: usize = 1_024;
+const MAX_LOGGED: usize = 8;
+const MAX_DISCONNECTED: usize = 1_024;
 /// Departures tracked; more than a wave of restarts produces in a second.
-const MAXIMUM_DEPARTURES: usize = 256;
+const MAX_DEPARTURES: usize = 256;
 /// Time for which a disconnected gateway is included in lag checks.
-const LOST_MEMORY: Duration = Duration::from_secs(60);
+const DISCONNECTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// A gateway whose connection ended.
-struct LostGateway {
-    reported: u64,
-    heard_at: Timestamp,
-    lost_at: Timestamp,
+struct DisconnectedGateway {
+    reported_version: u64,
+    last_report_at: Timestamp,
+    disconnected_at: Timestamp,
 }
 
 /// Progress of the current document version.
@@ -32,65 +32,67 @@
     /// When the version was committed, as far as this member knows.
     since: Timestamp,
     /// Whether all connected gateways have reported the version at some point.
-    everywhere: bool,
+    is_complete: bool,
     /// Time of the next lag check. The interval doubles while gateways lag.
-    next_look: Timestamp,
-    pause: Duration,
-    lost: BTreeMap<String, LostGateway>,
+    next_check: Timestamp,
+    check_interval: Duration,
+    disconnected: BTreeMap<String, DisconnectedGateway>,
     /// Log index and time of the last departures, the newest last.
     departures: VecDeque<(u64, Timestamp)>,
 }
 
 impl Rollout {
     /// Records a departure committed at this log index.
-    pub(crate) fn departed(&mut self, now: Timestamp, index: u64) {
+    pub(crate) fn record_departure(&mut self, now: Timestamp, index: u64) {
         self.departures.push_back((index, now));
-        if self.departures.len() > MAXIMUM_DEPARTURES {
+        if self.departures.len() > MAX_DEPARTURES {
             self.departures.pop_front();
         }
     }
 
     /// Records that a gateway's connection ended.
-    pub(crate) fn lost(&mut self, now: Timestamp, session: &GatewaySession) {
-        if self.lost.len() >= MAXIMUM_LOST {
+    pub(crate) fn record_disconnect(&mut self, now: Timestamp, session: &GatewaySession) {
+        if self.disconnected.len() >= MAX_DISCONNECTED {
             return;
         }
-        let lost = LostGateway {
-            reported: session.reported_version,
-            heard_at: session.heard_at,
-            lost_at: now,
+        let lost = DisconnectedGateway {
+            reported_version: session.reported_version,
+            last_report_at: session.last_report_at,
+            disconnected_at: now,
         };
-        self.lost.insert(session.name.clone(), lost);
+        self.disconnected.insert(session.name.clone(), lost);
     }
 
     /// Returns the version last reported by a disconnected gateway.
-    pub(crate) fn held_when_lost(&self, name: &str) -> Option<u64> {
-        self.lost.get(name).map(|lost| lost.reported)
+    pub(crate) fn last_reported_version(&self, name: &str) -> Option<u64> {
+        self.disconnected
+            .get(name)
+            .map(|lost| lost.reported_version)
     }
 
     /// Records that a gateway has connected.
-    pub(crate) fn connected(&mut self, name: &str) {
-        self.lost.remove(name);
+    pub(crate) fn record_connect(&mut self, name: &str) {
+        self.disconnected.remove(name);
     }
 
     fn begin(&mut self, version: u64, since: Timestamp) {
         self.version = version;
         self.since = since;
-        self.everywhere = false;
-        self.pause = LAG;
-        self.next_look = since + LAG;
+        self.is_complete = false;
+        self.check_interval = LAG_THRESHOLD;
+        self.next_check = since + LAG_THRESHOLD;
     }
 
-    fn forget_lost(&mut self, now: Timestamp) {
-        self.lost
-            .retain(|_, lost| now.since(lost.lost_at) < LOST_MEMORY);
+    fn expire_disconnected(&mut self, now: Timestamp) {
+        self.disconnected
+            .retain(|_, lost| now.since(lost.disconnected_at) < DISCONNECTED_RETENTION);
     }
 }
 
 impl GatewaySession {
     /// Returns why the gateway has not reported a version.
     fn lag_reason(&self, version: u64) -> &'static str {
-        if self.behind_since.is_some() {
+        if self.backlogged_since.is_some() {
             "not-taken"
         } else if self.sent_version >= version {
             "sent-not-reported"
@@ -102,7 +104,7 @@
 
 impl Fleet {
     /// Tracks the current version and logs lagging gateways.
-    pub(crate) fn follow_rollout(
+    pub(crate) fn track_rollout(
         &mut self,
         now: Timestamp,
         document: Option<&DeploymentDocument>,
@@ -113,54 +115,54 @@
             let since = context.documents.applied_at(version).unwrap_or(now);
             self.rollout.begin(version, since);
         }
-        if version == 0 || now < self.rollout.next_look {
+        if version == 0 || now < self.rollout.next_check {
             return;
         }
-        self.rollout.next_look = now + self.rollout.pause;
-        self.rollout.pause *= 2;
-        self.rollout.forget_lost(now);
-        self.name_lagging(now);
+        self.rollout.next_check = now + self.rollout.check_interval;
+        self.rollout.check_interval *= 2;
+        self.rollout.expire_disconnected(now);
+        self.log_lagging(now);
     }
 
-    fn name_lagging(&mut self, now: Timestamp) {
+    fn log_lagging(&mut self, now: Timestamp) {
         let version = self.rollout.version;
         let after = now.since(self.rollout.since);
         let mut lines = Vec::new();
         for session in self.gateways.sessions.values() {
             // The first update of a new connection is still on its way.
             let age = now.since(session.connected_at);
-            if session.reported_version >= version || age < LAG {
+            if session.reported_version >= version || age < LAG_THRESHOLD {
                 continue;
             }
             lines.push(vec![
                 ("gateway", session.name.clone()),
                 ("held", session.reported_version.to_string()),
                 ("why", session.lag_reason(version).to_owned()),
-                ("heard_ms", millis(now.since(session.heard_at))),
+                ("heard_ms", millis(now.since(session.last_report_at))),
                 ("sent_ms", millis(now.since(session.sent_at))),
                 ("connected_ms", millis(age)),
             ]);
         }
-        for (name, lost) in &self.rollout.lost {
-            if lost.reported >= version {
+        for (name, lost) in &self.rollout.disconnected {
+            if lost.reported_version >= version {
                 continue;
             }
             lines.push(vec![
                 ("gateway", name.clone()),
-                ("held", lost.reported.to_string()),
+                ("held", lost.reported_version.to_string()),
                 ("why", "not-connected".to_owned()),
-                ("heard_ms", millis(now.since(lost.heard_at))),
-                ("lost_ms", millis(now.since(lost.lost_at))),
+                ("heard_ms", millis(now.since(lost.last_report_at))),
+                ("lost_ms", millis(now.since(lost.disconnected_at))),
             ]);
         }
         if lines.is_empty() {
             // Resets the interval, so that a gateway that connects later with an older version is
             // logged soon.
-            self.rollout.pause = LAG;
+            self.rollout.check_interval = LAG_THRESHOLD;
             return;
         }
         let lagging = lines.len();
-        for line in lines.into_iter().take(MAXIMUM_NAMED) {
+        for line in lines.into_iter().take(MAX_LOGGED) {
             let mut pairs = vec![
                 ("version", version.to_string()),
                 ("after_ms", millis(after)),
@@ -172,7 +174,12 @@
     }
 
     /// Outputs the propagation time of departures that a gateway received between two reports.
-    pub(crate) fn departures_reached(&mut self, now: Timestamp, before: Option<u64>, as_of: u64) {
+    pub(crate) fn acknowledge_departures(
+        &mut self,
+        now: Timestamp,
+        before: Option<u64>,
+        as_of: u64,
+    ) {
         let Some(before) = before else {
             // What the gateway received earlier is unknown.
             return;
@@ -187,7 +194,12 @@
 
     /// Outputs the propagation time of the current version. Without a `previous` version, the
     /// gateway may have had it before this leader was elected, and no time is output.
-    pub(crate) fn reached(&mut self, now: Timestamp, before: Option<u64>, reported: u64) {
+    pub(crate) fn acknowledge_version(
+        &mut self,
+        now: Timestamp,
+        before: Option<u64>,
+        reported: u64,
+    ) {
         let version = self.rollout.version;
         if version == 0 || before >= Some(version) || reported < version {
             return;
@@ -198,14 +210,14 @@
         }
         let sessions = &self.gateways.sessions;
         let lacks = |session: &GatewaySession| session.reported_version < version;
-        if self.rollout.everywhere || sessions.values().any(lacks) {
+        if self.rollout.is_complete || sessions.values().any(lacks) {
             return;
         }
-        self.rollout.everywhere = true;
+        self.rollout.is_complete = true;
         let pairs = vec![
             ("version", version.to_string()),
             ("gateways", sessions.len().to_string()),
-            ("not_connected", self.rollout.lost.len().to_string()),
+            ("not_connected", self.rollout.disconnected.len().to_string()),
             ("after_ms", millis(after)),
         ];
         self.event("document-everywhere", pairs);
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -4,7 +4,7 @@
 use crate::cost;
 use crate::demand::{Load, UnmetDemand};
 use crate::engines::Engine;
-use crate::planner::{MINIMUM_STAY, UNLOAD_TIME, View};
+use crate::planner::{MIN_RESIDENCE, ServiceView, UNLOAD_TIME};
 use millpass_proto::{
     Duration, EngineModelSpec, EngineSpec, HeldModel, InstanceId, InstructionOperation, ModelName,
     WeightsSource,
@@ -12,66 +12,66 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Cost of placing a model on a fully utilized engine, in milliseconds of request delay.
-const BUSY_COST: f64 = 1_000.0;
+const UTILIZATION_COST_MILLIS: f64 = 1_000.0;
 /// Prompt tokens that an engine processes a second.
 const TOKENS_PER_SECOND: f64 = 38_000.0;
 /// Lower bound of the estimated remaining time of a pending instruction.
-const LEAST_LEFT: Duration = Duration::from_millis(50);
+const MIN_REMAINING: Duration = Duration::from_millis(50);
 /// Utilization of an engine by a model above which the model gets another replica.
-pub(crate) const COMFORTABLE_SHARE: f64 = 0.3;
+pub(crate) const MAX_REPLICA_UTILIZATION: f64 = 0.3;
 
 /// A placement of a model on an engine.
-pub(crate) struct Place {
+pub(crate) struct Placement {
     pub(crate) instance: InstanceId,
     pub(crate) victim: Option<ModelName>,
     /// Request delay, in milliseconds; see [`cost`].
     pub(crate) cost: f64,
     /// Time until the engine can be instructed.
-    pub(crate) opens_in: Duration,
+    pub(crate) available_in: Duration,
     /// Time from then until the model is ready.
-    pub(crate) takes: Duration,
+    pub(crate) load_time: Duration,
 }
 
-impl Place {
+impl Placement {
     /// Returns the time until the model is ready.
     pub(crate) fn ready_in(&self) -> Duration {
-        self.opens_in + self.takes
+        self.available_in + self.load_time
     }
 }
 
 /// A model that may be evicted.
 struct Evictable {
     model: ModelName,
-    loss: Loss,
+    loss: RemovalLoss,
     kilobytes: u64,
 }
 
 /// Request delay caused by removing a replica.
 #[derive(Clone, Copy)]
-enum Loss {
+enum RemovalLoss {
     /// Other replicas remain: the delay, in milliseconds.
-    Replica(f64),
+    Redundant(f64),
     /// Last replica.
-    Only {
+    Last {
         /// Requests a second.
         rate: f64,
         /// Time to reload it, in milliseconds.
         restore_millis: f64,
         /// Whether another engine has a copy of its weights. Otherwise it can be reloaded only
         /// after the model that replaces it is loaded.
-        elsewhere: bool,
+        has_other_copy: bool,
     },
 }
 
-impl Loss {
+impl RemovalLoss {
     /// Returns the delay in milliseconds, if the replacing model takes `load` to load.
     fn millis(self, load: Duration) -> f64 {
         match self {
-            Loss::Replica(millis) => millis,
-            Loss::Only {
+            RemovalLoss::Redundant(millis) => millis,
+            RemovalLoss::Last {
                 rate,
                 restore_millis,
-                elsewhere,
+                has_other_copy: elsewhere,
             } => {
                 let held_up = if elsewhere { Duration::ZERO } else { load };
                 cost::last_replica_loss(rate, restore_millis + held_up.as_secs_f64() * 1_000.0)
@@ -85,42 +85,42 @@
     instance: InstanceId,
     free_kilobytes: u64,
     /// Fraction of time spent on requests.
-    pub(crate) busyness: f64,
+    pub(crate) utilization: f64,
     /// Time until it can be instructed.
-    opens_in: Duration,
+    available_in: Duration,
     /// Models that may be evicted, the cheapest first.
     evictable: Vec<Evictable>,
 }
 
 /// Location of a copy of a model's weights.
-struct Copy {
+struct WeightsCopy {
     site: usize,
     source: WeightsSource,
 }
 
 /// Data of one planning round.
 #[derive(Default)]
-pub(crate) struct Round {
+pub(crate) struct PlanningRound {
     /// Index of each model in the specification.
     models: HashMap<ModelName, usize>,
     /// Reachable engines that hold each model.
     holders: BTreeMap<ModelName, Vec<InstanceId>>,
     /// Time until the first incoming replica of each model is ready.
-    coming: BTreeMap<ModelName, Duration>,
+    incoming_ready_in: BTreeMap<ModelName, Duration>,
     /// Number of incoming replicas of each model.
-    coming_replicas: BTreeMap<ModelName, usize>,
+    incoming_replicas: BTreeMap<ModelName, usize>,
     /// Load offered by each model's requests, in engines.
-    business: BTreeMap<ModelName, f64>,
+    offered_loads: BTreeMap<ModelName, f64>,
     /// Requests a second for each model.
     rates: BTreeMap<ModelName, f64>,
     /// Engines on which a model may be placed, now or soon.
     sites: Vec<Site>,
     /// Weight copies on these engines.
-    copies: HashMap<ModelName, Vec<Copy>>,
+    copies: HashMap<ModelName, Vec<WeightsCopy>>,
     /// Engines with memory reserved for a model.
     pub(crate) reserved: Vec<InstanceId>,
     /// Models with unmet demand, which must not be evicted.
-    wanted: BTreeSet<ModelName>,
+    unmet_models: BTreeSet<ModelName>,
     /// Engines with a planned instruction in this round.
     instructed: BTreeSet<InstanceId>,
     /// Loads from the weight store that are pending or about to start, and their limit.
@@ -129,27 +129,29 @@
     /// Loads waiting for the weight store.
     pub(crate) store_queue: usize,
     /// Expected time until the next pending load ends.
-    store_opens_in: Duration,
+    store_slot_in: Duration,
 }
 
-impl Round {
-    pub(crate) fn gather(view: &View<'_>, unmet: &[UnmetDemand]) -> Round {
-        let mut round = Round::default();
+impl PlanningRound {
+    pub(crate) fn gather(view: &ServiceView<'_>, unmet: &[UnmetDemand]) -> PlanningRound {
+        let mut round = PlanningRound::default();
         let models = view.specification.models.iter().enumerate();
         round.models = models
             .map(|(index, model)| (model.name.clone(), index))
             .collect();
         let usable: Vec<(InstanceId, &Engine)> = view
-            .taking()
+            .available()
             .filter_map(|instance| Some((instance.clone(), view.engine(instance)?)))
             .filter(|(_, engine)| !engine.unreachable)
             .collect();
         for (instance, engine) in &usable {
-            round.note_models(view, instance, engine);
+            round.add_engine_models(view, instance, engine);
         }
         let slots = f64::from(view.specification.slots.max(1));
         for (model, load) in view.demand.loads(view.now, view.service) {
-            round.business.insert(model.clone(), business(&load, slots));
+            round
+                .offered_loads
+                .insert(model.clone(), offered_load(&load, slots));
             round.rates.insert(model, load.request_rate);
         }
         let engines = usable.iter().map(|(_, engine)| engine);
@@ -157,22 +159,27 @@
             .filter(|engine| engine.may_load_from_store(view.now))
             .count();
         round.store_limit = view.store.limit();
-        round.store_opens_in = view.store.time_until_slot();
-        round.wanted = unmet.iter().map(|need| need.key.model.clone()).collect();
+        round.store_slot_in = view.store.time_until_slot();
+        round.unmet_models = unmet.iter().map(|need| need.key.model.clone()).collect();
         for (instance, engine) in usable {
             if engine.reserved_model.is_some() {
                 round.reserved.push(instance);
             } else if !view.limits.is_limited(&instance)
-                && let Some(opens_in) = opens_in(view, &instance, engine)
+                && let Some(opens_in) = available_in(view, &instance, engine)
             {
                 round.add_site(view, instance, engine, opens_in);
             }
         }
-        round.note_copies_elsewhere();
+        round.mark_other_copies();
         round
     }
 
-    fn note_models(&mut self, view: &View<'_>, instance: &InstanceId, engine: &Engine) {
+    fn add_engine_models(
+        &mut self,
+        view: &ServiceView<'_>,
+        instance: &InstanceId,
+        engine: &Engine,
+    ) {
         // An engine that states a limit is overloaded: its models need replicas elsewhere.
         let is_limited = view.limits.is_limited(instance);
         for held in &engine.held {
@@ -188,50 +195,51 @@
                     found.load_time(engine.weights_source(model))
                 });
             let ready = engine.time_until_ready(view.now, model, load);
-            self.comes(model, ready);
+            self.add_incoming(model, ready);
         }
     }
 
     fn add_site(
         &mut self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         instance: InstanceId,
         engine: &Engine,
         opens_in: Duration,
     ) {
         let index = self.sites.len();
         for model in &engine.on_disk {
-            self.note_copy(model, index, WeightsSource::Disk);
+            self.add_copy(model, index, WeightsSource::Disk);
         }
         for model in &engine.in_memory {
-            self.note_copy(model, index, WeightsSource::Memory);
+            self.add_copy(model, index, WeightsSource::Memory);
         }
         let site = self.site(view, instance, engine, opens_in);
         self.sites.push(site);
     }
 
-    fn note_copy(&mut self, model: &ModelName, site: usize, source: WeightsSource) {
+    fn add_copy(&mut self, model: &ModelName, site: usize, source: WeightsSource) {
         let copies = self.copies.entry(model.clone()).or_default();
-        copies.push(Copy { site, source });
+        copies.push(WeightsCopy { site, source });
     }
 
     fn site(
         &self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         instance: InstanceId,
         engine: &Engine,
         opens_in: Duration,
     ) -> Site {
         let specification = view.specification;
         let may_go = |model: &ModelName| {
-            !self.wanted.contains(model) && !engine.was_loaded_within(view.now, model, MINIMUM_STAY)
+            !self.unmet_models.contains(model)
+                && !engine.was_loaded_within(view.now, model, MIN_RESIDENCE)
         };
         let mut evictable: Vec<Evictable> = engine
             .held
             .iter()
             .filter(|held| may_go(&held.model))
             .map(|held| Evictable {
-                loss: self.loss(specification, &held.model),
+                loss: self.removal_loss(specification, &held.model),
                 kilobytes: self.held_kilobytes(specification, held),
                 model: held.model.clone(),
             })
@@ -245,8 +253,8 @@
             free_kilobytes: specification
                 .weights_kilobytes
                 .saturating_sub(self.used_kilobytes(specification, engine)),
-            busyness: self.busyness(engine),
-            opens_in,
+            utilization: self.engine_utilization(engine),
+            available_in: opens_in,
             evictable,
         }
     }
@@ -261,7 +269,7 @@
     }
 
     /// Returns the number of engines that hold a model.
-    pub(crate) fn holders(&self, model: &ModelName) -> usize {
+    pub(crate) fn holder_count(&self, model: &ModelName) -> usize {
         self.holders_of(model).len()
     }
 
@@ -270,19 +278,19 @@
     }
 
     /// Returns the time until the first incoming replica of a model is ready.
-    pub(crate) fn coming_in(&self, model: &ModelName) -> Option<Duration> {
-        self.coming.get(model).copied()
+    pub(crate) fn incoming_ready_in(&self, model: &ModelName) -> Option<Duration> {
+        self.incoming_ready_in.get(model).copied()
     }
 
     /// Records an incoming replica of a model.
-    pub(crate) fn comes(&mut self, model: &ModelName, ready: Duration) {
-        let known = self.coming.entry(model.clone()).or_insert(ready);
+    pub(crate) fn add_incoming(&mut self, model: &ModelName, ready: Duration) {
+        let known = self.incoming_ready_in.entry(model.clone()).or_insert(ready);
         *known = ready.min(*known);
-        *self.coming_replicas.entry(model.clone()).or_default() += 1;
+        *self.incoming_replicas.entry(model.clone()).or_default() += 1;
     }
 
     /// Marks an engine as instructed: it receives no other instruction in this round.
-    pub(crate) fn instruct(&mut self, instance: &InstanceId) {
+    pub(crate) fn mark_instructed(&mut self, instance: &InstanceId) {
         self.instructed.insert(instance.clone());
     }
 
@@ -299,7 +307,7 @@
         }
         let limit = u32::try_from(self.store_limit.max(1)).unwrap_or(u32::MAX);
         let queue = u32::try_from(self.store_queue).unwrap_or(u32::MAX);
-        self.store_opens_in + load.saturating_mul(queue) / limit
+        self.store_slot_in + load.saturating_mul(queue) / limit
     }
 
     pub(crate) fn is_instructed(&self, instance: &InstanceId) -> bool {
@@ -308,14 +316,14 @@
 
     /// Returns the cheapest placement of a model for `waiting` requests, among the sites accepted
     /// by `fit`, which receives the source of the weights. Evictions may cost at most `limit`.
-    pub(crate) fn cheapest(
+    pub(crate) fn cheapest_placement(
         &self,
         specification: &EngineSpec,
         model: &ModelName,
         waiting: f64,
         limit: f64,
         fit: impl Fn(&Site, WeightsSource) -> bool,
-    ) -> Option<Place> {
+    ) -> Option<Placement> {
         let wanted = self.model(specification, model)?;
         let mut sources = vec![WeightsSource::Store; self.sites.len()];
         for copy in self.copies.get(model).into_iter().flatten() {
@@ -335,8 +343,8 @@
                 if source == WeightsSource::Store {
                     load += self.store_wait(load);
                 }
-                let mut place = site.place(wanted.weights_kilobytes, load, limit)?;
-                place.cost += self.waiting_cost(model, waiting, place.ready_in());
+                let mut place = site.placement(wanted.weights_kilobytes, load, limit)?;
+                place.cost += self.waiting_delay(model, waiting, place.ready_in());
                 Some(place)
             })
             .min_by(|left, right| left.cost.total_cmp(&right.cost))
@@ -344,35 +352,35 @@
 
     /// Returns the delay of the requests waiting for a model, and of those arriving meanwhile, if
     /// it takes this long to be ready.
-    pub(crate) fn waiting_cost(&self, model: &ModelName, waiting: f64, takes: Duration) -> f64 {
+    pub(crate) fn waiting_delay(&self, model: &ModelName, waiting: f64, takes: Duration) -> f64 {
         let rate = self.rates.get(model).copied().unwrap_or_default();
         let delay = takes.as_secs_f64();
         (waiting + rate * delay) * delay * 1_000.0
     }
 
     /// Returns the placement of a model on an engine with reserved memory, at any eviction cost.
-    pub(crate) fn place_at(
+    pub(crate) fn placement_at(
         &self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         instance: &InstanceId,
         model: &ModelName,
-    ) -> Option<Place> {
+    ) -> Option<Placement> {
         let engine = view.engine(instance)?;
         let wanted = self.model(view.specification, model)?;
         let site = self.site(view, instance.clone(), engine, Duration::ZERO);
         let load = wanted.load_time(engine.weights_source(model));
-        site.place(wanted.weights_kilobytes, load, f64::MAX)
+        site.placement(wanted.weights_kilobytes, load, f64::MAX)
     }
 
     /// Returns models whose replicas are overutilized, once per missing replica, with the delay it
     /// saves.
-    pub(crate) fn busy_models(&self) -> Vec<(f64, ModelName)> {
+    pub(crate) fn missing_replicas(&self) -> Vec<(f64, ModelName)> {
         let mut busy = Vec::new();
-        for (model, business) in &self.business {
+        for (model, business) in &self.offered_loads {
             let replicas = self.replicas(model).max(1);
             // Bounded by the number of engines, whatever is reported.
             let lacking = (replicas..replicas + self.sites.len())
-                .take_while(|replicas| business / *replicas as f64 >= COMFORTABLE_SHARE);
+                .take_while(|replicas| business / *replicas as f64 >= MAX_REPLICA_UTILIZATION);
             busy.extend(lacking.map(|replicas| {
                 let gain = cost::replica_gain(*business, replicas);
                 (gain, model.clone())
@@ -382,53 +390,61 @@
     }
 
     /// Returns the utilization of each replica by a model, including incoming replicas.
-    pub(crate) fn share(&self, model: &ModelName) -> f64 {
-        self.business_of(model) / self.replicas(model).max(1) as f64
+    pub(crate) fn replica_utilization(&self, model: &ModelName) -> f64 {
+        self.offered_load_of(model) / self.replicas(model).max(1) as f64
     }
 
     /// Returns the delay saved by one more replica of a model.
     pub(crate) fn replica_gain(&self, model: &ModelName) -> f64 {
-        cost::replica_gain(self.business_of(model), self.replicas(model))
+        cost::replica_gain(self.offered_load_of(model), self.replicas(model))
     }
 
     /// Returns the number of requests expected for a model within the horizon.
-    pub(crate) fn expected(&self, model: &ModelName) -> f64 {
+    pub(crate) fn expected_requests(&self, model: &ModelName) -> f64 {
         cost::expected_requests(self.rates.get(model).copied().unwrap_or_default())
     }
 
-    fn business_of(&self, model: &ModelName) -> f64 {
-        self.business.get(model).copied().unwrap_or_default()
+    fn offered_load_of(&self, model: &ModelName) -> f64 {
+        self.offered_loads.get(model).copied().unwrap_or_default()
     }
 
     /// Returns the number of current and incoming replicas.
     fn replicas(&self, model: &ModelName) -> usize {
-        let coming = self.coming_replicas.get(model).copied().unwrap_or_default();
-        self.holders(model) + coming
+        let coming = self
+            .incoming_replicas
+            .get(model)
+            .copied()
+            .unwrap_or_default();
+        self.holder_count(model) + coming
     }
 
     /// Returns the cost of removing one of the model's replicas.
-    fn loss(&self, specification: &EngineSpec, model: &ModelName) -> Loss {
-        let others = self.holders(model).saturating_sub(1);
+    fn removal_loss(&self, specification: &EngineSpec, model: &ModelName) -> RemovalLoss {
+        let others = self.holder_count(model).saturating_sub(1);
         if others > 0 {
-            let business = self.business_of(model);
-            return Loss::Replica(cost::replica_loss(business, others));
+            let business = self.offered_load_of(model);
+            return RemovalLoss::Redundant(cost::replica_loss(business, others));
         }
         // The load has left a copy on disk.
         let load = self
             .model(specification, model)
             .map_or(0, |model| model.disk_load_millis.min(model.load_millis));
-        Loss::Only {
+        RemovalLoss::Last {
             rate: self.rates.get(model).copied().unwrap_or_default(),
             restore_millis: load as f64 + UNLOAD_TIME.as_millis() as f64,
-            elsewhere: false,
+            has_other_copy: false,
         }
     }
 
     /// Marks evictable models that have weight copies at other sites.
-    fn note_copies_elsewhere(&mut self) {
+    fn mark_other_copies(&mut self) {
         for (index, site) in self.sites.iter_mut().enumerate() {
             for evictable in &mut site.evictable {
-                if let Loss::Only { elsewhere, .. } = &mut evictable.loss {
+                if let RemovalLoss::Last {
+                    has_other_copy: elsewhere,
+                    ..
+                } = &mut evictable.loss
+                {
                     let copies = self.copies.get(&evictable.model);
                     let mut sites = copies.into_iter().flatten().map(|copy| copy.site);
                     *elsewhere = sites.any(|site| site != index);
@@ -438,13 +454,13 @@
     }
 
     /// Returns the utilization of an engine by its models.
-    pub(crate) fn busyness(&self, engine: &Engine) -> f64 {
+    pub(crate) fn engine_utilization(&self, engine: &Engine) -> f64 {
         engine
             .held
             .iter()
             .map(|held| {
-                let business = self.business_of(&held.model);
-                business / self.holders(&held.model).max(1) as f64
+                let business = self.offered_load_of(&held.model);
+                business / self.holder_count(&held.model).max(1) as f64
             })
             .sum()
     }
@@ -483,7 +499,7 @@
     }
 
     /// Returns a held model that is missing from the configuration.
-    pub(crate) fn unnamed<'a>(&self, engine: &'a Engine) -> Option<&'a ModelName> {
+    pub(crate) fn unconfigured_model<'a>(&self, engine: &'a Engine) -> Option<&'a ModelName> {
         let mut held = engine.held.iter().map(|held| &held.model);
         held.find(|model| !self.models.contains_key(*model))
     }
@@ -507,7 +523,7 @@
 
 /// Returns the load offered by a model's requests, in engines: the larger of prompt processing time
 /// and slots in use.
-pub(crate) fn business(load: &Load, slots: f64) -> f64 {
+pub(crate) fn offered_load(load: &Load, slots: f64) -> f64 {
     let reading = load.token_rate / TOKENS_PER_SECOND;
     let running = f64::from(load.in_flight) / slots;
     reading.max(running)
@@ -515,8 +531,12 @@
 
 /// Returns the time until an engine can be instructed; none if unknown. Only accepted loads that
 /// are not overdue are worth waiting for.
-fn opens_in(view: &View<'_>, instance: &InstanceId, engine: &Engine) -> Option<Duration> {
-    if view.is_free(instance) {
+fn available_in(
+    view: &ServiceView<'_>,
+    instance: &InstanceId,
+    engine: &Engine,
+) -> Option<Duration> {
+    if view.can_be_instructed(instance) {
         return Some(Duration::ZERO);
     }
     let pending = engine.pending.as_ref()?;
@@ -524,15 +544,15 @@
     if engine.revision.is_none() || !timely {
         return None;
     }
-    let open = view.history.open_from(instance, view.handover);
+    let open = view.history.instructable_from(instance, view.handover);
     let until = pending.expected_end.max(open);
-    Some(until.since(view.now).max(LEAST_LEFT))
+    Some(until.since(view.now).max(MIN_REMAINING))
 }
 
 impl Site {
     /// Returns the placement of a model of this size here, including the evictions needed. None if
     /// it does not fit or the evictions cost more than `limit`.
-    fn place(&self, kilobytes: u64, load: Duration, limit: f64) -> Option<Place> {
+    fn placement(&self, kilobytes: u64, load: Duration, limit: f64) -> Option<Placement> {
         let mut free = self.free_kilobytes;
         let mut lost = 0.0;
         let mut takes = load;
@@ -546,12 +566,12 @@
             takes += UNLOAD_TIME;
             victim.get_or_insert(&candidate.model);
         }
-        (free >= kilobytes && lost <= limit).then(|| Place {
+        (free >= kilobytes && lost <= limit).then(|| Placement {
             instance: self.instance.clone(),
             victim: victim.cloned(),
-            cost: lost + self.busyness * BUSY_COST,
-            opens_in: self.opens_in,
-            takes,
+            cost: lost + self.utilization * UTILIZATION_COST_MILLIS,
+            available_in: self.available_in,
+            load_time: takes,
         })
     }
 }
--- a/crates/millpass-fleet/src/share_reports.rs
+++ b/crates/millpass-fleet/src/share_reports.rs
@@ -19,11 +19,11 @@
     ) -> ShareResponse {
         let member = report.from.member;
         let begins = report.base == 0 && !report.instances.is_empty();
-        let admission = self.shares.admit(self.hearing.now(), report);
-        if admission == Admission::Taken {
-            self.take_content(now, report, departed);
+        let admission = self.shares.admit(self.contact_clock.now(), report);
+        if admission == Admission::Accepted {
+            self.apply_report_content(now, report, departed);
         }
-        if begins && admission == Admission::Taken {
+        if begins && admission == Admission::Accepted {
             let pairs = vec![
                 ("member", member.to_string()),
                 ("zone", report.from.zone.to_string()),
@@ -32,8 +32,8 @@
             self.event("share-begins", pairs);
         }
         let known = match admission {
-            Admission::Taken | Admission::Outdated => self.shares.known(member),
-            Admission::Unfit => 0,
+            Admission::Accepted | Admission::Stale => self.shares.revision(member),
+            Admission::BaseMismatch => 0,
         };
         let outdated = report.active_revision != self.active_revision;
         ShareResponse {
@@ -42,17 +42,17 @@
             leader: Some(own),
             acknowledged_revision: Some(known),
             active_revision: self.active_revision,
-            active: outdated.then(|| self.active_of(report)),
+            active: outdated.then(|| self.active_instances_of(report)),
         }
     }
 
-    fn active_of(&self, report: &ShareReport) -> Vec<InstanceId> {
-        let held = self.shares.of(report.from.member);
+    fn active_instances_of(&self, report: &ShareReport) -> Vec<InstanceId> {
+        let held = self.shares.instances_of(report.from.member);
         let active = held.filter(|instance| self.registry.get(instance).is_some());
         active.cloned().collect()
     }
 
-    fn take_content(
+    fn apply_report_content(
         &mut self,
         now: Timestamp,
         report: &ShareReport,
@@ -63,74 +63,75 @@
             let departed = departed(&record.instance);
             let mut record = record.clone();
             record.draining |= departed.is_some();
-            self.hear(now, holder, record, departed == Some(true));
+            self.apply_announcement(now, holder, record, departed == Some(true));
         }
         for seen in &report.heartbeats {
-            let Some(mut record) = self.registry.announced(&seen.instance) else {
+            let Some(mut record) = self.registry.last_announced(&seen.instance) else {
                 continue;
             };
             record.sequence = seen.sequence;
-            self.hear(now, holder, record, false);
+            self.apply_announcement(now, holder, record, false);
         }
-        self.fell_silent(now, holder, &report.expired);
+        self.remove_expired(now, holder, &report.expired);
     }
 
-    fn fell_silent(&mut self, now: Timestamp, holder: Holder, silent: &[InstanceHeartbeat]) {
+    fn remove_expired(&mut self, now: Timestamp, holder: Holder, silent: &[InstanceHeartbeat]) {
         let newest_here = |seen: &&InstanceHeartbeat| {
             let record = self.registry.get(&seen.instance);
             let record = record.or_else(|| self.standby.get(&seen.instance));
             record.is_none_or(|record| record.sequence <= seen.sequence)
         };
-        let gone = self.shares.silent(holder, silent).filter(newest_here);
+        let gone = self.shares.expired_at(holder, silent).filter(newest_here);
         let gone: Vec<InstanceId> = gone.map(|seen| seen.instance.clone()).collect();
         for instance in gone {
-            self.end_silent(now, &instance, "silent");
+            self.end_expired(now, &instance, "silent");
         }
     }
 
-    fn end_silent(&mut self, now: Timestamp, instance: &InstanceId, reason: &str) {
+    fn end_expired(&mut self, now: Timestamp, instance: &InstanceId, reason: &str) {
         self.attribute_crash_to_load(now, instance);
-        self.forget(instance, reason);
+        self.remove_instance(instance, reason);
     }
 
     /// Removes expired instances.
-    pub(crate) fn forget_silent(&mut self, now: Timestamp) {
+    pub(crate) fn remove_expired_instances(&mut self, now: Timestamp) {
         let silence = self.settings.instance_timeout;
-        let silent = self.share.sweep(now, silence);
-        self.fell_silent(now, Holder::Own, &silent);
-        let heard = self.hearing.now();
-        for (member, instances) in self.shares.lost(heard, silence) {
+        let silent = self.local_share.expire_unannounced(now, silence);
+        self.remove_expired(now, Holder::Own, &silent);
+        let heard = self.contact_clock.now();
+        for (member, instances) in self.shares.remove_lost(heard, silence) {
             let pairs = vec![
                 ("member", member.to_string()),
                 ("instances", instances.len().to_string()),
             ];
             self.event("share-lost", pairs);
             for instance in instances {
-                self.end_silent(now, &instance, "share-lost");
+                self.end_expired(now, &instance, "share-lost");
             }
         }
-        for instance in self.shares.unheld(heard, silence) {
-            self.end_silent(now, &instance, "silent");
+        for instance in self.shares.expired_unheld(heard, silence) {
+            self.end_expired(now, &instance, "silent");
         }
     }
 
     /// Maintains the instances announced at this member, leading or not.
     pub fn maintain_share(&mut self, now: Timestamp) {
-        self.share.advance(now);
+        self.local_share.advance(now);
         if !self.has_started_leading() {
-            self.share.sweep(now, self.settings.instance_timeout);
+            self.local_share
+                .expire_unannounced(now, self.settings.instance_timeout);
         }
     }
 
     /// Applies committed departures to the instances announced at this member: it may have received
     /// a late announcement of an instance before it applied the departure.
     pub fn apply_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
-        self.share.take_departures(departed);
+        self.local_share.apply_departures(departed);
     }
 
     /// Returns whether a report of this member's instances to the leader is due.
     pub fn is_share_report_due(&self, now: Timestamp) -> bool {
-        self.share.is_due(now)
+        self.local_share.is_report_due(now)
     }
 
     /// Returns the next report. `run` identifies this process run; without `to_leader`, the report
@@ -142,16 +143,16 @@
         own: &MemberAddress,
         to_leader: bool,
     ) -> ShareReport {
-        self.share.report(now, run, own, to_leader)
+        self.local_share.next_report(now, run, own, to_leader)
     }
 
     /// Returns whether the last report timed out.
     pub fn is_share_report_timed_out(&self, now: Timestamp) -> bool {
-        self.share.is_unanswered(now)
+        self.local_share.is_report_timed_out(now)
     }
 
     /// Applies the response to the last report.
     pub fn handle_share_response(&mut self, answer: &ShareResponse) {
-        self.share.answered(answer);
+        self.local_share.handle_response(answer);
     }
 }
--- a/crates/millpass-fleet/src/shares.rs
+++ b/crates/millpass-fleet/src/shares.rs
@@ -18,8 +18,8 @@
 
 /// Multiple of the instance timeout after which the instances of an unreachable member expire: the
 /// member may be cut off from the leader only, while its instances are alive.
-const LOST_SHARE_PATIENCE: u32 = 2;
-const MAXIMUM_MEMBERS: usize = 1_024;
+const LOST_SHARE_FACTOR: u32 = 2;
+const MAX_MEMBERS: usize = 1_024;
 
 /// The share of another member.
 struct MemberShare {
@@ -27,8 +27,8 @@
     /// Sequence number of its newest report; older ones are stale.
     number: u64,
     /// Last applied revision of the share.
-    known: u64,
-    heard_at: Timestamp,
+    revision: u64,
+    last_report_at: Timestamp,
     instances: BTreeSet<InstanceId>,
 }
 
@@ -36,11 +36,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
     /// Continues the recorded share or starts a new one.
-    Taken,
+    Accepted,
     /// Continues an unknown share: the member must send its whole share.
-    Unfit,
+    BaseMismatch,
     /// Older than a report already applied.
-    Outdated,
+    Stale,
 }
 
 /// Shares by member. Times are by the leader's contact clock.
@@ -61,36 +61,36 @@
         let is_outdated =
             known.is_some_and(|share| share.run == report.run && share.number >= report.number);
         if is_outdated {
-            return Admission::Outdated;
+            return Admission::Stale;
         }
         let fits = known.is_some_and(|share| {
-            share.run == report.run && share.known == report.base && report.base > 0
+            share.run == report.run && share.revision == report.base && report.base > 0
         });
         if !fits && report.base > 0 {
-            return Admission::Unfit;
+            return Admission::BaseMismatch;
         }
         if !fits {
-            if known.is_none() && self.members.len() >= MAXIMUM_MEMBERS {
-                return Admission::Unfit;
+            if known.is_none() && self.members.len() >= MAX_MEMBERS {
+                return Admission::BaseMismatch;
             }
-            self.begin(now, member, report.run);
+            self.reset_member(now, member, report.run);
         }
         if let Some(share) = self.members.get_mut(&member) {
-            share.heard_at = now;
+            share.last_report_at = now;
             share.number = report.number;
-            share.known = report.revision;
+            share.revision = report.revision;
         }
-        Admission::Taken
+        Admission::Accepted
     }
 
     /// Starts a new share of a member. Instances of the previous one have no holder until listed
     /// again.
-    fn begin(&mut self, now: Timestamp, member: MemberId, run: u64) {
+    fn reset_member(&mut self, now: Timestamp, member: MemberId, run: u64) {
         let share = MemberShare {
             run,
             number: 0,
-            known: 0,
-            heard_at: now,
+            revision: 0,
+            last_report_at: now,
             instances: BTreeSet::new(),
         };
         let before = self.members.insert(member, share);
@@ -101,16 +101,16 @@
     }
 
     /// Returns the last applied revision of a member's share; 0 for none.
-    pub(crate) fn known(&self, member: MemberId) -> u64 {
-        self.members.get(&member).map_or(0, |share| share.known)
+    pub(crate) fn revision(&self, member: MemberId) -> u64 {
+        self.members.get(&member).map_or(0, |share| share.revision)
     }
 
     /// Records the holder of an instance. Returns true if it has changed.
-    pub(crate) fn heard(&mut self, instance: &InstanceId, holder: Holder) -> bool {
+    pub(crate) fn record_holder(&mut self, instance: &InstanceId, holder: Holder) -> bool {
         if self.holders.get(instance) == Some(&holder) {
             return false;
         }
-        self.forget(instance);
+        self.remove(instance);
         if let Holder::Member(member) = holder
             && let Some(share) = self.members.get_mut(&member)
         {
@@ -121,7 +121,7 @@
     }
 
     /// Records an instance without a holder.
-    pub(crate) fn noted(&mut self, now: Timestamp, instance: &InstanceId) {
+    pub(crate) fn record_unheld(&mut self, now: Timestamp, instance: &InstanceId) {
         self.unheld.insert(instance.clone(), now);
     }
 
@@ -134,7 +134,7 @@
         self.holders.get(instance) == Some(&holder)
     }
 
-    pub(crate) fn forget(&mut self, instance: &InstanceId) {
+    pub(crate) fn remove(&mut self, instance: &InstanceId) {
         self.unheld.remove(instance);
         if let Some(Holder::Member(member)) = self.holders.remove(instance)
             && let Some(share) = self.members.get_mut(&member)
@@ -144,7 +144,7 @@
     }
 
     /// Returns the expired instances that no other member has received since.
-    pub(crate) fn silent<'a>(
+    pub(crate) fn expired_at<'a>(
         &'a self,
         holder: Holder,
         silent: &'a [InstanceHeartbeat],
@@ -154,19 +154,19 @@
     }
 
     /// Returns the instances of a member's share, in order.
-    pub(crate) fn of(&self, member: MemberId) -> impl Iterator<Item = &InstanceId> {
+    pub(crate) fn instances_of(&self, member: MemberId) -> impl Iterator<Item = &InstanceId> {
         let share = self.members.get(&member);
         share.into_iter().flat_map(|share| &share.instances)
     }
 
     /// Removes shares of unreachable members and returns their instances.
-    pub(crate) fn lost(
+    pub(crate) fn remove_lost(
         &mut self,
         now: Timestamp,
         silence: Duration,
     ) -> Vec<(MemberId, Vec<InstanceId>)> {
-        let patience = silence * LOST_SHARE_PATIENCE;
-        let is_lost = |share: &MemberShare| now.since(share.heard_at) > patience;
+        let patience = silence * LOST_SHARE_FACTOR;
+        let is_lost = |share: &MemberShare| now.since(share.last_report_at) > patience;
         let members = self.members.iter();
         let lost: Vec<MemberId> = members
             .filter(|(_, share)| is_lost(share))
@@ -182,7 +182,7 @@
     }
 
     /// Returns instances without a holder for longer than `timeout`.
-    pub(crate) fn unheld(&self, now: Timestamp, silence: Duration) -> Vec<InstanceId> {
+    pub(crate) fn expired_unheld(&self, now: Timestamp, silence: Duration) -> Vec<InstanceId> {
         let unheld = self.unheld.iter();
         let long = unheld.filter(|(_, since)| now.since(**since) > silence);
         long.map(|(instance, _)| instance.clone()).collect()
--- a/crates/millpass-fleet/src/standby.rs
+++ b/crates/millpass-fleet/src/standby.rs
@@ -18,7 +18,7 @@
 
 impl Standby {
     /// Adds an instance or replaces its record.
-    pub(crate) fn put(&mut self, record: InstanceRecord) {
+    pub(crate) fn insert(&mut self, record: InstanceRecord) {
         self.remove(&record.instance);
         if !record.draining {
             self.index(&record);
@@ -36,23 +36,23 @@
 
     fn index(&mut self, record: &InstanceRecord) {
         let service = self.by_service.entry(record.service.clone()).or_default();
-        insert(service, record);
+        insert_into_zone(service, record);
         let models = self.by_model.entry(record.service.clone()).or_default();
         for held in &record.models {
-            insert(models.entry(held.model.clone()).or_default(), record);
+            insert_into_zone(models.entry(held.model.clone()).or_default(), record);
         }
     }
 
     fn unindex(&mut self, record: &InstanceRecord) {
         if let Some(zones) = self.by_service.get_mut(&record.service) {
-            remove(zones, record);
+            remove_from_zone(zones, record);
         }
         let Some(models) = self.by_model.get_mut(&record.service) else {
             return;
         };
         for held in &record.models {
             if let Some(zones) = models.get_mut(&held.model) {
-                remove(zones, record);
+                remove_from_zone(zones, record);
                 if zones.is_empty() {
                     models.remove(&held.model);
                 }
@@ -65,14 +65,14 @@
     }
 
     /// Records a newer announcement without changes.
-    pub(crate) fn seen(&mut self, instance: &InstanceId, sequence: u64) {
+    pub(crate) fn update_sequence(&mut self, instance: &InstanceId, sequence: u64) {
         if let Some(record) = self.records.get_mut(instance) {
             record.sequence = record.sequence.max(sequence);
         }
     }
 
     /// Returns standby incarnations of an instance.
-    pub(crate) fn runs_of<'a>(
+    pub(crate) fn incarnations_of<'a>(
         &'a self,
         instance: &InstanceId,
     ) -> impl Iterator<Item = &'a InstanceId> {
@@ -94,35 +94,35 @@
     }
 
     /// Returns the first standby instance of a service in each zone.
-    pub(crate) fn of_service<'a>(
+    pub(crate) fn first_by_zone<'a>(
         &'a self,
         service: &ServiceName,
     ) -> impl Iterator<Item = (&'a ZoneName, &'a InstanceId)> + use<'a> {
-        firsts(self.by_service.get(service))
+        first_per_zone(self.by_service.get(service))
     }
 
     /// Returns the first standby instance in each zone that holds a model.
-    pub(crate) fn holding<'a>(
+    pub(crate) fn first_holders_by_zone<'a>(
         &'a self,
         service: &ServiceName,
         model: &ModelName,
     ) -> impl Iterator<Item = (&'a ZoneName, &'a InstanceId)> + use<'a> {
         let models = self.by_model.get(service);
-        firsts(models.and_then(|models| models.get(model)))
+        first_per_zone(models.and_then(|models| models.get(model)))
     }
 }
 
-fn firsts(zones: Option<&ByZone>) -> impl Iterator<Item = (&ZoneName, &InstanceId)> {
+fn first_per_zone(zones: Option<&ByZone>) -> impl Iterator<Item = (&ZoneName, &InstanceId)> {
     let zones = zones.into_iter().flatten();
     zones.filter_map(|(zone, instances)| Some((zone, instances.first()?)))
 }
 
-fn insert(zones: &mut ByZone, record: &InstanceRecord) {
+fn insert_into_zone(zones: &mut ByZone, record: &InstanceRecord) {
     let instances = zones.entry(record.zone.clone()).or_default();
     instances.insert(record.instance.clone());
 }
 
-fn remove(zones: &mut ByZone, record: &InstanceRecord) {
+fn remove_from_zone(zones: &mut ByZone, record: &InstanceRecord) {
     let Some(instances) = zones.get_mut(&record.zone) else {
         return;
     };
--- a/crates/millpass-fleet/src/store_capacity.rs
+++ b/crates/millpass-fleet/src/store_capacity.rs
@@ -15,34 +15,34 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Limit before the first sample; large enough for loads to overlap.
-const FIRST_LIMIT: f64 = 3.0;
+const INITIAL_LIMIT: f64 = 3.0;
 /// Growth after a load that was not slowed.
-const GROWTH: f64 = 1.5;
+const GROWTH_FACTOR: f64 = 1.5;
 /// Fraction of the nominal time by which a load at full speed may take longer.
-const TOLERANCE: f64 = 0.15;
+const SLOWDOWN_TOLERANCE: f64 = 0.15;
 /// Maximum delay in detecting the end of a load.
-const NOTICE: Duration = Duration::from_millis(300);
+const DETECTION_DELAY: Duration = Duration::from_millis(300);
 /// Multiple of the nominal time after which a pending load counts as slowed.
-const OVERDUE: f64 = 1.5;
+const OVERDUE_FACTOR: f64 = 1.5;
 /// Time after a slowed load during which the limit does not grow.
-const CAUTION: Duration = Duration::from_secs(30);
+const GROWTH_PAUSE: Duration = Duration::from_secs(30);
 /// Samples kept. The largest one counts, because a load may be slow for other reasons, but never
 /// fast.
-const REMEMBERED: usize = 4;
+const MAX_SAMPLES: usize = 4;
 /// Fraction of the limit that must have been used for the limit to grow.
-const USED_SHARE: f64 = 0.7;
+const MIN_USED_FRACTION: f64 = 0.7;
 
 /// A pending load.
 struct StoreLoad {
     model: ModelName,
-    stated: Duration,
+    nominal_time: Duration,
     /// Time spent at each concurrency, this load included.
-    beside: BTreeMap<AtOnce, Duration>,
+    time_by_concurrency: BTreeMap<Concurrency, Duration>,
 }
 
 /// Number of concurrent loads.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct AtOnce {
+struct Concurrency {
     /// Includes loads that other leaders may have started.
     at_most: u32,
     /// Loads started by this leader.
@@ -62,24 +62,24 @@
 /// Estimates how many concurrent loads the weight store serves at full speed.
 pub struct StoreCapacity {
     limit: f64,
-    under_way: BTreeMap<InstanceId, StoreLoad>,
+    pending: BTreeMap<InstanceId, StoreLoad>,
     /// Pending loads that this leader did not start.
-    others: usize,
+    unknown_loads: usize,
     observed_at: Timestamp,
     slowed_at: Option<Timestamp>,
     /// Capacities derived from the last loads.
-    told: VecDeque<f64>,
+    samples: VecDeque<f64>,
 }
 
 impl Default for StoreCapacity {
     fn default() -> Self {
         StoreCapacity {
-            limit: FIRST_LIMIT,
-            under_way: BTreeMap::new(),
-            others: 0,
+            limit: INITIAL_LIMIT,
+            pending: BTreeMap::new(),
+            unknown_loads: 0,
             observed_at: Timestamp::ZERO,
             slowed_at: None,
-            told: VecDeque::new(),
+            samples: VecDeque::new(),
         }
     }
 }
@@ -89,7 +89,7 @@
     pub fn from_history(history: &InstructionHistory) -> Self {
         let known = history.store_capacity();
         StoreCapacity {
-            limit: known.map_or(FIRST_LIMIT, |known| (f64::from(known) / 100.0).max(1.0)),
+            limit: known.map_or(INITIAL_LIMIT, |known| (f64::from(known) / 100.0).max(1.0)),
             ..StoreCapacity::default()
         }
     }
@@ -115,81 +115,83 @@
         ended: impl Fn(&InstanceId, &ModelName) -> bool,
     ) -> bool {
         let before = self.limit();
-        self.pass_time(now);
-        self.others = others;
-        let mut previous = std::mem::take(&mut self.under_way);
+        self.advance(now);
+        self.unknown_loads = others;
+        let mut previous = std::mem::take(&mut self.pending);
         for load in loads {
             let known = previous.remove(&load.instance);
             let same = known.filter(|known| known.model == load.model);
             let kept = same.unwrap_or(StoreLoad {
                 model: load.model,
-                stated: load.nominal_time,
-                beside: BTreeMap::new(),
+                nominal_time: load.nominal_time,
+                time_by_concurrency: BTreeMap::new(),
             });
-            self.under_way.insert(load.instance, kept);
+            self.pending.insert(load.instance, kept);
         }
         for (instance, load) in previous {
             if ended(&instance, &load.model) {
-                self.learn(now, &load);
+                self.add_sample(now, &load);
             }
         }
-        self.notice_overdue(now);
+        self.lower_for_overdue(now);
         self.limit() != before
     }
 
     /// Returns the expected time until the first pending load ends.
     pub fn time_until_slot(&self) -> Duration {
         let left = |load: &StoreLoad| {
-            let speed = (self.limit / self.under_way.len().max(1) as f64).min(1.0);
-            let left = load.stated.as_secs_f64() - load.progress(self.limit);
+            let speed = (self.limit / self.pending.len().max(1) as f64).min(1.0);
+            let left = load.nominal_time.as_secs_f64() - load.progress(self.limit);
             Duration::from_secs_f64(left.max(0.0) / speed)
         };
-        let soonest = self.under_way.values().map(left).min();
+        let soonest = self.pending.values().map(left).min();
         soonest.unwrap_or(Duration::ZERO)
     }
 
-    fn pass_time(&mut self, now: Timestamp) {
+    fn advance(&mut self, now: Timestamp) {
         let passed = now.since(self.observed_at);
         self.observed_at = now;
         let count = |loads: usize| u32::try_from(loads).unwrap_or(u32::MAX);
-        let at_once = AtOnce {
-            at_most: count(self.under_way.len() + self.others),
-            at_least: count(self.under_way.len()),
+        let at_once = Concurrency {
+            at_most: count(self.pending.len() + self.unknown_loads),
+            at_least: count(self.pending.len()),
         };
-        for load in self.under_way.values_mut() {
-            *load.beside.entry(at_once).or_default() += passed;
+        for load in self.pending.values_mut() {
+            *load.time_by_concurrency.entry(at_once).or_default() += passed;
         }
     }
 
-    fn learn(&mut self, now: Timestamp, load: &StoreLoad) {
-        let slowed = load.total() > load.full_speed();
+    fn add_sample(&mut self, now: Timestamp, load: &StoreLoad) {
+        let slowed = load.total() > load.max_unslowed_time();
         let capacity = if slowed {
             load.capacity()
         } else {
-            load.mean_beside()
+            load.mean_concurrency()
         };
-        self.told.push_back(capacity);
-        if self.told.len() > REMEMBERED {
-            self.told.pop_front();
+        self.samples.push_back(capacity);
+        if self.samples.len() > MAX_SAMPLES {
+            self.samples.pop_front();
         }
         if slowed {
             self.slowed_at = Some(now);
-            self.limit = self.told.iter().copied().fold(1.0, f64::max);
-        } else if capacity >= self.limit * USED_SHARE && !self.is_cautious(now) {
-            self.limit = self.limit.max(capacity * GROWTH);
+            self.limit = self.samples.iter().copied().fold(1.0, f64::max);
+        } else if capacity >= self.limit * MIN_USED_FRACTION && !self.is_growth_paused(now) {
+            self.limit = self.limit.max(capacity * GROWTH_FACTOR);
         }
     }
 
     /// Lowers the limit before slowed loads end, which may take long. A single slow load is no
     /// evidence against the store.
-    fn notice_overdue(&mut self, now: Timestamp) {
+    fn lower_for_overdue(&mut self, now: Timestamp) {
         let overdue: Vec<f64> = self
-            .under_way
+            .pending
             .values()
-            .filter(|load| load.total().as_secs_f64() > load.stated.as_secs_f64() * OVERDUE)
+            .filter(|load| {
+                load.total().as_secs_f64() > load.nominal_time.as_secs_f64() * OVERDUE_FACTOR
+            })
             .map(StoreLoad::capacity)
             .collect();
-        if overdue.len() < 2 || overdue.len() * 2 < self.under_way.len() {
+        if overdue.len() < 2 || overdue.len() * 2 < self.pending.len() {
             return;
         }
         let greatest = overdue.into_iter().fold(1.0, f64::max);
@@ -199,36 +201,38 @@
         }
     }
 
-    fn is_cautious(&self, now: Timestamp) -> bool {
-        self.slowed_at.is_some_and(|at| now.since(at) < CAUTION)
+    fn is_growth_paused(&self, now: Timestamp) -> bool {
+        self.slowed_at
+            .is_some_and(|at| now.since(at) < GROWTH_PAUSE)
     }
 }
 
 impl StoreLoad {
     fn total(&self) -> Duration {
-        self.beside.values().copied().sum()
+        self.time_by_concurrency.values().copied().sum()
     }
 
     /// Returns the maximum duration that counts as full speed.
-    fn full_speed(&self) -> Duration {
-        Duration::from_secs_f64(self.stated.as_secs_f64() * (1.0 + TOLERANCE)) + NOTICE
+    fn max_unslowed_time(&self) -> Duration {
+        Duration::from_secs_f64(self.nominal_time.as_secs_f64() * (1.0 + SLOWDOWN_TOLERANCE))
+            + DETECTION_DELAY
     }
 
-    fn mean_beside(&self) -> f64 {
+    fn mean_concurrency(&self) -> f64 {
         let total = self.total().as_secs_f64();
         if total <= 0.0 {
             return 1.0;
         }
-        let weighed = |(at_once, time): (&AtOnce, &Duration)| {
+        let weighed = |(at_once, time): (&Concurrency, &Duration)| {
             f64::from(at_once.at_least) * time.as_secs_f64()
         };
-        self.beside.iter().map(weighed).sum::<f64>() / total
+        self.time_by_concurrency.iter().map(weighed).sum::<f64>() / total
     }
 
     /// Returns the progress, in seconds at full speed, if the store has this capacity.
     fn progress(&self, capacity: f64) -> f64 {
-        let share = |at_once: &AtOnce| (capacity / f64::from(at_once.at_most.max(1))).min(1.0);
-        self.beside
+        let share = |at_once: &Concurrency| (capacity / f64::from(at_once.at_most.max(1))).min(1.0);
+        self.time_by_concurrency
             .iter()
             .map(|(at_once, time)| share(at_once) * time.as_secs_f64())
             .sum()
@@ -236,9 +240,9 @@
 
     /// Returns the capacity for which the progress equals the nominal time.
     fn capacity(&self) -> f64 {
-        let stated = self.stated.as_secs_f64();
+        let stated = self.nominal_time.as_secs_f64();
         let mut low = 0.0;
-        let most = self.beside.keys().last();
+        let most = self.time_by_concurrency.keys().last();
         let mut high = most.map_or(1.0, |at_once| f64::from(at_once.at_most));
         // Bisection: 20 steps reduce the interval to a millionth.
         for _ in 0..20 {
--- a/crates/millpass-fleet/src/traffic.rs
+++ b/crates/millpass-fleet/src/traffic.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Number of busiest instances whose load is sent to gateways. Bounds the size of updates.
-const MOST_TOLD: usize = 64;
+const MAX_REPORTED_LOADS: usize = 64;
 
 /// Requests in flight as reported by gateways.
 #[derive(Default)]
@@ -16,8 +16,8 @@
 
 impl Traffic {
     /// Replaces the requests in flight at a gateway.
-    pub(crate) fn report(&mut self, gateway: &str, sent: &[InstanceLoad]) {
-        self.forget(gateway);
+    pub(crate) fn record_report(&mut self, gateway: &str, sent: &[InstanceLoad]) {
+        self.remove_gateway(gateway);
         for load in sent {
             let total = self.totals.entry(load.instance.clone()).or_default();
             *total = total.saturating_add(load.in_flight);
@@ -28,7 +28,7 @@
     }
 
     /// Removes the requests in flight at a disconnected gateway.
-    pub(crate) fn forget(&mut self, gateway: &str) {
+    pub(crate) fn remove_gateway(&mut self, gateway: &str) {
         for load in self.by_gateway.remove(gateway).unwrap_or_default() {
             let Some(total) = self.totals.get_mut(&load.instance) else {
                 continue;
@@ -47,7 +47,7 @@
     }
 
     /// Returns whether an instance has requests in flight.
-    pub(crate) fn is_used(&self, instance: &InstanceId) -> bool {
+    pub(crate) fn has_requests(&self, instance: &InstanceId) -> bool {
         self.totals.contains_key(instance)
     }
 
@@ -65,7 +65,7 @@
             let busier = right.in_flight.cmp(&left.in_flight);
             busier.then_with(|| left.instance.cmp(&right.instance))
         });
-        loads.truncate(MOST_TOLD);
+        loads.truncate(MAX_REPORTED_LOADS);
         loads
     }
 }
--- a/crates/millpass-fleet/src/updates.rs
+++ b/crates/millpass-fleet/src/updates.rs
@@ -14,13 +14,13 @@
 
 /// Difference between a published and a current ready time, below which gateways are not updated.
 /// For distant times, a tenth of the remaining time applies.
-const OUTLOOK_TOLERANCE: Duration = Duration::from_millis(100);
+const READY_TIME_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// Bound of the records in the first updates of one pass, after which other gateways wait for the
 /// next. Keeps reconnecting gateways from delaying the renewal of the leader lease.
-const GREETED_RECORDS: usize = 4_096;
+const MAX_FIRST_UPDATE_RECORDS: usize = 4_096;
 /// Divisor for the cost of a compared record, relative to a sent one.
-const COMPARED_SHARE: usize = 8;
+const COMPARED_RECORD_DIVISOR: usize = 8;
 
 /// Information from the control plane for updates, queried when a gateway connects.
 pub struct GatewayContext<'a> {
@@ -35,7 +35,7 @@
 }
 
 /// Returns departed instances except those known to be draining, whose records state it.
-fn departed_elsewhere(
+fn departed_unless_draining(
     registry: &Registry,
     context: &GatewayContext<'_>,
     told: u64,
@@ -47,7 +47,7 @@
 
 impl Fleet {
     /// Refreshes the ready estimates of incoming and `waiting` models for gateways.
-    pub(crate) fn refresh_outlook(
+    pub(crate) fn refresh_ready_estimates(
         &mut self,
         now: Timestamp,
         document: &DeploymentDocument,
@@ -62,73 +62,76 @@
                 let Some(engine) = self.engines.engines.get(&record.instance) else {
                     continue;
                 };
-                outlook.extend(outlook_of(now, service, engine));
+                outlook.extend(incoming_estimates(now, service, engine));
             }
         }
         outlook.extend(awaited);
-        let same = outlook.len() == self.outlook.len()
+        let same = outlook.len() == self.ready_estimates.len()
             && outlook
                 .iter()
-                .zip(&self.outlook)
+                .zip(&self.ready_estimates)
                 .all(|(new, old)| new.model == old.model && new.adapter == old.adapter);
         if !same {
-            self.outlook_revision += 1;
+            self.ready_estimates_revision += 1;
         }
-        if !same || self.times_moved(now, &outlook) {
-            self.times_revision += 1;
+        if !same || self.have_ready_times_moved(now, &outlook) {
+            self.ready_times_revision += 1;
             let times = outlook.iter().map(|entry| ready_at(now, entry));
-            self.told_times = times.collect();
+            self.published_ready_times = times.collect();
         }
-        self.outlook = outlook;
+        self.ready_estimates = outlook;
     }
 
     /// Returns whether ready times differ from the published ones by more than the tolerance.
-    fn times_moved(&self, now: Timestamp, outlook: &[ModelReadyEstimate]) -> bool {
-        outlook.iter().zip(&self.told_times).any(|(entry, told)| {
-            let ready = ready_at(now, entry);
-            // Gateways treat elapsed ready times as now.
-            let told = (*told).max(now);
-            let off = ready.since(told).max(told.since(ready));
-            off > OUTLOOK_TOLERANCE.max(ready.since(now) / 10)
-        })
+    fn have_ready_times_moved(&self, now: Timestamp, outlook: &[ModelReadyEstimate]) -> bool {
+        outlook
+            .iter()
+            .zip(&self.published_ready_times)
+            .any(|(entry, told)| {
+                let ready = ready_at(now, entry);
+                // Gateways treat elapsed ready times as now.
+                let told = (*told).max(now);
+                let off = ready.since(told).max(told.since(ready));
+                off > READY_TIME_TOLERANCE.max(ready.since(now) / 10)
+            })
     }
 
     fn refresh_loads(&mut self) {
         let loads = self.traffic.busiest();
-        if loads != self.told_loads {
+        if loads != self.published_loads {
             self.loads_revision += 1;
-            self.told_loads = loads;
+            self.published_loads = loads;
         }
     }
 
-    pub(crate) fn update_gateways(
+    pub(crate) fn send_gateway_updates(
         &mut self,
         now: Timestamp,
         document: Option<&DeploymentDocument>,
         context: &GatewayContext<'_>,
     ) {
-        if !self.gateways.is_look_due(now, self.pace) {
+        if !self.gateways.start_pass_if_due(now, self.slowdown) {
             return;
         }
         let complete = self.complete;
-        let due = self.gateways_due(now, document, complete);
+        let due = self.due_connections(now, document, complete);
         if due.is_empty() {
             return;
         }
         self.refresh_loads();
-        let compared = self.registry.len() / COMPARED_SHARE;
+        let compared = self.registry.len() / COMPARED_RECORD_DIVISOR;
         let mut greeted = 0;
         for connection in due {
             let Some(mut session) = self.gateways.sessions.remove(&connection) else {
                 continue;
             };
-            let is_first = self.needs_all(&session);
-            if is_first && greeted >= GREETED_RECORDS {
+            let is_first = self.needs_full_update(&session);
+            if is_first && greeted >= MAX_FIRST_UPDATE_RECORDS {
                 // Sent in a later pass.
                 self.gateways.sessions.insert(connection, session);
                 continue;
             }
-            let mut update = self.update_of(now, &mut session, document, complete, context);
+            let mut update = self.next_update(now, &mut session, document, complete, context);
             if is_first {
                 greeted += compared + update.instances.len();
             }
@@ -146,7 +149,7 @@
     }
 
     /// Returns the connections of gateways that are due for an update.
-    fn gateways_due(
+    fn due_connections(
         &self,
         now: Timestamp,
         document: Option<&DeploymentDocument>,
@@ -154,20 +157,20 @@
     ) -> Vec<u64> {
         let revision = self.registry.revision();
         let version = document.map_or(0, |document| document.version);
-        let interval = self.gateways.update_interval(self.pace);
+        let interval = self.gateways.update_interval(self.slowdown);
         let wants = |session: &GatewaySession| {
-            session.owed
-                || self.needs_all(session)
+            session.response_pending
+                || self.needs_full_update(session)
                 || (complete && !session.sent_complete)
                 || session.sent_revision < revision
-                || session.arriving_version() < version
-                || session.sent_outlook < self.outlook_revision
+                || session.expected_version() < version
+                || session.sent_estimates < self.ready_estimates_revision
         };
         let sessions = self.gateways.sessions.iter();
         sessions
             // An update behind a backlog would be stale on arrival; changes accumulate here
             // instead.
-            .filter(|(_, session)| session.behind_since.is_none())
+            .filter(|(_, session)| session.backlogged_since.is_none())
             .filter(|(_, session)| wants(session) && session.is_due(now, interval))
             .map(|(connection, _)| *connection)
             .collect()
@@ -175,12 +178,12 @@
 
     /// Returns whether a gateway needs a full update: nothing was sent yet, or removals since the
     /// last update have been discarded.
-    fn needs_all(&self, session: &GatewaySession) -> bool {
-        !session.greeted || !self.registry.remembers_since(session.sent_revision)
+    fn needs_full_update(&self, session: &GatewaySession) -> bool {
+        !session.first_update_sent || !self.registry.has_removals_since(session.sent_revision)
     }
 
     /// Returns the next update of a gateway and marks it as sent.
-    fn update_of(
+    fn next_update(
         &mut self,
         now: Timestamp,
         session: &mut GatewaySession,
@@ -188,8 +191,8 @@
         complete: bool,
         context: &GatewayContext<'_>,
     ) -> GatewayUpdate {
-        let first = self.needs_all(session);
-        let outlook_same = !first && session.sent_times == self.times_revision;
+        let first = self.needs_full_update(session);
+        let outlook_same = !first && session.sent_ready_times == self.ready_times_revision;
         let loads_same = !first && session.sent_loads == self.loads_revision;
         let mut update = GatewayUpdate {
             term: self.term,
@@ -198,12 +201,12 @@
             document: None,
             instances: Vec::new(),
             removed: Vec::new(),
-            ready_estimates: kept_unless(outlook_same, &self.outlook),
+            ready_estimates: empty_if(outlook_same, &self.ready_estimates),
             gateways: 0,
             members: Vec::new(),
             provisional: false,
-            loads: kept_unless(loads_same, &self.told_loads),
-            acknowledged_report: session.answers,
+            loads: empty_if(loads_same, &self.published_loads),
+            acknowledged_report: session.last_report,
             as_of: context.as_of,
             document_change: None,
             unchanged_instance_digests: Vec::new(),
@@ -213,48 +216,48 @@
         };
         if first {
             update.members = (context.members)();
-            self.greet(session, &mut update, context);
+            self.fill_first_update(session, &mut update, context);
         } else {
             update.instances = self.registry.changed_since(session.sent_revision);
             update.removed = self.registry.removed_since(session.sent_revision);
         }
         if let Some(document) = document {
-            self.put_document(now, session, &mut update, document, context);
+            self.add_document(now, session, &mut update, document, context);
         }
-        session.greeted = true;
+        session.first_update_sent = true;
         session.sent_complete |= complete;
         session.sent_revision = self.registry.revision();
-        session.sent_outlook = self.outlook_revision;
-        session.sent_times = self.times_revision;
+        session.sent_estimates = self.ready_estimates_revision;
+        session.sent_ready_times = self.ready_times_revision;
         session.sent_loads = self.loads_revision;
         session.sent_at = now;
-        session.owed = false;
+        session.response_pending = false;
         update
     }
 
     /// Fills the first update of a connection with the instances that the gateway does not hold.
     /// Full updates for many reconnecting gateways could delay the leader past its lease.
-    fn greet(
+    fn fill_first_update(
         &self,
         session: &mut GatewaySession,
         update: &mut GatewayUpdate,
         context: &GatewayContext<'_>,
     ) {
         let held = std::mem::take(&mut session.held_instances);
-        let lacking = self.registry.lacking(&held);
+        let lacking = self.registry.missing_records(&held);
         // An incomplete leader lists the instances known to have ended, which the gateway would
         // otherwise keep. A gateway that holds only the records kept here has nothing to drop.
-        let holds_others = held.is_empty() || lacking.kept.len() < held.len();
+        let holds_others = held.is_empty() || lacking.unchanged.len() < held.len();
         if !update.complete && holds_others {
-            update.removed = departed_elsewhere(&self.registry, context, session.as_of);
+            update.removed = departed_unless_draining(&self.registry, context, session.as_of);
         }
         update.instances = lacking.records;
-        update.unchanged_instance_digests = lacking.kept;
+        update.unchanged_instance_digests = lacking.unchanged;
     }
 
     /// Adds the document, or the change to it from the version that the gateway will have when the
     /// update arrives. A sent version counts as arrived only once the gateway reports it.
-    fn put_document(
+    fn add_document(
         &mut self,
         now: Timestamp,
         session: &mut GatewaySession,
@@ -262,7 +265,7 @@
         document: &DeploymentDocument,
         context: &GatewayContext<'_>,
     ) {
-        let base = session.arriving_version();
+        let base = session.expected_version();
         let overdue = session.is_version_overdue();
         if base >= document.version && !overdue {
             return;
@@ -273,12 +276,12 @@
         if update.document_change.is_none() {
             update.document = Some(document.clone());
         }
-        session.version_sent(now, document.version);
+        session.record_sent_version(now, document.version);
     }
 }
 
 /// Returns an empty list if the last sent one is still valid.
-fn kept_unless<T: Clone>(same: bool, items: &[T]) -> Vec<T> {
+fn empty_if<T: Clone>(same: bool, items: &[T]) -> Vec<T> {
     if same { Vec::new() } else { items.to_vec() }
 }
 
@@ -287,7 +290,11 @@
 }
 
 /// Returns the ready estimates of models and adapters that an engine is loading.
-fn outlook_of(now: Timestamp, service: &ServiceSpec, engine: &Engine) -> Vec<ModelReadyEstimate> {
+fn incoming_estimates(
+    now: Timestamp,
+    service: &ServiceSpec,
+    engine: &Engine,
+) -> Vec<ModelReadyEstimate> {
     let Some(specification) = &service.engine else {
         return Vec::new();
     };
@@ -295,7 +302,7 @@
         let adapter = pending.adapter.clone()?;
         let left = pending.expected_end.since(now);
         let load = pending.operation == InstructionOperation::Load;
-        load.then(|| model_outlook(&service.name, &pending.model, Some(adapter), left))
+        load.then(|| ready_estimate(&service.name, &pending.model, Some(adapter), left))
     });
     let models = engine.incoming_models().map(|model| {
         let found = specification
@@ -305,7 +312,7 @@
         let load = found.map_or(Duration::ZERO, |found| {
             found.load_time(engine.weights_source(model))
         });
-        model_outlook(
+        ready_estimate(
             &service.name,
             model,
             None,
@@ -315,7 +322,7 @@
     loading.into_iter().chain(models).collect()
 }
 
-pub(crate) fn model_outlook(
+pub(crate) fn ready_estimate(
     service: &ServiceName,
     model: &ModelName,
     adapter: Option<AdapterName>,
