--- a/crates/millpass-fleet/src/activation.rs
+++ b/crates/millpass-fleet/src/activation.rs
@@ -42,9 +42,9 @@
 
 impl ActiveCounts {
     fn of<'a>(records: impl Iterator<Item = &'a InstanceRecord>) -> ActiveCounts {
-        let mut census = ActiveCounts::default();
-        records.for_each(|record| census.add(record));
-        census
+        let mut counts = ActiveCounts::default();
+        records.for_each(|record| counts.add(record));
+        counts
     }
 
     fn add(&mut self, record: &InstanceRecord) {
@@ -58,11 +58,11 @@
 
     fn remove(&mut self, record: &InstanceRecord) {
         self.total -= 1;
-        let less = |count: Option<&mut usize>| count.into_iter().for_each(|count| *count -= 1);
-        less(self.zones.get_mut(&record.zone));
+        let decrement = |count: Option<&mut usize>| count.into_iter().for_each(|count| *count -= 1);
+        decrement(self.zones.get_mut(&record.zone));
         for held in &record.models {
             let zones = self.replicas.get_mut(&held.model);
-            less(zones.and_then(|zones| zones.get_mut(&record.zone)));
+            decrement(zones.and_then(|zones| zones.get_mut(&record.zone)));
         }
     }
 
@@ -77,10 +77,10 @@
 
     fn zone_count(&self, model: &ModelName) -> usize {
         let zones = self.replicas.get(model);
-        let held = |zones: &BTreeMap<ZoneName, usize>| {
+        let non_empty = |zones: &BTreeMap<ZoneName, usize>| {
             zones.values().filter(|replicas| **replicas > 0).count()
         };
-        zones.map_or(0, held)
+        zones.map_or(0, non_empty)
     }
 
     fn replicas_in(&self, model: &ModelName, zone: &ZoneName) -> usize {
@@ -129,14 +129,14 @@
         }
         self.next_activation = now + ACTIVATION_INTERVAL;
         for service in &document.services {
-            let stands_by = self.standby.count(&service.name);
-            if stands_by == 0 && self.registry.count(&service.name) <= ALL_ACTIVE_LIMIT {
+            let standby_count = self.standby.count(&service.name);
+            if standby_count == 0 && self.registry.count(&service.name) <= ALL_ACTIVE_LIMIT {
                 continue;
             }
-            let mut census = ActiveCounts::of(self.registry.available(&service.name));
-            let wanted = self.activation_target(now, service, &census);
-            self.activate_for_demand(now, service, &wanted, &mut census);
-            self.deactivate_idle(now, service, &wanted, &mut census);
+            let mut counts = ActiveCounts::of(self.registry.available(&service.name));
+            let target = self.activation_target(now, service, &counts);
+            self.activate_for_demand(now, service, &target, &mut counts);
+            self.deactivate_idle(now, service, &target, &mut counts);
         }
     }
 
@@ -144,18 +144,18 @@
         &self,
         now: Timestamp,
         service: &ServiceSpec,
-        census: &ActiveCounts,
+        counts: &ActiveCounts,
     ) -> ActivationTarget {
-        let whole = census.total + self.standby.count(&service.name) <= ALL_ACTIVE_LIMIT;
+        let keeps_all = counts.total + self.standby.count(&service.name) <= ALL_ACTIVE_LIMIT;
         let Some(engine) = &service.engine else {
-            let places = self.registry.available(&service.name);
-            let slots = places.map(|record| record.slots).max().unwrap_or(1).max(1);
+            let records = self.registry.available(&service.name);
+            let slots = records.map(|record| record.slots).max().unwrap_or(1).max(1);
             let in_flight = self
                 .traffic
                 .in_flight(self.registry.available(&service.name));
             let total = f64::from(in_flight) / (f64::from(slots) * TARGET_UTILIZATION);
             return ActivationTarget {
-                total: if whole {
+                total: if keeps_all {
                     ALL_ACTIVE_LIMIT
                 } else {
                     total as usize
@@ -170,7 +170,7 @@
             (model, replicas)
         });
         ActivationTarget {
-            total: if whole { ALL_ACTIVE_LIMIT } else { 0 },
+            total: if keeps_all { ALL_ACTIVE_LIMIT } else { 0 },
             replicas: replicas.collect(),
         }
     }
@@ -179,29 +179,30 @@
         &mut self,
         now: Timestamp,
         service: &ServiceSpec,
-        wanted: &ActivationTarget,
-        census: &mut ActiveCounts,
+        target: &ActivationTarget,
+        counts: &mut ActiveCounts,
     ) {
-        let mut left = MAX_ACTIVATIONS_PER_PASS;
+        let mut remaining = MAX_ACTIVATIONS_PER_PASS;
         let models = service.engine.iter().flat_map(|engine| &engine.models);
         for model in models {
-            while left > 0
-                && let Some(instance) = self.missing_replica(service, model, wanted, census)
+            while remaining > 0
+                && let Some(instance) = self.missing_replica(service, model, target, counts)
             {
-                self.activate(now, &instance, "model", census);
-                left -= 1;
+                self.activate(now, &instance, "model", counts);
+                remaining -= 1;
             }
         }
-        while left > 0 {
+        while remaining > 0 {
             let zones = self.standby.first_by_zone(&service.name);
-            let emptiest = zones.min_by_key(|(zone, _)| census.count_in_zone(zone));
-            let lacks = |zone: &ZoneName| census.count_in_zone(zone) < MIN_ACTIVE_PER_ZONE;
-            let lacking = emptiest.filter(|(zone, _)| lacks(zone) || census.total < wanted.total);
-            let Some(instance) = lacking.map(|(_, instance)| instance.clone()) else {
+            let least_populated = zones.min_by_key(|(zone, _)| counts.count_in_zone(zone));
+            let below_minimum = |zone: &ZoneName| counts.count_in_zone(zone) < MIN_ACTIVE_PER_ZONE;
+            let candidate = least_populated
+                .filter(|(zone, _)| below_minimum(zone) || counts.total < target.total);
+            let Some(instance) = candidate.map(|(_, instance)| instance.clone()) else {
                 return;
             };
-            self.activate(now, &instance, "spare", census);
-            left -= 1;
+            self.activate(now, &instance, "spare", counts);
+            remaining -= 1;
         }
     }
 
@@ -210,16 +211,16 @@
         &self,
         service: &ServiceSpec,
         model: &EngineModelSpec,
-        wanted: &ActivationTarget,
-        census: &ActiveCounts,
+        target: &ActivationTarget,
+        counts: &ActiveCounts,
     ) -> Option<InstanceId> {
         let model = &model.name;
-        let holding = self.standby.first_holders_by_zone(&service.name, model);
-        let (zone, instance) = holding.min_by_key(|(zone, _)| census.replicas_in(model, zone))?;
-        let too_few = census.replicas(model) < wanted.replicas(model);
-        let spreads = census.replicas_in(model, zone) == 0;
-        let too_close = census.zone_count(model) < MIN_ZONES && spreads;
-        (too_few || too_close).then(|| instance.clone())
+        let holders = self.standby.first_holders_by_zone(&service.name, model);
+        let (zone, instance) = holders.min_by_key(|(zone, _)| counts.replicas_in(model, zone))?;
+        let too_few = counts.replicas(model) < target.replicas(model);
+        let adds_zone = counts.replicas_in(model, zone) == 0;
+        let too_few_zones = counts.zone_count(model) < MIN_ZONES && adds_zone;
+        (too_few || too_few_zones).then(|| instance.clone())
     }
 
     fn activate(
@@ -227,16 +228,16 @@
         now: Timestamp,
         instance: &InstanceId,
         reason: &'static str,
-        census: &mut ActiveCounts,
+        counts: &mut ActiveCounts,
     ) {
         let Some(record) = self.standby.remove(instance) else {
             return;
         };
-        census.add(&record);
+        counts.add(&record);
         let pairs = vec![
             ("instance", instance.0.clone()),
             ("reason", reason.to_owned()),
-            ("active", census.total.to_string()),
+            ("active", counts.total.to_string()),
             ("standby", self.standby.len().to_string()),
         ];
         self.record_active(now, record);
@@ -249,20 +250,20 @@
         &mut self,
         now: Timestamp,
         service: &ServiceSpec,
-        wanted: &ActivationTarget,
-        census: &mut ActiveCounts,
+        target: &ActivationTarget,
+        counts: &mut ActiveCounts,
     ) {
         let mut released = None;
         for record in self.registry.available(&service.name) {
             let models = &record.models;
-            let spare = census.total > ALL_ACTIVE_LIMIT.max(wanted.total)
-                && census.count_in_zone(&record.zone) > MIN_ACTIVE_PER_ZONE
+            let is_idle = counts.total > ALL_ACTIVE_LIMIT.max(target.total)
+                && counts.count_in_zone(&record.zone) > MIN_ACTIVE_PER_ZONE
                 && models
                     .iter()
-                    .all(|held| census.replicas(&held.model) > wanted.replicas(&held.model))
+                    .all(|held| counts.replicas(&held.model) > target.replicas(&held.model))
                 && !self.traffic.has_requests(&record.instance)
                 && self.engines.is_quiescent(&record.instance);
-            if !spare {
+            if !is_idle {
                 self.idle_since.remove(&record.instance);
                 continue;
             }
@@ -272,7 +273,7 @@
             }
         }
         if let Some(record) = released {
-            census.remove(&record);
+            counts.remove(&record);
             self.deactivate(record);
         }
     }
--- a/crates/millpass-fleet/src/adapters.rs
+++ b/crates/millpass-fleet/src/adapters.rs
@@ -27,13 +27,13 @@
         if engines().any(|engine| engine.holds(&key.model, Some(adapter))) {
             return self.demand.mark_met(key);
         }
-        let coming = engines().any(|engine| {
+        let is_loading = engines().any(|engine| {
             let pending = engine.pending.as_ref();
             let pending =
                 pending.is_some_and(|pending| pending.targets_adapter(&key.model, adapter));
             pending || engine.is_loading_adapter(&key.model, adapter)
         });
-        if coming {
+        if is_loading {
             return;
         }
         let cost = |instance: &InstanceId| {
@@ -81,14 +81,14 @@
             .adapter_kilobytes;
         let used = round.used_kilobytes(self.specification, engine);
         let fits = used + size <= self.specification.weights_kilobytes;
-        let places = self.specification.adapter_slots as usize;
-        if fits && engine.adapter_count() < places {
+        let slots = self.specification.adapter_slots as usize;
+        if fits && engine.adapter_count() < slots {
             let load = InstructionOperation::Load;
             return Some((load, key.model.clone(), Some(adapter.clone())));
         }
-        if let Some(unnamed) = round.unconfigured_model(engine) {
+        if let Some(unconfigured) = round.unconfigured_model(engine) {
             // A model of unknown size occupies the whole memory: unloading adapters would not help.
-            return Some((InstructionOperation::Unload, unnamed.clone(), None));
+            return Some((InstructionOperation::Unload, unconfigured.clone(), None));
         }
         let rate = |model: &ModelName, adapter: &AdapterName| {
             let key = ModelKey {
@@ -98,13 +98,13 @@
             };
             self.demand.rate(self.now, &key)
         };
-        let least = engine
+        let least_used = engine
             .held
             .iter()
             .flat_map(|held| held.adapters.iter().map(move |name| (&held.model, name)))
             .filter(|(model, name)| !engine.is_unload_accepted(model, name))
             .min_by(|left, right| rate(left.0, left.1).total_cmp(&rate(right.0, right.1)))?;
         let unload = InstructionOperation::Unload;
-        Some((unload, least.0.clone(), Some(least.1.clone())))
+        Some((unload, least_used.0.clone(), Some(least_used.1.clone())))
     }
 }
--- a/crates/millpass-fleet/src/contact_clock.rs
+++ b/crates/millpass-fleet/src/contact_clock.rs
@@ -32,11 +32,11 @@
             .advanced_at
             .map_or(Duration::ZERO, |last| now.since(last));
         self.advanced_at = Some(now);
-        let refuses = self
+        let is_refusing = self
             .refused_at
             .is_some_and(|at| now.since(at) < REFUSAL_PERIOD);
-        let share = if refuses { REFUSAL_DIVISOR } else { 1 };
-        self.elapsed = self.elapsed + gap.min(MAX_COUNTED_GAP) / share;
+        let divisor = if is_refusing { REFUSAL_DIVISOR } else { 1 };
+        self.elapsed = self.elapsed + gap.min(MAX_COUNTED_GAP) / divisor;
     }
 
     /// Records that announcements were refused.
--- a/crates/millpass-fleet/src/cost.rs
+++ b/crates/millpass-fleet/src/cost.rs
@@ -20,35 +20,35 @@
 /// Returns the delay caused by evicting the only replica of a model with `rate` requests a second
 /// that takes `restore_millis` to reload.
 pub(crate) fn last_replica_loss(rate: f64, restore_millis: f64) -> f64 {
-    let asked_for = 1.0 - (-rate * HORIZON_SECONDS).exp();
-    let delayed = 1.0 + rate * restore_millis / 1_000.0;
-    asked_for * delayed * restore_millis
+    let request_probability = 1.0 - (-rate * HORIZON_SECONDS).exp();
+    let delayed_requests = 1.0 + rate * restore_millis / 1_000.0;
+    request_probability * delayed_requests * restore_millis
 }
 
 /// Returns the delay saved by one more replica, where requests offer a load of `offered_load`
 /// engines.
-pub(crate) fn replica_gain(business: f64, replicas: usize) -> f64 {
-    queueing_delay(business, replicas) - queueing_delay(business, replicas + 1)
+pub(crate) fn replica_gain(offered_load: f64, replicas: usize) -> f64 {
+    queueing_delay(offered_load, replicas) - queueing_delay(offered_load, replicas + 1)
 }
 
 /// Returns the delay caused by removing one replica so that `others` remain.
-pub(crate) fn replica_loss(business: f64, others: usize) -> f64 {
-    replica_gain(DEMAND_HEADROOM * business, others)
+pub(crate) fn replica_loss(offered_load: f64, others: usize) -> f64 {
+    replica_gain(DEMAND_HEADROOM * offered_load, others)
 }
 
 /// Returns the delay of requests queued at the replicas of a model, including requests beyond their
 /// capacity.
-fn queueing_delay(business: f64, replicas: usize) -> f64 {
+fn queueing_delay(offered_load: f64, replicas: usize) -> f64 {
     let replicas = replicas.max(1) as f64;
-    let queued = replicas * mean_queue((business / replicas).min(MAX_UTILIZATION));
-    let beyond = (business - MAX_UTILIZATION * replicas).max(0.0);
-    let overload = beyond * OVERLOAD_WEIGHT * mean_queue(MAX_UTILIZATION) / MAX_UTILIZATION;
+    let queued = replicas * mean_queue((offered_load / replicas).min(MAX_UTILIZATION));
+    let excess = (offered_load - MAX_UTILIZATION * replicas).max(0.0);
+    let overload = excess * OVERLOAD_WEIGHT * mean_queue(MAX_UTILIZATION) / MAX_UTILIZATION;
     (queued + overload) * HORIZON_SECONDS * 1_000.0
 }
 
 /// Returns the mean queue length of an engine with deterministic service times (M/D/1).
-fn mean_queue(share: f64) -> f64 {
-    share * share / (1.0 - share) / 2.0
+fn mean_queue(utilization: f64) -> f64 {
+    utilization * utilization / (1.0 - utilization) / 2.0
 }
 
 /// Returns the number of requests within the horizon at `rate` requests a second.
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -35,10 +35,13 @@
     }
 
     fn update(&self, now: Timestamp, term: u64) -> CrashUpdate {
-        let held = self.requests.held().filter(|(_, held)| !held.lapsed);
-        let held = held.map(|(request, held)| QuarantinedRequest {
+        let quarantined = self
+            .requests
+            .held()
+            .filter(|(_, quarantined)| !quarantined.lapsed);
+        let quarantined = quarantined.map(|(request, quarantined)| QuarantinedRequest {
             request: request.clone(),
-            remaining_millis: held.until.since(now).as_millis().max(1) as u64,
+            remaining_millis: quarantined.until.since(now).as_millis().max(1) as u64,
         });
         let suspects = self.requests.suspects().map(|request| QuarantinedRequest {
             request: request.clone(),
@@ -46,7 +49,7 @@
         });
         CrashUpdate {
             term,
-            requests: held.chain(suspects).collect(),
+            requests: quarantined.chain(suspects).collect(),
         }
     }
 }
@@ -56,11 +59,11 @@
     pub(crate) fn restore_quarantined(
         &mut self,
         now: Timestamp,
-        held: impl Iterator<Item = QuarantineRecord>,
+        records: impl Iterator<Item = QuarantineRecord>,
     ) {
-        for note in held {
+        for record in records {
             let requests = &mut self.crashes.requests;
-            requests.restore(now, note.request, note.crashes, note.expired);
+            requests.restore(now, record.request, record.crashes, record.expired);
         }
     }
 
@@ -73,22 +76,22 @@
                 self.out.push(FleetOutput::LiftQuarantine(request.clone()));
             }
         }
-        for ended in &report.crashes {
-            let leaves = self.registry.get(&ended.instance);
-            if leaves.is_some_and(|record| record.draining) {
+        for crash in &report.crashes {
+            let record = self.registry.get(&crash.instance);
+            if record.is_some_and(|record| record.draining) {
                 continue;
             }
-            if self.crashes.requests.ended_at(&ended.instance).is_none() {
+            if self.crashes.requests.ended_at(&crash.instance).is_none() {
                 let pairs = vec![
-                    ("instance", ended.instance.0.clone()),
-                    ("requests", ended.requests.len().to_string()),
+                    ("instance", crash.instance.0.clone()),
+                    ("requests", crash.requests.len().to_string()),
                 ];
                 self.event("instance-ended", pairs);
-                self.attribute_crash_to_load(now, &ended.instance);
+                self.attribute_crash_to_load(now, &crash.instance);
             }
             let requests = &mut self.crashes.requests;
-            requests.ended(now, &ended.instance, &ended.requests);
-            self.log_quarantined(now, &ended.requests);
+            requests.ended(now, &crash.instance, &crash.requests);
+            self.log_quarantined(now, &crash.requests);
         }
     }
 
@@ -124,10 +127,10 @@
             model: pending.model.clone(),
             adapter: pending.adapter.clone(),
         };
-        let held = self.crashes.is_load_quarantined(now, &key);
+        let was_quarantined = self.crashes.is_load_quarantined(now, &key);
         let loads = &mut self.crashes.loads;
         loads.ended(now, instance, std::slice::from_ref(&key));
-        if !held && self.crashes.is_load_quarantined(now, &key) {
+        if !was_quarantined && self.crashes.is_load_quarantined(now, &key) {
             let adapter = key.adapter.as_ref().map_or("none", |name| name.as_str());
             let pairs = vec![
                 ("service", key.service.0.clone()),
@@ -143,10 +146,13 @@
         if self.crashes.loads.is_empty() {
             return;
         }
-        for held in models {
-            let adapters = held.adapters.iter().map(|adapter| Some(adapter.clone()));
+        for held_model in models {
+            let adapters = held_model
+                .adapters
+                .iter()
+                .map(|adapter| Some(adapter.clone()));
             for adapter in std::iter::once(None).chain(adapters) {
-                let model = held.model.clone();
+                let model = held_model.model.clone();
                 let service = service.clone();
                 self.crashes.loads.release(&ModelKey {
                     service,
@@ -159,40 +165,40 @@
 
     /// Releases a request on an operator's behalf. Returns false if no crash is attributed to it.
     pub fn lift_quarantine(&mut self, request: &RequestFingerprint) -> bool {
-        let known = self.crashes.requests.release(request);
-        if known {
+        let was_quarantined = self.crashes.requests.release(request);
+        if was_quarantined {
             self.log_released(request, "operator");
         }
-        known
+        was_quarantined
     }
 
     /// Returns the quarantined requests with the number of attributed crashes and the remaining
     /// time.
     pub fn quarantined_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
-        let held = self.crashes.requests.held();
-        held.map(|(request, held)| (request.clone(), held.ends, held.until.since(now)))
+        let item = self.crashes.requests.held();
+        item.map(|(request, item)| (request.clone(), item.ends, item.until.since(now)))
             .collect()
     }
 
     /// Records confirmed requests in the log and releases those whose quarantine has expired.
     pub(crate) fn expire_quarantine(&mut self, now: Timestamp) {
-        let certain = self.settings.announce_interval * 3 / 2;
-        for (request, held) in self.crashes.requests.settle(now, certain) {
-            self.output_quarantined(request, &held);
+        let confirmed_after = self.settings.announce_interval * 3 / 2;
+        for (request, item) in self.crashes.requests.settle(now, confirmed_after) {
+            self.output_quarantined(request, &item);
         }
-        for (request, held) in self.crashes.requests.lapse(now) {
+        for (request, item) in self.crashes.requests.lapse(now) {
             self.log_released(&request, "time");
-            self.output_quarantined(request, &held);
+            self.output_quarantined(request, &item);
         }
         self.crashes.loads.lapse(now);
     }
 
-    fn output_quarantined(&mut self, request: RequestFingerprint, held: &HeldItem) {
+    fn output_quarantined(&mut self, request: RequestFingerprint, item: &HeldItem) {
         self.out
             .push(FleetOutput::QuarantineRequest(QuarantineRecord {
                 request,
-                crashes: held.ends,
-                expired: held.lapsed,
+                crashes: item.ends,
+                expired: item.lapsed,
             }));
     }
 
@@ -206,12 +212,12 @@
 
     fn log_quarantined(&mut self, now: Timestamp, requests: &[RequestFingerprint]) {
         for request in requests {
-            let Some(left) = self.crashes.requests.held_for(now, request) else {
+            let Some(remaining) = self.crashes.requests.held_for(now, request) else {
                 continue;
             };
             let pairs = vec![
                 ("fingerprint", request.to_string()),
-                ("held_ms", left.as_millis().to_string()),
+                ("held_ms", remaining.as_millis().to_string()),
             ];
             self.event("request-held-back", pairs);
         }
@@ -223,8 +229,8 @@
         let interval = self.gateways.update_interval(self.slowdown);
         let mut update = None;
         for (connection, session) in &mut self.gateways.sessions {
-            let behind = session.backlogged_since.is_some();
-            if behind || !session.crashes.mark_sent_if_due(now, interval, revision) {
+            let is_backlogged = session.backlogged_since.is_some();
+            if is_backlogged || !session.crashes.mark_sent_if_due(now, interval, revision) {
                 continue;
             }
             let update = update.get_or_insert_with(|| self.crashes.update(now, self.term));
--- a/crates/millpass-fleet/src/demand.rs
+++ b/crates/millpass-fleet/src/demand.rs
@@ -95,41 +95,42 @@
         &mut self,
         now: Timestamp,
         gateway: &str,
-        needs: &[GatewayModelDemand],
+        reported: &[GatewayModelDemand],
     ) {
         self.remove_gateway(gateway);
         let mut in_flight = Vec::new();
-        for need in needs {
+        for model_demand in reported {
             let key = ModelKey {
-                service: need.service.clone(),
-                model: need.model.clone(),
-                adapter: need.adapter.clone(),
+                service: model_demand.service.clone(),
+                model: model_demand.model.clone(),
+                adapter: model_demand.adapter.clone(),
             };
             let entry = self.entries.entry(key.clone()).or_default();
-            entry.token_rate =
-                entry.token_rate_at(now) + need.unread_tokens as f64 / TOKEN_RATE_WINDOW_SECONDS;
-            entry.slow_rate =
-                entry.slow_rate_at(now) + f64::from(need.arrivals) / SLOW_RATE_WINDOW_SECONDS;
-            entry.rate = entry.rate_at(now) + f64::from(need.arrivals) / RATE_WINDOW_SECONDS;
+            entry.token_rate = entry.token_rate_at(now)
+                + model_demand.unread_tokens as f64 / TOKEN_RATE_WINDOW_SECONDS;
+            entry.slow_rate = entry.slow_rate_at(now)
+                + f64::from(model_demand.arrivals) / SLOW_RATE_WINDOW_SECONDS;
+            entry.rate =
+                entry.rate_at(now) + f64::from(model_demand.arrivals) / RATE_WINDOW_SECONDS;
             entry.updated_at = now;
-            entry.in_flight = entry.in_flight.saturating_add(need.in_flight);
-            if need.in_flight > 0 {
-                in_flight.push((key, need.in_flight));
+            entry.in_flight = entry.in_flight.saturating_add(model_demand.in_flight);
+            if model_demand.in_flight > 0 {
+                in_flight.push((key, model_demand.in_flight));
             }
-            if need.unserved > 0 {
-                let waited = entry
+            if model_demand.unserved > 0 {
+                let is_recent = entry
                     .unserved_at
                     .is_some_and(|at| now.since(at) < UNMET_LIFETIME);
-                let before = if waited { entry.unserved } else { 0.0 };
-                entry.priority = if waited {
-                    entry.priority.min(need.priority)
+                let previous = if is_recent { entry.unserved } else { 0.0 };
+                entry.priority = if is_recent {
+                    entry.priority.min(model_demand.priority)
                 } else {
-                    need.priority
+                    model_demand.priority
                 };
-                if !waited {
+                if !is_recent {
                     entry.unserved_since = now;
                 }
-                entry.unserved = before + f64::from(need.unserved);
+                entry.unserved = previous + f64::from(model_demand.unserved);
                 entry.unserved_at = Some(now);
             }
         }
@@ -180,8 +181,8 @@
             .entries
             .iter()
             .filter(|(key, entry)| {
-                let lately = |at| now.since(at) < UNMET_LIFETIME;
-                key.service == *service && entry.unserved_at.is_some_and(lately)
+                let is_recent = |at| now.since(at) < UNMET_LIFETIME;
+                key.service == *service && entry.unserved_at.is_some_and(is_recent)
             })
             .map(|(key, entry)| UnmetDemand {
                 key: key.clone(),
--- a/crates/millpass-fleet/src/documents.rs
+++ b/crates/millpass-fleet/src/documents.rs
@@ -83,10 +83,10 @@
             self.by_base.clear();
         }
         let base = documents.document(base)?;
-        let known = self.by_base.entry(base.version).or_insert_with(|| {
+        let change = self.by_base.entry(base.version).or_insert_with(|| {
             let change = DocumentChange::between(base, document)?;
             (codec::encoded_bytes(&change) < self.document_bytes).then_some(change)
         });
-        known.clone()
+        change.clone()
     }
 }
--- a/crates/millpass-fleet/src/engine_responses.rs
+++ b/crates/millpass-fleet/src/engine_responses.rs
@@ -15,45 +15,43 @@
     }
 
     /// Applies the response to a call to an engine.
-    pub fn handle_call_result(&mut self, now: Timestamp, answered: &CallResult) {
+    pub fn handle_call_result(&mut self, now: Timestamp, call_result: &CallResult) {
         let CallResult {
-            instance,
-            result: answer,
-            ..
-        } = answered;
-        let word = Evidence::Response(answered.call);
+            instance, result, ..
+        } = call_result;
+        let evidence = Evidence::Response(call_result.call);
         let Some(engine) = self.engines.engines.get_mut(instance) else {
             return;
         };
-        let before = observed_state::held_items(engine);
-        let under_way = engine.pending.as_ref().map(|pending| pending.call.0);
-        if *answer == InstructionResult::OtherRun && engine.awaits_response(answered.call) {
+        let held_before = observed_state::held_items(engine);
+        let pending_call = engine.pending.as_ref().map(|pending| pending.call.0);
+        if *result == InstructionResult::OtherRun && engine.awaits_response(call_result.call) {
             self.attribute_crash_to_load(now, instance);
             self.remove_instance(instance, "replaced");
             return;
         }
-        let heard = engine.handle_response(now, answered.call, answer);
-        if matches!(answer, InstructionResult::State(_)) {
-            engine.set_evidence(now, word);
+        let matched = engine.handle_response(now, call_result.call, result);
+        if matches!(result, InstructionResult::State(_)) {
+            engine.set_evidence(now, evidence);
         }
         self.registry
             .set_served_models(instance, engine.served_models());
         self.dirty = true;
-        let outcome = match answer {
+        let outcome = match result {
             InstructionResult::State(state) => format!("state:{}", state.revision),
             other => format!("{other:?}"),
         };
         let pairs = vec![
             ("instance", instance.0.clone()),
-            ("call", answered.call.0.to_string()),
+            ("call", call_result.call.0.to_string()),
             ("answer", outcome),
-            ("under_way", observed_state::format_or_none(under_way)),
-            ("awaited", (heard == ResponseMatch::Pending).to_string()),
-            ("waited_ms", answered.queue_time.as_millis().to_string()),
-            ("took_ms", answered.response_time.as_millis().to_string()),
+            ("under_way", observed_state::format_or_none(pending_call)),
+            ("awaited", (matched == ResponseMatch::Pending).to_string()),
+            ("waited_ms", call_result.queue_time.as_millis().to_string()),
+            ("took_ms", call_result.response_time.as_millis().to_string()),
         ];
         self.event("engine-answered", pairs);
-        self.log_removed_items(instance, word, &before);
+        self.log_removed_items(instance, evidence, &held_before);
     }
 
     /// Logs what a response removed from the recorded state of an engine. Announcements are not
@@ -61,24 +59,24 @@
     fn log_removed_items(
         &mut self,
         instance: &InstanceId,
-        word: Evidence,
-        before: &BTreeSet<observed_state::Item>,
+        evidence: Evidence,
+        held_before: &BTreeSet<observed_state::Item>,
     ) {
         let Some(engine) = self.engines.engines.get(instance) else {
             return;
         };
         let revision = engine.revision;
-        let lost: BTreeSet<_> = before
+        let removed: BTreeSet<_> = held_before
             .difference(&observed_state::held_items(engine))
             .cloned()
             .collect();
-        if lost.is_empty() {
+        if removed.is_empty() {
             return;
         }
         let pairs = vec![
             ("instance", instance.0.clone()),
-            ("lost", observed_state::format_items(&lost)),
-            ("by", word.to_string()),
+            ("lost", observed_state::format_items(&removed)),
+            ("by", evidence.to_string()),
             ("revision", observed_state::format_or_none(revision)),
         ];
         self.event("engine-lost", pairs);
--- a/crates/millpass-fleet/src/engines/announcements.rs
+++ b/crates/millpass-fleet/src/engines/announcements.rs
@@ -60,11 +60,11 @@
 
     /// Moves announced adapters from loading to held.
     fn apply_loaded_adapters(&mut self, announced: &[HeldModel]) {
-        let (come, coming): (Vec<_>, Vec<_>) = std::mem::take(&mut self.loading_adapters)
+        let (loaded, loading): (Vec<_>, Vec<_>) = std::mem::take(&mut self.loading_adapters)
             .into_iter()
             .partition(|(model, adapter)| lists_adapter(announced, model, adapter));
-        self.loading_adapters = coming;
-        for (model, adapter) in come {
+        self.loading_adapters = loading;
+        for (model, adapter) in loaded {
             self.add_adapter(&model, adapter);
         }
     }
@@ -94,14 +94,14 @@
     }
 
     fn check_adapters(&mut self, now: Timestamp, announced: &[HeldModel]) {
-        let known = |model: &ModelName, adapter: &AdapterName| {
+        let is_known = |model: &ModelName, adapter: &AdapterName| {
             lists_adapter(&self.held, model, adapter) || self.is_loading_adapter(model, adapter)
         };
         let missing = adapters(&self.held).any(|(model, adapter)| {
             !lists_adapter(announced, model, adapter) && !self.is_unloading_adapter(model, adapter)
         });
-        let surplus = adapters(announced).any(|(model, adapter)| !known(model, adapter));
-        if !missing && !surplus {
+        let unexpected = adapters(announced).any(|(model, adapter)| !is_known(model, adapter));
+        if !missing && !unexpected {
             self.adapters_differ_since = None;
             return;
         }
--- a/crates/millpass-fleet/src/engines/calls.rs
+++ b/crates/millpass-fleet/src/engines/calls.rs
@@ -36,21 +36,25 @@
         &mut self,
         now: Timestamp,
         call: CallId,
-        answer: &InstructionResult,
+        result: &InstructionResult,
     ) -> ResponseMatch {
-        if let Some(reading) = self.pending_read.take_if(|reading| reading.call == call) {
-            self.handle_read_response(now, reading.sent_at, answer);
+        if let Some(read) = self.pending_read.take_if(|read| read.call == call) {
+            self.handle_read_response(now, read.sent_at, result);
             return ResponseMatch::Pending;
         }
-        if self.confirmation.take_if(|asked| *asked == call).is_some() {
-            self.handle_confirmation(now, answer);
+        if self
+            .confirmation
+            .take_if(|expected| *expected == call)
+            .is_some()
+        {
+            self.handle_confirmation(now, result);
             return ResponseMatch::Pending;
         }
         if self.awaits_order_response(call) {
-            self.handle_order_response(now, answer);
+            self.handle_order_response(now, result);
             return ResponseMatch::Pending;
         }
-        if *answer != InstructionResult::NotSent {
+        if *result != InstructionResult::NotSent {
             self.invalidate_state(now);
         }
         ResponseMatch::NotPending
@@ -69,10 +73,10 @@
         let pending = self.pending.as_ref()?;
         let is_unload =
             pending.operation == InstructionOperation::Unload && pending.adapter.is_none();
-        let asks =
+        let is_unconfirmed =
             self.unload_announced && self.confirmation.is_none() && self.pending_read.is_none();
-        let due = is_unload && asks && pending.accepted && !pending.confirmation_sent;
-        (due && self.revision.is_some()).then_some(&pending.model)
+        let is_due = is_unload && is_unconfirmed && pending.accepted && !pending.confirmation_sent;
+        (is_due && self.revision.is_some()).then_some(&pending.model)
     }
 
     /// Records that the pending unload is being repeated.
@@ -85,8 +89,8 @@
     }
 
     /// Applies the response to a repeated unload.
-    fn handle_confirmation(&mut self, now: Timestamp, answer: &InstructionResult) {
-        match answer {
+    fn handle_confirmation(&mut self, now: Timestamp, result: &InstructionResult) {
+        match result {
             InstructionResult::AlreadySo => {
                 // The repeated order does not count as accepted. If the engine counts it, it
                 // refuses the next order.
@@ -114,20 +118,20 @@
 
     /// Returns whether this call is pending.
     pub(crate) fn awaits_response(&self, call: CallId) -> bool {
-        let reading = self
+        let is_read = self
             .pending_read
-            .is_some_and(|reading| reading.call == call);
-        reading || self.awaits_order_response(call)
+            .is_some_and(|is_read| is_read.call == call);
+        is_read || self.awaits_order_response(call)
     }
 
     fn handle_read_response(
         &mut self,
         now: Timestamp,
-        asked_at: Timestamp,
-        answer: &InstructionResult,
+        requested_at: Timestamp,
+        result: &InstructionResult,
     ) {
-        match answer {
-            InstructionResult::State(state) => self.apply_report(now, asked_at, state),
+        match result {
+            InstructionResult::State(state) => self.apply_report(now, requested_at, state),
             InstructionResult::NotSent => self.next_read_at = now + READ_RETRY_DELAY,
             _ => {
                 self.unreachable = true;
@@ -143,8 +147,8 @@
         (READ_RETRY_DELAY * 2_u32.pow(doublings)).min(MAX_READ_RETRY_DELAY)
     }
 
-    fn handle_order_response(&mut self, now: Timestamp, answer: &InstructionResult) {
-        match answer {
+    fn handle_order_response(&mut self, now: Timestamp, result: &InstructionResult) {
+        match result {
             InstructionResult::Accepted => self.record_accepted(now),
             InstructionResult::AlreadySo => self.handle_already_done(now),
             InstructionResult::NotSent => {
@@ -178,11 +182,11 @@
 
     /// Applies a state read from the engine. Reports lag behind: one with a lower revision than
     /// already confirmed is read again.
-    fn apply_report(&mut self, now: Timestamp, asked_at: Timestamp, state: &EngineState) {
+    fn apply_report(&mut self, now: Timestamp, requested_at: Timestamp, state: &EngineState) {
         self.unreachable = false;
         self.unanswered_reads = 0;
-        let may_be_older = asked_at.since(self.accepted_at) < MAX_REPORT_LAG;
-        if state.revision < self.min_revision && may_be_older {
+        let may_be_stale = requested_at.since(self.accepted_at) < MAX_REPORT_LAG;
+        if state.revision < self.min_revision && may_be_stale {
             self.next_read_at = now + COMPLETION_POLL_INTERVAL;
             return;
         }
@@ -194,10 +198,10 @@
             self.pending = None;
             return;
         }
-        let own = self.pending.as_mut().filter(|pending| {
+        let expected = self.pending.as_mut().filter(|pending| {
             pending.adapter.is_none() && pending.expected_revision + 1 == state.revision
         });
-        if let Some(pending) = own {
+        if let Some(pending) = expected {
             pending.expected_end = pending.expected_end.max(now);
             self.next_read_at = now
                 + if self.unload_announced {
@@ -218,9 +222,9 @@
         self.held.clone_from(&state.models);
         self.in_memory.clone_from(&state.in_memory);
         self.on_disk.clone_from(&state.on_disk);
-        let coming = adapters(&state.loading_adapters)
+        let loading = adapters(&state.loading_adapters)
             .filter(|(model, name)| !lists_adapter(&state.models, model, name));
-        self.loading_adapters = coming
+        self.loading_adapters = loading
             .map(|(model, name)| (model.clone(), name.clone()))
             .collect();
         self.unloading_adapters
@@ -248,11 +252,11 @@
         };
         pending.accepted = true;
         let revision = pending.expected_revision + 1;
-        let taken = now.since(pending.sent_at);
+        let acceptance_time = now.since(pending.sent_at);
         pending.expected_end = if pending.adapter.is_some() {
             now + ADAPTER_COMPLETION_TIME
         } else {
-            pending.expected_end + taken
+            pending.expected_end + acceptance_time
         };
         self.record_revision(now, revision);
     }
@@ -261,7 +265,7 @@
     /// served; an unloaded one keeps its slot until a report shows it gone. Returns whether
     /// anything changed.
     pub(crate) fn complete_adapter_instruction(&mut self, now: Timestamp) -> bool {
-        let settled = self.pending.take_if(|pending| {
+        let completed = self.pending.take_if(|pending| {
             pending.accepted && pending.adapter.is_some() && now >= pending.expected_end
         });
         let Some(PendingInstruction {
@@ -269,7 +273,7 @@
             model,
             adapter: Some(adapter),
             ..
-        }) = settled
+        }) = completed
         else {
             return false;
         };
@@ -284,14 +288,14 @@
     /// Handles an order that was already fulfilled. Whether the engine counted it must be read: a
     /// recorded revision that is too high would let a late order pass at an unknown state.
     fn handle_already_done(&mut self, now: Timestamp) {
-        let done = self.pending.take();
+        let completed = self.pending.take();
         self.invalidate_state(now);
         let Some(PendingInstruction {
             operation,
             model,
             adapter: Some(adapter),
             ..
-        }) = done
+        }) = completed
         else {
             return;
         };
@@ -322,10 +326,10 @@
 
     /// Returns whether the engine's state should be read now.
     pub(crate) fn is_read_due(&self, now: Timestamp) -> bool {
-        let lost = |at: Timestamp| now.since(at) > CALL_TIMEOUT;
+        let is_timed_out = |at: Timestamp| now.since(at) > CALL_TIMEOUT;
         if self
             .pending_read
-            .is_some_and(|reading| !lost(reading.sent_at))
+            .is_some_and(|read| !is_timed_out(read.sent_at))
             || now < self.next_read_at
         {
             return false;
@@ -334,7 +338,7 @@
             return self.revision.is_none() || !self.unloading_adapters.is_empty();
         };
         if !pending.accepted {
-            return lost(pending.sent_at);
+            return is_timed_out(pending.sent_at);
         }
         let overdue = now > pending.expected_end + OVERDUE_MARGIN;
         overdue || self.unload_announced || self.revision.is_none()
--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -140,17 +140,17 @@
     /// Returns whether it may be loading from the weight store: by a sent instruction, a
     /// reservation or an order of an earlier leader.
     pub(crate) fn may_load_from_store(&self, now: Timestamp) -> bool {
-        let sent = self.pending.as_ref().is_some_and(|it| it.from_store);
-        let follows = self.reserved_model.as_ref();
-        let follows =
-            follows.is_some_and(|model| self.weights_source(model) == WeightsSource::Store);
-        sent || follows || self.has_unknown_order(now)
+        let is_sent = self.pending.as_ref().is_some_and(|it| it.from_store);
+        let reservation = self.reserved_model.as_ref();
+        let reservation =
+            reservation.is_some_and(|model| self.weights_source(model) == WeightsSource::Store);
+        is_sent || reservation || self.has_unknown_order(now)
     }
 
     /// Returns whether it is carrying out an unknown order.
     pub(crate) fn has_unknown_order(&self, now: Timestamp) -> bool {
         self.unknown_order_seen_at
-            .is_some_and(|at| now.since(at) < CALL_TIMEOUT)
+            .is_some_and(|seen_at| now.since(seen_at) < CALL_TIMEOUT)
     }
 
     pub(crate) fn holds(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
@@ -161,12 +161,12 @@
 
     /// Returns what it serves to new requests: everything held that is not being unloaded.
     pub(crate) fn served_models(&self) -> Vec<HeldModel> {
-        let mut serving = self.held.clone();
-        serving.retain(|held| !self.is_unloading(&held.model));
-        for HeldModel { model, adapters } in &mut serving {
+        let mut served = self.held.clone();
+        served.retain(|held| !self.is_unloading(&held.model));
+        for HeldModel { model, adapters } in &mut served {
             adapters.retain(|adapter| !self.is_unloading_adapter(model, adapter));
         }
-        serving
+        served
     }
 
     /// Returns where the model's weights would be loaded from.
@@ -184,11 +184,11 @@
     /// confirmed as unloaded, or may still be loaded by a late order.
     pub(crate) fn adapter_count(&self) -> usize {
         let held: usize = self.held.iter().map(|held| held.adapters.len()).sum();
-        let may_come = self
+        let inherited = self
             .inherited_loads
             .iter()
-            .filter(|lost| lost.adapter.is_some());
-        held + self.loading_adapters.len() + may_come.count()
+            .filter(|load| load.adapter.is_some());
+        held + self.loading_adapters.len() + inherited.count()
     }
 
     /// Returns unanswered loads of earlier incarnations that this one may carry out.
@@ -199,27 +199,28 @@
     /// Returns loads that a later incarnation may carry out: an engine checks the revision and its
     /// name, but not the incarnation an order was meant for.
     pub(crate) fn loads_to_inherit(&self, now: Timestamp) -> Vec<UnansweredLoad> {
-        let lately = |lost: &&UnansweredLoad| now.since(lost.recorded_at) < LATE_LOAD_WINDOW;
-        let lost = self
+        let is_recent = |loads: &&UnansweredLoad| now.since(loads.recorded_at) < LATE_LOAD_WINDOW;
+        let loads = self
             .unanswered_loads
             .iter()
             .chain(&self.inherited_loads)
-            .filter(lately)
+            .filter(is_recent)
             .cloned();
         let pending = self.pending.iter().filter(|pending| !pending.accepted);
-        lost.chain(pending.filter_map(|pending| pending.unanswered_load(now)))
+        loads
+            .chain(pending.filter_map(|pending| pending.unanswered_load(now)))
             .collect()
     }
 
     /// Adds unanswered loads of earlier incarnations.
-    pub(crate) fn inherit_loads(&mut self, left: Vec<UnansweredLoad>) {
-        self.inherited_loads.extend(left);
+    pub(crate) fn inherit_loads(&mut self, loads: Vec<UnansweredLoad>) {
+        self.inherited_loads.extend(loads);
     }
 
     fn expire_late_loads(&mut self, now: Timestamp) {
-        let lately = |lost: &UnansweredLoad| now.since(lost.recorded_at) < LATE_LOAD_WINDOW;
-        self.unanswered_loads.retain(lately);
-        self.inherited_loads.retain(lately);
+        let is_recent = |load: &UnansweredLoad| now.since(load.recorded_at) < LATE_LOAD_WINDOW;
+        self.unanswered_loads.retain(is_recent);
+        self.inherited_loads.retain(is_recent);
     }
 
     /// Returns whether the unload of the adapter has been accepted.
@@ -234,13 +235,14 @@
 
     /// Returns whether nothing is pending and nothing may be carried out late.
     fn is_quiescent(&self) -> bool {
-        let under_way = self.pending.is_some()
+        let is_call_pending = self.pending.is_some()
             || self.pending_read.is_some()
             || self.confirmation.is_some()
             || self.reserved_model.is_some();
-        let may_come = !self.unanswered_loads.is_empty() || !self.inherited_loads.is_empty();
-        let moves = !self.loading_adapters.is_empty() || !self.unloading_adapters.is_empty();
-        !(under_way || may_come || moves)
+        let has_late_loads = !self.unanswered_loads.is_empty() || !self.inherited_loads.is_empty();
+        let has_adapter_transitions =
+            !self.loading_adapters.is_empty() || !self.unloading_adapters.is_empty();
+        !(is_call_pending || has_late_loads || has_adapter_transitions)
     }
 
     /// Returns whether an instruction may be sent now.
@@ -268,15 +270,15 @@
         let Some(pending) = &self.pending else {
             return load;
         };
-        let left = if now < pending.expected_end {
+        let remaining = if now < pending.expected_end {
             pending.expected_end.since(now)
         } else {
             now.since(pending.expected_end)
         };
         if pending.operation == InstructionOperation::Load && pending.model == *model {
-            return left;
+            return remaining;
         }
-        left + load
+        remaining + load
     }
 
     pub(crate) fn is_unloading(&self, model: &ModelName) -> bool {
@@ -304,17 +306,17 @@
 /// Other copies may be stale, and their loads would be counted as loads from the weight store as
 /// well.
 fn update_weight_copies(
-    known: &mut Vec<ModelName>,
+    copies: &mut Vec<ModelName>,
     announced: &[ModelName],
     holds: impl Fn(&ModelName) -> bool,
 ) {
-    known.retain(|model| announced.contains(model));
-    let left = announced.iter().filter(|model| holds(model));
-    let new: Vec<ModelName> = left
-        .filter(|model| !known.contains(model))
+    copies.retain(|model| announced.contains(model));
+    let usable = announced.iter().filter(|model| holds(model));
+    let new: Vec<ModelName> = usable
+        .filter(|model| !copies.contains(model))
         .cloned()
         .collect();
-    known.extend(new);
+    copies.extend(new);
 }
 
 fn adapters(held: &[HeldModel]) -> impl Iterator<Item = (&ModelName, &AdapterName)> {
@@ -338,10 +340,14 @@
 }
 
 /// Returns whether all models of `held`, except one, are among `others`.
-fn is_subset_except(but: Option<&ModelName>, held: &[HeldModel], others: &[HeldModel]) -> bool {
+fn is_subset_except(
+    exception: Option<&ModelName>,
+    held: &[HeldModel],
+    others: &[HeldModel],
+) -> bool {
     held.iter()
         .map(|held| &held.model)
-        .filter(|model| Some(*model) != but)
+        .filter(|model| Some(*model) != exception)
         .all(|model| others.iter().any(|other| other.model == *model))
 }
 
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -142,11 +142,11 @@
     /// Drops all leader state, keeping the instances announced at this member. Call ids continue,
     /// so that a late response never matches a later call.
     pub fn reset(&mut self) {
-        let calls = self.call_count;
-        let share = std::mem::take(&mut self.local_share);
+        let call_count = self.call_count;
+        let local_share = std::mem::take(&mut self.local_share);
         *self = Fleet::new(self.settings.clone());
-        self.call_count = calls;
-        self.local_share = share;
+        self.call_count = call_count;
+        self.local_share = local_share;
     }
 
     fn next_call(&mut self) -> CallId {
@@ -166,7 +166,7 @@
         &mut self,
         now: Timestamp,
         records: impl Iterator<Item = InstanceRecord>,
-        held: impl Iterator<Item = QuarantineRecord>,
+        quarantined: impl Iterator<Item = QuarantineRecord>,
         history: &InstructionHistory,
     ) {
         if self.has_started_leading() {
@@ -175,7 +175,7 @@
         self.permits = StorePermits::from_history(history);
         self.store = StoreCapacity::from_history(history);
         self.history = history.clone();
-        self.restore_quarantined(now, held);
+        self.restore_quarantined(now, quarantined);
         for mut record in records {
             // Any announcement of the instance is newer.
             record.sequence = 0;
@@ -191,8 +191,8 @@
     /// Becomes leader with the instances announced at this member.
     fn become_leader(&mut self, now: Timestamp) {
         self.leading_since = Some(now);
-        let heard: Vec<InstanceRecord> = self.local_share.records().cloned().collect();
-        for record in heard {
+        let announced: Vec<InstanceRecord> = self.local_share.records().cloned().collect();
+        for record in announced {
             self.apply_announcement(now, Holder::Own, record, false);
         }
     }
@@ -208,13 +208,13 @@
         if revision == self.recorded_revision || now.since(self.recorded_at) < RECORD_INTERVAL {
             return;
         }
-        let note = InstanceChanges {
+        let changes = InstanceChanges {
             instances: self.registry.changed_since(self.recorded_revision),
             removed: self.registry.removed_since(self.recorded_revision),
         };
         self.recorded_revision = revision;
         self.recorded_at = now;
-        self.out.push(FleetOutput::RecordInstances(note));
+        self.out.push(FleetOutput::RecordInstances(changes));
     }
 
     /// Records the log index of a committed departure, to track its propagation to gateways.
@@ -231,11 +231,12 @@
             ];
             return self.event("report-late", pairs);
         }
-        let before = self.gateways.reported_version(connection, &report.gateway);
-        let before = before.or_else(|| self.rollout.last_reported_version(&report.gateway));
-        let told = self.gateways.as_of(connection);
-        let new = self.gateways.record_report(now, connection, report);
-        if new {
+        let previous_version = self.gateways.reported_version(connection, &report.gateway);
+        let previous_version =
+            previous_version.or_else(|| self.rollout.last_reported_version(&report.gateway));
+        let previous_as_of = self.gateways.as_of(connection);
+        let is_new = self.gateways.record_report(now, connection, report);
+        if is_new {
             self.rollout.record_connect(&report.gateway);
             self.event(
                 "gateway-connected",
@@ -246,13 +247,16 @@
                 ],
             );
         }
-        self.acknowledge_version(now, before, report.version);
-        self.acknowledge_departures(now, told, report.as_of);
+        self.acknowledge_version(now, previous_version, report.version);
+        self.acknowledge_departures(now, previous_as_of, report.as_of);
         self.demand
             .record_report(now, &report.gateway, &report.demand);
         self.traffic
             .record_report(&report.gateway, &report.in_flight);
-        self.dirty |= report.demand.iter().any(|need| need.unserved > 0);
+        self.dirty |= report
+            .demand
+            .iter()
+            .any(|model_demand| model_demand.unserved > 0);
         self.dirty |= !report.inconsistent.is_empty();
         for instance in &report.inconsistent {
             if let Some(engine) = self.engines.engines.get_mut(instance)
@@ -265,13 +269,15 @@
 
     /// Records whether updates are queued at a gateway's connection because its socket does not
     /// accept them. While they are, no further updates are sent.
-    pub fn set_backlogged(&mut self, now: Timestamp, connection: u64, waits: bool) {
-        let Some((gateway, behind)) = self.gateways.set_backlogged(now, connection, waits) else {
+    pub fn set_backlogged(&mut self, now: Timestamp, connection: u64, is_backlogged: bool) {
+        let Some((gateway, duration)) =
+            self.gateways.set_backlogged(now, connection, is_backlogged)
+        else {
             return;
         };
-        if behind >= LAG_THRESHOLD {
-            let behind = behind.as_millis().to_string();
-            let pairs = vec![("gateway", gateway), ("behind_ms", behind)];
+        if duration >= LAG_THRESHOLD {
+            let duration = duration.as_millis().to_string();
+            let pairs = vec![("gateway", gateway), ("behind_ms", duration)];
             self.event("gateway-caught-up", pairs);
         }
     }
@@ -295,8 +301,8 @@
     }
 
     /// Sets the factor by which planning and update intervals are extended; 1 for normal operation.
-    pub fn set_slowdown(&mut self, pace: u32) {
-        self.slowdown = pace.max(1);
+    pub fn set_slowdown(&mut self, slowdown: u32) {
+        self.slowdown = slowdown.max(1);
     }
 
     /// Performs all due work; called only while this member is leading. `context` is queried when a
@@ -333,8 +339,8 @@
         self.track_rollout(now, document, context);
         self.send_crash_updates(now);
         self.send_limit_updates(now);
-        let heard_for = self.contact_clock.now().since(Timestamp::ZERO);
-        self.complete = heard_for >= self.settings.announce_interval * 3;
+        let contact_time = self.contact_clock.now().since(Timestamp::ZERO);
+        self.complete = contact_time >= self.settings.announce_interval * 3;
         self.send_gateway_updates(now, document, context);
         std::mem::take(&mut self.out)
     }
@@ -350,16 +356,16 @@
                 nominal_time: pending.expected_time,
             })
         });
-        let busy = engines
+        let unknown_loads = engines
             .values()
             .filter(|engine| engine.has_unknown_order(now));
-        let ended = |instance: &InstanceId, model: &ModelName| {
+        let has_completed = |instance: &InstanceId, model: &ModelName| {
             let engine = engines.get(instance);
             engine.is_some_and(|engine| engine.holds(model, None))
         };
-        let changed = self
-            .store
-            .observe(now, loads.collect(), busy.count(), ended);
+        let changed =
+            self.store
+                .observe(now, loads.collect(), unknown_loads.count(), has_completed);
         if changed {
             let pairs = vec![("loads_at_once", self.store.limit().to_string())];
             self.event("store-limit", pairs);
@@ -382,17 +388,17 @@
                 self.registry
                     .set_served_models(instance, engine.served_models());
             }
-            let settles = engine
+            let is_pending = engine
                 .pending
                 .as_ref()
                 .is_some_and(|pending| pending.adapter.is_some());
-            self.dirty |= settles;
+            self.dirty |= is_pending;
         }
     }
 
     fn plan(&mut self, now: Timestamp, document: &DeploymentDocument) {
         let mut steps = Vec::new();
-        let mut awaited = Vec::new();
+        let mut waiting = Vec::new();
         for service in &document.services {
             let Some(specification) = &service.engine else {
                 continue;
@@ -408,7 +414,7 @@
                 store: &self.store,
                 crashes: &self.crashes,
                 limits: &self.limits,
-                waiting: &mut awaited,
+                waiting: &mut waiting,
                 history: &self.history,
                 handover: self.settings.order_handover + self.settings.order_lifetime,
             };
@@ -417,23 +423,23 @@
         for step in steps {
             self.execute_step(now, step);
         }
-        self.log_waiting(&awaited);
-        self.refresh_ready_estimates(now, document, awaited);
+        self.log_waiting(&waiting);
+        self.refresh_ready_estimates(now, document, waiting);
     }
 
     /// Logs models that have started to wait.
-    fn log_waiting(&mut self, awaited: &[ModelReadyEstimate]) {
-        let before = std::mem::take(&mut self.waiting_models);
-        for outlook in awaited {
-            let key = (outlook.service.clone(), outlook.model.clone());
-            let waited = before.contains(&key);
-            if !self.waiting_models.insert(key) || waited {
+    fn log_waiting(&mut self, waiting: &[ModelReadyEstimate]) {
+        let previous = std::mem::take(&mut self.waiting_models);
+        for estimate in waiting {
+            let key = (estimate.service.clone(), estimate.model.clone());
+            let was_waiting = previous.contains(&key);
+            if !self.waiting_models.insert(key) || was_waiting {
                 continue;
             }
             let pairs = vec![
-                ("service", outlook.service.0.clone()),
-                ("model", outlook.model.0.clone()),
-                ("ready_in_ms", outlook.ready_in_millis.to_string()),
+                ("service", estimate.service.0.clone()),
+                ("model", estimate.model.0.clone()),
+                ("ready_in_ms", estimate.ready_in_millis.to_string()),
                 ("loads_at_once", self.store.limit().to_string()),
             ];
             self.event("load-waits", pairs);
@@ -461,7 +467,7 @@
         let Some(expected_revision) = engine.revision else {
             return;
         };
-        let believed = observed_state::log_pairs(now, engine);
+        let state_pairs = observed_state::log_pairs(now, engine);
         if step.is_confirmation {
             engine.record_confirmation(now, call);
         } else {
@@ -480,8 +486,8 @@
             };
             engine.record_sent(now, pending);
         }
-        let unloads = operation == InstructionOperation::Unload;
-        if unloads {
+        let is_unload = operation == InstructionOperation::Unload;
+        if is_unload {
             // Gateways must stop sending requests to what is about to be unloaded.
             self.registry
                 .set_served_models(&step.instance, engine.served_models());
@@ -499,7 +505,7 @@
             ("takes_ms", step.expected_time.as_millis().to_string()),
             ("used_kb", step.used_kilobytes.to_string()),
         ];
-        pairs.extend(believed);
+        pairs.extend(state_pairs);
         self.event("instruction-sent", pairs);
         self.out.push(FleetOutput::Instruct(EngineInstruction {
             instance: step.instance,
--- a/crates/millpass-fleet/src/gateways.rs
+++ b/crates/millpass-fleet/src/gateways.rs
@@ -77,7 +77,11 @@
     fn record_report(&mut self, now: Timestamp, report: &GatewayReport) {
         self.last_report_at = now;
         self.response_pending = true;
-        if report.demand.iter().any(|need| need.unserved > 0) {
+        if report
+            .demand
+            .iter()
+            .any(|model_demand| model_demand.unserved > 0)
+        {
             self.urgent_until = now + URGENT_PERIOD;
         }
         self.last_report = report.sequence;
@@ -107,8 +111,8 @@
     }
 
     /// Records whether updates are queued, and returns the duration of a backlog that has ended.
-    fn set_backlogged(&mut self, now: Timestamp, waits: bool) -> Option<Duration> {
-        if waits {
+    fn set_backlogged(&mut self, now: Timestamp, is_backlogged: bool) -> Option<Duration> {
+        if is_backlogged {
             self.backlogged_since.get_or_insert(now);
             return None;
         }
@@ -221,11 +225,11 @@
         &mut self,
         now: Timestamp,
         connection: u64,
-        waits: bool,
+        is_backlogged: bool,
     ) -> Option<(String, Duration)> {
         let session = self.sessions.get_mut(&connection)?;
-        let behind = session.set_backlogged(now, waits)?;
-        Some((session.name.clone(), behind))
+        let duration = session.set_backlogged(now, is_backlogged)?;
+        Some((session.name.clone(), duration))
     }
 
     pub(crate) fn remove(&mut self, connection: u64) -> Option<GatewaySession> {
@@ -241,27 +245,27 @@
     }
 
     /// Returns the minimum interval between updates of one gateway under the given slowdown.
-    pub(crate) fn update_interval(&self, pace: u32) -> Duration {
+    pub(crate) fn update_interval(&self, slowdown: u32) -> Duration {
         if self.sessions.len() <= MAX_UNTHROTTLED_GATEWAYS {
             return Duration::ZERO;
         }
         let interval = Duration::from_secs(1) * self.count() / MAX_UPDATES_PER_SECOND;
-        interval.max(MAX_UPDATE_INTERVAL.min(interval * pace))
+        interval.max(MAX_UPDATE_INTERVAL.min(interval * slowdown))
     }
 
     /// Returns whether a pass over the sessions is due, and schedules the next one.
-    pub(crate) fn start_pass_if_due(&mut self, now: Timestamp, pace: u32) -> bool {
+    pub(crate) fn start_pass_if_due(&mut self, now: Timestamp, slowdown: u32) -> bool {
         if self.sessions.len() <= MAX_UNTHROTTLED_GATEWAYS {
             return true;
         }
         if now < self.next_pass {
             return false;
         }
-        let pause = match now < self.awaits_until {
+        let interval = match now < self.awaits_until {
             true => MIN_PASS_INTERVAL,
-            false => self.update_interval(pace) / PASSES_PER_INTERVAL,
+            false => self.update_interval(slowdown) / PASSES_PER_INTERVAL,
         };
-        self.next_pass = now + MIN_PASS_INTERVAL.max(pause);
+        self.next_pass = now + MIN_PASS_INTERVAL.max(interval);
         true
     }
 
--- a/crates/millpass-fleet/src/instances.rs
+++ b/crates/millpass-fleet/src/instances.rs
@@ -49,8 +49,8 @@
             // Another member has received a newer announcement.
             return;
         }
-        let moved = self.shares.record_holder(&instance, holder);
-        if moved && self.registry.get(&instance).is_some() {
+        let has_moved = self.shares.record_holder(&instance, holder);
+        if has_moved && self.registry.get(&instance).is_some() {
             self.active_revision += 1;
         }
     }
@@ -67,17 +67,17 @@
         mut record: InstanceRecord,
     ) -> AnnouncementOutcome {
         self.release_held_models(&record.service, &record.models);
-        let Some(known) = self.standby.get(&record.instance) else {
+        let Some(current) = self.standby.get(&record.instance) else {
             self.remove_earlier_incarnations(now, &record.instance);
             self.standby.insert(record);
             return AnnouncementOutcome::New;
         };
-        if record.sequence < known.sequence {
+        if record.sequence < current.sequence {
             self.log_stale(&record);
             return AnnouncementOutcome::Stale;
         }
-        record.draining |= known.draining;
-        if equal_except_sequence(known, &record) {
+        record.draining |= current.draining;
+        if equal_except_sequence(current, &record) {
             self.standby
                 .update_sequence(&record.instance, record.sequence);
             return AnnouncementOutcome::Unchanged;
@@ -140,36 +140,40 @@
         if self.standby.get(instance).is_some() {
             return false;
         }
-        let mut standing_by = self.standby.incarnations_of(instance);
+        let mut standby = self.standby.incarnations_of(instance);
         self.registry.has_later_incarnation(instance)
-            || standing_by.any(|run| instance.is_before(run))
+            || standby.any(|incarnation| instance.is_before(incarnation))
     }
 
     /// Removes earlier incarnations of an instance; the new one inherits their unanswered loads.
     fn remove_earlier_incarnations(&mut self, now: Timestamp, instance: &InstanceId) {
-        let mut left = Vec::new();
-        let standing_by = self.standby.incarnations_of(instance);
-        let standing_by = standing_by.filter(|run| run.is_before(instance)).cloned();
-        let mut earlier_runs: Vec<InstanceId> = standing_by.collect();
-        earlier_runs.extend(self.registry.earlier_incarnations(instance));
-        for earlier in earlier_runs {
+        let mut inherited = Vec::new();
+        let standby = self.standby.incarnations_of(instance);
+        let standby = standby
+            .filter(|incarnation| incarnation.is_before(instance))
+            .cloned();
+        let mut earlier_incarnations: Vec<InstanceId> = standby.collect();
+        earlier_incarnations.extend(self.registry.earlier_incarnations(instance));
+        for earlier in earlier_incarnations {
             if let Some(engine) = self.engines.engines.get(&earlier) {
-                left.extend(engine.loads_to_inherit(now));
+                inherited.extend(engine.loads_to_inherit(now));
             }
             self.attribute_crash_to_load(now, &earlier);
             self.remove_instance(&earlier, "reborn");
         }
-        if !left.is_empty() {
+        if !inherited.is_empty() {
             let engine = self.engines.engines.entry(instance.clone()).or_default();
-            engine.inherit_loads(left);
+            engine.inherit_loads(inherited);
         }
     }
 
     /// Returns the latest known incarnation of an instance.
     pub fn latest_incarnation(&self, instance: &InstanceId) -> Option<InstanceId> {
-        let standing_by = self.standby.incarnations_of(instance);
-        let known = self.registry.latest_incarnation(instance).into_iter();
-        let latest = known.chain(standing_by).max_by_key(|run| run.incarnation());
+        let standby = self.standby.incarnations_of(instance);
+        let active = self.registry.latest_incarnation(instance).into_iter();
+        let latest = active
+            .chain(standby)
+            .max_by_key(|incarnation| incarnation.incarnation());
         latest.cloned()
     }
 
@@ -210,10 +214,10 @@
         self.engines.engines.remove(instance);
         self.shares.remove(instance);
         self.idle_since.remove(instance);
-        let stood_by = self.standby.remove(instance).is_some();
+        let was_standby = self.standby.remove(instance).is_some();
         let was_active = self.registry.remove(instance);
         self.dirty |= was_active;
-        if was_active || stood_by {
+        if was_active || was_standby {
             let pairs = vec![
                 ("instance", instance.0.clone()),
                 ("reason", reason.to_owned()),
--- a/crates/millpass-fleet/src/instruction_history.rs
+++ b/crates/millpass-fleet/src/instruction_history.rs
@@ -24,26 +24,28 @@
 impl InstructionHistory {
     /// Creates an empty history; earlier records are unknown. Records are kept for at least
     /// `retention`.
-    pub fn new(now: Timestamp, keep: Duration) -> Self {
+    pub fn new(now: Timestamp, retention: Duration) -> Self {
         InstructionHistory {
             complete_since: now,
             last_instructions: BTreeMap::new(),
             store_loads: Vec::new(),
             store_capacity: None,
-            retention: keep,
+            retention: retention,
         }
     }
 
     /// Applies a committed instruction record.
-    pub fn record(&mut self, now: Timestamp, note: &InstructionIntent) {
-        let keep = self.retention;
-        self.last_instructions.retain(|_, at| now.since(*at) < keep);
-        self.store_loads.retain(|at| now.since(*at) < keep);
-        for instance in &note.instances {
+    pub fn record(&mut self, now: Timestamp, intent: &InstructionIntent) {
+        let retention = self.retention;
+        self.last_instructions
+            .retain(|_, at| now.since(*at) < retention);
+        self.store_loads.retain(|at| now.since(*at) < retention);
+        for instance in &intent.instances {
             self.last_instructions
                 .insert(instance.name().to_owned(), now);
         }
-        self.store_loads.extend((0..note.store_loads).map(|_| now));
+        self.store_loads
+            .extend((0..intent.store_loads).map(|_| now));
     }
 
     /// Applies a committed store capacity, in hundredths of a load.
@@ -60,8 +62,8 @@
     /// Returns when another leader may instruct the engine, if `pause` must pass after its last
     /// instruction.
     pub(crate) fn instructable_from(&self, instance: &InstanceId, pause: Duration) -> Timestamp {
-        let last = self.last_instructions.get(instance.name()).copied();
-        last.unwrap_or(self.complete_since) + pause
+        let last_instruction = self.last_instructions.get(instance.name()).copied();
+        last_instruction.unwrap_or(self.complete_since) + pause
     }
 
     /// Returns the time since which all records are known.
--- a/crates/millpass-fleet/src/limits.rs
+++ b/crates/millpass-fleet/src/limits.rs
@@ -16,11 +16,11 @@
         for change in self.limits.take_words(now, &request.observations) {
             self.log_limit(&request.gateway, &change);
         }
-        let (answer, exhausted) = self.limits.answer(now, term, request);
+        let (response, exhausted) = self.limits.answer(now, term, request);
         for event in exhausted {
             self.log_exhausted(&request.gateway, &event);
         }
-        answer
+        response
     }
 
     fn log_limit(&mut self, gateway: &str, change: &LimitChange) {
@@ -52,8 +52,8 @@
         let interval = self.gateways.update_interval(self.slowdown);
         let mut update = None;
         for (connection, session) in &mut self.gateways.sessions {
-            let behind = session.backlogged_since.is_some();
-            if behind || !session.limits.mark_sent_if_due(now, interval, revision) {
+            let is_backlogged = session.backlogged_since.is_some();
+            if is_backlogged || !session.limits.mark_sent_if_due(now, interval, revision) {
                 continue;
             }
             let update = update.get_or_insert_with(|| self.limits.update(now, self.term));
--- a/crates/millpass-fleet/src/local_share.rs
+++ b/crates/millpass-fleet/src/local_share.rs
@@ -83,11 +83,14 @@
     pub(crate) fn apply_announcement(&mut self, record: &InstanceRecord) -> AnnouncementOutcome {
         let instance = &record.instance;
         let Some(entry) = self.entries.get_mut(instance) else {
-            let known: Vec<InstanceId> = instance.runs_in(&self.entries).cloned().collect();
-            if known.iter().any(|run| instance.is_before(run)) {
+            let incarnations: Vec<InstanceId> = instance.runs_in(&self.entries).cloned().collect();
+            if incarnations
+                .iter()
+                .any(|incarnation| instance.is_before(incarnation))
+            {
                 return AnnouncementOutcome::Stale;
             }
-            for earlier in known {
+            for earlier in incarnations {
                 self.expire(&earlier);
             }
             self.record_change(record.clone());
@@ -126,8 +129,8 @@
     /// Removes an instance without reporting it to the leader.
     fn remove(&mut self, instance: &InstanceId) -> Option<InstanceRecord> {
         self.heartbeats.remove(instance);
-        if let Some(silent) = self.expired.remove(instance) {
-            self.changes.remove(&silent.revision);
+        if let Some(expired) = self.expired.remove(instance) {
+            self.changes.remove(&expired.revision);
         }
         let entry = self.entries.remove(instance)?;
         self.changes.remove(&entry.revision);
@@ -138,11 +141,11 @@
         let record = self.remove(instance)?;
         self.revision += 1;
         self.changes.insert(self.revision, instance.clone());
-        let silent = Expired {
+        let expired = Expired {
             sequence: record.sequence,
             revision: self.revision,
         };
-        self.expired.insert(instance.clone(), silent);
+        self.expired.insert(instance.clone(), expired);
         Some(InstanceHeartbeat {
             instance: record.instance,
             sequence: record.sequence,
@@ -153,30 +156,30 @@
     pub(crate) fn expire_unannounced(
         &mut self,
         now: Timestamp,
-        silence: Duration,
+        timeout: Duration,
     ) -> Vec<InstanceHeartbeat> {
         if now < self.next_sweep {
             return Vec::new();
         }
         self.next_sweep = now + SWEEP_INTERVAL;
-        let heard = self.contact_clock.now();
+        let contact_time = self.contact_clock.now();
         let entries = self.entries.iter();
-        let gone: Vec<InstanceId> = entries
-            .filter(|(_, entry)| heard.since(entry.announced_at) > silence)
+        let expired: Vec<InstanceId> = entries
+            .filter(|(_, entry)| contact_time.since(entry.announced_at) > timeout)
             .map(|(instance, _)| instance.clone())
             .collect();
-        let gone = gone.iter().filter_map(|instance| self.expire(instance));
-        let gone = gone.collect();
+        let expired = expired.iter().filter_map(|instance| self.expire(instance));
+        let expired = expired.collect();
         if self.expired.len() > MAX_EXPIRED {
             self.resend_all();
         }
-        gone
+        expired
     }
 
     /// Applies committed departures; `departed` returns whether a departing instance has ended.
     pub(crate) fn apply_departures(&mut self, departed: &dyn Fn(&InstanceId) -> Option<bool>) {
-        let known: Vec<InstanceId> = self.entries.keys().cloned().collect();
-        for instance in known {
+        let instances: Vec<InstanceId> = self.entries.keys().cloned().collect();
+        for instance in instances {
             match departed(&instance) {
                 Some(true) => self.remove_ended(&instance),
                 Some(false) => self.mark_draining(&instance),
@@ -204,8 +207,8 @@
         self.acknowledged_revision = 0;
         self.active.clear();
         self.active_revision = 0;
-        for silent in std::mem::take(&mut self.expired).into_values() {
-            self.changes.remove(&silent.revision);
+        for expired in std::mem::take(&mut self.expired).into_values() {
+            self.changes.remove(&expired.revision);
         }
     }
 
@@ -219,8 +222,8 @@
 
     /// Returns whether the last report timed out.
     pub(crate) fn is_report_timed_out(&self, now: Timestamp) -> bool {
-        let under_way = self.pending_report.as_ref();
-        under_way.is_some_and(|report| now.since(report.sent_at) >= RESPONSE_TIMEOUT)
+        let pending = self.pending_report.as_ref();
+        pending.is_some_and(|report| now.since(report.sent_at) >= RESPONSE_TIMEOUT)
     }
 
     /// Returns whether a report is due.
@@ -228,13 +231,13 @@
         if self.pending_report.is_some() && !self.is_report_timed_out(now) {
             return false;
         }
-        let tells = self.acknowledged_revision < self.revision && !self.has_no_leader;
-        let pause = if tells {
+        let has_changes = self.acknowledged_revision < self.revision && !self.has_no_leader;
+        let interval = if has_changes {
             MIN_REPORT_INTERVAL
         } else {
             KEEPALIVE_INTERVAL
         };
-        self.sent_at.is_none_or(|at| now.since(at) >= pause)
+        self.sent_at.is_none_or(|at| now.since(at) >= interval)
     }
 
     /// Returns the next report. `run` identifies this process run. A report that is not sent to a
@@ -272,54 +275,55 @@
     }
 
     fn take_heartbeats(&mut self) -> Vec<InstanceHeartbeat> {
-        let seen = std::mem::take(&mut self.heartbeats).into_iter();
-        let seen = seen.map(|(instance, sequence)| InstanceHeartbeat { instance, sequence });
-        seen.collect()
+        let heartbeats = std::mem::take(&mut self.heartbeats).into_iter();
+        let heartbeats =
+            heartbeats.map(|(instance, sequence)| InstanceHeartbeat { instance, sequence });
+        heartbeats.collect()
     }
 
     fn add_changes(&self, report: &mut ShareReport) {
-        let lacking = self.changes.range(self.acknowledged_revision + 1..);
-        for (revision, instance) in lacking.take(MAX_RECORDS) {
+        let unacknowledged = self.changes.range(self.acknowledged_revision + 1..);
+        for (revision, instance) in unacknowledged.take(MAX_RECORDS) {
             report.revision = *revision;
             if let Some(entry) = self.entries.get(instance) {
                 report.instances.push(entry.record.clone());
-            } else if let Some(silent) = self.expired.get(instance) {
+            } else if let Some(expired) = self.expired.get(instance) {
                 report.expired.push(InstanceHeartbeat {
                     instance: instance.clone(),
-                    sequence: silent.sequence,
+                    sequence: expired.sequence,
                 });
             }
         }
     }
 
     /// Applies the response to the pending report; ignores any other.
-    pub(crate) fn handle_response(&mut self, answer: &ShareResponse) {
-        let awaited = self
+    pub(crate) fn handle_response(&mut self, response: &ShareResponse) {
+        let pending = self
             .pending_report
-            .take_if(|report| report.number == answer.number);
-        if awaited.is_none() || answer.run != self.run {
+            .take_if(|report| report.number == response.number);
+        if pending.is_none() || response.run != self.run {
             return;
         }
-        self.has_no_leader = answer.acknowledged_revision.is_none();
-        match answer.acknowledged_revision {
+        self.has_no_leader = response.acknowledged_revision.is_none();
+        match response.acknowledged_revision {
             Some(0) if self.acknowledged_revision > 0 => self.resend_all(),
-            Some(known) => self.acknowledge(known.min(self.revision)),
+            Some(acknowledged) => self.acknowledge(acknowledged.min(self.revision)),
             None => {}
         }
-        if let Some(active) = &answer.active {
+        if let Some(active) = &response.active {
             self.active = active.iter().cloned().collect();
-            self.active_revision = answer.active_revision;
+            self.active_revision = response.active_revision;
         }
     }
 
-    fn acknowledge(&mut self, known: u64) {
-        self.acknowledged_revision = known;
-        let settled = self.changes.range(..=known);
-        let settled = settled.filter(|(_, instance)| self.expired.contains_key(*instance));
-        let settled: Vec<(u64, InstanceId)> = settled
+    fn acknowledge(&mut self, acknowledged: u64) {
+        self.acknowledged_revision = acknowledged;
+        let reported = self.changes.range(..=acknowledged);
+        let reported = reported.filter(|(_, instance)| self.expired.contains_key(*instance));
+        let reported: Vec<(u64, InstanceId)> = reported
             .map(|(revision, instance)| (*revision, instance.clone()))
             .collect();
-        for (revision, instance) in settled {
+        for (revision, instance) in reported {
             self.changes.remove(&revision);
             self.expired.remove(&instance);
         }
--- a/crates/millpass-fleet/src/observed_state.rs
+++ b/crates/millpass-fleet/src/observed_state.rs
@@ -56,10 +56,10 @@
 
 /// Returns the recorded engine state as key-value pairs of a log event.
 pub(crate) fn log_pairs(now: Timestamp, engine: &Engine) -> Vec<(&'static str, String)> {
-    let mut believed = held_items(engine);
-    let coming = engine.loading_adapters().iter().cloned();
-    believed.extend(coming.map(|(model, adapter)| (model, Some(adapter))));
-    let mut pairs = vec![("believed", format_items(&believed))];
+    let mut items = held_items(engine);
+    let loading = engine.loading_adapters().iter().cloned();
+    items.extend(loading.map(|(model, adapter)| (model, Some(adapter))));
+    let mut pairs = vec![("believed", format_items(&items))];
     if let Some((word, at)) = engine.evidence() {
         pairs.push(("from", word.to_string()));
         pairs.push(("age_ms", now.since(at).as_millis().to_string()));
--- a/crates/millpass-fleet/src/permits.rs
+++ b/crates/millpass-fleet/src/permits.rs
@@ -34,8 +34,8 @@
     /// Returns the fraction of the window's permits in use, from 0 to 1.
     pub fn used_fraction(&mut self, now: Timestamp, milliloads_per_second: u64) -> f64 {
         self.drop_expired(now);
-        let taken = self.acquired_at.len() as f64 / allowed(milliloads_per_second) as f64;
-        taken + self.unknown_fraction(now)
+        let used = self.acquired_at.len() as f64 / allowed(milliloads_per_second) as f64;
+        used + self.unknown_fraction(now)
     }
 
     /// Takes a permit and returns true if the rate, in thousandths of a load a second, allows one
@@ -55,8 +55,8 @@
         self.drop_expired(now);
         let allowed = usize::try_from(allowed(milliloads_per_second)).unwrap_or(usize::MAX);
         let blocking = self.acquired_at.len().checked_sub(allowed);
-        let frees = blocking.map_or(now, |first| self.acquired_at[first] + WINDOW);
-        frees.max(self.unknown_until).since(now)
+        let available_at = blocking.map_or(now, |first| self.acquired_at[first] + WINDOW);
+        available_at.max(self.unknown_until).since(now)
     }
 
     fn unknown_fraction(&self, now: Timestamp) -> f64 {
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -80,9 +80,9 @@
     let unmet = view.demand.unmet(view.now, view.service);
     let mut round = PlanningRound::gather(view, &unmet);
     view.continue_reservations(&mut round, steps);
-    for want in load_candidates(&unmet, &round) {
-        match want.purpose {
-            LoadPurpose::UnmetDemand(need) => view.serve_demand(need, &mut round, steps),
+    for candidate in load_candidates(&unmet, &round) {
+        match candidate.purpose {
+            LoadPurpose::UnmetDemand(demand) => view.serve_demand(demand, &mut round, steps),
             LoadPurpose::Replica(model) => view.add_replica(&model, &mut round, steps),
         }
     }
@@ -105,20 +105,22 @@
 /// Returns potential loads by descending benefit, because weight store capacity is scarce. Equal
 /// benefits keep the order of urgency and age.
 fn load_candidates<'a>(unmet: &'a [UnmetDemand], round: &PlanningRound) -> Vec<LoadCandidate<'a>> {
-    let needs = unmet.iter().map(|need| LoadCandidate {
-        benefit: cost::unserved_delay(need.requests + round.expected_requests(&need.key.model)),
-        purpose: LoadPurpose::UnmetDemand(need),
+    let demand = unmet.iter().map(|unmet_demand| LoadCandidate {
+        benefit: cost::unserved_delay(
+            unmet_demand.requests + round.expected_requests(&unmet_demand.key.model),
+        ),
+        purpose: LoadPurpose::UnmetDemand(unmet_demand),
     });
     let replicas = round
         .missing_replicas()
         .into_iter()
-        .map(|(worth, model)| LoadCandidate {
-            benefit: worth,
+        .map(|(benefit, model)| LoadCandidate {
+            benefit: benefit,
             purpose: LoadPurpose::Replica(model),
         });
-    let mut wants: Vec<LoadCandidate<'_>> = needs.chain(replicas).collect();
-    wants.sort_by(|left, right| right.benefit.total_cmp(&left.benefit));
-    wants
+    let mut candidates: Vec<LoadCandidate<'_>> = demand.chain(replicas).collect();
+    candidates.sort_by(|left, right| right.benefit.total_cmp(&left.benefit));
+    candidates
 }
 
 impl ServiceView<'_> {
@@ -135,8 +137,8 @@
 
     /// Returns whether the engine may be instructed now.
     pub(crate) fn can_be_instructed(&self, instance: &InstanceId) -> bool {
-        let open = self.now >= self.history.instructable_from(instance, self.handover);
-        open && self.engine(instance).is_some_and(Engine::can_be_instructed)
+        let is_open = self.now >= self.history.instructable_from(instance, self.handover);
+        is_open && self.engine(instance).is_some_and(Engine::can_be_instructed)
     }
 
     /// Returns whether loads of the model or adapter are quarantined because they crashed engines.
@@ -154,8 +156,8 @@
     }
 
     fn plan_reads(&mut self, steps: &mut Vec<Step>) {
-        let taking: Vec<InstanceId> = self.available().cloned().collect();
-        for instance in taking {
+        let available: Vec<InstanceId> = self.available().cloned().collect();
+        for instance in available {
             let now = self.now;
             let Some(engine) = self.engines.engines.get_mut(&instance) else {
                 continue;
@@ -201,13 +203,13 @@
             let Some(model) = engine.reserved_model.clone() else {
                 continue;
             };
-            let place = if engine.holds(&model, None) {
+            let placement = if engine.holds(&model, None) {
                 None
             } else {
                 round.placement_at(self, &instance, &model)
             };
-            match place {
-                Some(place) => self.start_load(&place, &model, "room-made", round, steps),
+            match placement {
+                Some(placement) => self.start_load(&placement, &model, "room-made", round, steps),
                 None => self.release_reservation(&instance),
             }
         }
@@ -221,21 +223,21 @@
 
     fn serve_demand(
         &mut self,
-        need: &UnmetDemand,
+        demand: &UnmetDemand,
         round: &mut PlanningRound,
         steps: &mut Vec<Step>,
     ) {
-        let model = &need.key.model;
+        let model = &demand.key.model;
         let Some(adapters) = round.model(self.specification, model).map(|it| it.adapters) else {
             return;
         };
         if round.holder_count(model) == 0 {
-            self.load_missing_model(need, round, steps);
+            self.load_missing_model(demand, round, steps);
             return;
         }
-        match &need.key.adapter {
-            Some(adapter) if adapters > 0 => self.load_adapter(&need.key, adapter, round, steps),
-            _ => self.demand.mark_met(&need.key),
+        match &demand.key.adapter {
+            Some(adapter) if adapters > 0 => self.load_adapter(&demand.key, adapter, round, steps),
+            _ => self.demand.mark_met(&demand.key),
         }
     }
 
@@ -243,33 +245,34 @@
     /// faster and worth its cost.
     fn load_missing_model(
         &mut self,
-        need: &UnmetDemand,
+        demand: &UnmetDemand,
         round: &mut PlanningRound,
         steps: &mut Vec<Step>,
     ) {
-        let model = &need.key.model;
-        let Some(place) = round.placement_for(self.specification, model, need.requests) else {
+        let model = &demand.key.model;
+        let Some(placement) = round.placement_for(self.specification, model, demand.requests)
+        else {
             return;
         };
-        if !place.available_in.is_zero() {
+        if !placement.available_in.is_zero() {
             // The cheapest engine becomes available soon: wait for it.
             if round.incoming_ready_in(model).is_none() {
-                self.record_waiting(model, place.ready_in());
+                self.record_waiting(model, placement.ready_in());
             }
             return;
         }
         let reason = match round.incoming_ready_in(model) {
             None => "unserved",
-            Some(coming) => {
-                let wait = round.waiting_delay(model, need.requests, coming);
-                let second = place.cost + SECOND_LOAD_COST;
-                if second >= wait || place.ready_in() * SECOND_LOAD_SPEEDUP > coming {
+            Some(incoming) => {
+                let wait = round.waiting_delay(model, demand.requests, incoming);
+                let second_cost = placement.cost + SECOND_LOAD_COST;
+                if second_cost >= wait || placement.ready_in() * SECOND_LOAD_SPEEDUP > incoming {
                     return;
                 }
                 "comes-too-late"
             }
         };
-        self.start_load(&place, model, reason, round, steps);
+        self.start_load(&placement, model, reason, round, steps);
     }
 
     /// Records a waiting model, to be published to gateways.
@@ -281,7 +284,7 @@
     /// Starts the load, or evicts a model and reserves the freed memory.
     fn start_load(
         &mut self,
-        place: &Placement,
+        placement: &Placement,
         model: &ModelName,
         reason: &'static str,
         round: &mut PlanningRound,
@@ -295,21 +298,21 @@
         let Some(specification) = round.model(self.specification, model) else {
             return;
         };
-        let Some(engine) = self.engines.engines.get_mut(&place.instance) else {
+        let Some(engine) = self.engines.engines.get_mut(&placement.instance) else {
             return;
         };
         let source = engine.weights_source(model);
-        let from_store = place.victim.is_none() && source == WeightsSource::Store;
+        let from_store = placement.victim.is_none() && source == WeightsSource::Store;
         if source == WeightsSource::Store && engine.reserved_model.as_ref() != Some(model) {
             if round.store_is_full() {
                 round.store_queue += 1;
-                self.record_waiting(model, place.load_time);
+                self.record_waiting(model, placement.load_time);
                 return;
             }
             round.store_loads += 1;
         }
         let used_kilobytes = round.used_kilobytes(self.specification, engine);
-        let (operation, subject, takes) = match &place.victim {
+        let (operation, subject, expected_time) = match &placement.victim {
             Some(victim) => {
                 engine.reserved_model = Some(model.clone());
                 engine.reserved_at = now;
@@ -318,20 +321,20 @@
             None => {
                 if from_store && !self.permits.try_acquire(now, milliloads) {
                     let wait = self.permits.time_until_available(now, milliloads);
-                    self.record_waiting(model, wait + place.load_time);
+                    self.record_waiting(model, wait + placement.load_time);
                     return;
                 }
-                let takes = specification.load_time(source);
+                let expected_time = specification.load_time(source);
                 engine.reserved_model = None;
-                (InstructionOperation::Load, model.clone(), takes)
+                (InstructionOperation::Load, model.clone(), expected_time)
             }
         };
-        round.add_incoming(model, place.load_time);
-        round.mark_instructed(&place.instance);
+        round.add_incoming(model, placement.load_time);
+        round.mark_instructed(&placement.instance);
         steps.push(Step {
-            instance: place.instance.clone(),
+            instance: placement.instance.clone(),
             instruction: Some((operation, subject, None)),
-            expected_time: takes,
+            expected_time: expected_time,
             from_store,
             is_confirmation: false,
             used_kilobytes,
@@ -343,10 +346,11 @@
     /// demand leaves enough permits.
     fn add_replica(&mut self, model: &ModelName, round: &mut PlanningRound, steps: &mut Vec<Step>) {
         let milliloads = self.specification.milliloads_per_second;
-        let spare = self.permits.used_fraction(self.now, milliloads) < MAX_REPLICA_PERMIT_FRACTION;
-        let place = round.replica_placement(self.specification, model, spare);
-        if let Some(place) = place.filter(|place| place.available_in.is_zero()) {
-            self.start_load(&place, model, "busy", round, steps);
+        let may_use_store =
+            self.permits.used_fraction(self.now, milliloads) < MAX_REPLICA_PERMIT_FRACTION;
+        let placement = round.replica_placement(self.specification, model, may_use_store);
+        if let Some(placement) = placement.filter(|placement| placement.available_in.is_zero()) {
+            self.start_load(&placement, model, "busy", round, steps);
         }
     }
 }
@@ -361,9 +365,9 @@
         from_store: bool,
     ) -> Option<Placement> {
         let gain = self.replica_gain(model);
-        let share = self.replica_utilization(model);
+        let utilization = self.replica_utilization(model);
         self.cheapest_placement(specification, model, 0.0, gain, |site, source| {
-            site.utilization < share / 2.0 && (from_store || source != WeightsSource::Store)
+            site.utilization < utilization / 2.0 && (from_store || source != WeightsSource::Store)
         })
     }
 
--- a/crates/millpass-fleet/src/registry.rs
+++ b/crates/millpass-fleet/src/registry.rs
@@ -94,10 +94,10 @@
         entry.announced.clone_from(&record.models);
         entry.revision = self.revision;
         entry.digest = record.digest();
-        let before = std::mem::replace(&mut entry.record, record);
-        if before.service != entry.record.service {
+        let previous = std::mem::replace(&mut entry.record, record);
+        if previous.service != entry.record.service {
             let service = entry.record.service.clone();
-            if let Some(count) = self.counts.get_mut(&before.service) {
+            if let Some(count) = self.counts.get_mut(&previous.service) {
                 *count = count.saturating_sub(1);
             }
             *self.counts.entry(service).or_default() += 1;
@@ -107,8 +107,8 @@
 
     /// Returns known earlier incarnations of an instance.
     pub(crate) fn earlier_incarnations(&self, instance: &InstanceId) -> Vec<InstanceId> {
-        let runs = instance.runs_in(&self.entries);
-        let earlier = runs.filter(|known| known.is_before(instance));
+        let incarnations = instance.runs_in(&self.entries);
+        let earlier = incarnations.filter(|incarnation| incarnation.is_before(instance));
         earlier.cloned().collect()
     }
 
@@ -126,8 +126,8 @@
     }
 
     pub(crate) fn latest_incarnation(&self, instance: &InstanceId) -> Option<&InstanceId> {
-        let runs = instance.runs_in(&self.entries);
-        runs.max_by_key(|run| run.incarnation())
+        let incarnations = instance.runs_in(&self.entries);
+        incarnations.max_by_key(|incarnation| incarnation.incarnation())
     }
 
     /// Applies a departure: the instance drains or has ended. Also recorded for unknown instances,
@@ -165,9 +165,9 @@
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        let before = entry.record.clone();
+        let previous = entry.record.clone();
         change(&mut entry.record);
-        if entry.record != before {
+        if entry.record != previous {
             self.revision += 1;
             entry.revision = self.revision;
             entry.digest = entry.record.digest();
@@ -176,11 +176,11 @@
 
     /// Removes an instance. Returns true if it was known.
     pub(crate) fn remove(&mut self, instance: &InstanceId) -> bool {
-        let known = self.remove_entry(instance);
-        if known {
+        let was_known = self.remove_entry(instance);
+        if was_known {
             self.record_removal(instance);
         }
-        known
+        was_known
     }
 
     fn record_removal(&mut self, instance: &InstanceId) {
@@ -234,18 +234,18 @@
 
     /// Compares the registry with the digests that a gateway holds.
     pub(crate) fn missing_records(&self, held: &HashSet<u64>) -> MissingRecords {
-        let mut lacking = MissingRecords {
+        let mut missing = MissingRecords {
             records: Vec::new(),
             unchanged: Vec::new(),
         };
         for entry in self.entries.values() {
             if held.contains(&entry.digest) {
-                lacking.unchanged.push(entry.digest);
+                missing.unchanged.push(entry.digest);
             } else {
-                lacking.records.push(entry.record.clone());
+                missing.records.push(entry.record.clone());
             }
         }
-        lacking
+        missing
     }
 
     /// Returns records changed after a revision; all of them for 0.
--- a/crates/millpass-fleet/src/rollout.rs
+++ b/crates/millpass-fleet/src/rollout.rs
@@ -55,19 +55,19 @@
         if self.disconnected.len() >= MAX_DISCONNECTED {
             return;
         }
-        let lost = DisconnectedGateway {
+        let gateway = DisconnectedGateway {
             reported_version: session.reported_version,
             last_report_at: session.last_report_at,
             disconnected_at: now,
         };
-        self.disconnected.insert(session.name.clone(), lost);
+        self.disconnected.insert(session.name.clone(), gateway);
     }
 
     /// Returns the version last reported by a disconnected gateway.
     pub(crate) fn last_reported_version(&self, name: &str) -> Option<u64> {
         self.disconnected
             .get(name)
-            .map(|lost| lost.reported_version)
+            .map(|gateway| gateway.reported_version)
     }
 
     /// Records that a gateway has connected.
@@ -85,7 +85,7 @@
 
     fn expire_disconnected(&mut self, now: Timestamp) {
         self.disconnected
-            .retain(|_, lost| now.since(lost.disconnected_at) < DISCONNECTED_RETENTION);
+            .retain(|_, gateway| now.since(gateway.disconnected_at) < DISCONNECTED_RETENTION);
     }
 }
 
@@ -143,16 +143,16 @@
                 ("connected_ms", millis(age)),
             ]);
         }
-        for (name, lost) in &self.rollout.disconnected {
-            if lost.reported_version >= version {
+        for (name, gateway) in &self.rollout.disconnected {
+            if gateway.reported_version >= version {
                 continue;
             }
             lines.push(vec![
                 ("gateway", name.clone()),
-                ("held", lost.reported_version.to_string()),
+                ("held", gateway.reported_version.to_string()),
                 ("why", "not-connected".to_owned()),
-                ("heard_ms", millis(now.since(lost.last_report_at))),
-                ("lost_ms", millis(now.since(lost.disconnected_at))),
+                ("heard_ms", millis(now.since(gateway.last_report_at))),
+                ("lost_ms", millis(now.since(gateway.disconnected_at))),
             ]);
         }
         if lines.is_empty() {
@@ -177,19 +177,20 @@
     pub(crate) fn acknowledge_departures(
         &mut self,
         now: Timestamp,
-        before: Option<u64>,
+        previous: Option<u64>,
         as_of: u64,
     ) {
-        let Some(before) = before else {
+        let Some(previous) = previous else {
             // What the gateway received earlier is unknown.
             return;
         };
         let newest_first = self.rollout.departures.iter().rev();
-        let new = newest_first
+        let acknowledged = newest_first
             .skip_while(|(index, _)| *index > as_of)
-            .take_while(|(index, _)| *index > before);
-        let reached = new.map(|(_, since)| FleetOutput::DepartureAcknowledged(now.since(*since)));
-        self.out.extend(reached);
+            .take_while(|(index, _)| *index > previous);
+        let outputs =
+            acknowledged.map(|(_, since)| FleetOutput::DepartureAcknowledged(now.since(*since)));
+        self.out.extend(outputs);
     }
 
     /// Outputs the propagation time of the current version. Without a `previous` version, the
@@ -197,20 +198,20 @@
     pub(crate) fn acknowledge_version(
         &mut self,
         now: Timestamp,
-        before: Option<u64>,
+        previous: Option<u64>,
         reported: u64,
     ) {
         let version = self.rollout.version;
-        if version == 0 || before >= Some(version) || reported < version {
+        if version == 0 || previous >= Some(version) || reported < version {
             return;
         }
         let after = now.since(self.rollout.since);
-        if before.is_some() {
+        if previous.is_some() {
             self.out.push(FleetOutput::DocumentAcknowledged(after));
         }
         let sessions = &self.gateways.sessions;
-        let lacks = |session: &GatewaySession| session.reported_version < version;
-        if self.rollout.is_complete || sessions.values().any(lacks) {
+        let is_behind = |session: &GatewaySession| session.reported_version < version;
+        if self.rollout.is_complete || sessions.values().any(is_behind) {
             return;
         }
         self.rollout.is_complete = true;
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -71,10 +71,10 @@
             RemovalLoss::Last {
                 rate,
                 restore_millis,
-                has_other_copy: elsewhere,
+                has_other_copy,
             } => {
-                let held_up = if elsewhere { Duration::ZERO } else { load };
-                cost::last_replica_loss(rate, restore_millis + held_up.as_secs_f64() * 1_000.0)
+                let blocked = if has_other_copy { Duration::ZERO } else { load };
+                cost::last_replica_loss(rate, restore_millis + blocked.as_secs_f64() * 1_000.0)
             }
         }
     }
@@ -160,14 +160,17 @@
             .count();
         round.store_limit = view.store.limit();
         round.store_slot_in = view.store.time_until_slot();
-        round.unmet_models = unmet.iter().map(|need| need.key.model.clone()).collect();
+        round.unmet_models = unmet
+            .iter()
+            .map(|demand| demand.key.model.clone())
+            .collect();
         for (instance, engine) in usable {
             if engine.reserved_model.is_some() {
                 round.reserved.push(instance);
             } else if !view.limits.is_limited(&instance)
-                && let Some(opens_in) = available_in(view, &instance, engine)
+                && let Some(available_in) = available_in(view, &instance, engine)
             {
-                round.add_site(view, instance, engine, opens_in);
+                round.add_site(view, instance, engine, available_in);
             }
         }
         round.mark_other_copies();
@@ -204,7 +207,7 @@
         view: &ServiceView<'_>,
         instance: InstanceId,
         engine: &Engine,
-        opens_in: Duration,
+        available_in: Duration,
     ) {
         let index = self.sites.len();
         for model in &engine.on_disk {
@@ -213,7 +216,7 @@
         for model in &engine.in_memory {
             self.add_copy(model, index, WeightsSource::Memory);
         }
-        let site = self.site(view, instance, engine, opens_in);
+        let site = self.site(view, instance, engine, available_in);
         self.sites.push(site);
     }
 
@@ -227,17 +230,17 @@
         view: &ServiceView<'_>,
         instance: InstanceId,
         engine: &Engine,
-        opens_in: Duration,
+        available_in: Duration,
     ) -> Site {
         let specification = view.specification;
-        let may_go = |model: &ModelName| {
+        let is_evictable = |model: &ModelName| {
             !self.unmet_models.contains(model)
                 && !engine.was_loaded_within(view.now, model, MIN_RESIDENCE)
         };
         let mut evictable: Vec<Evictable> = engine
             .held
             .iter()
-            .filter(|held| may_go(&held.model))
+            .filter(|held| is_evictable(&held.model))
             .map(|held| Evictable {
                 loss: self.removal_loss(specification, &held.model),
                 kilobytes: self.held_kilobytes(specification, held),
@@ -254,7 +257,7 @@
                 .weights_kilobytes
                 .saturating_sub(self.used_kilobytes(specification, engine)),
             utilization: self.engine_utilization(engine),
-            available_in: opens_in,
+            available_in: available_in,
             evictable,
         }
     }
@@ -284,8 +287,8 @@
 
     /// Records an incoming replica of a model.
     pub(crate) fn add_incoming(&mut self, model: &ModelName, ready: Duration) {
-        let known = self.incoming_ready_in.entry(model.clone()).or_insert(ready);
-        *known = ready.min(*known);
+        let earliest = self.incoming_ready_in.entry(model.clone()).or_insert(ready);
+        *earliest = ready.min(*earliest);
         *self.incoming_replicas.entry(model.clone()).or_default() += 1;
     }
 
@@ -322,9 +325,9 @@
         model: &ModelName,
         waiting: f64,
         limit: f64,
-        fit: impl Fn(&Site, WeightsSource) -> bool,
+        accepts: impl Fn(&Site, WeightsSource) -> bool,
     ) -> Option<Placement> {
-        let wanted = self.model(specification, model)?;
+        let model_spec = self.model(specification, model)?;
         let mut sources = vec![WeightsSource::Store; self.sites.len()];
         for copy in self.copies.get(model).into_iter().flatten() {
             sources[copy.site] = copy.source;
@@ -335,26 +338,26 @@
             .zip(sources)
             .filter(|(site, source)| {
                 !self.is_instructed(&site.instance)
-                    && fit(site, *source)
+                    && accepts(site, *source)
                     && !holders.contains(&site.instance)
             })
             .filter_map(|(site, source)| {
-                let mut load = wanted.load_time(source);
+                let mut load = model_spec.load_time(source);
                 if source == WeightsSource::Store {
                     load += self.store_wait(load);
                 }
-                let mut place = site.placement(wanted.weights_kilobytes, load, limit)?;
-                place.cost += self.waiting_delay(model, waiting, place.ready_in());
-                Some(place)
+                let mut placement = site.placement(model_spec.weights_kilobytes, load, limit)?;
+                placement.cost += self.waiting_delay(model, waiting, placement.ready_in());
+                Some(placement)
             })
             .min_by(|left, right| left.cost.total_cmp(&right.cost))
     }
 
     /// Returns the delay of the requests waiting for a model, and of those arriving meanwhile, if
     /// it takes this long to be ready.
-    pub(crate) fn waiting_delay(&self, model: &ModelName, waiting: f64, takes: Duration) -> f64 {
+    pub(crate) fn waiting_delay(&self, model: &ModelName, waiting: f64, ready_in: Duration) -> f64 {
         let rate = self.rates.get(model).copied().unwrap_or_default();
-        let delay = takes.as_secs_f64();
+        let delay = ready_in.as_secs_f64();
         (waiting + rate * delay) * delay * 1_000.0
     }
 
@@ -366,27 +369,27 @@
         model: &ModelName,
     ) -> Option<Placement> {
         let engine = view.engine(instance)?;
-        let wanted = self.model(view.specification, model)?;
+        let model_spec = self.model(view.specification, model)?;
         let site = self.site(view, instance.clone(), engine, Duration::ZERO);
-        let load = wanted.load_time(engine.weights_source(model));
-        site.placement(wanted.weights_kilobytes, load, f64::MAX)
+        let load = model_spec.load_time(engine.weights_source(model));
+        site.placement(model_spec.weights_kilobytes, load, f64::MAX)
     }
 
     /// Returns models whose replicas are overutilized, once per missing replica, with the delay it
     /// saves.
     pub(crate) fn missing_replicas(&self) -> Vec<(f64, ModelName)> {
-        let mut busy = Vec::new();
-        for (model, business) in &self.offered_loads {
+        let mut missing = Vec::new();
+        for (model, offered_load) in &self.offered_loads {
             let replicas = self.replicas(model).max(1);
             // Bounded by the number of engines, whatever is reported.
-            let lacking = (replicas..replicas + self.sites.len())
-                .take_while(|replicas| business / *replicas as f64 >= MAX_REPLICA_UTILIZATION);
-            busy.extend(lacking.map(|replicas| {
-                let gain = cost::replica_gain(*business, replicas);
+            let missing_counts = (replicas..replicas + self.sites.len())
+                .take_while(|replicas| offered_load / *replicas as f64 >= MAX_REPLICA_UTILIZATION);
+            missing.extend(missing_counts.map(|replicas| {
+                let gain = cost::replica_gain(*offered_load, replicas);
                 (gain, model.clone())
             }));
         }
-        busy
+        missing
     }
 
     /// Returns the utilization of each replica by a model, including incoming replicas.
@@ -410,20 +413,20 @@
 
     /// Returns the number of current and incoming replicas.
     fn replicas(&self, model: &ModelName) -> usize {
-        let coming = self
+        let incoming = self
             .incoming_replicas
             .get(model)
             .copied()
             .unwrap_or_default();
-        self.holder_count(model) + coming
+        self.holder_count(model) + incoming
     }
 
     /// Returns the cost of removing one of the model's replicas.
     fn removal_loss(&self, specification: &EngineSpec, model: &ModelName) -> RemovalLoss {
         let others = self.holder_count(model).saturating_sub(1);
         if others > 0 {
-            let business = self.offered_load_of(model);
-            return RemovalLoss::Redundant(cost::replica_loss(business, others));
+            let offered_load = self.offered_load_of(model);
+            return RemovalLoss::Redundant(cost::replica_loss(offered_load, others));
         }
         // The load has left a copy on disk.
         let load = self
@@ -440,14 +443,10 @@
     fn mark_other_copies(&mut self) {
         for (index, site) in self.sites.iter_mut().enumerate() {
             for evictable in &mut site.evictable {
-                if let RemovalLoss::Last {
-                    has_other_copy: elsewhere,
-                    ..
-                } = &mut evictable.loss
-                {
+                if let RemovalLoss::Last { has_other_copy, .. } = &mut evictable.loss {
                     let copies = self.copies.get(&evictable.model);
                     let mut sites = copies.into_iter().flatten().map(|copy| copy.site);
-                    *elsewhere = sites.any(|site| site != index);
+                    *has_other_copy = sites.any(|site| site != index);
                 }
             }
         }
@@ -459,8 +458,8 @@
             .held
             .iter()
             .map(|held| {
-                let business = self.offered_load_of(&held.model);
-                business / self.holder_count(&held.model).max(1) as f64
+                let offered_load = self.offered_load_of(&held.model);
+                offered_load / self.holder_count(&held.model).max(1) as f64
             })
             .sum()
     }
@@ -475,10 +474,10 @@
             .map(|(model, _)| adapter(model));
         let held = engine.held.iter();
         let held = held.map(|held| self.held_kilobytes(specification, held));
-        let coming = engine.pending.as_ref().map_or(0, |pending| {
-            let loads = pending.operation == InstructionOperation::Load
+        let pending_kilobytes = engine.pending.as_ref().map_or(0, |pending| {
+            let is_load = pending.operation == InstructionOperation::Load
                 && !engine.holds(&pending.model, pending.adapter.as_ref());
-            match loads {
+            match is_load {
                 true if pending.adapter.is_none() => {
                     self.weights_kilobytes(specification, &pending.model)
                 }
@@ -486,16 +485,16 @@
                 false => 0,
             }
         });
-        let late = engine
+        let inherited = engine
             .inherited_loads()
             .iter()
-            .map(|lost| match lost.adapter {
-                None => self.weights_kilobytes(specification, &lost.model),
-                Some(_) => adapter(&lost.model),
+            .map(|load| match load.adapter {
+                None => self.weights_kilobytes(specification, &load.model),
+                Some(_) => adapter(&load.model),
             });
         held.chain(adapters)
-            .chain(late)
-            .fold(coming, u64::saturating_add)
+            .chain(inherited)
+            .fold(pending_kilobytes, u64::saturating_add)
     }
 
     /// Returns a held model that is missing from the configuration.
@@ -540,13 +539,13 @@
         return Some(Duration::ZERO);
     }
     let pending = engine.pending.as_ref()?;
-    let timely = pending.accepted && view.now < pending.expected_end;
-    if engine.revision.is_none() || !timely {
+    let is_on_time = pending.accepted && view.now < pending.expected_end;
+    if engine.revision.is_none() || !is_on_time {
         return None;
     }
-    let open = view.history.instructable_from(instance, view.handover);
-    let until = pending.expected_end.max(open);
-    Some(until.since(view.now).max(MIN_REMAINING))
+    let open_from = view.history.instructable_from(instance, view.handover);
+    let available_at = pending.expected_end.max(open_from);
+    Some(available_at.since(view.now).max(MIN_REMAINING))
 }
 
 impl Site {
@@ -554,24 +553,24 @@
     /// it does not fit or the evictions cost more than `limit`.
     fn placement(&self, kilobytes: u64, load: Duration, limit: f64) -> Option<Placement> {
         let mut free = self.free_kilobytes;
-        let mut lost = 0.0;
-        let mut takes = load;
+        let mut loss = 0.0;
+        let mut load_time = load;
         let mut victim = None;
         for candidate in &self.evictable {
             if free >= kilobytes {
                 break;
             }
             free = free.saturating_add(candidate.kilobytes);
-            lost += candidate.loss.millis(load);
-            takes += UNLOAD_TIME;
+            loss += candidate.loss.millis(load);
+            load_time += UNLOAD_TIME;
             victim.get_or_insert(&candidate.model);
         }
-        (free >= kilobytes && lost <= limit).then(|| Placement {
+        (free >= kilobytes && loss <= limit).then(|| Placement {
             instance: self.instance.clone(),
             victim: victim.cloned(),
-            cost: lost + self.utilization * UTILIZATION_COST_MILLIS,
+            cost: loss + self.utilization * UTILIZATION_COST_MILLIS,
             available_in: self.available_in,
-            load_time: takes,
+            load_time: load_time,
         })
     }
 }
--- a/crates/millpass-fleet/src/share_reports.rs
+++ b/crates/millpass-fleet/src/share_reports.rs
@@ -18,12 +18,12 @@
         departed: &dyn Fn(&InstanceId) -> Option<bool>,
     ) -> ShareResponse {
         let member = report.from.member;
-        let begins = report.base == 0 && !report.instances.is_empty();
+        let is_new = report.base == 0 && !report.instances.is_empty();
         let admission = self.shares.admit(self.contact_clock.now(), report);
         if admission == Admission::Accepted {
             self.apply_report_content(now, report, departed);
         }
-        if begins && admission == Admission::Accepted {
+        if is_new && admission == Admission::Accepted {
             let pairs = vec![
                 ("member", member.to_string()),
                 ("zone", report.from.zone.to_string()),
@@ -31,18 +31,18 @@
             ];
             self.event("share-begins", pairs);
         }
-        let known = match admission {
+        let acknowledged = match admission {
             Admission::Accepted | Admission::Stale => self.shares.revision(member),
             Admission::BaseMismatch => 0,
         };
-        let outdated = report.active_revision != self.active_revision;
+        let is_stale = report.active_revision != self.active_revision;
         ShareResponse {
             run: report.run,
             number: report.number,
             leader: Some(own),
-            acknowledged_revision: Some(known),
+            acknowledged_revision: Some(acknowledged),
             active_revision: self.active_revision,
-            active: outdated.then(|| self.active_instances_of(report)),
+            active: is_stale.then(|| self.active_instances_of(report)),
         }
     }
 
@@ -65,25 +65,27 @@
             record.draining |= departed.is_some();
             self.apply_announcement(now, holder, record, departed == Some(true));
         }
-        for seen in &report.heartbeats {
-            let Some(mut record) = self.registry.last_announced(&seen.instance) else {
+        for heartbeat in &report.heartbeats {
+            let Some(mut record) = self.registry.last_announced(&heartbeat.instance) else {
                 continue;
             };
-            record.sequence = seen.sequence;
+            record.sequence = heartbeat.sequence;
             self.apply_announcement(now, holder, record, false);
         }
         self.remove_expired(now, holder, &report.expired);
     }
 
-    fn remove_expired(&mut self, now: Timestamp, holder: Holder, silent: &[InstanceHeartbeat]) {
-        let newest_here = |seen: &&InstanceHeartbeat| {
-            let record = self.registry.get(&seen.instance);
-            let record = record.or_else(|| self.standby.get(&seen.instance));
-            record.is_none_or(|record| record.sequence <= seen.sequence)
+    fn remove_expired(&mut self, now: Timestamp, holder: Holder, expired: &[InstanceHeartbeat]) {
+        let is_newest = |heartbeat: &&InstanceHeartbeat| {
+            let record = self.registry.get(&heartbeat.instance);
+            let record = record.or_else(|| self.standby.get(&heartbeat.instance));
+            record.is_none_or(|record| record.sequence <= heartbeat.sequence)
         };
-        let gone = self.shares.expired_at(holder, silent).filter(newest_here);
-        let gone: Vec<InstanceId> = gone.map(|seen| seen.instance.clone()).collect();
-        for instance in gone {
+        let removed = self.shares.expired_at(holder, expired).filter(is_newest);
+        let removed: Vec<InstanceId> = removed
+            .map(|heartbeat| heartbeat.instance.clone())
+            .collect();
+        for instance in removed {
             self.end_expired(now, &instance, "silent");
         }
     }
@@ -95,11 +97,11 @@
 
     /// Removes expired instances.
     pub(crate) fn remove_expired_instances(&mut self, now: Timestamp) {
-        let silence = self.settings.instance_timeout;
-        let silent = self.local_share.expire_unannounced(now, silence);
-        self.remove_expired(now, Holder::Own, &silent);
-        let heard = self.contact_clock.now();
-        for (member, instances) in self.shares.remove_lost(heard, silence) {
+        let timeout = self.settings.instance_timeout;
+        let expired = self.local_share.expire_unannounced(now, timeout);
+        self.remove_expired(now, Holder::Own, &expired);
+        let contact_time = self.contact_clock.now();
+        for (member, instances) in self.shares.remove_lost(contact_time, timeout) {
             let pairs = vec![
                 ("member", member.to_string()),
                 ("instances", instances.len().to_string()),
@@ -109,7 +111,7 @@
                 self.end_expired(now, &instance, "share-lost");
             }
         }
-        for instance in self.shares.expired_unheld(heard, silence) {
+        for instance in self.shares.expired_unheld(contact_time, timeout) {
             self.end_expired(now, &instance, "silent");
         }
     }
@@ -152,7 +154,7 @@
     }
 
     /// Applies the response to the last report.
-    pub fn handle_share_response(&mut self, answer: &ShareResponse) {
-        self.local_share.handle_response(answer);
+    pub fn handle_share_response(&mut self, response: &ShareResponse) {
+        self.local_share.handle_response(response);
     }
 }
--- a/crates/millpass-fleet/src/shares.rs
+++ b/crates/millpass-fleet/src/shares.rs
@@ -57,20 +57,20 @@
     /// Checks a report, and records contact with the member if it is accepted.
     pub(crate) fn admit(&mut self, now: Timestamp, report: &ShareReport) -> Admission {
         let member = report.from.member;
-        let known = self.members.get(&member);
-        let is_outdated =
-            known.is_some_and(|share| share.run == report.run && share.number >= report.number);
-        if is_outdated {
+        let share = self.members.get(&member);
+        let is_stale =
+            share.is_some_and(|share| share.run == report.run && share.number >= report.number);
+        if is_stale {
             return Admission::Stale;
         }
-        let fits = known.is_some_and(|share| {
+        let continues = share.is_some_and(|share| {
             share.run == report.run && share.revision == report.base && report.base > 0
         });
-        if !fits && report.base > 0 {
+        if !continues && report.base > 0 {
             return Admission::BaseMismatch;
         }
-        if !fits {
-            if known.is_none() && self.members.len() >= MAX_MEMBERS {
+        if !continues {
+            if share.is_none() && self.members.len() >= MAX_MEMBERS {
                 return Admission::BaseMismatch;
             }
             self.reset_member(now, member, report.run);
@@ -93,8 +93,8 @@
             last_report_at: now,
             instances: BTreeSet::new(),
         };
-        let before = self.members.insert(member, share);
-        for instance in before.into_iter().flat_map(|share| share.instances) {
+        let previous = self.members.insert(member, share);
+        for instance in previous.into_iter().flat_map(|share| share.instances) {
             self.holders.remove(&instance);
             self.unheld.insert(instance, now);
         }
@@ -147,10 +147,11 @@
     pub(crate) fn expired_at<'a>(
         &'a self,
         holder: Holder,
-        silent: &'a [InstanceHeartbeat],
+        expired: &'a [InstanceHeartbeat],
     ) -> impl Iterator<Item = &'a InstanceHeartbeat> {
-        let held = move |seen: &&InstanceHeartbeat| self.is_held_by(&seen.instance, holder);
-        silent.iter().filter(held)
+        let is_held =
+            move |heartbeat: &&InstanceHeartbeat| self.is_held_by(&heartbeat.instance, holder);
+        expired.iter().filter(is_held)
     }
 
     /// Returns the instances of a member's share, in order.
@@ -163,28 +164,28 @@
     pub(crate) fn remove_lost(
         &mut self,
         now: Timestamp,
-        silence: Duration,
+        timeout: Duration,
     ) -> Vec<(MemberId, Vec<InstanceId>)> {
-        let patience = silence * LOST_SHARE_FACTOR;
-        let is_lost = |share: &MemberShare| now.since(share.last_report_at) > patience;
+        let limit = timeout * LOST_SHARE_FACTOR;
+        let is_lost = |share: &MemberShare| now.since(share.last_report_at) > limit;
         let members = self.members.iter();
         let lost: Vec<MemberId> = members
             .filter(|(_, share)| is_lost(share))
             .map(|(member, _)| *member)
             .collect();
-        let mut named = Vec::new();
+        let mut removed = Vec::new();
         for member in lost {
             let share = self.members.remove(&member);
             let instances = share.into_iter().flat_map(|share| share.instances);
-            named.push((member, instances.collect()));
+            removed.push((member, instances.collect()));
         }
-        named
+        removed
     }
 
     /// Returns instances without a holder for longer than `timeout`.
-    pub(crate) fn expired_unheld(&self, now: Timestamp, silence: Duration) -> Vec<InstanceId> {
+    pub(crate) fn expired_unheld(&self, now: Timestamp, timeout: Duration) -> Vec<InstanceId> {
         let unheld = self.unheld.iter();
-        let long = unheld.filter(|(_, since)| now.since(**since) > silence);
-        long.map(|(instance, _)| instance.clone()).collect()
+        let expired = unheld.filter(|(_, since)| now.since(**since) > timeout);
+        expired.map(|(instance, _)| instance.clone()).collect()
     }
 }
--- a/crates/millpass-fleet/src/store_capacity.rs
+++ b/crates/millpass-fleet/src/store_capacity.rs
@@ -87,9 +87,11 @@
 impl StoreCapacity {
     /// Continues from the capacity recorded by earlier leaders.
     pub fn from_history(history: &InstructionHistory) -> Self {
-        let known = history.store_capacity();
+        let recorded = history.store_capacity();
         StoreCapacity {
-            limit: known.map_or(INITIAL_LIMIT, |known| (f64::from(known) / 100.0).max(1.0)),
+            limit: recorded.map_or(INITIAL_LIMIT, |recorded| {
+                (f64::from(recorded) / 100.0).max(1.0)
+            }),
             ..StoreCapacity::default()
         }
     }
@@ -111,53 +113,53 @@
         &mut self,
         now: Timestamp,
         loads: Vec<PendingLoad>,
-        others: usize,
-        ended: impl Fn(&InstanceId, &ModelName) -> bool,
+        unknown_loads: usize,
+        has_completed: impl Fn(&InstanceId, &ModelName) -> bool,
     ) -> bool {
-        let before = self.limit();
+        let previous_limit = self.limit();
         self.advance(now);
-        self.unknown_loads = others;
+        self.unknown_loads = unknown_loads;
         let mut previous = std::mem::take(&mut self.pending);
         for load in loads {
-            let known = previous.remove(&load.instance);
-            let same = known.filter(|known| known.model == load.model);
-            let kept = same.unwrap_or(StoreLoad {
+            let recorded = previous.remove(&load.instance);
+            let continued = recorded.filter(|recorded| recorded.model == load.model);
+            let pending = continued.unwrap_or(StoreLoad {
                 model: load.model,
                 nominal_time: load.nominal_time,
                 time_by_concurrency: BTreeMap::new(),
             });
-            self.pending.insert(load.instance, kept);
+            self.pending.insert(load.instance, pending);
         }
         for (instance, load) in previous {
-            if ended(&instance, &load.model) {
+            if has_completed(&instance, &load.model) {
                 self.add_sample(now, &load);
             }
         }
         self.lower_for_overdue(now);
-        self.limit() != before
+        self.limit() != previous_limit
     }
 
     /// Returns the expected time until the first pending load ends.
     pub fn time_until_slot(&self) -> Duration {
-        let left = |load: &StoreLoad| {
+        let remaining = |load: &StoreLoad| {
             let speed = (self.limit / self.pending.len().max(1) as f64).min(1.0);
-            let left = load.nominal_time.as_secs_f64() - load.progress(self.limit);
-            Duration::from_secs_f64(left.max(0.0) / speed)
+            let remaining = load.nominal_time.as_secs_f64() - load.progress(self.limit);
+            Duration::from_secs_f64(remaining.max(0.0) / speed)
         };
-        let soonest = self.pending.values().map(left).min();
+        let soonest = self.pending.values().map(remaining).min();
         soonest.unwrap_or(Duration::ZERO)
     }
 
     fn advance(&mut self, now: Timestamp) {
-        let passed = now.since(self.observed_at);
+        let elapsed = now.since(self.observed_at);
         self.observed_at = now;
         let count = |loads: usize| u32::try_from(loads).unwrap_or(u32::MAX);
-        let at_once = Concurrency {
+        let concurrency = Concurrency {
             at_most: count(self.pending.len() + self.unknown_loads),
             at_least: count(self.pending.len()),
         };
         for load in self.pending.values_mut() {
-            *load.time_by_concurrency.entry(at_once).or_default() += passed;
+            *load.time_by_concurrency.entry(concurrency).or_default() += elapsed;
         }
     }
 
@@ -223,31 +225,32 @@
         if total <= 0.0 {
             return 1.0;
         }
-        let weighed = |(at_once, time): (&Concurrency, &Duration)| {
-            f64::from(at_once.at_least) * time.as_secs_f64()
+        let weighted = |(concurrency, time): (&Concurrency, &Duration)| {
+            f64::from(concurrency.at_least) * time.as_secs_f64()
         };
-        self.time_by_concurrency.iter().map(weighed).sum::<f64>() / total
+        self.time_by_concurrency.iter().map(weighted).sum::<f64>() / total
     }
 
     /// Returns the progress, in seconds at full speed, if the store has this capacity.
     fn progress(&self, capacity: f64) -> f64 {
-        let share = |at_once: &Concurrency| (capacity / f64::from(at_once.at_most.max(1))).min(1.0);
+        let speed =
+            |concurrency: &Concurrency| (capacity / f64::from(concurrency.at_most.max(1))).min(1.0);
         self.time_by_concurrency
             .iter()
-            .map(|(at_once, time)| share(at_once) * time.as_secs_f64())
+            .map(|(concurrency, time)| speed(concurrency) * time.as_secs_f64())
             .sum()
     }
 
     /// Returns the capacity for which the progress equals the nominal time.
     fn capacity(&self) -> f64 {
-        let stated = self.nominal_time.as_secs_f64();
+        let nominal = self.nominal_time.as_secs_f64();
         let mut low = 0.0;
-        let most = self.time_by_concurrency.keys().last();
-        let mut high = most.map_or(1.0, |at_once| f64::from(at_once.at_most));
+        let highest = self.time_by_concurrency.keys().last();
+        let mut high = highest.map_or(1.0, |concurrency| f64::from(concurrency.at_most));
         // Bisection: 20 steps reduce the interval to a millionth.
         for _ in 0..20 {
             let middle = (low + high) / 2.0;
-            if self.progress(middle) < stated {
+            if self.progress(middle) < nominal {
                 low = middle;
             } else {
                 high = middle;
--- a/crates/millpass-fleet/src/traffic.rs
+++ b/crates/millpass-fleet/src/traffic.rs
@@ -16,14 +16,14 @@
 
 impl Traffic {
     /// Replaces the requests in flight at a gateway.
-    pub(crate) fn record_report(&mut self, gateway: &str, sent: &[InstanceLoad]) {
+    pub(crate) fn record_report(&mut self, gateway: &str, loads: &[InstanceLoad]) {
         self.remove_gateway(gateway);
-        for load in sent {
+        for load in loads {
             let total = self.totals.entry(load.instance.clone()).or_default();
             *total = total.saturating_add(load.in_flight);
         }
-        if !sent.is_empty() {
-            self.by_gateway.insert(gateway.to_owned(), sent.to_vec());
+        if !loads.is_empty() {
+            self.by_gateway.insert(gateway.to_owned(), loads.to_vec());
         }
     }
 
--- a/crates/millpass-fleet/src/updates.rs
+++ b/crates/millpass-fleet/src/updates.rs
@@ -38,9 +38,9 @@
 fn departed_unless_draining(
     registry: &Registry,
     context: &GatewayContext<'_>,
-    told: u64,
+    index: u64,
 ) -> Vec<InstanceId> {
-    let mut departed = (context.departed)(told);
+    let mut departed = (context.departed)(index);
     departed.retain(|instance| registry.get(instance).is_none_or(|record| !record.draining));
     departed
 }
@@ -51,9 +51,9 @@
         &mut self,
         now: Timestamp,
         document: &DeploymentDocument,
-        awaited: Vec<ModelReadyEstimate>,
+        waiting: Vec<ModelReadyEstimate>,
     ) {
-        let mut outlook = Vec::new();
+        let mut estimates = Vec::new();
         for service in &document.services {
             for record in self.registry.records() {
                 if record.service != service.name {
@@ -62,37 +62,37 @@
                 let Some(engine) = self.engines.engines.get(&record.instance) else {
                     continue;
                 };
-                outlook.extend(incoming_estimates(now, service, engine));
+                estimates.extend(incoming_estimates(now, service, engine));
             }
         }
-        outlook.extend(awaited);
-        let same = outlook.len() == self.ready_estimates.len()
-            && outlook
+        estimates.extend(waiting);
+        let is_same = estimates.len() == self.ready_estimates.len()
+            && estimates
                 .iter()
                 .zip(&self.ready_estimates)
                 .all(|(new, old)| new.model == old.model && new.adapter == old.adapter);
-        if !same {
+        if !is_same {
             self.ready_estimates_revision += 1;
         }
-        if !same || self.have_ready_times_moved(now, &outlook) {
+        if !is_same || self.have_ready_times_moved(now, &estimates) {
             self.ready_times_revision += 1;
-            let times = outlook.iter().map(|entry| ready_at(now, entry));
+            let times = estimates.iter().map(|entry| ready_at(now, entry));
             self.published_ready_times = times.collect();
         }
-        self.ready_estimates = outlook;
+        self.ready_estimates = estimates;
     }
 
     /// Returns whether ready times differ from the published ones by more than the tolerance.
-    fn have_ready_times_moved(&self, now: Timestamp, outlook: &[ModelReadyEstimate]) -> bool {
-        outlook
+    fn have_ready_times_moved(&self, now: Timestamp, estimates: &[ModelReadyEstimate]) -> bool {
+        estimates
             .iter()
             .zip(&self.published_ready_times)
-            .any(|(entry, told)| {
+            .any(|(entry, published)| {
                 let ready = ready_at(now, entry);
                 // Gateways treat elapsed ready times as now.
-                let told = (*told).max(now);
-                let off = ready.since(told).max(told.since(ready));
-                off > READY_TIME_TOLERANCE.max(ready.since(now) / 10)
+                let published = (*published).max(now);
+                let difference = ready.since(published).max(published.since(ready));
+                difference > READY_TIME_TOLERANCE.max(ready.since(now) / 10)
             })
     }
 
@@ -119,21 +119,21 @@
             return;
         }
         self.refresh_loads();
-        let compared = self.registry.len() / COMPARED_RECORD_DIVISOR;
-        let mut greeted = 0;
+        let comparison_cost = self.registry.len() / COMPARED_RECORD_DIVISOR;
+        let mut sent_records = 0;
         for connection in due {
             let Some(mut session) = self.gateways.sessions.remove(&connection) else {
                 continue;
             };
             let is_first = self.needs_full_update(&session);
-            if is_first && greeted >= MAX_FIRST_UPDATE_RECORDS {
+            if is_first && sent_records >= MAX_FIRST_UPDATE_RECORDS {
                 // Sent in a later pass.
                 self.gateways.sessions.insert(connection, session);
                 continue;
             }
             let mut update = self.next_update(now, &mut session, document, complete, context);
             if is_first {
-                greeted += compared + update.instances.len();
+                sent_records += comparison_cost + update.instances.len();
             }
             self.gateways.sessions.insert(connection, session);
             if complete {
@@ -158,7 +158,7 @@
         let revision = self.registry.revision();
         let version = document.map_or(0, |document| document.version);
         let interval = self.gateways.update_interval(self.slowdown);
-        let wants = |session: &GatewaySession| {
+        let needs_update = |session: &GatewaySession| {
             session.response_pending
                 || self.needs_full_update(session)
                 || (complete && !session.sent_complete)
@@ -171,7 +171,7 @@
             // An update behind a backlog would be stale on arrival; changes accumulate here
             // instead.
             .filter(|(_, session)| session.backlogged_since.is_none())
-            .filter(|(_, session)| wants(session) && session.is_due(now, interval))
+            .filter(|(_, session)| needs_update(session) && session.is_due(now, interval))
             .map(|(connection, _)| *connection)
             .collect()
     }
@@ -192,8 +192,8 @@
         context: &GatewayContext<'_>,
     ) -> GatewayUpdate {
         let first = self.needs_full_update(session);
-        let outlook_same = !first && session.sent_ready_times == self.ready_times_revision;
-        let loads_same = !first && session.sent_loads == self.loads_revision;
+        let estimates_unchanged = !first && session.sent_ready_times == self.ready_times_revision;
+        let loads_unchanged = !first && session.sent_loads == self.loads_revision;
         let mut update = GatewayUpdate {
             term: self.term,
             complete,
@@ -201,17 +201,17 @@
             document: None,
             instances: Vec::new(),
             removed: Vec::new(),
-            ready_estimates: empty_if(outlook_same, &self.ready_estimates),
+            ready_estimates: empty_if(estimates_unchanged, &self.ready_estimates),
             gateways: 0,
             members: Vec::new(),
             provisional: false,
-            loads: empty_if(loads_same, &self.published_loads),
+            loads: empty_if(loads_unchanged, &self.published_loads),
             acknowledged_report: session.last_report,
             as_of: context.as_of,
             document_change: None,
             unchanged_instance_digests: Vec::new(),
-            ready_estimates_unchanged: outlook_same,
-            loads_unchanged: loads_same,
+            ready_estimates_unchanged: estimates_unchanged,
+            loads_unchanged: loads_unchanged,
             document_version: document.map_or(0, |document| document.version),
         };
         if first {
@@ -244,15 +244,15 @@
         context: &GatewayContext<'_>,
     ) {
         let held = std::mem::take(&mut session.held_instances);
-        let lacking = self.registry.missing_records(&held);
+        let missing = self.registry.missing_records(&held);
         // An incomplete leader lists the instances known to have ended, which the gateway would
         // otherwise keep. A gateway that holds only the records kept here has nothing to drop.
-        let holds_others = held.is_empty() || lacking.unchanged.len() < held.len();
+        let holds_others = held.is_empty() || missing.unchanged.len() < held.len();
         if !update.complete && holds_others {
             update.removed = departed_unless_draining(&self.registry, context, session.as_of);
         }
-        update.instances = lacking.records;
-        update.unchanged_instance_digests = lacking.unchanged;
+        update.instances = missing.records;
+        update.unchanged_instance_digests = missing.unchanged;
     }
 
     /// Adds the document, or the change to it from the version that the gateway will have when the
@@ -266,11 +266,11 @@
         context: &GatewayContext<'_>,
     ) {
         let base = session.expected_version();
-        let overdue = session.is_version_overdue();
-        if base >= document.version && !overdue {
+        let is_overdue = session.is_version_overdue();
+        if base >= document.version && !is_overdue {
             return;
         }
-        if !overdue {
+        if !is_overdue {
             update.document_change = self.changes.change(base, document, context.documents);
         }
         if update.document_change.is_none() {
@@ -281,8 +281,8 @@
 }
 
 /// Returns an empty list if the last sent one is still valid.
-fn empty_if<T: Clone>(same: bool, items: &[T]) -> Vec<T> {
-    if same { Vec::new() } else { items.to_vec() }
+fn empty_if<T: Clone>(is_empty: bool, items: &[T]) -> Vec<T> {
+    if is_empty { Vec::new() } else { items.to_vec() }
 }
 
 fn ready_at(now: Timestamp, entry: &ModelReadyEstimate) -> Timestamp {
@@ -300,23 +300,23 @@
     };
     let loading = engine.pending.as_ref().and_then(|pending| {
         let adapter = pending.adapter.clone()?;
-        let left = pending.expected_end.since(now);
-        let load = pending.operation == InstructionOperation::Load;
-        load.then(|| ready_estimate(&service.name, &pending.model, Some(adapter), left))
+        let remaining = pending.expected_end.since(now);
+        let load_time = pending.operation == InstructionOperation::Load;
+        load_time.then(|| ready_estimate(&service.name, &pending.model, Some(adapter), remaining))
     });
     let models = engine.incoming_models().map(|model| {
-        let found = specification
+        let model_spec = specification
             .models
             .iter()
-            .find(|found| found.name == *model);
-        let load = found.map_or(Duration::ZERO, |found| {
-            found.load_time(engine.weights_source(model))
+            .find(|model_spec| model_spec.name == *model);
+        let load_time = model_spec.map_or(Duration::ZERO, |model_spec| {
+            model_spec.load_time(engine.weights_source(model))
         });
         ready_estimate(
             &service.name,
             model,
             None,
-            engine.time_until_ready(now, model, load),
+            engine.time_until_ready(now, model, load_time),
         )
     });
     loading.into_iter().chain(models).collect()
