--- a/crates/millpass-fleet/examples/leader_cost.rs
+++ b/crates/millpass-fleet/examples/leader_cost.rs
@@ -21,7 +21,7 @@
 const ROUNDS: u64 = 20;
 const HELD_MODELS: usize = 3;
 
-const NOBODY: GatewayContext<'static> = GatewayContext {
+const EMPTY_CONTEXT: GatewayContext<'static> = GatewayContext {
     as_of: 0,
     members: &Vec::new,
     departed: &|_| Vec::new(),
@@ -114,12 +114,12 @@
 }
 
 fn main() {
-    planning();
-    telling();
+    measure_planning();
+    measure_updates();
 }
 
 /// Gateways and instances of each size in the update measurement.
-const TOLD_SIZES: [(u64, usize); 4] = [(70, 144), (70, 3_000), (490, 144), (490, 3_000)];
+const UPDATE_SIZES: [(u64, usize); 4] = [(70, 144), (70, 3_000), (490, 144), (490, 3_000)];
 /// Results in a document of about 34 kB.
 const ROUTES: usize = 370;
 /// Departed instances kept in the log.
@@ -148,9 +148,9 @@
 }
 
 /// Returns a document whose services have no engines.
-fn plain() -> DeploymentDocument {
-    let mut plain = document(0);
-    plain.services = (0..20)
+fn document_without_engines() -> DeploymentDocument {
+    let mut document = document(0);
+    document.services = (0..20)
         .map(|number| ServiceSpec {
             name: format!("service-{number}").into(),
             health_path: "/health".to_owned(),
@@ -158,7 +158,7 @@
             engine: None,
         })
         .collect();
-    plain
+    document
 }
 
 fn load(engine: usize) -> InstanceLoad {
@@ -177,13 +177,13 @@
     updates: u64,
 }
 
-struct Told {
+struct UpdateRun {
     fleet: Fleet,
     documents: DocumentHistory,
     now: u64,
 }
 
-impl Told {
+impl UpdateRun {
     /// Delivers gateway reports and measures the updates sent in response.
     fn exchange(
         &mut self,
@@ -240,15 +240,15 @@
     reports.collect()
 }
 
-fn telling() {
+fn measure_updates() {
     println!();
     println!(
         "gateways instances | step               | updates | bytes each | ms core | ms encoding"
     );
-    for (gateways, instances) in TOLD_SIZES {
-        let mut first = plain();
+    for (gateways, instances) in UPDATE_SIZES {
+        let mut first = document_without_engines();
         first.routes = (0..ROUTES).map(route).collect();
-        let mut told = Told {
+        let mut run = UpdateRun {
             fleet: Fleet::new(FleetSettings {
                 instance_timeout: Duration::from_secs(3_600),
                 ..FleetSettings::default()
@@ -256,19 +256,19 @@
             documents: DocumentHistory::new(),
             now: 1_000,
         };
-        told.documents.record(Timestamp::ZERO, &first);
+        run.documents.record(Timestamp::ZERO, &first);
         let begin = Timestamp::ZERO;
         let history = InstructionHistory::new(begin, Duration::ZERO);
-        told.fleet
+        run.fleet
             .start_leading(begin, std::iter::empty(), std::iter::empty(), &history);
         let mut held = Vec::new();
         for number in 0..instances {
             let mut record = record(number, 288);
             record.service = format!("service-{}", number % 20).into();
             held.push(record.digest());
-            told.fleet.handle_announcement(begin, record, false);
+            run.fleet.handle_announcement(begin, record, false);
         }
-        let show = |step: &str, cost: &Cost| {
+        let print_cost = |step: &str, cost: &Cost| {
             println!(
                 "{gateways:8} {instances:9} | {step:18} | {:7} | {:10} | {:7.2} | {:11.2}",
                 cost.updates,
@@ -278,39 +278,38 @@
             );
         };
         let first_reports = reports(gateways, 0, 0, &[]);
-        show("first, has nothing", &told.exchange(&first_reports, &first));
-        told.exchange(&reports(gateways, 0, 1, &[]), &first);
-        told.now += 60_000;
+        print_cost("first connection", &run.exchange(&first_reports, &first));
+        run.exchange(&reports(gateways, 0, 1, &[]), &first);
+        run.now += 60_000;
         for connection in 0..gateways {
-            told.fleet
-                .handle_disconnect(Timestamp::from_millis(told.now), connection);
+            run.fleet
+                .handle_disconnect(Timestamp::from_millis(run.now), connection);
         }
         let again = reports(gateways, 1_000, 1, &held);
-        show("comes back", &told.exchange(&again, &first));
-        told.exchange(&reports(gateways, 1_000, 1, &[]), &first);
-        show(
+        print_cost("reconnect", &run.exchange(&again, &first));
+        run.exchange(&reports(gateways, 1_000, 1, &[]), &first);
+        print_cost(
             "nothing changed",
-            &told.exchange(&reports(gateways, 1_000, 1, &[]), &first),
+            &run.exchange(&reports(gateways, 1_000, 1, &[]), &first),
         );
         let mut busy = reports(gateways, 1_000, 1, &[]);
         for (_, report) in &mut busy {
             report.in_flight = (0..64).map(load).collect();
         }
-        told.exchange(&busy, &first);
-        show("loads as before", &told.exchange(&busy, &first));
+        run.exchange(&busy, &first);
+        print_cost("loads unchanged", &run.exchange(&busy, &first));
         let mut next = first.clone();
         next.version = 2;
         next.routes[7].timeout_millis += 1;
-        told.documents
-            .record(Timestamp::from_millis(told.now), &next);
-        show("one route changed", &told.exchange(&[], &next));
+        run.documents.record(Timestamp::from_millis(run.now), &next);
+        print_cost("one route changed", &run.exchange(&[], &next));
     }
-    let mut whole = plain();
-    whole.routes = (0..ROUTES).map(route).collect();
-    println!("document: {} bytes", codec::encoded_bytes(&whole));
+    let mut document = document_without_engines();
+    document.routes = (0..ROUTES).map(route).collect();
+    println!("document: {} bytes", codec::encoded_bytes(&document));
 }
 
-fn planning() {
+fn measure_planning() {
     println!(
         "engines models gateways needs | ms first | ms a round | ms a report | orders | updates"
     );
@@ -338,7 +337,7 @@
             fleet.handle_announcement(begin, record, false);
             states.insert(instance, state);
         }
-        for output in fleet.run(begin, 1, Some(&document), &NOBODY) {
+        for output in fleet.run(begin, 1, Some(&document), &EMPTY_CONTEXT) {
             let FleetOutput::ReadEngine { instance, call, .. } = output else {
                 continue;
             };
@@ -365,7 +364,7 @@
                 reporting += started.elapsed();
             }
             let started = Instant::now();
-            for output in fleet.run(now, 1, Some(&document), &NOBODY) {
+            for output in fleet.run(now, 1, Some(&document), &EMPTY_CONTEXT) {
                 match output {
                     FleetOutput::Instruct(_) => orders += 1,
                     FleetOutput::Update { .. } => updates += 1,
--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -13,7 +13,7 @@
 const STEP_MILLIS: u64 = 150;
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     /// An instance announces itself: number, models held, draining, warm-up in milliseconds.
     Announce(u64, usize, bool, u64),
     /// An instance departs: number, whether it has ended.
@@ -28,15 +28,15 @@
     Reconnect,
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         4 => (0..INSTANCES, 0..3_usize, prop::bool::weighted(0.1), 0..2_u64)
-            .prop_map(|(number, models, draining, warmup)| Act::Announce(number, models, draining, warmup)),
-        1 => (0..INSTANCES, any::<bool>()).prop_map(|(number, ended)| Act::Depart(number, ended)),
-        1 => (0..INSTANCES, 0..3_usize).prop_map(|(number, models)| Act::Read(number, models)),
-        1 => Just(Act::Put),
-        3 => Just(Act::Report),
-        2 => Just(Act::Reconnect),
+            .prop_map(|(number, models, draining, warmup)| Action::Announce(number, models, draining, warmup)),
+        1 => (0..INSTANCES, any::<bool>()).prop_map(|(number, ended)| Action::Depart(number, ended)),
+        1 => (0..INSTANCES, 0..3_usize).prop_map(|(number, models)| Action::Read(number, models)),
+        1 => Just(Action::Put),
+        3 => Just(Action::Report),
+        2 => Just(Action::Reconnect),
     ]
 }
 
@@ -68,15 +68,15 @@
     /// Delivers the leader's next updates and returns the first update of a connection, if any.
     fn exchange(&mut self) -> Option<GatewayUpdate> {
         let updates = self.leader.updates(self.now);
-        let mut greeting = None;
+        let mut first_update = None;
         for (_, update) in updates {
             if update.first {
-                greeting = Some(update.clone());
+                first_update = Some(update.clone());
             }
             let outcome = self.gateway.update(at(self.now), update);
             assert_eq!(outcome.unfit_change, None);
         }
-        greeting
+        first_update
     }
 
     fn announce(&mut self, number: u64, models: usize, draining: bool, warmup_millis: u64) {
@@ -94,19 +94,19 @@
             .handle_announcement(at(self.now), announced, ended);
     }
 
-    fn act(&mut self, act: &Act) {
-        match act {
-            Act::Announce(number, models, draining, warmup) => {
+    fn perform(&mut self, action: &Action) {
+        match action {
+            Action::Announce(number, models, draining, warmup) => {
                 self.announce(*number, *models, *draining, *warmup);
             }
-            Act::Depart(number, ended) => {
+            Action::Depart(number, ended) => {
                 let instance = record(*number).instance;
                 self.leader.fleet.handle_departure(&instance, *ended);
                 if *ended {
                     self.leader.departed.push(instance);
                 }
             }
-            Act::Read(number, models) => {
+            Action::Read(number, models) => {
                 let state = InstructionResult::State(EngineState {
                     revision: 1,
                     busy: false,
@@ -118,9 +118,9 @@
                 let instance = record(*number).instance;
                 self.leader.answered(self.now, &instance, &state);
             }
-            Act::Put => self.leader.put(self.now),
-            Act::Report => self.report(),
-            Act::Reconnect => self.reconnect(),
+            Action::Put => self.leader.put(self.now),
+            Action::Report => self.report(),
+            Action::Reconnect => self.reconnect(),
         }
     }
 
@@ -135,10 +135,14 @@
         self.connection += 1;
         self.now += STEP_MILLIS;
         self.report();
-        let greeting = self.exchange().expect("a first update");
-        assert!(greeting.instances.is_empty(), "{:?}", greeting.instances);
-        assert!(greeting.document.is_none() && greeting.document_change.is_none());
-        assert_eq!(greeting.unchanged_instance_digests.len(), before);
+        let first_update = self.exchange().expect("a first update");
+        assert!(
+            first_update.instances.is_empty(),
+            "{:?}",
+            first_update.instances
+        );
+        assert!(first_update.document.is_none() && first_update.document_change.is_none());
+        assert_eq!(first_update.unchanged_instance_digests.len(), before);
         assert_eq!(self.gateway.instance_count(), before, "all count as named");
     }
 }
@@ -147,7 +151,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn a_gateway_that_was_up_to_date_is_told_nothing_of_instances(acts in prop::collection::vec(act(), 1..40)) {
+    fn a_gateway_that_was_up_to_date_is_told_nothing_of_instances(actions in prop::collection::vec(action(), 1..40)) {
         let mut pair = Pair {
             leader: Leader::new(INSTANCES, 0),
             gateway: gateway(),
@@ -157,13 +161,13 @@
         };
         pair.report();
         pair.exchange();
-        for act in &acts {
+        for action in &actions {
             pair.now += STEP_MILLIS;
-            pair.act(act);
+            pair.perform(action);
             pair.exchange();
             let table = pair.gateway.table().expect("a document");
-            let leader_s = pair.leader.documents.document(pair.leader.version);
-            prop_assert_eq!(Some(table.document()), leader_s);
+            let leader_document = pair.leader.documents.document(pair.leader.version);
+            prop_assert_eq!(Some(table.document()), leader_document);
         }
     }
 }
--- a/crates/millpass-fleet/tests/crashes.rs
+++ b/crates/millpass-fleet/tests/crashes.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::calls::Calls;
-use harness::documents::{self, NOBODY, Room, engine_document};
+use harness::documents::{self, EMPTY_CONTEXT, EngineCapacity, engine_document};
 use millpass_fleet::{Fleet, FleetOutput, FleetSettings, InstructionHistory};
 use millpass_proto::*;
 
@@ -52,7 +52,7 @@
     }
 }
 
-fn ended(instance: &str, requests: &[u64]) -> CrashReport {
+fn crash_report(instance: &str, requests: &[u64]) -> CrashReport {
     CrashReport {
         crashes: vec![InstanceCrash {
             instance: instance.into(),
@@ -63,7 +63,7 @@
 }
 
 fn document() -> DeploymentDocument {
-    let room = Room {
+    let room = EngineCapacity {
         weights_kilobytes: 130,
         adapter_slots: 2,
         milliloads_per_second: 20_000,
@@ -89,7 +89,7 @@
     }
 
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
-        let outputs = self.0.run(at(now), 3, Some(&document()), &NOBODY);
+        let outputs = self.0.run(at(now), 3, Some(&document()), &EMPTY_CONTEXT);
         self.1.note(&outputs);
         outputs
     }
@@ -118,7 +118,7 @@
 }
 
 /// Reports three crashes of instances that had request 1 in flight.
-fn three_ends(leader: &mut Leader) {
+fn report_three_crashes(leader: &mut Leader) {
     for (place, instance) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
         let place = place as u64;
         leader
@@ -127,7 +127,7 @@
         let now = at(1_000 * (place + 1));
         leader
             .0
-            .handle_crash_report(now, &ended(instance, &[1, 20 + place]));
+            .handle_crash_report(now, &crash_report(instance, &[1, 20 + place]));
     }
 }
 
@@ -135,7 +135,7 @@
 fn ends_seen_by_different_gateways_add_up_and_all_of_them_are_told() {
     let mut leader = Leader::new(Vec::new());
     leader.run(5);
-    three_ends(&mut leader);
+    report_three_crashes(&mut leader);
     assert_eq!(leader.told(3_001), vec![vec![request(1)], vec![request(1)]]);
     let held = leader.0.quarantined_requests(at(3_001));
     assert_eq!(held.len(), 1);
@@ -145,7 +145,7 @@
 #[test]
 fn what_is_certain_goes_to_the_log_and_the_next_leader_begins_with_it() {
     let mut leader = Leader::new(Vec::new());
-    three_ends(&mut leader);
+    report_three_crashes(&mut leader);
     let noted = |leader: &mut Leader, now| -> Vec<QuarantineRecord> {
         let notes = leader
             .run(now)
@@ -179,7 +179,9 @@
         served: Vec::new(),
     };
     for instance in ["i-1", "i-2", "i-3"] {
-        remembered.crashes.extend(ended(instance, &[1]).crashes);
+        remembered
+            .crashes
+            .extend(crash_report(instance, &[1]).crashes);
     }
     leader.0.handle_crash_report(at(10), &remembered);
     assert_eq!(leader.told(11), vec![vec![request(1)], vec![request(1)]]);
@@ -188,7 +190,7 @@
 #[test]
 fn a_run_that_announces_itself_has_not_ended() {
     let mut leader = Leader::new(Vec::new());
-    three_ends(&mut leader);
+    report_three_crashes(&mut leader);
     leader
         .0
         .handle_announcement(at(3_500), record("i-3", 2, &[]), false);
@@ -205,7 +207,7 @@
         leader.0.handle_departure(&instance.into(), false);
         leader
             .0
-            .handle_crash_report(at(500), &ended(instance, &[1]));
+            .handle_crash_report(at(500), &crash_report(instance, &[1]));
     }
     assert!(leader.0.quarantined_requests(at(501)).is_empty());
 }
@@ -214,7 +216,7 @@
 fn an_operator_or_a_whole_answer_lets_a_request_go_everywhere() {
     for lifts in [true, false] {
         let mut leader = Leader::new(Vec::new());
-        three_ends(&mut leader);
+        report_three_crashes(&mut leader);
         leader.run(5_000);
         if lifts {
             assert!(leader.0.lift_quarantine(&request(1)));
--- a/crates/millpass-fleet/tests/engine_model/engine.rs
+++ b/crates/millpass-fleet/tests/engine_model/engine.rs
@@ -6,22 +6,22 @@
 use std::collections::VecDeque;
 
 /// Memory of an engine in KB: two models and some adapters.
-pub const ROOM_KILOBYTES: u64 = 130;
-pub const ADAPTER_PLACES: u64 = 3;
+pub const MEMORY_KILOBYTES: u64 = 130;
+pub const ADAPTER_SLOTS: u64 = 3;
 pub const MODEL_KILOBYTES: u64 = 60;
 pub const ADAPTER_KILOBYTES: u64 = 2;
 /// Maximum age of a reported state, in milliseconds.
-const OLDEST_REPORT: u64 = 300;
+const MAX_REPORT_AGE: u64 = 300;
 
 /// An adapter being loaded, or unloaded once its requests have completed.
-struct Moving {
+struct AdapterTransition {
     model: ModelName,
     adapter: AdapterName,
     done_at: u64,
 }
 
 /// A model order being carried out.
-struct Busy {
+struct RunningOrder {
     operation: InstructionOperation,
     model: ModelName,
     done_at: u64,
@@ -33,9 +33,9 @@
     pub incarnation: u64,
     revision: u64,
     held: Vec<HeldModel>,
-    coming: Vec<Moving>,
-    going: Vec<Moving>,
-    busy: Option<Busy>,
+    coming: Vec<AdapterTransition>,
+    going: Vec<AdapterTransition>,
+    busy: Option<RunningOrder>,
     on_disk: Vec<ModelName>,
     /// Recent states and when they began.
     states: VecDeque<(u64, EngineState)>,
@@ -119,20 +119,20 @@
         if come.is_empty() && gone.is_empty() {
             return;
         }
-        for Moving { model, adapter, .. } in come {
+        for AdapterTransition { model, adapter, .. } in come {
             self.loads += 1;
             let held = self.held.iter_mut().find(|held| held.model == model);
             held.expect("adapters come to models")
                 .adapters
                 .push(adapter);
         }
-        for Moving { model, adapter, .. } in gone {
+        for AdapterTransition { model, adapter, .. } in gone {
             self.drop_adapter(&model, &adapter);
         }
         self.note_state(now);
     }
 
-    fn finish(&mut self, busy: Busy) {
+    fn finish(&mut self, busy: RunningOrder) {
         match busy.operation {
             InstructionOperation::Load => {
                 self.loads += 1;
@@ -215,7 +215,7 @@
             InstructionOperation::Load if self.on_disk.contains(&order.model) => 800,
             InstructionOperation::Load => 2_000,
         };
-        self.busy = Some(Busy {
+        self.busy = Some(RunningOrder {
             operation: order.operation,
             model: order.model.clone(),
             done_at: now + takes,
@@ -224,8 +224,8 @@
     }
 
     fn check_room(&mut self, now: u64, order: &EngineInstruction, kilobytes: u64, places: u64) {
-        let fits = self.used_kilobytes() + kilobytes <= ROOM_KILOBYTES
-            && self.adapters() + places <= ADAPTER_PLACES;
+        let fits = self.used_kilobytes() + kilobytes <= MEMORY_KILOBYTES
+            && self.adapters() + places <= ADAPTER_SLOTS;
         if order.operation == InstructionOperation::Load && !fits {
             self.breaches.push(format!(
                 "{now} ms: {} holds {:?}, ordered {order:?}",
@@ -253,7 +253,7 @@
         self.revision += 1;
         let slow = random.random_bool(0.1);
         let takes = if slow { 1..4_000 } else { 2..40 };
-        self.coming.push(Moving {
+        self.coming.push(AdapterTransition {
             model: model.clone(),
             adapter: adapter.clone(),
             done_at: now + random.random_range(takes),
@@ -273,7 +273,7 @@
             self.drop_adapter(model, adapter);
             return InstructionResult::AlreadySo;
         }
-        self.going.push(Moving {
+        self.going.push(AdapterTransition {
             model: model.clone(),
             adapter: adapter.clone(),
             done_at: now + random.random_range(50..3_000),
@@ -284,7 +284,7 @@
     fn note_state(&mut self, now: u64) {
         let state = self.state();
         self.states.push_back((now, state));
-        while self.states.len() > 1 && self.states[1].0 + OLDEST_REPORT < now {
+        while self.states.len() > 1 && self.states[1].0 + MAX_REPORT_AGE < now {
             self.states.pop_front();
         }
     }
@@ -310,7 +310,7 @@
     /// Returns its state as of some time ago.
     pub fn report(&mut self, now: u64, random: &mut ChaCha8Rng) -> EngineState {
         self.pass_time(now);
-        let as_of = now.saturating_sub(random.random_range(0..OLDEST_REPORT - 60));
+        let as_of = now.saturating_sub(random.random_range(0..MAX_REPORT_AGE - 60));
         let states = self.states.iter().rev();
         let mut before = states.filter(|(since, _)| *since <= as_of);
         let (_, state) = before.next().unwrap_or(&self.states[0]);
--- a/crates/millpass-fleet/tests/engine_model/mod.rs
+++ b/crates/millpass-fleet/tests/engine_model/mod.rs
@@ -4,8 +4,8 @@
 pub mod engine;
 
 use crate::harness::calls;
-use crate::harness::documents::{self, NOBODY, Room, engine_document};
-use engine::{ADAPTER_KILOBYTES, ADAPTER_PLACES, Engine, MODEL_KILOBYTES, ROOM_KILOBYTES};
+use crate::harness::documents::{self, EMPTY_CONTEXT, EngineCapacity, engine_document};
+use engine::{ADAPTER_KILOBYTES, ADAPTER_SLOTS, Engine, MEMORY_KILOBYTES, MODEL_KILOBYTES};
 use millpass_fleet::{CallResult, Fleet, FleetOutput, FleetSettings, InstructionHistory};
 use millpass_proto::*;
 use rand::{RngExt, SeedableRng};
@@ -18,14 +18,14 @@
 /// Trace lines printed on failure.
 const TRACE_LINES: usize = 200;
 /// Time step, in milliseconds.
-const STEP: u64 = 10;
+const STEP_MILLIS: u64 = 10;
 /// Duration of the phase with faults, in milliseconds.
-const DISTURBED: u64 = 40_000;
+const FAULT_PHASE_MILLIS: u64 = 40_000;
 /// Time after which all delayed messages have arrived.
-const CALM: u64 = 12_000;
+const SETTLING_MILLIS: u64 = 12_000;
 /// Time in which the leader must then load what is requested.
-const SERVED_WITHIN: u64 = 20_000;
-const CALL_TIMEOUT: u64 = 600;
+const SERVE_TIMEOUT_MILLIS: u64 = 20_000;
+const CALL_TIMEOUT_MILLIS: u64 = 600;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -39,7 +39,7 @@
     Announcement(u64, InstanceRecord),
 }
 
-pub struct World {
+pub struct Simulation {
     random: ChaCha8Rng,
     now: u64,
     fleet: Fleet,
@@ -65,14 +65,14 @@
     lines: Vec<String>,
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
         let engines = (0..ENGINES).map(|number| {
             let mut engine = Engine::new(&format!("e-{number}"), 0);
             engine.counts_what_is_done = seed.is_multiple_of(3);
             engine
         });
-        World {
+        Simulation {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             fleet: Fleet::new(settings()),
@@ -96,10 +96,10 @@
 
     /// Runs a phase with faults, then one without.
     pub fn play(&mut self) {
-        self.run_until(DISTURBED);
+        self.run_until(FAULT_PHASE_MILLIS);
         self.disturbed = false;
         self.document = document(&MODELS);
-        self.run_until(DISTURBED + CALM);
+        self.run_until(FAULT_PHASE_MILLIS + SETTLING_MILLIS);
     }
 
     /// Returns the orders that exceeded the capacity of each engine.
@@ -117,9 +117,9 @@
     pub fn serves(&mut self, model: &str, adapter: &str) -> bool {
         let wanted = (ModelName::from(model), Some(AdapterName::from(adapter)));
         self.wanted = vec![wanted.clone()];
-        let end = self.now + SERVED_WITHIN;
-        let held = |world: &World| {
-            let mut engines = world.engines.iter();
+        let end = self.now + SERVE_TIMEOUT_MILLIS;
+        let held = |simulation: &Simulation| {
+            let mut engines = simulation.engines.iter();
             engines.any(|engine| engine.holds(&wanted.0, wanted.1.as_ref()))
         };
         while self.now < end && !held(self) {
@@ -135,7 +135,7 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MILLIS;
         if self.disturbed && self.now >= self.next_disturbance {
             self.disturb();
         }
@@ -275,7 +275,7 @@
         if self.now < self.cut_until[number] {
             return;
         }
-        let answer = calls::to(call, &instance, &answer);
+        let answer = calls::response_to(call, &instance, &answer);
         for _ in 0..1 + u32::from(self.chance(0.05)) {
             if self.chance(0.1) {
                 continue;
@@ -292,8 +292,11 @@
         } else {
             0
         };
-        let unanswered = calls::to(call, instance, &InstructionResult::Unanswered);
-        self.send_in(waits + CALL_TIMEOUT, Message::Answer(self.term, unanswered));
+        let unanswered = calls::response_to(call, instance, &InstructionResult::Unanswered);
+        self.send_in(
+            waits + CALL_TIMEOUT_MILLIS,
+            Message::Answer(self.term, unanswered),
+        );
         let mut engines = self.engines.iter();
         let found = engines.position(|engine| {
             // An engine that restarts under another name keeps the number of its host.
@@ -307,7 +310,7 @@
         }
         for _ in 0..1 + u32::from(self.chance(0.05)) {
             let extra = if late {
-                self.random.random_range(CALL_TIMEOUT..6_000)
+                self.random.random_range(CALL_TIMEOUT_MILLIS..6_000)
             } else {
                 0
             };
@@ -327,9 +330,12 @@
         if self.now.is_multiple_of(100) {
             self.report_needs();
         }
-        let outputs = self
-            .fleet
-            .run(at(self.now), self.term, Some(&self.document), &NOBODY);
+        let outputs = self.fleet.run(
+            at(self.now),
+            self.term,
+            Some(&self.document),
+            &EMPTY_CONTEXT,
+        );
         for output in outputs {
             match output {
                 FleetOutput::Instruct(order) => self.instruct(order),
@@ -383,7 +389,7 @@
             zone: "z".into(),
             sequence: self.now,
             version: 1,
-            demand: self.wanted.iter().cloned().map(need).collect(),
+            demand: self.wanted.iter().cloned().map(model_demand).collect(),
             inconsistent: doubted
                 .then(|| self.engines[any].id())
                 .into_iter()
@@ -414,7 +420,7 @@
     InstructionHistory::new(Timestamp::ZERO, Duration::from_secs(600))
 }
 
-fn need((model, adapter): (ModelName, Option<AdapterName>)) -> GatewayModelDemand {
+fn model_demand((model, adapter): (ModelName, Option<AdapterName>)) -> GatewayModelDemand {
     GatewayModelDemand {
         service: "text".into(),
         model,
@@ -432,9 +438,9 @@
         adapter_kilobytes: ADAPTER_KILOBYTES,
         ..documents::model(name, MODEL_KILOBYTES, ADAPTERS.len() as u32)
     };
-    let room = Room {
-        weights_kilobytes: ROOM_KILOBYTES,
-        adapter_slots: ADAPTER_PLACES as u32,
+    let room = EngineCapacity {
+        weights_kilobytes: MEMORY_KILOBYTES,
+        adapter_slots: ADAPTER_SLOTS as u32,
         milliloads_per_second: 20_000,
     };
     engine_document(models.iter().map(model).collect(), &room)
--- a/crates/millpass-fleet/tests/fleet.rs
+++ b/crates/millpass-fleet/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::calls::Calls;
-use harness::documents::{self, NOBODY, Room, engine_document};
+use harness::documents::{self, EMPTY_CONTEXT, EngineCapacity, engine_document};
 use millpass_fleet::{
     Fleet, FleetOutput, FleetSettings, InstructionHistory, StoreCapacity, StorePermits,
 };
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 const MODEL_KILOBYTES: u64 = 60;
-const ROOM_KILOBYTES: u64 = 130;
+const MEMORY_KILOBYTES: u64 = 130;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -22,8 +22,8 @@
 }
 
 fn document() -> DeploymentDocument {
-    let room = Room {
-        weights_kilobytes: ROOM_KILOBYTES,
+    let room = EngineCapacity {
+        weights_kilobytes: MEMORY_KILOBYTES,
         adapter_slots: 2,
         milliloads_per_second: 2_000,
     };
@@ -56,7 +56,7 @@
     }
 }
 
-fn need(model: &str, adapter: Option<&str>) -> GatewayModelDemand {
+fn unmet_demand(model: &str, adapter: Option<&str>) -> GatewayModelDemand {
     GatewayModelDemand {
         service: "text".into(),
         model: model.into(),
@@ -99,19 +99,19 @@
     })
 }
 
-struct Bench {
+struct TestLeader {
     fleet: Fleet,
     document: DeploymentDocument,
     calls: Calls,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl TestLeader {
+    fn new() -> TestLeader {
         let settings = FleetSettings {
             order_handover: Duration::ZERO,
             ..FleetSettings::default()
         };
-        Bench {
+        TestLeader {
             fleet: Fleet::new(settings),
             document: document(),
             calls: Calls::default(),
@@ -119,7 +119,9 @@
     }
 
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
-        let outputs = self.fleet.run(at(now), 3, Some(&self.document), &NOBODY);
+        let outputs = self
+            .fleet
+            .run(at(now), 3, Some(&self.document), &EMPTY_CONTEXT);
         self.calls.note(&outputs);
         outputs
     }
@@ -181,15 +183,15 @@
 
 #[test]
 fn a_needed_model_is_loaded_once_however_often_it_is_asked_for() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench.engine(1_000, "e-2", &["b"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader.engine(1_000, "e-2", &["b"]);
     let mut given = Vec::new();
     for connection in 0..5 {
-        let mut report = report(vec![need("c", None)]);
+        let mut report = report(vec![unmet_demand("c", None)]);
         report.gateway = format!("g-{connection}");
-        bench.fleet.handle_report(at(1_100), connection, &report);
-        given.extend(bench.instructions(1_100 + connection * 120));
+        leader.fleet.handle_report(at(1_100), connection, &report);
+        given.extend(leader.instructions(1_100 + connection * 120));
     }
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(given[0].operation, InstructionOperation::Load);
@@ -200,35 +202,35 @@
 
 #[test]
 fn what_is_idle_makes_way_first_and_never_more_than_fits_is_ordered() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a", "b"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a", "b"]);
     // Model a is busy, b was never requested.
-    let mut busy = need("a", None);
+    let mut busy = unmet_demand("a", None);
     busy.unserved = 0;
     busy.arrivals = 20;
-    bench
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![busy, need("c", None)]));
-    let first = bench.instructions(1_100);
+        .handle_report(at(1_050), 1, &report(vec![busy, unmet_demand("c", None)]));
+    let first = leader.instructions(1_100);
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].operation, InstructionOperation::Unload);
     assert_eq!(first[0].model, "b".into());
-    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
     assert!(
-        bench.instructions(1_250).is_empty(),
+        leader.instructions(1_250).is_empty(),
         "room is not there yet"
     );
-    bench
+    leader
         .fleet
         .handle_announcement(at(1_300), record("e-1", 2_000, &["a"]), false);
     // The announcement may be stale: the unload is repeated to confirm that it is done.
-    let asked = bench.instructions(1_350);
+    let asked = leader.instructions(1_350);
     assert_eq!(asked.len(), 1, "{asked:?}");
     assert_eq!(asked[0].operation, InstructionOperation::Unload);
     assert_eq!(asked[0].expected_revision, 1, "the unload counts");
-    assert!(bench.instructions(1_390).is_empty(), "nor is room yet");
-    bench.answered(1_400, "e-1", &InstructionResult::AlreadySo);
-    let second = bench.instructions(1_450);
+    assert!(leader.instructions(1_390).is_empty(), "nor is room yet");
+    leader.answered(1_400, "e-1", &InstructionResult::AlreadySo);
+    let second = leader.instructions(1_450);
     assert_eq!(second.len(), 1, "{second:?}");
     assert_eq!(second[0].operation, InstructionOperation::Load);
     assert_eq!(second[0].model, "c".into());
@@ -237,25 +239,25 @@
 
 #[test]
 fn an_unanswered_instruction_is_followed_by_a_look_and_by_nothing_else() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
-    assert_eq!(bench.instructions(1_100).len(), 1);
-    bench.answered(2_000, "e-1", &InstructionResult::Unanswered);
-    assert!(bench.instructions(2_100).is_empty());
-    let reads = bench
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
+    assert_eq!(leader.instructions(1_100).len(), 1);
+    leader.answered(2_000, "e-1", &InstructionResult::Unanswered);
+    assert!(leader.instructions(2_100).is_empty());
+    let reads = leader
         .run(2_600)
         .into_iter()
         .filter(|output| matches!(output, FleetOutput::ReadEngine { .. }))
         .count();
     assert_eq!(reads, 1);
-    bench
+    leader
         .fleet
-        .handle_report(at(2_650), 1, &report(vec![need("c", None)]));
-    bench.answered(2_700, "e-1", &state(4, &["a"]));
-    let again = bench.instructions(2_800);
+        .handle_report(at(2_650), 1, &report(vec![unmet_demand("c", None)]));
+    leader.answered(2_700, "e-1", &state(4, &["a"]));
+    let again = leader.instructions(2_800);
     assert_eq!(again.len(), 1);
     assert_eq!(
         again[0].expected_revision, 4,
@@ -265,40 +267,40 @@
 
 #[test]
 fn a_copy_at_hand_wins_over_the_weight_store() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
     let mut second = record("e-2", 1, &["b"]);
     second.in_memory = vec!["c".into()];
-    bench.fleet.handle_announcement(at(1_000), second, false);
+    leader.fleet.handle_announcement(at(1_000), second, false);
     let read = state_with_copies(0, &["b"], &["c"]);
-    bench.is_read(1_000, "e-2", &read);
-    bench
+    leader.is_read(1_000, "e-2", &read);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
-    let given = bench.instructions(1_100);
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
+    let given = leader.instructions(1_100);
     assert_eq!(given[0].instance, "e-2".into());
 }
 
 #[test]
 fn an_adapter_goes_to_an_engine_that_holds_its_model_and_is_told_once_it_has_settled() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench.engine(1_000, "e-2", &["b"]);
-    bench
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader.engine(1_000, "e-2", &["b"]);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("b", Some("x"))]));
-    let given = bench.instructions(1_100);
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", Some("x"))]));
+    let given = leader.instructions(1_100);
     assert_eq!(given.len(), 1);
     assert_eq!(
         (given[0].instance.clone(), given[0].adapter.clone()),
         ("e-2".into(), Some("x".into()))
     );
-    bench.answered(1_110, "e-2", &InstructionResult::Accepted);
+    leader.answered(1_110, "e-2", &InstructionResult::Accepted);
     // An announcement sent before the adapter was loaded does not list it.
-    bench
+    leader
         .fleet
         .handle_announcement(at(1_120), record("e-2", 1_500, &["b"]), false);
-    let told = bench.run(1_130).into_iter().any(|output| {
+    let told = leader.run(1_130).into_iter().any(|output| {
         matches!(output, FleetOutput::Update { update, .. } if update.instances.iter().any(
             |record| record.models.iter().any(|held| held.adapters.contains(&"x".into()))))
     });
@@ -309,27 +311,27 @@
 /// orders.
 #[test]
 fn a_report_of_fewer_orders_than_the_engine_has_surely_taken_is_read_again() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("a", Some("x"))]));
-    assert_eq!(bench.instructions(1_100).len(), 1);
-    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
-    bench.run(1_200);
-    let mut doubts = report(vec![need("a", Some("y"))]);
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("a", Some("x"))]));
+    assert_eq!(leader.instructions(1_100).len(), 1);
+    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader.run(1_200);
+    let mut doubts = report(vec![unmet_demand("a", Some("y"))]);
     doubts.inconsistent = vec!["e-1".into()];
-    bench.fleet.handle_report(at(1_210), 1, &doubts);
-    bench.is_read(1_220, "e-1", &state(0, &["a"]));
+    leader.fleet.handle_report(at(1_210), 1, &doubts);
+    leader.is_read(1_220, "e-1", &state(0, &["a"]));
     assert!(
-        bench.instructions(1_550).is_empty(),
+        leader.instructions(1_550).is_empty(),
         "the count is not known"
     );
-    bench.is_read(1_560, "e-1", &state(1, &["a"]));
-    bench
+    leader.is_read(1_560, "e-1", &state(1, &["a"]));
+    leader
         .fleet
-        .handle_report(at(1_710), 1, &report(vec![need("a", Some("y"))]));
-    let given = bench.instructions(1_800);
+        .handle_report(at(1_710), 1, &report(vec![unmet_demand("a", Some("y"))]));
+    let given = leader.instructions(1_800);
     assert_eq!(given.len(), 1);
     assert_eq!(given[0].expected_revision, 1);
 }
@@ -343,11 +345,11 @@
         .step_by(10)
         .filter(|now| permits.try_acquire(at(*now), milliloads))
         .collect();
-    assert_eq!(most_in_a_window(&taken), Some(allowed));
+    assert_eq!(max_in_window(&taken), Some(allowed));
 }
 
 /// Returns the maximum number of loads that begin in any five seconds.
-fn most_in_a_window(begun: &[u64]) -> Option<usize> {
+fn max_in_window(begun: &[u64]) -> Option<usize> {
     let in_window = |start: &u64| {
         let window = *start..*start + 5_000;
         begun.iter().filter(|at| window.contains(at)).count()
@@ -359,69 +361,71 @@
 /// is available there.
 #[test]
 fn a_busy_model_does_not_make_way_for_a_single_request() {
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     let mut first = record("e-1", 1_000, &["a", "b"]);
     first.in_memory = vec!["c".into()];
-    bench.fleet.handle_announcement(at(1_000), first, false);
-    bench.is_read(1_000, "e-1", &state(0, &["a", "b"]));
+    leader.fleet.handle_announcement(at(1_000), first, false);
+    leader.is_read(1_000, "e-1", &state(0, &["a", "b"]));
     let busy = |model: &str| GatewayModelDemand {
         unserved: 0,
         arrivals: 40,
         in_flight: 5,
-        ..need(model, None)
+        ..unmet_demand(model, None)
     };
-    let needs = vec![busy("a"), busy("b"), need("c", None)];
-    bench.fleet.handle_report(at(1_050), 1, &report(needs));
-    assert!(bench.instructions(1_100).is_empty());
+    let needs = vec![busy("a"), busy("b"), unmet_demand("c", None)];
+    leader.fleet.handle_report(at(1_050), 1, &report(needs));
+    assert!(leader.instructions(1_100).is_empty());
 }
 
 /// Guards against counting a model as held while its only engine has crashed.
 #[test]
 fn a_model_whose_only_engine_cannot_be_read_is_loaded_elsewhere() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench.engine(1_000, "e-2", &["b"]);
-    let mut doubts = report(vec![need("a", None)]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader.engine(1_000, "e-2", &["b"]);
+    let mut doubts = report(vec![unmet_demand("a", None)]);
     doubts.inconsistent = vec!["e-1".into()];
-    bench.fleet.handle_report(at(1_050), 1, &doubts);
-    bench.run(1_100);
-    bench.run(1_400);
-    bench.answered(1_500, "e-1", &InstructionResult::Unanswered);
-    bench
+    leader.fleet.handle_report(at(1_050), 1, &doubts);
+    leader.run(1_100);
+    leader.run(1_400);
+    leader.answered(1_500, "e-1", &InstructionResult::Unanswered);
+    leader
         .fleet
-        .handle_report(at(1_510), 1, &report(vec![need("a", None)]));
-    let given = bench.instructions(1_600);
+        .handle_report(at(1_510), 1, &report(vec![unmet_demand("a", None)]));
+    let given = leader.instructions(1_600);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(
         (given[0].instance.clone(), given[0].model.clone()),
         ("e-2".into(), "a".into())
     );
     // The engine is used again once it announces itself.
-    bench
+    leader
         .fleet
         .handle_announcement(at(1_700), record("e-1", 3_000, &["a"]), false);
-    bench.answered(1_710, "e-2", &InstructionResult::Accepted);
-    bench
+    leader.answered(1_710, "e-2", &InstructionResult::Accepted);
+    leader
         .fleet
-        .handle_report(at(1_720), 1, &report(vec![need("a", None)]));
-    assert!(bench.instructions(1_900).is_empty());
+        .handle_report(at(1_720), 1, &report(vec![unmet_demand("a", None)]));
+    assert!(leader.instructions(1_900).is_empty());
 }
 
 #[test]
 fn a_model_whose_prompts_take_much_of_its_engine_gets_a_replica() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench.engine(1_000, "e-2", &["b"]);
-    let mut busy = need("a", None);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader.engine(1_000, "e-2", &["b"]);
+    let mut busy = unmet_demand("a", None);
     busy.unserved = 0;
     busy.unread_tokens = 10_000;
-    bench
+    leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![busy.clone()]));
-    assert!(bench.instructions(1_100).is_empty(), "not yet busy");
+    assert!(leader.instructions(1_100).is_empty(), "not yet busy");
     busy.unread_tokens = 60_000;
-    bench.fleet.handle_report(at(1_150), 1, &report(vec![busy]));
-    let given = bench.instructions(1_200);
+    leader
+        .fleet
+        .handle_report(at(1_150), 1, &report(vec![busy]));
+    let given = leader.instructions(1_200);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(
         (given[0].instance.clone(), given[0].model.clone()),
@@ -432,37 +436,39 @@
 /// Guards against loading a model twice in one round: for its reservation and for unmet demand.
 #[test]
 fn a_model_whose_room_was_just_made_is_loaded_there_alone() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a", "b"]);
-    bench
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
-    let left = bench.makes_room();
-    bench.engine(1_150, "e-2", &["d"]);
-    bench
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
+    let left = leader.makes_room();
+    leader.engine(1_150, "e-2", &["d"]);
+    leader
         .fleet
         .handle_announcement(at(1_200), record("e-1", 2_000, &[left]), false);
     assert_eq!(
-        bench.instructions(1_250).len(),
+        leader.instructions(1_250).len(),
         1,
         "it is asked whether it is done"
     );
-    bench.answered(1_260, "e-1", &InstructionResult::AlreadySo);
-    bench
+    leader.answered(1_260, "e-1", &InstructionResult::AlreadySo);
+    leader
         .fleet
-        .handle_report(at(1_270), 1, &report(vec![need("c", None)]));
-    let given = bench.instructions(1_400);
+        .handle_report(at(1_270), 1, &report(vec![unmet_demand("c", None)]));
+    let given = leader.instructions(1_400);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(given[0].instance, "e-1".into());
 }
 
 #[test]
 fn a_silent_instance_is_removed_and_gateways_are_told() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench.fleet.handle_report(at(1_000), 1, &report(Vec::new()));
-    bench.live(1_100, 5_000);
-    let removed = bench.live(5_000, 8_000).into_iter().any(|output| {
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader
+        .fleet
+        .handle_report(at(1_000), 1, &report(Vec::new()));
+    leader.live(1_100, 5_000);
+    let removed = leader.live(5_000, 8_000).into_iter().any(|output| {
         matches!(output, FleetOutput::Update { update, .. } if update.removed == ["e-1".into()])
     });
     assert!(removed);
@@ -474,21 +480,21 @@
 #[case::not_in_charge(false)]
 #[case::refuses_announcements(true)]
 fn the_silence_of_a_leader_that_does_not_hear_is_not_that_of_instances(#[case] refuses: bool) {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    let mut outputs = bench.live(1_000, 2_000);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    let mut outputs = leader.live(1_000, 2_000);
     if refuses {
         for now in (2_000..9_000).step_by(500) {
-            bench.fleet.record_refused_announcements(at(now));
-            outputs.extend(bench.live(now, now + 500));
+            leader.fleet.record_refused_announcements(at(now));
+            outputs.extend(leader.live(now, now + 500));
         }
     }
-    outputs.extend(bench.run(9_000));
-    outputs.extend(bench.live(9_000, 10_000));
+    outputs.extend(leader.run(9_000));
+    outputs.extend(leader.live(9_000, 10_000));
     let forgotten = |output: &FleetOutput| matches!(output, FleetOutput::Event(event) if event.name == "instance-forgotten");
     assert!(!outputs.iter().any(forgotten));
     // Without announcements while the leader runs, the instance expires.
-    let outputs = bench.live(10_000, 17_000);
+    let outputs = leader.live(10_000, 17_000);
     assert!(outputs.iter().any(forgotten));
 }
 
@@ -497,26 +503,26 @@
 #[test]
 fn an_instance_that_returns_before_its_removal_was_told_is_not_named_as_removed() {
     const GATEWAYS: u64 = 70;
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
     let mut first = report(Vec::new());
     for connection in 0..GATEWAYS {
         first.gateway = format!("g-{connection}");
-        bench.fleet.handle_report(at(1_000), connection, &first);
+        leader.fleet.handle_report(at(1_000), connection, &first);
     }
-    bench.live(1_000, 6_900);
+    leader.live(1_000, 6_900);
     // All gateways are sent an update shortly before the instance expires.
     for connection in 0..GATEWAYS {
         first.gateway = format!("g-{connection}");
-        bench.fleet.handle_report(at(6_990), connection, &first);
+        leader.fleet.handle_report(at(6_990), connection, &first);
     }
-    bench.run(6_990);
-    let forgotten = bench.run(7_010).into_iter().any(
+    leader.run(6_990);
+    let forgotten = leader.run(7_010).into_iter().any(
         |output| matches!(output, FleetOutput::Event(event) if event.name == "instance-forgotten"),
     );
     assert!(forgotten);
-    bench.engine(7_020, "e-1", &["a"]);
-    let told: Vec<_> = bench
+    leader.engine(7_020, "e-1", &["a"]);
+    let told: Vec<_> = leader
         .run(7_100)
         .into_iter()
         .filter_map(|output| match output {
@@ -535,19 +541,21 @@
 #[test]
 fn a_gateway_that_lacks_more_removals_than_are_remembered_is_told_everything() {
     const INSTANCES: usize = 1_100;
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     let names: Vec<String> = (0..INSTANCES).map(|index| format!("e-{index}")).collect();
     for name in &names {
-        bench
+        leader
             .fleet
             .handle_announcement(at(1_000), record(name, 1, &["a"]), false);
     }
-    bench.fleet.handle_report(at(1_000), 1, &report(Vec::new()));
-    bench.run(1_000);
+    leader
+        .fleet
+        .handle_report(at(1_000), 1, &report(Vec::new()));
+    leader.run(1_000);
     for name in &names {
-        bench.fleet.handle_departure(&name.as_str().into(), true);
+        leader.fleet.handle_departure(&name.as_str().into(), true);
     }
-    let told = bench
+    let told = leader
         .run(1_100)
         .into_iter()
         .find_map(|output| match output {
@@ -565,13 +573,13 @@
 /// Guards against unbounded memory use: followers collected an output for each departure.
 #[test]
 fn a_member_that_does_not_lead_keeps_nothing_of_departures() {
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     for index in 0..1_000 {
-        bench
+        leader
             .fleet
             .handle_departure(&format!("e-{index}").as_str().into(), true);
     }
-    let kept = bench.run(1_000);
+    let kept = leader.run(1_000);
     assert!(kept.is_empty(), "{} outputs", kept.len());
 }
 
@@ -604,7 +612,7 @@
             .step_by(10)
             .filter(|now| second.try_acquire(at(*now), MILLILOADS)),
     );
-    let most = most_in_a_window(&begun);
+    let most = max_in_window(&begun);
     // The rate allows ten loads in five seconds; the store tolerates 10 % and three more.
     assert!(most <= Some(14), "{most:?}");
     assert!(begun.len() > 25, "{begun:?}");
@@ -619,24 +627,24 @@
     #[case] least: usize,
     #[case] most: usize,
 ) {
-    let mut bench = Bench::new();
-    bench
+    let mut leader = TestLeader::new();
+    leader
         .fleet
         .handle_announcement(at(1_000), record("e-1", 1, &["a"]), false);
     for connection in 0..gateways {
         let mut first = report(Vec::new());
         first.gateway = format!("g-{connection}");
-        bench.fleet.handle_report(at(1_000), connection, &first);
+        leader.fleet.handle_report(at(1_000), connection, &first);
     }
-    bench.run(1_000);
+    leader.run(1_000);
     let mut updates = 0;
     for change in 1..=100 {
         let now = 1_000 + change * 10;
         let models: &[&str] = if change % 2 == 0 { &["a"] } else { &["b"] };
-        bench
+        leader
             .fleet
             .handle_announcement(at(now), record("e-1", 1 + change, models), false);
-        let outputs = bench.run(now);
+        let outputs = leader.run(now);
         updates += outputs
             .iter()
             .filter(|output| matches!(output, FleetOutput::Update { connection: 0, .. }))
@@ -648,30 +656,30 @@
 /// Guards against evicting a model with unmet demand for an adapter.
 #[test]
 fn a_reservation_takes_no_model_that_somebody_waits_for() {
-    let mut bench = Bench::new();
-    let engine = bench.document.services[0].engine.as_mut().expect("engine");
+    let mut leader = TestLeader::new();
+    let engine = leader.document.services[0].engine.as_mut().expect("engine");
     engine.models.push(EngineModelSpec {
         weights_kilobytes: 2 * MODEL_KILOBYTES,
         ..model("large")
     });
-    bench.engine(1_000, "e-1", &["a", "b"]);
-    bench
+    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("large", None)]));
-    let left = bench.makes_room();
-    bench
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("large", None)]));
+    let left = leader.makes_room();
+    leader
         .fleet
         .handle_announcement(at(1_300), record("e-1", 2_000, &[left]), false);
     assert_eq!(
-        bench.instructions(1_350).len(),
+        leader.instructions(1_350).len(),
         1,
         "it is asked whether it is done"
     );
-    bench.answered(1_360, "e-1", &InstructionResult::AlreadySo);
-    bench
+    leader.answered(1_360, "e-1", &InstructionResult::AlreadySo);
+    leader
         .fleet
-        .handle_report(at(1_410), 1, &report(vec![need(left, Some("x"))]));
-    let second = bench.instructions(1_500);
+        .handle_report(at(1_410), 1, &report(vec![unmet_demand(left, Some("x"))]));
+    let second = leader.instructions(1_500);
     assert!(
         second
             .iter()
@@ -684,19 +692,19 @@
 /// lost from the recorded state.
 #[test]
 fn an_engine_gets_one_instruction_a_round() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a", "b"]);
-    let needs = vec![need("a", Some("x")), need("c", None)];
-    bench.fleet.handle_report(at(1_050), 1, &report(needs));
-    let given = bench.instructions(1_100);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a", "b"]);
+    let needs = vec![unmet_demand("a", Some("x")), unmet_demand("c", None)];
+    leader.fleet.handle_report(at(1_050), 1, &report(needs));
+    let given = leader.instructions(1_100);
     assert_eq!(given.len(), 1, "{given:?}");
 }
 
 /// Guards against exceeding the adapter slots of an engine.
 #[test]
 fn adapters_on_their_way_take_their_places() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
     let coming = InstructionResult::State(EngineState {
         revision: 2,
         busy: false,
@@ -708,33 +716,33 @@
             adapters: vec!["x".into(), "y".into()],
         }],
     });
-    bench.answered(1_010, "e-1", &coming);
-    let needs = vec![need("a", Some("z"))];
-    bench.fleet.handle_report(at(1_050), 1, &report(needs));
-    let given = bench.instructions(1_100);
+    leader.answered(1_010, "e-1", &coming);
+    let needs = vec![unmet_demand("a", Some("z"))];
+    leader.fleet.handle_report(at(1_050), 1, &report(needs));
+    let given = leader.instructions(1_100);
     assert!(given.is_empty(), "{given:?}");
 }
 
 /// Guards against exceeding an engine's memory: announcements may be seconds old.
 #[test]
 fn an_announcement_from_before_a_load_makes_no_room() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
-    bench
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("b", None)]));
-    assert_eq!(bench.instructions(1_100).len(), 1);
-    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
-    bench
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", None)]));
+    assert_eq!(leader.instructions(1_100).len(), 1);
+    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader
         .fleet
         .handle_announcement(at(3_200), record("e-1", 5_000, &["a", "b"]), false);
-    bench
+    leader
         .fleet
         .handle_announcement(at(3_300), record("e-1", 5_001, &["a"]), false);
-    bench
+    leader
         .fleet
-        .handle_report(at(3_310), 1, &report(vec![need("c", None)]));
-    let given = bench.instructions(3_400);
+        .handle_report(at(3_310), 1, &report(vec![unmet_demand("c", None)]));
+    let given = leader.instructions(3_400);
     let loads = |given: &EngineInstruction| given.operation == InstructionOperation::Load;
     assert!(!given.iter().any(loads), "{given:?}");
 }
@@ -742,21 +750,21 @@
 /// Guards against waiting for an engine that has not accepted its instruction.
 #[test]
 fn a_need_waits_for_no_engine_whose_instruction_is_not_confirmed() {
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     let mut first = record("e-1", 1_000, &["a"]);
     first.in_memory = vec!["c".into()];
-    bench.fleet.handle_announcement(at(1_000), first, false);
+    leader.fleet.handle_announcement(at(1_000), first, false);
     let read = state_with_copies(0, &["a"], &["c"]);
-    bench.is_read(1_000, "e-1", &read);
-    bench
+    leader.is_read(1_000, "e-1", &read);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("b", None)]));
-    assert_eq!(bench.instructions(1_100)[0].instance, "e-1".into());
-    bench.engine(1_200, "e-2", &["d"]);
-    bench
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", None)]));
+    assert_eq!(leader.instructions(1_100)[0].instance, "e-1".into());
+    leader.engine(1_200, "e-2", &["d"]);
+    leader
         .fleet
-        .handle_report(at(1_210), 1, &report(vec![need("c", None)]));
-    let given = bench.instructions(1_300);
+        .handle_report(at(1_210), 1, &report(vec![unmet_demand("c", None)]));
+    let given = leader.instructions(1_300);
     assert_eq!(given.len(), 1, "{given:?}");
     assert_eq!(given[0].instance, "e-2".into());
 }
@@ -764,19 +772,21 @@
 /// Guards against requests for a model whose unload waits for running requests.
 #[test]
 fn a_model_that_is_being_unloaded_gets_no_requests_whatever_the_engine_announces() {
-    let mut bench = Bench::new();
-    bench.fleet.handle_report(at(900), 1, &report(Vec::new()));
-    bench.engine(1_000, "e-1", &["a", "b"]);
-    bench
+    let mut leader = TestLeader::new();
+    leader.fleet.handle_report(at(900), 1, &report(Vec::new()));
+    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("c", None)]));
-    let left = bench.makes_room();
-    bench
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
+    let left = leader.makes_room();
+    leader
         .fleet
         .handle_announcement(at(1_200), record("e-1", 2_000, &["a", "b"]), false);
     // A reconnect triggers a full update; unchanged announcements trigger none.
-    bench.fleet.handle_report(at(1_210), 2, &report(Vec::new()));
-    let records = bench
+    leader
+        .fleet
+        .handle_report(at(1_210), 2, &report(Vec::new()));
+    let records = leader
         .run(1_220)
         .into_iter()
         .filter_map(|output| match output {
@@ -791,20 +801,20 @@
 /// Guards against gateways that hold requests for a model whose load has not started.
 #[test]
 fn gateways_are_told_when_a_model_that_waits_for_an_engine_will_serve() {
-    let mut bench = Bench::new();
-    bench
+    let mut leader = TestLeader::new();
+    leader
         .fleet
         .handle_announcement(at(1_000), record("e-1", 1_000, &["a"]), false);
-    bench.is_read(1_000, "e-1", &state_with_copies(0, &["a"], &["c"]));
-    bench
+    leader.is_read(1_000, "e-1", &state_with_copies(0, &["a"], &["c"]));
+    leader
         .fleet
-        .handle_report(at(1_050), 1, &report(vec![need("b", None)]));
-    assert_eq!(bench.instructions(1_100)[0].model, "b".into());
-    bench.answered(1_110, "e-1", &InstructionResult::Accepted);
-    bench
+        .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", None)]));
+    assert_eq!(leader.instructions(1_100)[0].model, "b".into());
+    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader
         .fleet
-        .handle_report(at(1_300), 1, &report(vec![need("c", None)]));
-    let outputs = bench.run(1_400);
+        .handle_report(at(1_300), 1, &report(vec![unmet_demand("c", None)]));
+    let outputs = leader.run(1_400);
     let outlook = outputs
         .iter()
         .find_map(|output| match output {
@@ -820,43 +830,43 @@
 
 #[test]
 fn no_more_loads_begin_at_once_than_the_weight_store_is_known_to_serve() {
-    let mut bench = Bench::new();
-    let service = &mut bench.document.services[0];
+    let mut leader = TestLeader::new();
+    let service = &mut leader.document.services[0];
     let engine = service.engine.as_mut().expect("an engine");
     engine.milliloads_per_second = 100_000;
     engine.models = (0..20).map(|index| model(&format!("m-{index}"))).collect();
     for index in 0..20 {
-        bench.engine(1_000, &format!("e-{index}"), &[]);
+        leader.engine(1_000, &format!("e-{index}"), &[]);
     }
-    let needs = (0..20).map(|index| need(&format!("m-{index}"), None));
-    bench
+    let needs = (0..20).map(|index| unmet_demand(&format!("m-{index}"), None));
+    leader
         .fleet
         .handle_report(at(1_050), 1, &report(needs.collect()));
-    let mut begun = bench.instructions(1_100).len();
-    begun += bench.instructions(1_250).len();
+    let mut begun = leader.instructions(1_100).len();
+    begun += leader.instructions(1_250).len();
     let first = StoreCapacity::default().limit();
     assert_eq!(begun, first, "of 20 that are asked for");
 }
 
 #[test]
 fn a_copy_on_a_disk_is_loaded_while_the_weight_store_has_no_room() {
-    let mut bench = Bench::new();
-    let service = &mut bench.document.services[0];
+    let mut leader = TestLeader::new();
+    let service = &mut leader.document.services[0];
     let engine = service.engine.as_mut().expect("an engine");
     engine.milliloads_per_second = 100_000;
     engine.models = (0..9).map(|index| model(&format!("m-{index}"))).collect();
     for index in 0..8 {
-        bench.engine(1_000, &format!("e-{index}"), &[]);
+        leader.engine(1_000, &format!("e-{index}"), &[]);
     }
-    let needs = (0..8).map(|index| need(&format!("m-{index}"), None));
-    bench
+    let needs = (0..8).map(|index| unmet_demand(&format!("m-{index}"), None));
+    leader
         .fleet
         .handle_report(at(1_050), 1, &report(needs.collect()));
-    let first = bench.instructions(1_100).len();
+    let first = leader.instructions(1_100).len();
     assert_eq!(first, StoreCapacity::default().limit());
     let mut copy = record("e-8", 2_000, &[]);
     copy.on_disk = vec!["m-8".into()];
-    bench.fleet.handle_announcement(at(1_200), copy, false);
+    leader.fleet.handle_announcement(at(1_200), copy, false);
     let read = EngineState {
         revision: 0,
         busy: false,
@@ -865,11 +875,11 @@
         on_disk: vec!["m-8".into()],
         loading_adapters: Vec::new(),
     };
-    bench.is_read(1_200, "e-8", &InstructionResult::State(read));
-    bench
+    leader.is_read(1_200, "e-8", &InstructionResult::State(read));
+    leader
         .fleet
-        .handle_report(at(1_260), 1, &report(vec![need("m-8", None)]));
-    let second = bench.instructions(1_350);
+        .handle_report(at(1_260), 1, &report(vec![unmet_demand("m-8", None)]));
+    let second = leader.instructions(1_350);
     assert_eq!(second.len(), 1, "{second:?}");
     assert_eq!(second[0].model, "m-8".into());
     assert_eq!(second[0].instance, "e-8".into());
@@ -879,51 +889,53 @@
 fn a_model_that_would_fill_several_engines_gets_further_replicas(
     #[values(1, 2, 4, 9)] engines_filled: u32,
 ) {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-0", &["a"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-0", &["a"]);
     for index in 1..8 {
         let name = format!("e-{index}");
-        bench.engine(1_000, &name, &["b", "c"]);
+        leader.engine(1_000, &name, &["b", "c"]);
     }
-    let mut busy = need("a", None);
+    let mut busy = unmet_demand("a", None);
     busy.unserved = 0;
     busy.in_flight = 8 * engines_filled;
-    bench.fleet.handle_report(at(1_050), 1, &report(vec![busy]));
-    let instructions = bench.instructions(1_100);
+    leader
+        .fleet
+        .handle_report(at(1_050), 1, &report(vec![busy]));
+    let instructions = leader.instructions(1_100);
     assert!(!instructions.is_empty(), "nothing makes way for it");
 }
 
 /// Guards against overflows and unbounded planning for absurd reports.
 #[test]
 fn absurd_demand_is_met_within_bounds() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-0", &["a"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-0", &["a"]);
     for index in 1..6 {
         let name = format!("e-{index}");
-        bench.engine(1_000, &name, &["b", "c"]);
+        leader.engine(1_000, &name, &["b", "c"]);
     }
     for gateway in 0..3 {
-        let mut absurd = need("a", None);
+        let mut absurd = unmet_demand("a", None);
         absurd.unserved = u32::MAX;
         absurd.arrivals = u32::MAX;
         absurd.in_flight = u32::MAX;
         absurd.unread_tokens = u64::MAX;
         let mut report = report(vec![absurd]);
         report.gateway = format!("g-{gateway}");
-        bench.fleet.handle_report(at(1_050), gateway, &report);
+        leader.fleet.handle_report(at(1_050), gateway, &report);
     }
-    let instructions = bench.instructions(1_100);
+    let instructions = leader.instructions(1_100);
     assert!(instructions.len() <= 5, "{instructions:?}");
     for gateway in 0..3 {
-        bench.fleet.handle_disconnect(at(1_200), gateway);
+        leader.fleet.handle_disconnect(at(1_200), gateway);
     }
-    bench.run(1_300);
+    leader.run(1_300);
 }
 
 #[test]
 fn gateways_are_told_what_all_of_them_have_in_flight() {
-    let mut bench = Bench::new();
-    bench.engine(1_000, "e-1", &["a"]);
+    let mut leader = TestLeader::new();
+    leader.engine(1_000, "e-1", &["a"]);
     let with = |gateway: &str, in_flight| {
         let mut report = report(Vec::new());
         report.gateway = gateway.to_owned();
@@ -933,9 +945,9 @@
         }];
         report
     };
-    let told = |bench: &mut Bench, now: u64| -> Vec<u32> {
-        bench.fleet.handle_report(at(now), 9, &report(Vec::new()));
-        let outputs = bench.run(now);
+    let told = |leader: &mut TestLeader, now: u64| -> Vec<u32> {
+        leader.fleet.handle_report(at(now), 9, &report(Vec::new()));
+        let outputs = leader.run(now);
         let updates = outputs.into_iter().filter_map(|output| match output {
             FleetOutput::Update {
                 connection: 9,
@@ -946,29 +958,29 @@
         let loads = updates.flat_map(|update| update.loads);
         loads.map(|load| load.in_flight).collect()
     };
-    bench.fleet.handle_report(at(1_010), 1, &with("g-1", 4));
-    bench.fleet.handle_report(at(1_020), 2, &with("g-2", 5));
-    assert_eq!(told(&mut bench, 1_100), [9]);
-    bench.fleet.handle_report(at(1_110), 1, &with("g-1", 1));
+    leader.fleet.handle_report(at(1_010), 1, &with("g-1", 4));
+    leader.fleet.handle_report(at(1_020), 2, &with("g-2", 5));
+    assert_eq!(told(&mut leader, 1_100), [9]);
+    leader.fleet.handle_report(at(1_110), 1, &with("g-1", 1));
     assert_eq!(
-        told(&mut bench, 1_200),
+        told(&mut leader, 1_200),
         [6],
         "a newer report takes its place"
     );
-    bench.fleet.handle_disconnect(at(1_200), 2);
-    assert_eq!(told(&mut bench, 1_300), [1]);
-    bench
+    leader.fleet.handle_disconnect(at(1_200), 2);
+    assert_eq!(told(&mut leader, 1_300), [1]);
+    leader
         .fleet
         .handle_report(at(1_310), 1, &with("g-1", u32::MAX));
-    bench
+    leader
         .fleet
         .handle_report(at(1_320), 3, &with("g-3", u32::MAX));
-    assert_eq!(told(&mut bench, 1_400), [u32::MAX], "absurd, and harmless");
+    assert_eq!(told(&mut leader, 1_400), [u32::MAX], "absurd, and harmless");
 }
 
 #[test]
 fn an_update_names_a_bounded_number_of_busy_instances() {
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     let mut full = report(Vec::new());
     full.in_flight = (0..500)
         .map(|index| InstanceLoad {
@@ -976,8 +988,8 @@
             in_flight: index,
         })
         .collect();
-    bench.fleet.handle_report(at(1_010), 1, &full);
-    let loads: Vec<InstanceLoad> = bench
+    leader.fleet.handle_report(at(1_010), 1, &full);
+    let loads: Vec<InstanceLoad> = leader
         .run(1_100)
         .into_iter()
         .find_map(|output| match output {
@@ -994,27 +1006,27 @@
 
 #[test]
 fn what_the_leader_learns_of_the_weight_store_is_noted_for_the_leaders_to_come() {
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     for index in 0..4 {
-        bench.engine(1_000, &format!("e-{index}"), &[]);
+        leader.engine(1_000, &format!("e-{index}"), &[]);
     }
-    let needs = ["a", "b", "c", "d"].map(|name| need(name, None));
-    bench
+    let needs = ["a", "b", "c", "d"].map(|name| unmet_demand(name, None));
+    leader
         .fleet
         .handle_report(at(1_050), 1, &report(needs.to_vec()));
-    let begun = bench.instructions(1_100);
+    let begun = leader.instructions(1_100);
     assert_eq!(begun.len(), StoreCapacity::default().limit());
     for instruction in &begun {
         let accepted = InstructionResult::Accepted;
-        bench.answered(1_110, instruction.instance.name(), &accepted);
+        leader.answered(1_110, instruction.instance.name(), &accepted);
     }
-    bench.run(1_250);
+    leader.run(1_250);
     for instruction in &begun {
         let held = [instruction.model.as_str()];
         let loaded = record(instruction.instance.name(), 9_000, &held);
-        bench.fleet.handle_announcement(at(3_150), loaded, false);
+        leader.fleet.handle_announcement(at(3_150), loaded, false);
     }
-    let noted = bench
+    let noted = leader
         .run(3_200)
         .into_iter()
         .find_map(|output| match output {
@@ -1029,17 +1041,17 @@
 /// portions of shared limits.
 #[test]
 fn a_leader_says_how_many_gateways_there_are_once_all_had_time_to_find_it() {
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     let mut told = Vec::new();
     for (since, now) in [(0, 1_000), (1_000, 2_000), (2_000, 6_000)] {
-        bench.live(since, now);
+        leader.live(since, now);
         for connection in 1..=3 {
             let mut found = report(Vec::new());
             found.gateway = format!("g-{connection}");
-            bench
+            leader
                 .fleet
                 .handle_report(at(now + connection), connection, &found);
-            let outputs = bench.run(now + connection);
+            let outputs = leader.run(now + connection);
             told.extend(outputs.into_iter().filter_map(|output| match output {
                 FleetOutput::Update { update, .. } => Some((now, update.gateways)),
                 _ => None,
@@ -1054,9 +1066,9 @@
 
 #[test]
 fn a_gateway_is_told_of_each_instance_once_when_a_leader_takes_charge() {
-    let mut bench = Bench::new();
+    let mut leader = TestLeader::new();
     for index in 0..5 {
-        bench.engine(1_000, &format!("e-{index}"), &["a"]);
+        leader.engine(1_000, &format!("e-{index}"), &["a"]);
     }
     let mut told = Vec::new();
     let mut complete = false;
@@ -1064,12 +1076,12 @@
         let now = 1_100 + step * 300;
         for index in 0..5 {
             let name = format!("e-{index}");
-            bench
+            leader
                 .fleet
                 .handle_announcement(at(now), record(&name, now, &["a"]), false);
         }
-        bench.fleet.handle_report(at(now), 1, &report(Vec::new()));
-        for output in bench.run(now) {
+        leader.fleet.handle_report(at(now), 1, &report(Vec::new()));
+        for output in leader.run(now) {
             if let FleetOutput::Update { update, .. } = output {
                 told.extend(
                     update
--- a/crates/millpass-fleet/tests/harness/calls.rs
+++ b/crates/millpass-fleet/tests/harness/calls.rs
@@ -29,12 +29,12 @@
     /// Returns a response to the newest call to an engine, or to an unknown call if there was none.
     pub fn answer(&self, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
         let call = self.newest.get(instance).copied().unwrap_or(CallId(0));
-        to(call, instance, answer)
+        response_to(call, instance, answer)
     }
 }
 
 /// Returns a response to a call.
-pub fn to(call: CallId, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
+pub fn response_to(call: CallId, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
     CallResult {
         instance: instance.clone(),
         call,
--- a/crates/millpass-fleet/tests/harness/documents.rs
+++ b/crates/millpass-fleet/tests/harness/documents.rs
@@ -4,7 +4,7 @@
 use millpass_proto::*;
 
 /// A context without members, departures and documents.
-pub const NOBODY: GatewayContext<'static> = GatewayContext {
+pub const EMPTY_CONTEXT: GatewayContext<'static> = GatewayContext {
     as_of: 0,
     members: &Vec::new,
     departed: &|_| Vec::new(),
@@ -12,7 +12,7 @@
 };
 
 /// Capacity of the engines of a document, and rate limit of the weight store.
-pub struct Room {
+pub struct EngineCapacity {
     pub weights_kilobytes: u64,
     pub adapter_slots: u32,
     pub milliloads_per_second: u64,
@@ -31,7 +31,7 @@
     }
 }
 
-pub fn engine_document(models: Vec<EngineModelSpec>, room: &Room) -> DeploymentDocument {
+pub fn engine_document(models: Vec<EngineModelSpec>, room: &EngineCapacity) -> DeploymentDocument {
     DeploymentDocument {
         version: 1,
         routes: Vec::new(),
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -233,7 +233,7 @@
 }
 
 /// Returns the encoded size of an update, in bytes.
-pub fn bytes(update: &GatewayUpdate) -> usize {
+pub fn encoded_size(update: &GatewayUpdate) -> usize {
     let message = ControlToRouter::Gateway(update.clone());
     let encoded = millpass_proto::codec::encode(&message);
     encoded.expect("an update encodes").len()
--- a/crates/millpass-fleet/tests/harness/shares.rs
+++ b/crates/millpass-fleet/tests/harness/shares.rs
@@ -2,7 +2,7 @@
 //! between members are counted and may be lost, delayed and duplicated.
 
 use super::at;
-use super::documents::{Room, engine_document, model as model_spec};
+use super::documents::{EngineCapacity, engine_document, model as model_spec};
 use millpass_fleet::{
     DocumentHistory, Fleet, FleetOutput, FleetSettings, GatewayContext, InstructionHistory,
 };
@@ -10,14 +10,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Announcement interval of an instance, in milliseconds.
-const INTERVAL: u64 = 2_000;
+const ANNOUNCE_INTERVAL: u64 = 2_000;
 /// Time step, in milliseconds.
 const STEP: u64 = 10;
 /// Number of models; each engine holds two.
 pub const MODELS: u64 = 100;
 const ZONES: u64 = 4;
 /// Time after which an instance retries at another member, in milliseconds.
-const PATIENCE: u64 = 1_000;
+const RETRY_DELAY: u64 = 1_000;
 
 pub fn model(number: u64) -> ModelName {
     format!("m-{number:03}").as_str().into()
@@ -25,7 +25,7 @@
 
 /// Reports received by the leader.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sizes {
+pub struct ReportStats {
     pub reports: usize,
     pub bytes: usize,
     pub largest: usize,
@@ -42,7 +42,7 @@
 
 impl Instance {
     fn id(&self) -> InstanceId {
-        InstanceId::of_run(&Group::name(self.number), self.incarnation)
+        InstanceId::of_run(&Cluster::name(self.number), self.incarnation)
     }
 
     fn record(&self) -> InstanceRecord {
@@ -81,12 +81,12 @@
     }
 }
 
-enum Word {
+enum Message {
     Report(ShareReport),
     Answer(usize, ShareResponse),
 }
 
-pub struct Group {
+pub struct Cluster {
     pub now: u64,
     members: Vec<Fleet>,
     ended: BTreeSet<usize>,
@@ -94,13 +94,13 @@
     leader: usize,
     instances: BTreeMap<u64, Instance>,
     muted: bool,
-    under_way: BTreeMap<(u64, u64), Word>,
+    under_way: BTreeMap<(u64, u64), Message>,
     words: u64,
     seed: u64,
     failures: u64,
     document: DeploymentDocument,
     documents: DocumentHistory,
-    pub sizes: Sizes,
+    pub sizes: ReportStats,
     pub forgotten: Vec<String>,
     pub reads: usize,
     pub loads: usize,
@@ -109,15 +109,15 @@
     demand: Option<(u64, u64)>,
 }
 
-impl Group {
+impl Cluster {
     /// Creates members, the first of them the leader, and instances spread over them.
-    pub fn new(members: u64, instances: u64) -> Group {
+    pub fn new(members: u64, instances: u64) -> Cluster {
         let settings = FleetSettings {
-            announce_interval: Duration::from_millis(INTERVAL),
+            announce_interval: Duration::from_millis(ANNOUNCE_INTERVAL),
             ..FleetSettings::default()
         };
         let models = (0..MODELS).map(|number| model_spec(&model(number).0, 60, 0));
-        let room = Room {
+        let room = EngineCapacity {
             weights_kilobytes: 130,
             adapter_slots: 2,
             milliloads_per_second: 2_000,
@@ -125,7 +125,7 @@
         let document = engine_document(models.collect(), &room);
         let mut documents = DocumentHistory::new();
         documents.record(at(0), &document);
-        let mut group = Group {
+        let mut group = Cluster {
             now: 0,
             members: (0..members).map(|_| Fleet::new(settings.clone())).collect(),
             ended: BTreeSet::new(),
@@ -139,7 +139,7 @@
             failures: 0,
             document,
             documents,
-            sizes: Sizes::default(),
+            sizes: ReportStats::default(),
             forgotten: Vec::new(),
             reads: 0,
             loads: 0,
@@ -147,7 +147,7 @@
             updates: Vec::new(),
             demand: None,
         };
-        group.add(instances, INTERVAL);
+        group.add(instances, ANNOUNCE_INTERVAL);
         group
     }
 
@@ -262,11 +262,11 @@
             }
             if self.ended.contains(&instance.member) {
                 instance.member = (instance.member + 1) % self.members.len();
-                instance.next = self.now + PATIENCE;
+                instance.next = self.now + RETRY_DELAY;
                 continue;
             }
             instance.sequence += 1;
-            instance.next += INTERVAL;
+            instance.next += ANNOUNCE_INTERVAL;
             let record = instance.record();
             self.members[instance.member].handle_announcement(at(self.now), record, false);
         }
@@ -277,8 +277,10 @@
         let arrived = std::mem::replace(&mut self.under_way, later);
         for word in arrived.into_values() {
             match word {
-                Word::Report(report) => self.take_report(report),
-                Word::Answer(member, answer) => self.members[member].handle_share_response(&answer),
+                Message::Report(report) => self.take_report(report),
+                Message::Answer(member, answer) => {
+                    self.members[member].handle_share_response(&answer)
+                }
             }
         }
     }
@@ -294,7 +296,7 @@
         let leader = &mut self.members[self.leader];
         let own = address(self.leader);
         let answer = leader.handle_share_report(at(self.now), &report, own, &|_| None);
-        self.send(Word::Answer(member, answer));
+        self.send(Message::Answer(member, answer));
     }
 
     fn report(&mut self) {
@@ -307,15 +309,15 @@
             }
             let report = fleet.next_share_report(at(self.now), 77, &address(member), true);
             if !self.cut.contains(&member) {
-                self.send(Word::Report(report));
+                self.send(Message::Report(report));
             }
         }
     }
 
-    fn send(&mut self, word: Word) {
+    fn send(&mut self, word: Message) {
         let copy = match &word {
-            Word::Report(report) => Word::Report(report.clone()),
-            Word::Answer(member, answer) => Word::Answer(*member, answer.clone()),
+            Message::Report(report) => Message::Report(report.clone()),
+            Message::Answer(member, answer) => Message::Answer(*member, answer.clone()),
         };
         if self.chance() {
             return;
--- a/crates/millpass-fleet/tests/harness/steering.rs
+++ b/crates/millpass-fleet/tests/harness/steering.rs
@@ -2,11 +2,11 @@
 
 use super::at;
 use super::calls::Calls;
-use super::documents::{NOBODY, Room, engine_document, model};
+use super::documents::{EMPTY_CONTEXT, EngineCapacity, engine_document, model};
 use millpass_fleet::{Fleet, FleetOutput, FleetSettings, InstructionHistory};
 use millpass_proto::*;
 
-pub struct Steering {
+pub struct InstructingLeader {
     fleet: Fleet,
     document: DeploymentDocument,
     calls: Calls,
@@ -14,9 +14,9 @@
     known: u64,
 }
 
-impl Steering {
-    pub fn new() -> Steering {
-        let room = Room {
+impl InstructingLeader {
+    pub fn new() -> InstructingLeader {
+        let room = EngineCapacity {
             weights_kilobytes: 130,
             adapter_slots: 2,
             milliloads_per_second: 2_000,
@@ -29,7 +29,7 @@
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
         let nothing = std::iter::empty;
         fleet.start_leading(at(0), nothing(), std::iter::empty(), &history);
-        Steering {
+        InstructingLeader {
             fleet,
             document: engine_document(models.to_vec(), &room),
             calls: Calls::default(),
@@ -83,7 +83,7 @@
             draining: false,
             warmup_millis: 0,
             sequence,
-            models: Steering::held(models),
+            models: InstructingLeader::held(models),
             in_memory: Vec::new(),
             on_disk: Vec::new(),
         };
@@ -103,7 +103,7 @@
         InstructionResult::State(EngineState {
             revision,
             busy: false,
-            models: Steering::held(models),
+            models: InstructingLeader::held(models),
             in_memory: Vec::new(),
             on_disk: Vec::new(),
             loading_adapters: Vec::new(),
@@ -138,7 +138,7 @@
     /// Runs the leader and returns its calls to the engine.
     pub fn run(&mut self, now: u64) -> Vec<FleetOutput> {
         let document = Some(&self.document);
-        let mut outputs = self.fleet.run(at(now), 3, document, &NOBODY);
+        let mut outputs = self.fleet.run(at(now), 3, document, &EMPTY_CONTEXT);
         self.calls.note(&outputs);
         outputs.retain(|output| {
             matches!(
--- a/crates/millpass-fleet/tests/incarnations.rs
+++ b/crates/millpass-fleet/tests/incarnations.rs
@@ -18,13 +18,13 @@
 const PAUSE: u64 = 50;
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Heartbeat {
     incarnation: u64,
     sequence: u64,
     draining: bool,
 }
 
-impl Word {
+impl Heartbeat {
     fn record(self) -> InstanceRecord {
         InstanceRecord {
             instance: InstanceId::of_run(NAME, self.incarnation),
@@ -35,11 +35,11 @@
     }
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn heartbeat() -> impl Strategy<Value = Heartbeat> {
     // Servers of an earlier release do not state their incarnation.
     let incarnation = prop_oneof![Just(0), Just(1_000), Just(2_000)];
     (incarnation, 0..6_u64, prop::bool::weighted(0.2)).prop_map(
-        |(incarnation, sequence, draining)| Word {
+        |(incarnation, sequence, draining)| Heartbeat {
             incarnation,
             sequence,
             draining,
@@ -48,14 +48,14 @@
 }
 
 /// Returns the incarnation that should be recorded, and whether it drains.
-fn expected(words: &[Word]) -> Option<(u64, bool)> {
-    let mut known: Option<Word> = None;
+fn expected(words: &[Heartbeat]) -> Option<(u64, bool)> {
+    let mut known: Option<Heartbeat> = None;
     for word in words {
         known = match known {
             Some(held) if word.incarnation < held.incarnation => known,
             Some(held) if word.incarnation == held.incarnation => match word.sequence {
                 sequence if sequence < held.sequence => known,
-                sequence => Some(Word {
+                sequence => Some(Heartbeat {
                     sequence,
                     draining: held.draining || word.draining,
                     ..held
@@ -76,7 +76,7 @@
     };
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
-    let words = proptest::collection::vec(word(), 1..25);
+    let words = proptest::collection::vec(heartbeat(), 1..25);
     let verdict = runner.run(&words, |words| {
         let mut leader = Leader::new(0, 0);
         let mut gateway = gateway();
@@ -116,7 +116,7 @@
 #[test]
 fn a_leader_elected_between_two_runs_ends_with_the_later() {
     let mut fleet = Fleet::new(FleetSettings::default());
-    let word = |incarnation, sequence| Word {
+    let word = |incarnation, sequence| Heartbeat {
         incarnation,
         sequence,
         draining: false,
--- a/crates/millpass-fleet/tests/limits.rs
+++ b/crates/millpass-fleet/tests/limits.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::calls::Calls;
-use harness::documents::{self, NOBODY, Room, engine_document};
+use harness::documents::{self, EMPTY_CONTEXT, EngineCapacity, engine_document};
 use millpass_fleet::{Fleet, FleetOutput, FleetSettings, InstructionHistory};
 use millpass_proto::*;
 
@@ -59,7 +59,7 @@
 }
 
 fn document() -> DeploymentDocument {
-    let room = Room {
+    let room = EngineCapacity {
         weights_kilobytes: 130,
         adapter_slots: 2,
         milliloads_per_second: 20_000,
@@ -102,7 +102,7 @@
 
     /// Runs once and responds to state reads.
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
-        let outputs = self.0.run(at(now), 3, Some(&document()), &NOBODY);
+        let outputs = self.0.run(at(now), 3, Some(&document()), &EMPTY_CONTEXT);
         self.1.note(&outputs);
         for output in &outputs {
             let FleetOutput::ReadEngine { instance, .. } = output else {
--- a/crates/millpass-fleet/tests/room.rs
+++ b/crates/millpass-fleet/tests/room.rs
@@ -7,7 +7,7 @@
 mod harness;
 
 use harness::calls::{self, Calls};
-use harness::documents::{self, NOBODY, Room, engine_document};
+use harness::documents::{self, EMPTY_CONTEXT, EngineCapacity, engine_document};
 use millpass_fleet::{Fleet, FleetOutput, FleetSettings};
 use millpass_proto::*;
 
@@ -18,7 +18,7 @@
 /// Returns a document whose engines hold up to two models and two adapters.
 fn document(models: &[&str]) -> DeploymentDocument {
     let models = models.iter().map(|name| documents::model(name, 60, 9));
-    let room = Room {
+    let room = EngineCapacity {
         weights_kilobytes: 130,
         adapter_slots: 2,
         milliloads_per_second: 20_000,
@@ -78,7 +78,7 @@
 
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
         let document = Some(&self.document);
-        let outputs = self.fleet.run(at(now), 3, document, &NOBODY);
+        let outputs = self.fleet.run(at(now), 3, document, &EMPTY_CONTEXT);
         self.calls.note(&outputs);
         outputs
     }
@@ -119,7 +119,7 @@
 
     /// Responds to this call.
     fn call_answered(&mut self, now: u64, call: CallId, answer: &InstructionResult) {
-        let answer = calls::to(call, &"e".into(), answer);
+        let answer = calls::response_to(call, &"e".into(), answer);
         self.fleet.handle_call_result(at(now), &answer);
     }
 
--- a/crates/millpass-fleet/tests/room_under_faults.rs
+++ b/crates/millpass-fleet/tests/room_under_faults.rs
@@ -8,13 +8,13 @@
 mod engine_model;
 mod harness;
 
-use engine_model::World;
+use engine_model::Simulation;
 use rstest::rstest;
 use std::ops::Range;
 
 const SEEDS_PER_CASE: u64 = 25;
 /// Mean number of loads per seed: a leader that loads nothing would never exceed a capacity.
-const LEAST_LOADS: u64 = 8;
+const MIN_MEAN_LOADS: u64 = 8;
 
 fn seeds(case: u64) -> Range<u64> {
     let by_hand = std::env::var("MILLPASS_ROOM_SEEDS").ok();
@@ -30,24 +30,30 @@
 
 /// Regressions: a recorded revision that was too high (2285, 3540, 6261), a load carried out by a
 /// later incarnation (3060), and endless state reads (1276).
-const KEPT_SEEDS: [u64; 5] = [1276, 2285, 3060, 3540, 6261];
+const REGRESSION_SEEDS: [u64; 5] = [1276, 2285, 3060, 3540, 6261];
 
 #[test]
 fn seeds_that_once_broke_hold() {
-    for seed in KEPT_SEEDS {
-        play(seed);
+    for seed in REGRESSION_SEEDS {
+        run_seed(seed);
     }
 }
 
 /// Runs a seed and returns the number of completed loads.
-fn play(seed: u64) -> u64 {
-    let mut world = World::new(seed);
-    world.play();
-    check(&world, seed);
-    let loads = world.loads();
-    assert!(world.serves("a", "x"), "seed {seed}: not served in calm");
-    assert!(world.serves("g", "u"), "seed {seed}: not served in calm");
-    check(&world, seed);
+fn run_seed(seed: u64) -> u64 {
+    let mut simulation = Simulation::new(seed);
+    simulation.play();
+    assert_no_violations(&simulation, seed);
+    let loads = simulation.loads();
+    assert!(
+        simulation.serves("a", "x"),
+        "seed {seed}: not served in calm"
+    );
+    assert!(
+        simulation.serves("g", "u"),
+        "seed {seed}: not served in calm"
+    );
+    assert_no_violations(&simulation, seed);
     loads
 }
 
@@ -57,21 +63,21 @@
     let seeds = seeds(case);
     let count = seeds.end - seeds.start;
     for seed in seeds {
-        loads += play(seed);
+        loads += run_seed(seed);
     }
     assert!(
-        loads >= count * LEAST_LOADS,
+        loads >= count * MIN_MEAN_LOADS,
         "{loads} loads of {count} seeds"
     );
 }
 
 /// Asserts that no engine was ordered beyond its capacity.
-fn check(world: &World, seed: u64) {
-    for (engine, breaches) in world.breaches() {
+fn assert_no_violations(simulation: &Simulation, seed: u64) {
+    for (engine, breaches) in simulation.breaches() {
         assert!(
             breaches.is_empty(),
             "seed {seed}: {breaches:#?} {:#?}",
-            world.trace(engine)
+            simulation.trace(engine)
         );
     }
 }
--- a/crates/millpass-fleet/tests/shares.rs
+++ b/crates/millpass-fleet/tests/shares.rs
@@ -2,8 +2,8 @@
 
 mod harness;
 
-use harness::shares::{Group, Sizes};
-use harness::steering::Steering;
+use harness::shares::{Cluster, ReportStats};
+use harness::steering::InstructingLeader;
 use millpass_fleet::FleetOutput;
 use millpass_proto::*;
 use rstest::rstest;
@@ -26,11 +26,11 @@
 }
 
 /// Returns the reports of ten seconds in a settled cluster.
-fn steady_cost(instances: u64) -> Sizes {
-    let mut group = Group::new(MEMBERS, instances);
+fn steady_cost(instances: u64) -> ReportStats {
+    let mut group = Cluster::new(MEMBERS, instances);
     group.run(20_000);
     assert_eq!(group.known(), instances as usize);
-    group.sizes = Sizes::default();
+    group.sizes = ReportStats::default();
     group.run(10_000);
     assert_eq!(group.known(), instances as usize);
     group.sizes
@@ -39,7 +39,7 @@
 /// All instances announce themselves within 100 ms.
 #[test]
 fn a_wave_of_announcements_is_told_in_bounded_words() {
-    let mut group = Group::new(MEMBERS, 0);
+    let mut group = Cluster::new(MEMBERS, 0);
     group.run(1_000);
     group.add(20_000, 100);
     group.run(2_000);
@@ -51,7 +51,7 @@
 /// Instances of a stopped member switch to another one, and none expires meanwhile.
 #[test]
 fn the_silence_of_a_member_is_not_that_of_its_instances() {
-    let mut group = Group::new(4, 200);
+    let mut group = Cluster::new(4, 200);
     group.run(10_000);
     group.ends(2);
     group.run(30_000);
@@ -62,7 +62,7 @@
 /// A member cut off from the leader only keeps receiving its instances.
 #[test]
 fn a_member_cut_off_from_the_leader_for_seconds_costs_no_instance() {
-    let mut group = Group::new(4, 200);
+    let mut group = Cluster::new(4, 200);
     group.run(10_000);
     group.cut(3, true);
     group.run(10_000);
@@ -75,20 +75,20 @@
 /// Guards against an expiry reported by a member that an instance has left.
 #[test]
 fn an_instance_that_ends_is_forgotten_where_it_was_last_heard() {
-    let mut group = Group::new(4, 40);
+    let mut group = Cluster::new(4, 40);
     group.run(10_000);
     group.crash(7);
     // The member that it announced itself at before reports its expiry as well.
     group.moves(8);
     group.run(12_000);
     assert_eq!(group.known(), 39);
-    assert_eq!(group.forgotten, vec![Group::name(7)]);
+    assert_eq!(group.forgotten, vec![Cluster::name(7)]);
 }
 
 /// The new leader is sent every share whole; instances need not announce themselves again.
 #[test]
 fn the_next_leader_knows_the_fleet_from_its_members() {
-    let mut group = Group::new(MEMBERS, 5_000);
+    let mut group = Cluster::new(MEMBERS, 5_000);
     group.run(10_000);
     group.mute(true);
     group.lead(1);
@@ -101,7 +101,7 @@
 fn words_that_are_lost_late_or_doubled_settle(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)] seed: u64,
 ) {
-    let mut group = Group::new(5, 60);
+    let mut group = Cluster::new(5, 60);
     group.fail(seed, 30);
     group.run(5_000);
     for round in 0..6 {
@@ -132,7 +132,7 @@
 /// Returns the engines read until the cluster has settled, and the instances in a gateway's first
 /// update.
 fn first_update(engines: u64) -> (usize, usize) {
-    let mut group = Group::new(MEMBERS, engines);
+    let mut group = Cluster::new(MEMBERS, engines);
     group.run(10_000);
     let update = group.first_update();
     assert!(update.complete);
@@ -149,7 +149,7 @@
 /// Demand beyond the capacity of the active replicas activates others without loads.
 #[test]
 fn demand_calls_up_replicas_that_stand_by() {
-    let mut group = Group::new(4, 2_000);
+    let mut group = Cluster::new(4, 2_000);
     group.run(10_000);
     let before = group.active_replicas(0);
     // Twice what one engine processes.
@@ -163,7 +163,7 @@
 /// Each model keeps replicas, and standby instances replace the lost ones.
 #[test]
 fn the_loss_of_a_zone_leaves_replicas() {
-    let mut group = Group::new(4, 2_000);
+    let mut group = Cluster::new(4, 2_000);
     group.run(10_000);
     group.crash_zone(0);
     assert!((0..harness::shares::MODELS).all(|model| group.living_replicas(model) > 0));
@@ -175,7 +175,7 @@
 /// does not state what the leader has recorded as served.
 #[test]
 fn an_unchanged_word_says_nothing_of_an_unload_under_way() {
-    let mut leader = Steering::new();
+    let mut leader = InstructingLeader::new();
     leader.tells(1, &["a", "b"]);
     leader.run(100);
     leader.answers(110, leader.state(0, &["a", "b"]));
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -6,7 +6,7 @@
 
 mod harness;
 
-use harness::{Leader, ROUTES, at, bytes, document, record, route};
+use harness::{Leader, ROUTES, at, document, encoded_size, record, route};
 use millpass_fleet::FleetOutput;
 use millpass_proto::*;
 use rstest::rstest;
@@ -22,15 +22,15 @@
     records.map(InstanceRecord::digest).collect()
 }
 
-fn only(updates: Vec<(u64, GatewayUpdate)>) -> GatewayUpdate {
+fn single(updates: Vec<(u64, GatewayUpdate)>) -> GatewayUpdate {
     assert_eq!(updates.len(), 1, "{updates:?}");
     updates.into_iter().next().expect("one").1
 }
 
 /// Connects gateway g-1 on connection 1, brings it up to date and returns the digests it holds.
-fn settled(leader: &mut Leader, now: u64) -> Vec<u64> {
+fn connect_up_to_date(leader: &mut Leader, now: u64) -> Vec<u64> {
     leader.report_of(now, 1, "g-1", 0, Vec::new());
-    let first = only(leader.updates(now));
+    let first = single(leader.updates(now));
     assert_eq!(first.document.as_ref().map(|found| found.version), Some(1));
     leader.report_of(now + 1, 1, "g-1", 1, Vec::new());
     leader.updates(now + 1);
@@ -40,10 +40,10 @@
 #[test]
 fn a_gateway_that_comes_back_unchanged_is_told_that_all_stands() {
     let mut leader = Leader::new(INSTANCES, DEPARTED);
-    let known = settled(&mut leader, COMPLETE);
+    let known = connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
     leader.report_of(COMPLETE + 20, 2, "g-1", 1, known.clone());
-    let update = only(leader.updates(COMPLETE + 20));
+    let update = single(leader.updates(COMPLETE + 20));
     assert!(update.first);
     assert!(update.instances.is_empty() && update.removed.is_empty());
     assert!(update.document.is_none() && update.document_change.is_none());
@@ -53,7 +53,11 @@
     known.sort_unstable();
     assert_eq!(kept, known, "each counts as named");
     // A digest takes at most ten bytes, the rest of the update a few dozen.
-    assert!(bytes(&update) <= 1_500, "{} bytes", bytes(&update));
+    assert!(
+        encoded_size(&update) <= 1_500,
+        "{} bytes",
+        encoded_size(&update)
+    );
 }
 
 /// An incomplete leader sends departures only to gateways that hold instances it does not know.
@@ -64,16 +68,20 @@
         .map(|number| record(number).digest())
         .collect();
     leader.report_of(100, 1, "g-1", 1, known.clone());
-    let update = only(leader.updates(100));
+    let update = single(leader.updates(100));
     assert!(!update.complete);
-    assert!(bytes(&update) <= 1_500, "{} bytes", bytes(&update));
+    assert!(
+        encoded_size(&update) <= 1_500,
+        "{} bytes",
+        encoded_size(&update)
+    );
     let mut one_more = known;
     one_more.push(record(INSTANCES).digest());
     leader.report_of(200, 2, "g-2", 1, one_more);
-    let update = only(leader.updates(200));
+    let update = single(leader.updates(200));
     assert_eq!(update.removed.len(), DEPARTED as usize);
     leader.report_of(300, 3, "g-3", 1, Vec::new());
-    let update = only(leader.updates(300));
+    let update = single(leader.updates(300));
     assert_eq!(
         update.removed.len(),
         DEPARTED as usize,
@@ -84,7 +92,7 @@
 #[test]
 fn a_gateway_that_comes_back_is_told_of_the_instances_that_changed() {
     let mut leader = Leader::new(INSTANCES, 0);
-    let known = settled(&mut leader, COMPLETE);
+    let known = connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
     leader.fleet.handle_departure(&"i-000000003".into(), false);
     leader.fleet.handle_departure(&"i-000000004".into(), true);
@@ -94,7 +102,7 @@
         .fleet
         .handle_announcement(at(COMPLETE + 11), again, false);
     leader.report_of(COMPLETE + 20, 2, "g-1", 1, known.clone());
-    let update = only(leader.updates(COMPLETE + 20));
+    let update = single(leader.updates(COMPLETE + 20));
     let named: Vec<&str> = update
         .instances
         .iter()
@@ -112,8 +120,8 @@
 #[test]
 fn a_change_of_one_route_does_not_send_the_document() {
     let mut leader = Leader::new(0, 0);
-    settled(&mut leader, COMPLETE);
-    let whole = only({
+    connect_up_to_date(&mut leader, COMPLETE);
+    let whole = single({
         leader.report(COMPLETE + 2, 2, 0);
         leader.updates(COMPLETE + 2)
     });
@@ -133,10 +141,10 @@
             Some(1_001)
         );
         assert!(
-            bytes(&update) <= 200,
+            encoded_size(&update) <= 200,
             "{} of {} bytes",
-            bytes(&update),
-            bytes(&whole)
+            encoded_size(&update),
+            encoded_size(&whole)
         );
     }
 }
@@ -145,10 +153,10 @@
 #[test]
 fn a_change_behind_one_on_its_way_begins_from_that_one() {
     let mut leader = Leader::new(0, 0);
-    settled(&mut leader, COMPLETE);
+    connect_up_to_date(&mut leader, COMPLETE);
     for version in 2..=4 {
         leader.put(COMPLETE + version * 10);
-        let update = only(leader.updates(COMPLETE + version * 10));
+        let update = single(leader.updates(COMPLETE + version * 10));
         let change = update.document_change.expect("a change");
         assert_eq!((change.base, change.version), (version - 1, version));
     }
@@ -157,28 +165,32 @@
 #[test]
 fn a_change_that_was_lost_with_its_connection_is_sent_on_the_next() {
     let mut leader = Leader::new(INSTANCES, 0);
-    let known = settled(&mut leader, COMPLETE);
+    let known = connect_up_to_date(&mut leader, COMPLETE);
     leader.put(COMPLETE + 100);
     assert_eq!(leader.updates(COMPLETE + 100).len(), 1);
     leader.fleet.handle_disconnect(at(COMPLETE + 110), 1);
     leader.report_of(COMPLETE + 120, 2, "g-1", 1, known);
-    let update = only(leader.updates(COMPLETE + 120));
+    let update = single(leader.updates(COMPLETE + 120));
     let change = update.document_change.as_ref().expect("a change");
     assert_eq!((change.base, change.version), (1, 2));
     assert!(update.instances.is_empty());
-    assert!(bytes(&update) <= 1_700, "{} bytes", bytes(&update));
+    assert!(
+        encoded_size(&update) <= 1_700,
+        "{} bytes",
+        encoded_size(&update)
+    );
 }
 
 /// A gateway that keeps reporting an older version is sent the whole document.
 #[test]
 fn a_version_that_does_not_arrive_is_sent_again() {
     let mut leader = Leader::new(0, 0);
-    settled(&mut leader, COMPLETE);
+    connect_up_to_date(&mut leader, COMPLETE);
     let sent = COMPLETE + 100;
     leader.put(sent);
     assert_eq!(leader.updates(sent).len(), 1);
     leader.report_of(sent + 100, 1, "g-1", 1, Vec::new());
-    let early = only(leader.updates(sent + 100));
+    let early = single(leader.updates(sent + 100));
     assert!(
         early.document.is_none() && early.document_change.is_none(),
         "on its way"
@@ -186,18 +198,18 @@
     // Without reports nothing is resent: it would queue behind what is already pending.
     assert!(leader.updates(sent + 1_500).is_empty());
     leader.report_of(sent + 1_600, 1, "g-1", 1, Vec::new());
-    let again = only(leader.updates(sent + 1_600));
+    let again = single(leader.updates(sent + 1_600));
     assert_eq!(again.document.as_ref().map(|found| found.version), Some(2));
     leader.report_of(sent + 1_700, 1, "g-1", 1, Vec::new());
     assert!(
-        only(leader.updates(sent + 1_700)).document.is_none(),
+        single(leader.updates(sent + 1_700)).document.is_none(),
         "not at each report"
     );
     leader.report_of(sent + 3_200, 1, "g-1", 1, Vec::new());
-    assert!(only(leader.updates(sent + 3_200)).document.is_some());
+    assert!(single(leader.updates(sent + 3_200)).document.is_some());
     leader.report_of(sent + 4_800, 1, "g-1", 2, Vec::new());
     assert!(
-        only(leader.updates(sent + 4_800)).document.is_none(),
+        single(leader.updates(sent + 4_800)).document.is_none(),
         "it has it"
     );
 }
@@ -205,19 +217,19 @@
 #[test]
 fn a_gateway_whose_version_is_no_longer_kept_gets_the_document() {
     let mut leader = Leader::new(0, 0);
-    settled(&mut leader, COMPLETE);
+    connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 2), 1);
     for version in 2..=20 {
         leader.put(COMPLETE + version * 10);
         leader.updates(COMPLETE + version * 10);
     }
     leader.report_of(COMPLETE + 500, 2, "g-1", 1, Vec::new());
-    let update = only(leader.updates(COMPLETE + 500));
+    let update = single(leader.updates(COMPLETE + 500));
     assert_eq!(update.document.map(|found| found.version), Some(20));
     assert_eq!(update.document_change, None);
     leader.report_of(COMPLETE + 501, 3, "g-2", 19, Vec::new());
     assert!(
-        only(leader.updates(COMPLETE + 501))
+        single(leader.updates(COMPLETE + 501))
             .document_change
             .is_some()
     );
@@ -226,19 +238,19 @@
 #[test]
 fn a_change_as_large_as_the_document_is_sent_as_the_document() {
     let mut leader = Leader::new(0, 0);
-    settled(&mut leader, COMPLETE);
+    connect_up_to_date(&mut leader, COMPLETE);
     let mut next = document(2);
     next.routes = (0..ROUTES)
         .map(|number| route(number + ROUTES, 1_000))
         .collect();
     leader.documents.record(at(COMPLETE + 50), &next);
     leader.version = 2;
-    let update = only(leader.updates(COMPLETE + 50));
+    let update = single(leader.updates(COMPLETE + 50));
     assert_eq!(update.document.map(|found| found.version), Some(2));
     assert_eq!(update.document_change, None);
 }
 
-fn with_loads(leader: &mut Leader, now: u64, in_flight: u32) {
+fn report_loads(leader: &mut Leader, now: u64, in_flight: u32) {
     let load = |number: u64| InstanceLoad {
         instance: record(number).instance,
         in_flight,
@@ -261,18 +273,22 @@
 #[test]
 fn an_answer_that_says_nothing_new_is_small() {
     let mut leader = Leader::new(INSTANCES, 0);
-    settled(&mut leader, COMPLETE);
-    with_loads(&mut leader, COMPLETE + 100, 3);
-    let news = only(leader.updates(COMPLETE + 100));
+    connect_up_to_date(&mut leader, COMPLETE);
+    report_loads(&mut leader, COMPLETE + 100, 3);
+    let news = single(leader.updates(COMPLETE + 100));
     assert!(!news.loads_unchanged);
     assert_eq!(news.loads.len(), 64);
-    with_loads(&mut leader, COMPLETE + 500, 3);
-    let answer = only(leader.updates(COMPLETE + 500));
+    report_loads(&mut leader, COMPLETE + 500, 3);
+    let answer = single(leader.updates(COMPLETE + 500));
     assert!(answer.loads_unchanged && answer.ready_estimates_unchanged);
     assert!(answer.loads.is_empty() && answer.ready_estimates.is_empty());
-    assert!(bytes(&answer) <= 32, "{} bytes", bytes(&answer));
-    with_loads(&mut leader, COMPLETE + 900, 4);
-    let news = only(leader.updates(COMPLETE + 900));
+    assert!(
+        encoded_size(&answer) <= 32,
+        "{} bytes",
+        encoded_size(&answer)
+    );
+    report_loads(&mut leader, COMPLETE + 900, 4);
+    let news = single(leader.updates(COMPLETE + 900));
     assert!(!news.loads_unchanged && news.ready_estimates_unchanged);
     assert_eq!(news.loads[0].in_flight, 4);
 }
@@ -280,11 +296,11 @@
 #[test]
 fn a_new_connection_is_told_outlook_and_loads() {
     let mut leader = Leader::new(INSTANCES, 0);
-    settled(&mut leader, COMPLETE);
-    with_loads(&mut leader, COMPLETE + 100, 3);
+    connect_up_to_date(&mut leader, COMPLETE);
+    report_loads(&mut leader, COMPLETE + 100, 3);
     leader.updates(COMPLETE + 100);
     leader.report(COMPLETE + 200, 2, 1);
-    let first = only(leader.updates(COMPLETE + 200));
+    let first = single(leader.updates(COMPLETE + 200));
     assert!(!first.loads_unchanged && !first.ready_estimates_unchanged);
     assert_eq!(first.loads.len(), 64);
 }
@@ -308,7 +324,7 @@
 #[test]
 fn what_nobody_wants_is_not_sent() {
     let mut leader = Leader::new(INSTANCES, 0);
-    settled(&mut leader, COMPLETE);
+    connect_up_to_date(&mut leader, COMPLETE);
     for millis in 10..500 {
         let outputs = leader.run(COMPLETE + millis);
         let sent = outputs
@@ -322,7 +338,7 @@
 #[test]
 fn a_gateway_that_is_behind_gets_one_difference_when_it_has_caught_up() {
     let mut leader = Leader::new(0, 0);
-    settled(&mut leader, COMPLETE);
+    connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.set_backlogged(at(COMPLETE + 10), 1, true);
     for version in 2..=4 {
         let now = COMPLETE + version * 1_000;
@@ -334,7 +350,7 @@
         assert!(leader.updates(now).is_empty());
     }
     leader.fleet.set_backlogged(at(COMPLETE + 5_000), 1, false);
-    let update = only(leader.updates(COMPLETE + 5_000));
+    let update = single(leader.updates(COMPLETE + 5_000));
     let change = update.document_change.expect("a change");
     assert_eq!((change.base, change.version), (1, 4));
     assert_eq!(update.instances.len(), 3);
@@ -344,13 +360,13 @@
 #[test]
 fn a_version_that_waited_for_the_socket_is_not_overdue_at_once() {
     let mut leader = Leader::new(0, 0);
-    settled(&mut leader, COMPLETE);
+    connect_up_to_date(&mut leader, COMPLETE);
     leader.put(COMPLETE + 100);
     assert_eq!(leader.updates(COMPLETE + 100).len(), 1);
     leader.fleet.set_backlogged(at(COMPLETE + 100), 1, true);
     leader.fleet.set_backlogged(at(COMPLETE + 3_000), 1, false);
     leader.report_of(COMPLETE + 3_001, 1, "g-1", 1, Vec::new());
-    let update = only(leader.updates(COMPLETE + 3_001));
+    let update = single(leader.updates(COMPLETE + 3_001));
     assert!(update.document.is_none() && update.document_change.is_none());
 }
 
