--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -116,9 +116,9 @@
                     loading_adapters: Vec::new(),
                 });
                 let instance = record(*number).instance;
-                self.leader.answered(self.now, &instance, &state);
+                self.leader.respond(self.now, &instance, &state);
             }
-            Action::Put => self.leader.put(self.now),
+            Action::Put => self.leader.commit_next_version(self.now),
             Action::Report => self.report(),
             Action::Reconnect => self.reconnect(),
         }
--- a/crates/millpass-fleet/tests/crashes.rs
+++ b/crates/millpass-fleet/tests/crashes.rs
@@ -90,18 +90,18 @@
 
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
         let outputs = self.0.run(at(now), 3, Some(&document()), &EMPTY_CONTEXT);
-        self.1.note(&outputs);
+        self.1.record(&outputs);
         outputs
     }
 
     /// Responds to the newest call to an engine.
-    fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
-        let answer = self.1.answer(instance, answer);
+    fn respond(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
+        let answer = self.1.response(instance, answer);
         self.0.handle_call_result(at(now), &answer);
     }
 
     /// Returns the quarantined requests sent by the next run, one list per gateway.
-    fn told(&mut self, now: u64) -> Vec<Vec<RequestFingerprint>> {
+    fn quarantined_by_gateway(&mut self, now: u64) -> Vec<Vec<RequestFingerprint>> {
         let told = self.run(now).into_iter().filter_map(|output| match output {
             FleetOutput::Crashes { update, .. } => Some(update),
             _ => None,
@@ -136,7 +136,10 @@
     let mut leader = Leader::new(Vec::new());
     leader.run(5);
     report_three_crashes(&mut leader);
-    assert_eq!(leader.told(3_001), vec![vec![request(1)], vec![request(1)]]);
+    assert_eq!(
+        leader.quarantined_by_gateway(3_001),
+        vec![vec![request(1)], vec![request(1)]]
+    );
     let held = leader.0.quarantined_requests(at(3_001));
     assert_eq!(held.len(), 1);
     assert_eq!(held[0].1, 3);
@@ -167,7 +170,10 @@
         (request(1), 3)
     );
     let mut next = Leader::new(notes);
-    assert_eq!(next.told(10), vec![vec![request(1)], vec![request(1)]]);
+    assert_eq!(
+        next.quarantined_by_gateway(10),
+        vec![vec![request(1)], vec![request(1)]]
+    );
 }
 
 /// Guards a leader elected before the log recorded a quarantined request.
@@ -184,7 +190,10 @@
             .extend(crash_report(instance, &[1]).crashes);
     }
     leader.0.handle_crash_report(at(10), &remembered);
-    assert_eq!(leader.told(11), vec![vec![request(1)], vec![request(1)]]);
+    assert_eq!(
+        leader.quarantined_by_gateway(11),
+        vec![vec![request(1)], vec![request(1)]]
+    );
 }
 
 #[test]
@@ -194,7 +203,10 @@
     leader
         .0
         .handle_announcement(at(3_500), record("i-3", 2, &[]), false);
-    assert_eq!(leader.told(3_501), vec![Vec::new(), Vec::new()]);
+    assert_eq!(
+        leader.quarantined_by_gateway(3_501),
+        vec![Vec::new(), Vec::new()]
+    );
 }
 
 #[test]
@@ -228,7 +240,10 @@
             };
             leader.0.handle_crash_report(at(5_001), &served);
         }
-        assert_eq!(leader.told(5_002), vec![Vec::new(), Vec::new()]);
+        assert_eq!(
+            leader.quarantined_by_gateway(5_002),
+            vec![Vec::new(), Vec::new()]
+        );
     }
 }
 
@@ -253,7 +268,7 @@
         };
         let id: InstanceId = name.as_str().into();
         leader.run(now);
-        leader.answered(now, &id, &InstructionResult::State(state));
+        leader.respond(now, &id, &InstructionResult::State(state));
         let need = GatewayModelDemand {
             service: "text".into(),
             model: "a".into(),
@@ -273,11 +288,11 @@
             .any(|output| matches!(output, FleetOutput::Instruct(_)));
         if loads {
             ends += 1;
-            leader.answered(now + 210, &id, &InstructionResult::Accepted);
+            leader.respond(now + 210, &id, &InstructionResult::Accepted);
         }
         // The load is overdue, so the engine's state is read.
         leader.run(now + 3_000);
-        leader.answered(now + 3_010, &id, &InstructionResult::OtherRun);
+        leader.respond(now + 3_010, &id, &InstructionResult::OtherRun);
         now += 4_000;
     }
     assert_eq!(ends, 3);
--- a/crates/millpass-fleet/tests/engine_model/engine.rs
+++ b/crates/millpass-fleet/tests/engine_model/engine.rs
@@ -33,22 +33,22 @@
     pub incarnation: u64,
     revision: u64,
     held: Vec<HeldModel>,
-    coming: Vec<AdapterTransition>,
-    going: Vec<AdapterTransition>,
-    busy: Option<RunningOrder>,
+    loading_adapters: Vec<AdapterTransition>,
+    unloading_adapters: Vec<AdapterTransition>,
+    running_order: Option<RunningOrder>,
     on_disk: Vec<ModelName>,
     /// Recent states and when they began.
     states: VecDeque<(u64, EngineState)>,
     sequence: u64,
     next_announcement: u64,
     /// Orders that exceeded its capacity.
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
     /// Completed loads of models and adapters.
     pub loads: u64,
     /// Whether to announce at once because the state has changed.
-    has_news: bool,
+    state_changed: bool,
     /// Whether the unload of a model that is not loaded counts as an accepted order.
-    pub counts_what_is_done: bool,
+    pub counts_done_unloads: bool,
 }
 
 impl Engine {
@@ -58,19 +58,19 @@
             incarnation: now + 1,
             revision: 0,
             held: Vec::new(),
-            coming: Vec::new(),
-            going: Vec::new(),
-            busy: None,
+            loading_adapters: Vec::new(),
+            unloading_adapters: Vec::new(),
+            running_order: None,
             on_disk: Vec::new(),
             states: VecDeque::new(),
             sequence: 0,
             next_announcement: now,
-            breaches: Vec::new(),
+            violations: Vec::new(),
             loads: 0,
-            has_news: false,
-            counts_what_is_done: false,
+            state_changed: false,
+            counts_done_unloads: false,
         };
-        engine.note_state(now);
+        engine.record_state(now);
         engine
     }
 
@@ -79,9 +79,9 @@
         let fresh = Engine::new(name, now);
         let before = std::mem::replace(self, fresh);
         self.on_disk = before.on_disk;
-        self.breaches = before.breaches;
+        self.violations = before.violations;
         self.loads = before.loads;
-        self.counts_what_is_done = before.counts_what_is_done;
+        self.counts_done_unloads = before.counts_done_unloads;
     }
 
     pub fn id(&self) -> InstanceId {
@@ -89,7 +89,7 @@
     }
 
     /// Returns the common prefix of the names of all incarnations.
-    pub fn place(&self) -> &str {
+    pub fn base_name(&self) -> &str {
         let end = self.name.match_indices('-').nth(1);
         end.map_or(self.name.as_str(), |(end, _)| &self.name[..end])
     }
@@ -101,21 +101,25 @@
     }
 
     /// Completes what is due.
-    pub fn pass_time(&mut self, now: u64) {
-        if self.busy.as_ref().is_some_and(|busy| busy.done_at <= now) {
-            let busy = self.busy.take().expect("it is busy");
+    pub fn advance(&mut self, now: u64) {
+        if self
+            .running_order
+            .as_ref()
+            .is_some_and(|busy| busy.done_at <= now)
+        {
+            let busy = self.running_order.take().expect("it is busy");
             self.finish(busy);
-            self.has_news = true;
-            self.note_state(now);
+            self.state_changed = true;
+            self.record_state(now);
         }
-        let (come, coming) = std::mem::take(&mut self.coming)
+        let (come, coming) = std::mem::take(&mut self.loading_adapters)
             .into_iter()
             .partition(|moving| moving.done_at <= now);
-        self.coming = coming;
-        let (gone, going) = std::mem::take(&mut self.going)
+        self.loading_adapters = coming;
+        let (gone, going) = std::mem::take(&mut self.unloading_adapters)
             .into_iter()
             .partition(|moving| moving.done_at <= now);
-        self.going = going;
+        self.unloading_adapters = going;
         if come.is_empty() && gone.is_empty() {
             return;
         }
@@ -127,9 +131,9 @@
                 .push(adapter);
         }
         for AdapterTransition { model, adapter, .. } in gone {
-            self.drop_adapter(&model, &adapter);
+            self.remove_adapter(&model, &adapter);
         }
-        self.note_state(now);
+        self.record_state(now);
     }
 
     fn finish(&mut self, busy: RunningOrder) {
@@ -144,45 +148,47 @@
             }
             InstructionOperation::Unload => {
                 self.held.retain(|held| held.model != busy.model);
-                self.coming.retain(|moving| moving.model != busy.model);
-                self.going.retain(|moving| moving.model != busy.model);
+                self.loading_adapters
+                    .retain(|moving| moving.model != busy.model);
+                self.unloading_adapters
+                    .retain(|moving| moving.model != busy.model);
             }
         }
     }
 
-    fn drop_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
+    fn remove_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
         let held = self.held.iter_mut().find(|held| held.model == *model);
         if let Some(held) = held {
             held.adapters.retain(|name| name != adapter);
         }
     }
 
-    fn adapters(&self) -> u64 {
+    fn adapter_count(&self) -> u64 {
         let held: usize = self.held.iter().map(|held| held.adapters.len()).sum();
-        (held + self.coming.len()) as u64
+        (held + self.loading_adapters.len()) as u64
     }
 
     fn used_kilobytes(&self) -> u64 {
         let loading = self
-            .busy
+            .running_order
             .iter()
             .filter(|busy| busy.operation == InstructionOperation::Load);
         let models = self.held.len() + loading.count();
-        models as u64 * MODEL_KILOBYTES + self.adapters() * ADAPTER_KILOBYTES
+        models as u64 * MODEL_KILOBYTES + self.adapter_count() * ADAPTER_KILOBYTES
     }
 
     /// Handles an order meant for an incarnation of this name.
-    pub fn order(
+    pub fn handle_order(
         &mut self,
         now: u64,
         order: &EngineInstruction,
         random: &mut ChaCha8Rng,
     ) -> InstructionResult {
-        self.pass_time(now);
+        self.advance(now);
         if order.instance.name() != self.name {
             return InstructionResult::OtherRun;
         }
-        if self.busy.is_some() || order.expected_revision != self.revision {
+        if self.running_order.is_some() || order.expected_revision != self.revision {
             return InstructionResult::Conflict;
         }
         let there = self.holds(&order.model, order.adapter.as_ref());
@@ -190,7 +196,7 @@
         let answer = match (&order.adapter, loads) {
             (None, false) if !there => {
                 // The contract does not specify whether fulfilled orders count.
-                self.revision += u64::from(self.counts_what_is_done);
+                self.revision += u64::from(self.counts_done_unloads);
                 InstructionResult::AlreadySo
             }
             _ if there == loads => InstructionResult::AlreadySo,
@@ -198,7 +204,7 @@
             (Some(adapter), true) => self.load_adapter(now, order, adapter, random),
             (Some(adapter), false) => self.unload_adapter(now, &order.model, adapter, random),
         };
-        self.note_state(now);
+        self.record_state(now);
         answer
     }
 
@@ -208,14 +214,14 @@
         order: &EngineInstruction,
         random: &mut ChaCha8Rng,
     ) -> InstructionResult {
-        self.check_room(now, order, MODEL_KILOBYTES, 0);
+        self.check_capacity(now, order, MODEL_KILOBYTES, 0);
         self.revision += 1;
         let takes = match order.operation {
             InstructionOperation::Unload => random.random_range(20..2_500),
             InstructionOperation::Load if self.on_disk.contains(&order.model) => 800,
             InstructionOperation::Load => 2_000,
         };
-        self.busy = Some(RunningOrder {
+        self.running_order = Some(RunningOrder {
             operation: order.operation,
             model: order.model.clone(),
             done_at: now + takes,
@@ -223,11 +229,11 @@
         InstructionResult::Accepted
     }
 
-    fn check_room(&mut self, now: u64, order: &EngineInstruction, kilobytes: u64, places: u64) {
+    fn check_capacity(&mut self, now: u64, order: &EngineInstruction, kilobytes: u64, places: u64) {
         let fits = self.used_kilobytes() + kilobytes <= MEMORY_KILOBYTES
-            && self.adapters() + places <= ADAPTER_SLOTS;
+            && self.adapter_count() + places <= ADAPTER_SLOTS;
         if order.operation == InstructionOperation::Load && !fits {
-            self.breaches.push(format!(
+            self.violations.push(format!(
                 "{now} ms: {} holds {:?}, ordered {order:?}",
                 self.name, self.held
             ));
@@ -245,15 +251,15 @@
         if !self.holds(model, None) {
             return InstructionResult::Refused("no such model".to_owned());
         }
-        let mut coming = self.coming.iter();
+        let mut coming = self.loading_adapters.iter();
         if coming.any(|moving| moving.model == *model && moving.adapter == *adapter) {
             return InstructionResult::AlreadySo;
         }
-        self.check_room(now, order, ADAPTER_KILOBYTES, 1);
+        self.check_capacity(now, order, ADAPTER_KILOBYTES, 1);
         self.revision += 1;
         let slow = random.random_bool(0.1);
         let takes = if slow { 1..4_000 } else { 2..40 };
-        self.coming.push(AdapterTransition {
+        self.loading_adapters.push(AdapterTransition {
             model: model.clone(),
             adapter: adapter.clone(),
             done_at: now + random.random_range(takes),
@@ -270,10 +276,10 @@
     ) -> InstructionResult {
         self.revision += 1;
         if random.random_bool(0.6) {
-            self.drop_adapter(model, adapter);
+            self.remove_adapter(model, adapter);
             return InstructionResult::AlreadySo;
         }
-        self.going.push(AdapterTransition {
+        self.unloading_adapters.push(AdapterTransition {
             model: model.clone(),
             adapter: adapter.clone(),
             done_at: now + random.random_range(50..3_000),
@@ -281,7 +287,7 @@
         InstructionResult::Accepted
     }
 
-    fn note_state(&mut self, now: u64) {
+    fn record_state(&mut self, now: u64) {
         let state = self.state();
         self.states.push_back((now, state));
         while self.states.len() > 1 && self.states[1].0 + MAX_REPORT_AGE < now {
@@ -292,12 +298,12 @@
     fn state(&self) -> EngineState {
         EngineState {
             revision: self.revision,
-            busy: self.busy.is_some(),
+            busy: self.running_order.is_some(),
             models: self.held.clone(),
             in_memory: Vec::new(),
             on_disk: self.on_disk.clone(),
             loading_adapters: self
-                .coming
+                .loading_adapters
                 .iter()
                 .map(|moving| HeldModel {
                     model: moving.model.clone(),
@@ -309,7 +315,7 @@
 
     /// Returns its state as of some time ago.
     pub fn report(&mut self, now: u64, random: &mut ChaCha8Rng) -> EngineState {
-        self.pass_time(now);
+        self.advance(now);
         let as_of = now.saturating_sub(random.random_range(0..MAX_REPORT_AGE - 60));
         let states = self.states.iter().rev();
         let mut before = states.filter(|(since, _)| *since <= as_of);
@@ -319,7 +325,7 @@
 
     /// Returns the next announcement, if due.
     pub fn announcement(&mut self, now: u64) -> Option<InstanceRecord> {
-        if now < self.next_announcement && !std::mem::take(&mut self.has_news) {
+        if now < self.next_announcement && !std::mem::take(&mut self.state_changed) {
             return None;
         }
         self.next_announcement = now + 1_200;
--- a/crates/millpass-fleet/tests/engine_model/mod.rs
+++ b/crates/millpass-fleet/tests/engine_model/mod.rs
@@ -35,7 +35,7 @@
 enum Message {
     Order(usize, EngineInstruction),
     Read(usize, InstanceId, CallId),
-    Answer(u64, CallResult),
+    Response(u64, CallResult),
     Announcement(u64, InstanceRecord),
 }
 
@@ -50,26 +50,26 @@
     engines: Vec<Engine>,
     /// By time of arrival.
     messages: BTreeMap<(u64, u64), Message>,
-    sent: u64,
-    noted: BTreeMap<String, InstanceRecord>,
+    message_count: u64,
+    recorded: BTreeMap<String, InstanceRecord>,
     document: DeploymentDocument,
-    wanted: Vec<(ModelName, Option<AdapterName>)>,
-    disturbed: bool,
+    demand: Vec<(ModelName, Option<AdapterName>)>,
+    faults_enabled: bool,
     /// Time until which each engine is unreachable.
-    cut_until: [u64; ENGINES],
-    next_disturbance: u64,
-    names: u64,
+    partitioned_until: [u64; ENGINES],
+    next_fault: u64,
+    name_count: u64,
     /// Calls with a delivered response, which must not time out as well.
-    answered: BTreeSet<CallId>,
+    responded: BTreeSet<CallId>,
     /// Logged events and delivered orders, for the trace of a failure.
-    lines: Vec<String>,
+    trace_lines: Vec<String>,
 }
 
 impl Simulation {
     pub fn new(seed: u64) -> Simulation {
         let engines = (0..ENGINES).map(|number| {
             let mut engine = Engine::new(&format!("e-{number}"), 0);
-            engine.counts_what_is_done = seed.is_multiple_of(3);
+            engine.counts_done_unloads = seed.is_multiple_of(3);
             engine
         });
         Simulation {
@@ -81,31 +81,31 @@
             leads_from: 0,
             engines: engines.collect(),
             messages: BTreeMap::new(),
-            sent: 0,
-            noted: BTreeMap::new(),
+            message_count: 0,
+            recorded: BTreeMap::new(),
             document: document(&MODELS),
-            wanted: Vec::new(),
-            disturbed: true,
-            cut_until: [0; ENGINES],
-            next_disturbance: 1_000,
-            names: 0,
-            answered: BTreeSet::new(),
-            lines: Vec::new(),
+            demand: Vec::new(),
+            faults_enabled: true,
+            partitioned_until: [0; ENGINES],
+            next_fault: 1_000,
+            name_count: 0,
+            responded: BTreeSet::new(),
+            trace_lines: Vec::new(),
         }
     }
 
     /// Runs a phase with faults, then one without.
-    pub fn play(&mut self) {
+    pub fn run_phases(&mut self) {
         self.run_until(FAULT_PHASE_MILLIS);
-        self.disturbed = false;
+        self.faults_enabled = false;
         self.document = document(&MODELS);
         self.run_until(FAULT_PHASE_MILLIS + SETTLING_MILLIS);
     }
 
     /// Returns the orders that exceeded the capacity of each engine.
-    pub fn breaches(&self) -> impl Iterator<Item = (&str, &[String])> {
+    pub fn violations(&self) -> impl Iterator<Item = (&str, &[String])> {
         let engines = self.engines.iter();
-        engines.map(|engine| (engine.place(), engine.breaches.as_slice()))
+        engines.map(|engine| (engine.base_name(), engine.violations.as_slice()))
     }
 
     /// Returns the completed loads of models and adapters.
@@ -114,9 +114,9 @@
     }
 
     /// Requests a model and an adapter of it; returns whether an engine holds both in time.
-    pub fn serves(&mut self, model: &str, adapter: &str) -> bool {
+    pub fn is_served_in_time(&mut self, model: &str, adapter: &str) -> bool {
         let wanted = (ModelName::from(model), Some(AdapterName::from(adapter)));
-        self.wanted = vec![wanted.clone()];
+        self.demand = vec![wanted.clone()];
         let end = self.now + SERVE_TIMEOUT_MILLIS;
         let held = |simulation: &Simulation| {
             let mut engines = simulation.engines.iter();
@@ -136,11 +136,11 @@
 
     fn step(&mut self) {
         self.now += STEP_MILLIS;
-        if self.disturbed && self.now >= self.next_disturbance {
-            self.disturb();
+        if self.faults_enabled && self.now >= self.next_fault {
+            self.inject_fault();
         }
         for number in 0..ENGINES {
-            self.engines[number].pass_time(self.now);
+            self.engines[number].advance(self.now);
             if let Some(record) = self.engines[number].announcement(self.now) {
                 self.announce(number, record);
             }
@@ -153,12 +153,12 @@
             self.deliver(message);
         }
         if self.now >= self.leads_from {
-            self.lead();
+            self.run_leader();
         }
     }
 
     fn chance(&mut self, probability: f64) -> bool {
-        self.disturbed && self.random.random_bool(probability)
+        self.faults_enabled && self.random.random_bool(probability)
     }
 
     fn delay(&mut self) -> u64 {
@@ -170,33 +170,36 @@
     }
 
     fn send_in(&mut self, delay: u64, message: Message) {
-        self.sent += 1;
-        self.messages.insert((self.now + delay, self.sent), message);
+        self.message_count += 1;
+        self.messages
+            .insert((self.now + delay, self.message_count), message);
     }
 
     fn announce(&mut self, number: usize, record: InstanceRecord) {
-        if self.now < self.cut_until[number] && self.random.random_bool(0.5) {
+        if self.now < self.partitioned_until[number] && self.random.random_bool(0.5) {
             // Some announcements are lost, others arrive after the partition.
             return;
         }
-        let held_up = self.cut_until[number].saturating_sub(self.now);
+        let held_up = self.partitioned_until[number].saturating_sub(self.now);
         for _ in 0..1 + u32::from(self.chance(0.05)) {
             let delay = held_up + self.delay();
             self.send_in(delay, Message::Announcement(self.term, record.clone()));
         }
     }
 
-    fn disturb(&mut self) {
-        self.next_disturbance = self.now + self.random.random_range(300..2_500);
+    fn inject_fault(&mut self) {
+        self.next_fault = self.now + self.random.random_range(300..2_500);
         let number = self.random.random_range(0..ENGINES);
         match self.random.random_range(0..10) {
-            0..=4 => self.cut_until[number] = self.now + self.random.random_range(300..5_000),
+            0..=4 => {
+                self.partitioned_until[number] = self.now + self.random.random_range(300..5_000)
+            }
             5 => {
-                self.names += 1;
+                self.name_count += 1;
                 let same = self.random.random_bool(0.5);
                 let name = match same {
                     true => self.engines[number].name.clone(),
-                    false => format!("e-{number}-{}", self.names),
+                    false => format!("e-{number}-{}", self.name_count),
                 };
                 self.engines[number].restart(self.now, &name);
             }
@@ -227,8 +230,8 @@
         let now = self.now;
         match message {
             Message::Order(number, order) => {
-                let answer = self.engines[number].order(now, &order, &mut self.random);
-                self.lines.push(format!(
+                let answer = self.engines[number].handle_order(now, &order, &mut self.random);
+                self.trace_lines.push(format!(
                     "{now} engine {} takes call {} {:?} {} {:?} expecting {}: {answer:?}",
                     self.engines[number].id(),
                     order.call,
@@ -237,7 +240,7 @@
                     order.adapter,
                     order.expected_revision
                 ));
-                self.answer(number, order.instance, order.call, answer);
+                self.send_response(number, order.instance, order.call, answer);
             }
             Message::Read(number, instance, call) => {
                 let state = self.engines[number].report(now, &mut self.random);
@@ -245,34 +248,35 @@
                     true => InstructionResult::State(state),
                     false => InstructionResult::OtherRun,
                 };
-                self.answer(number, instance, call, answer);
+                self.send_response(number, instance, call, answer);
             }
-            Message::Answer(term, answer) if term == self.term => {
+            Message::Response(term, answer) if term == self.term => {
                 let is_silence = answer.result == InstructionResult::Unanswered;
                 if !is_silence {
-                    self.answered.insert(answer.call);
-                } else if self.answered.contains(&answer.call) {
+                    self.responded.insert(answer.call);
+                } else if self.responded.contains(&answer.call) {
                     return;
                 }
                 self.fleet.handle_call_result(at(now), &answer);
             }
             Message::Announcement(term, record) if term == self.term => {
-                self.noted.insert(record.instance.0.clone(), record.clone());
+                self.recorded
+                    .insert(record.instance.0.clone(), record.clone());
                 self.fleet.handle_announcement(at(now), record, false);
             }
-            Message::Answer(..) | Message::Announcement(..) => {}
+            Message::Response(..) | Message::Announcement(..) => {}
         }
     }
 
     /// Sends a response, which may be lost, delayed and duplicated.
-    fn answer(
+    fn send_response(
         &mut self,
         number: usize,
         instance: InstanceId,
         call: CallId,
         answer: InstructionResult,
     ) {
-        if self.now < self.cut_until[number] {
+        if self.now < self.partitioned_until[number] {
             return;
         }
         let answer = calls::response_to(call, &instance, &answer);
@@ -281,12 +285,17 @@
                 continue;
             }
             let delay = self.delay();
-            self.send_in(delay, Message::Answer(self.term, answer.clone()));
+            self.send_in(delay, Message::Response(self.term, answer.clone()));
         }
     }
 
     /// Sends a call, which may be queued, lost, delayed and duplicated, and schedules its timeout.
-    fn call(&mut self, instance: &InstanceId, call: CallId, message: impl Fn(usize) -> Message) {
+    fn send_call(
+        &mut self,
+        instance: &InstanceId,
+        call: CallId,
+        message: impl Fn(usize) -> Message,
+    ) {
         let waits = if self.chance(0.1) {
             self.random.random_range(10..2_500)
         } else {
@@ -295,7 +304,7 @@
         let unanswered = calls::response_to(call, instance, &InstructionResult::Unanswered);
         self.send_in(
             waits + CALL_TIMEOUT_MILLIS,
-            Message::Answer(self.term, unanswered),
+            Message::Response(self.term, unanswered),
         );
         let mut engines = self.engines.iter();
         let found = engines.position(|engine| {
@@ -303,7 +312,7 @@
             engine.name.split('-').nth(1) == instance.name().split('-').nth(1)
         });
         let number = found.expect("engines keep their places");
-        let cut = self.now + waits < self.cut_until[number];
+        let cut = self.now + waits < self.partitioned_until[number];
         let late = self.chance(0.15);
         if cut && !late {
             return;
@@ -319,16 +328,16 @@
         }
     }
 
-    fn lead(&mut self) {
+    fn run_leader(&mut self) {
         if !self.fleet.has_started_leading() {
-            let mut noted: Vec<InstanceRecord> = self.noted.values().cloned().collect();
+            let mut noted: Vec<InstanceRecord> = self.recorded.values().cloned().collect();
             noted.retain(|_| self.random.random_bool(0.8));
             let nothing = std::iter::empty();
             self.fleet
                 .start_leading(at(self.now), noted.into_iter(), nothing, &self.history);
         }
         if self.now.is_multiple_of(100) {
-            self.report_needs();
+            self.report_demand();
         }
         let outputs = self.fleet.run(
             at(self.now),
@@ -338,10 +347,10 @@
         );
         for output in outputs {
             match output {
-                FleetOutput::Instruct(order) => self.instruct(order),
+                FleetOutput::Instruct(order) => self.send_instruction(order),
                 FleetOutput::ReadEngine { instance, call, .. } => {
                     let read = instance.clone();
-                    self.call(&instance, call, |number| {
+                    self.send_call(&instance, call, |number| {
                         Message::Read(number, read.clone(), call)
                     });
                 }
@@ -352,7 +361,7 @@
                         .map(|(key, value)| format!("{key}={value}"))
                         .collect();
                     let line = format!("{} {} {}", self.now, event.name, pairs.join(" "));
-                    self.lines.push(line);
+                    self.trace_lines.push(line);
                 }
                 _ => {}
             }
@@ -361,26 +370,26 @@
 
     /// Returns the last trace lines about an engine.
     pub fn trace(&self, name: &str) -> Vec<&String> {
-        let lines = self.lines.iter().filter(|line| line.contains(name));
+        let lines = self.trace_lines.iter().filter(|line| line.contains(name));
         let all: Vec<&String> = lines.collect();
         all[all.len().saturating_sub(TRACE_LINES)..].to_vec()
     }
 
-    fn instruct(&mut self, order: EngineInstruction) {
+    fn send_instruction(&mut self, order: EngineInstruction) {
         let note = InstructionIntent {
             instances: vec![order.instance.clone()],
             store_loads: 0,
         };
         self.history.record(at(self.now), &note);
         let (instance, call) = (order.instance.clone(), order.call);
-        self.call(&instance, call, |number| {
+        self.send_call(&instance, call, |number| {
             Message::Order(number, order.clone())
         });
     }
 
-    fn report_needs(&mut self) {
-        if self.disturbed && self.now.is_multiple_of(1_500) {
-            self.wanted = (0..3).map(|_| self.any_model()).collect();
+    fn report_demand(&mut self) {
+        if self.faults_enabled && self.now.is_multiple_of(1_500) {
+            self.demand = (0..3).map(|_| self.random_model()).collect();
         }
         let doubted = self.chance(0.02);
         let any = self.random.random_range(0..ENGINES);
@@ -389,7 +398,7 @@
             zone: "z".into(),
             sequence: self.now,
             version: 1,
-            demand: self.wanted.iter().cloned().map(model_demand).collect(),
+            demand: self.demand.iter().cloned().map(model_demand).collect(),
             inconsistent: doubted
                 .then(|| self.engines[any].id())
                 .into_iter()
@@ -401,7 +410,7 @@
         self.fleet.handle_report(at(self.now), 1, &report);
     }
 
-    fn any_model(&mut self) -> (ModelName, Option<AdapterName>) {
+    fn random_model(&mut self) -> (ModelName, Option<AdapterName>) {
         let model = MODELS[self.random.random_range(0..MODELS.len())];
         let adapter = ADAPTERS[self.random.random_range(0..ADAPTERS.len())];
         let adapter = self.random.random_bool(0.6).then(|| adapter.into());
--- a/crates/millpass-fleet/tests/fleet.rs
+++ b/crates/millpass-fleet/tests/fleet.rs
@@ -122,31 +122,31 @@
         let outputs = self
             .fleet
             .run(at(now), 3, Some(&self.document), &EMPTY_CONTEXT);
-        self.calls.note(&outputs);
+        self.calls.record(&outputs);
         outputs
     }
 
     /// Runs the leader until it reads the engine's state, and responds.
-    fn is_read(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
+    fn respond_to_read(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
         let before = self.calls.newest(instance);
         for now in (now..now + 500).step_by(9) {
             self.run(now);
             if self.calls.newest(instance) != before {
-                return self.answered(now, instance, answer);
+                return self.respond(now, instance, answer);
             }
         }
         panic!("{instance} is not read");
     }
 
     /// Responds to the newest call to an engine.
-    fn answered(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
-        let answer = self.calls.answer(&instance.into(), answer);
+    fn respond(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
+        let answer = self.calls.response(&instance.into(), answer);
         self.fleet.handle_call_result(at(now), &answer);
     }
 
     /// Runs the leader every 100 ms: only time between frequent runs counts towards the instance
     /// timeout.
-    fn live(&mut self, from: u64, to: u64) -> Vec<FleetOutput> {
+    fn run_between(&mut self, from: u64, to: u64) -> Vec<FleetOutput> {
         let moments = (from..to).step_by(100).chain([to]);
         moments.flat_map(|now| self.run(now)).collect()
     }
@@ -162,10 +162,10 @@
     }
 
     /// Accepts the unload of a or b at engine e-1, and returns the other model.
-    fn makes_room(&mut self) -> &'static str {
+    fn accept_eviction(&mut self) -> &'static str {
         let first = self.instructions(1_100);
         assert_eq!(first[0].operation, InstructionOperation::Unload);
-        self.answered(1_110, "e-1", &InstructionResult::Accepted);
+        self.respond(1_110, "e-1", &InstructionResult::Accepted);
         if first[0].model == "a".into() {
             "b"
         } else {
@@ -174,18 +174,18 @@
     }
 
     /// Adds an engine and responds to the read of its state.
-    fn engine(&mut self, now: u64, name: &str, models: &[&str]) {
+    fn add_engine(&mut self, now: u64, name: &str, models: &[&str]) {
         self.fleet
             .handle_announcement(at(now), record(name, now, models), false);
-        self.is_read(now, name, &state(0, models));
+        self.respond_to_read(now, name, &state(0, models));
     }
 }
 
 #[test]
 fn a_needed_model_is_loaded_once_however_often_it_is_asked_for() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
-    leader.engine(1_000, "e-2", &["b"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-2", &["b"]);
     let mut given = Vec::new();
     for connection in 0..5 {
         let mut report = report(vec![unmet_demand("c", None)]);
@@ -203,7 +203,7 @@
 #[test]
 fn what_is_idle_makes_way_first_and_never_more_than_fits_is_ordered() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader.add_engine(1_000, "e-1", &["a", "b"]);
     // Model a is busy, b was never requested.
     let mut busy = unmet_demand("a", None);
     busy.unserved = 0;
@@ -215,7 +215,7 @@
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].operation, InstructionOperation::Unload);
     assert_eq!(first[0].model, "b".into());
-    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader.respond(1_110, "e-1", &InstructionResult::Accepted);
     assert!(
         leader.instructions(1_250).is_empty(),
         "room is not there yet"
@@ -229,7 +229,7 @@
     assert_eq!(asked[0].operation, InstructionOperation::Unload);
     assert_eq!(asked[0].expected_revision, 1, "the unload counts");
     assert!(leader.instructions(1_390).is_empty(), "nor is room yet");
-    leader.answered(1_400, "e-1", &InstructionResult::AlreadySo);
+    leader.respond(1_400, "e-1", &InstructionResult::AlreadySo);
     let second = leader.instructions(1_450);
     assert_eq!(second.len(), 1, "{second:?}");
     assert_eq!(second[0].operation, InstructionOperation::Load);
@@ -240,12 +240,12 @@
 #[test]
 fn an_unanswered_instruction_is_followed_by_a_look_and_by_nothing_else() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
     assert_eq!(leader.instructions(1_100).len(), 1);
-    leader.answered(2_000, "e-1", &InstructionResult::Unanswered);
+    leader.respond(2_000, "e-1", &InstructionResult::Unanswered);
     assert!(leader.instructions(2_100).is_empty());
     let reads = leader
         .run(2_600)
@@ -256,7 +256,7 @@
     leader
         .fleet
         .handle_report(at(2_650), 1, &report(vec![unmet_demand("c", None)]));
-    leader.answered(2_700, "e-1", &state(4, &["a"]));
+    leader.respond(2_700, "e-1", &state(4, &["a"]));
     let again = leader.instructions(2_800);
     assert_eq!(again.len(), 1);
     assert_eq!(
@@ -268,12 +268,12 @@
 #[test]
 fn a_copy_at_hand_wins_over_the_weight_store() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     let mut second = record("e-2", 1, &["b"]);
     second.in_memory = vec!["c".into()];
     leader.fleet.handle_announcement(at(1_000), second, false);
     let read = state_with_copies(0, &["b"], &["c"]);
-    leader.is_read(1_000, "e-2", &read);
+    leader.respond_to_read(1_000, "e-2", &read);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
@@ -284,8 +284,8 @@
 #[test]
 fn an_adapter_goes_to_an_engine_that_holds_its_model_and_is_told_once_it_has_settled() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
-    leader.engine(1_000, "e-2", &["b"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-2", &["b"]);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", Some("x"))]));
@@ -295,7 +295,7 @@
         (given[0].instance.clone(), given[0].adapter.clone()),
         ("e-2".into(), Some("x".into()))
     );
-    leader.answered(1_110, "e-2", &InstructionResult::Accepted);
+    leader.respond(1_110, "e-2", &InstructionResult::Accepted);
     // An announcement sent before the adapter was loaded does not list it.
     leader
         .fleet
@@ -312,22 +312,22 @@
 #[test]
 fn a_report_of_fewer_orders_than_the_engine_has_surely_taken_is_read_again() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("a", Some("x"))]));
     assert_eq!(leader.instructions(1_100).len(), 1);
-    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader.respond(1_110, "e-1", &InstructionResult::Accepted);
     leader.run(1_200);
     let mut doubts = report(vec![unmet_demand("a", Some("y"))]);
     doubts.inconsistent = vec!["e-1".into()];
     leader.fleet.handle_report(at(1_210), 1, &doubts);
-    leader.is_read(1_220, "e-1", &state(0, &["a"]));
+    leader.respond_to_read(1_220, "e-1", &state(0, &["a"]));
     assert!(
         leader.instructions(1_550).is_empty(),
         "the count is not known"
     );
-    leader.is_read(1_560, "e-1", &state(1, &["a"]));
+    leader.respond_to_read(1_560, "e-1", &state(1, &["a"]));
     leader
         .fleet
         .handle_report(at(1_710), 1, &report(vec![unmet_demand("a", Some("y"))]));
@@ -365,7 +365,7 @@
     let mut first = record("e-1", 1_000, &["a", "b"]);
     first.in_memory = vec!["c".into()];
     leader.fleet.handle_announcement(at(1_000), first, false);
-    leader.is_read(1_000, "e-1", &state(0, &["a", "b"]));
+    leader.respond_to_read(1_000, "e-1", &state(0, &["a", "b"]));
     let busy = |model: &str| GatewayModelDemand {
         unserved: 0,
         arrivals: 40,
@@ -381,14 +381,14 @@
 #[test]
 fn a_model_whose_only_engine_cannot_be_read_is_loaded_elsewhere() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
-    leader.engine(1_000, "e-2", &["b"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-2", &["b"]);
     let mut doubts = report(vec![unmet_demand("a", None)]);
     doubts.inconsistent = vec!["e-1".into()];
     leader.fleet.handle_report(at(1_050), 1, &doubts);
     leader.run(1_100);
     leader.run(1_400);
-    leader.answered(1_500, "e-1", &InstructionResult::Unanswered);
+    leader.respond(1_500, "e-1", &InstructionResult::Unanswered);
     leader
         .fleet
         .handle_report(at(1_510), 1, &report(vec![unmet_demand("a", None)]));
@@ -402,7 +402,7 @@
     leader
         .fleet
         .handle_announcement(at(1_700), record("e-1", 3_000, &["a"]), false);
-    leader.answered(1_710, "e-2", &InstructionResult::Accepted);
+    leader.respond(1_710, "e-2", &InstructionResult::Accepted);
     leader
         .fleet
         .handle_report(at(1_720), 1, &report(vec![unmet_demand("a", None)]));
@@ -412,8 +412,8 @@
 #[test]
 fn a_model_whose_prompts_take_much_of_its_engine_gets_a_replica() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
-    leader.engine(1_000, "e-2", &["b"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-2", &["b"]);
     let mut busy = unmet_demand("a", None);
     busy.unserved = 0;
     busy.unread_tokens = 10_000;
@@ -437,12 +437,12 @@
 #[test]
 fn a_model_whose_room_was_just_made_is_loaded_there_alone() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader.add_engine(1_000, "e-1", &["a", "b"]);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
-    let left = leader.makes_room();
-    leader.engine(1_150, "e-2", &["d"]);
+    let left = leader.accept_eviction();
+    leader.add_engine(1_150, "e-2", &["d"]);
     leader
         .fleet
         .handle_announcement(at(1_200), record("e-1", 2_000, &[left]), false);
@@ -451,7 +451,7 @@
         1,
         "it is asked whether it is done"
     );
-    leader.answered(1_260, "e-1", &InstructionResult::AlreadySo);
+    leader.respond(1_260, "e-1", &InstructionResult::AlreadySo);
     leader
         .fleet
         .handle_report(at(1_270), 1, &report(vec![unmet_demand("c", None)]));
@@ -463,12 +463,12 @@
 #[test]
 fn a_silent_instance_is_removed_and_gateways_are_told() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     leader
         .fleet
         .handle_report(at(1_000), 1, &report(Vec::new()));
-    leader.live(1_100, 5_000);
-    let removed = leader.live(5_000, 8_000).into_iter().any(|output| {
+    leader.run_between(1_100, 5_000);
+    let removed = leader.run_between(5_000, 8_000).into_iter().any(|output| {
         matches!(output, FleetOutput::Update { update, .. } if update.removed == ["e-1".into()])
     });
     assert!(removed);
@@ -481,20 +481,20 @@
 #[case::refuses_announcements(true)]
 fn the_silence_of_a_leader_that_does_not_hear_is_not_that_of_instances(#[case] refuses: bool) {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
-    let mut outputs = leader.live(1_000, 2_000);
+    leader.add_engine(1_000, "e-1", &["a"]);
+    let mut outputs = leader.run_between(1_000, 2_000);
     if refuses {
         for now in (2_000..9_000).step_by(500) {
             leader.fleet.record_refused_announcements(at(now));
-            outputs.extend(leader.live(now, now + 500));
+            outputs.extend(leader.run_between(now, now + 500));
         }
     }
     outputs.extend(leader.run(9_000));
-    outputs.extend(leader.live(9_000, 10_000));
+    outputs.extend(leader.run_between(9_000, 10_000));
     let forgotten = |output: &FleetOutput| matches!(output, FleetOutput::Event(event) if event.name == "instance-forgotten");
     assert!(!outputs.iter().any(forgotten));
     // Without announcements while the leader runs, the instance expires.
-    let outputs = leader.live(10_000, 17_000);
+    let outputs = leader.run_between(10_000, 17_000);
     assert!(outputs.iter().any(forgotten));
 }
 
@@ -504,13 +504,13 @@
 fn an_instance_that_returns_before_its_removal_was_told_is_not_named_as_removed() {
     const GATEWAYS: u64 = 70;
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     let mut first = report(Vec::new());
     for connection in 0..GATEWAYS {
         first.gateway = format!("g-{connection}");
         leader.fleet.handle_report(at(1_000), connection, &first);
     }
-    leader.live(1_000, 6_900);
+    leader.run_between(1_000, 6_900);
     // All gateways are sent an update shortly before the instance expires.
     for connection in 0..GATEWAYS {
         first.gateway = format!("g-{connection}");
@@ -521,7 +521,7 @@
         |output| matches!(output, FleetOutput::Event(event) if event.name == "instance-forgotten"),
     );
     assert!(forgotten);
-    leader.engine(7_020, "e-1", &["a"]);
+    leader.add_engine(7_020, "e-1", &["a"]);
     let told: Vec<_> = leader
         .run(7_100)
         .into_iter()
@@ -662,11 +662,11 @@
         weights_kilobytes: 2 * MODEL_KILOBYTES,
         ..model("large")
     });
-    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader.add_engine(1_000, "e-1", &["a", "b"]);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("large", None)]));
-    let left = leader.makes_room();
+    let left = leader.accept_eviction();
     leader
         .fleet
         .handle_announcement(at(1_300), record("e-1", 2_000, &[left]), false);
@@ -675,7 +675,7 @@
         1,
         "it is asked whether it is done"
     );
-    leader.answered(1_360, "e-1", &InstructionResult::AlreadySo);
+    leader.respond(1_360, "e-1", &InstructionResult::AlreadySo);
     leader
         .fleet
         .handle_report(at(1_410), 1, &report(vec![unmet_demand(left, Some("x"))]));
@@ -693,7 +693,7 @@
 #[test]
 fn an_engine_gets_one_instruction_a_round() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader.add_engine(1_000, "e-1", &["a", "b"]);
     let needs = vec![unmet_demand("a", Some("x")), unmet_demand("c", None)];
     leader.fleet.handle_report(at(1_050), 1, &report(needs));
     let given = leader.instructions(1_100);
@@ -704,7 +704,7 @@
 #[test]
 fn adapters_on_their_way_take_their_places() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     let coming = InstructionResult::State(EngineState {
         revision: 2,
         busy: false,
@@ -716,7 +716,7 @@
             adapters: vec!["x".into(), "y".into()],
         }],
     });
-    leader.answered(1_010, "e-1", &coming);
+    leader.respond(1_010, "e-1", &coming);
     let needs = vec![unmet_demand("a", Some("z"))];
     leader.fleet.handle_report(at(1_050), 1, &report(needs));
     let given = leader.instructions(1_100);
@@ -727,12 +727,12 @@
 #[test]
 fn an_announcement_from_before_a_load_makes_no_room() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", None)]));
     assert_eq!(leader.instructions(1_100).len(), 1);
-    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader.respond(1_110, "e-1", &InstructionResult::Accepted);
     leader
         .fleet
         .handle_announcement(at(3_200), record("e-1", 5_000, &["a", "b"]), false);
@@ -755,12 +755,12 @@
     first.in_memory = vec!["c".into()];
     leader.fleet.handle_announcement(at(1_000), first, false);
     let read = state_with_copies(0, &["a"], &["c"]);
-    leader.is_read(1_000, "e-1", &read);
+    leader.respond_to_read(1_000, "e-1", &read);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", None)]));
     assert_eq!(leader.instructions(1_100)[0].instance, "e-1".into());
-    leader.engine(1_200, "e-2", &["d"]);
+    leader.add_engine(1_200, "e-2", &["d"]);
     leader
         .fleet
         .handle_report(at(1_210), 1, &report(vec![unmet_demand("c", None)]));
@@ -774,11 +774,11 @@
 fn a_model_that_is_being_unloaded_gets_no_requests_whatever_the_engine_announces() {
     let mut leader = TestLeader::new();
     leader.fleet.handle_report(at(900), 1, &report(Vec::new()));
-    leader.engine(1_000, "e-1", &["a", "b"]);
+    leader.add_engine(1_000, "e-1", &["a", "b"]);
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
-    let left = leader.makes_room();
+    let left = leader.accept_eviction();
     leader
         .fleet
         .handle_announcement(at(1_200), record("e-1", 2_000, &["a", "b"]), false);
@@ -805,12 +805,12 @@
     leader
         .fleet
         .handle_announcement(at(1_000), record("e-1", 1_000, &["a"]), false);
-    leader.is_read(1_000, "e-1", &state_with_copies(0, &["a"], &["c"]));
+    leader.respond_to_read(1_000, "e-1", &state_with_copies(0, &["a"], &["c"]));
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", None)]));
     assert_eq!(leader.instructions(1_100)[0].model, "b".into());
-    leader.answered(1_110, "e-1", &InstructionResult::Accepted);
+    leader.respond(1_110, "e-1", &InstructionResult::Accepted);
     leader
         .fleet
         .handle_report(at(1_300), 1, &report(vec![unmet_demand("c", None)]));
@@ -836,7 +836,7 @@
     engine.milliloads_per_second = 100_000;
     engine.models = (0..20).map(|index| model(&format!("m-{index}"))).collect();
     for index in 0..20 {
-        leader.engine(1_000, &format!("e-{index}"), &[]);
+        leader.add_engine(1_000, &format!("e-{index}"), &[]);
     }
     let needs = (0..20).map(|index| unmet_demand(&format!("m-{index}"), None));
     leader
@@ -856,7 +856,7 @@
     engine.milliloads_per_second = 100_000;
     engine.models = (0..9).map(|index| model(&format!("m-{index}"))).collect();
     for index in 0..8 {
-        leader.engine(1_000, &format!("e-{index}"), &[]);
+        leader.add_engine(1_000, &format!("e-{index}"), &[]);
     }
     let needs = (0..8).map(|index| unmet_demand(&format!("m-{index}"), None));
     leader
@@ -875,7 +875,7 @@
         on_disk: vec!["m-8".into()],
         loading_adapters: Vec::new(),
     };
-    leader.is_read(1_200, "e-8", &InstructionResult::State(read));
+    leader.respond_to_read(1_200, "e-8", &InstructionResult::State(read));
     leader
         .fleet
         .handle_report(at(1_260), 1, &report(vec![unmet_demand("m-8", None)]));
@@ -890,10 +890,10 @@
     #[values(1, 2, 4, 9)] engines_filled: u32,
 ) {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-0", &["a"]);
+    leader.add_engine(1_000, "e-0", &["a"]);
     for index in 1..8 {
         let name = format!("e-{index}");
-        leader.engine(1_000, &name, &["b", "c"]);
+        leader.add_engine(1_000, &name, &["b", "c"]);
     }
     let mut busy = unmet_demand("a", None);
     busy.unserved = 0;
@@ -909,10 +909,10 @@
 #[test]
 fn absurd_demand_is_met_within_bounds() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-0", &["a"]);
+    leader.add_engine(1_000, "e-0", &["a"]);
     for index in 1..6 {
         let name = format!("e-{index}");
-        leader.engine(1_000, &name, &["b", "c"]);
+        leader.add_engine(1_000, &name, &["b", "c"]);
     }
     for gateway in 0..3 {
         let mut absurd = unmet_demand("a", None);
@@ -935,7 +935,7 @@
 #[test]
 fn gateways_are_told_what_all_of_them_have_in_flight() {
     let mut leader = TestLeader::new();
-    leader.engine(1_000, "e-1", &["a"]);
+    leader.add_engine(1_000, "e-1", &["a"]);
     let with = |gateway: &str, in_flight| {
         let mut report = report(Vec::new());
         report.gateway = gateway.to_owned();
@@ -1008,7 +1008,7 @@
 fn what_the_leader_learns_of_the_weight_store_is_noted_for_the_leaders_to_come() {
     let mut leader = TestLeader::new();
     for index in 0..4 {
-        leader.engine(1_000, &format!("e-{index}"), &[]);
+        leader.add_engine(1_000, &format!("e-{index}"), &[]);
     }
     let needs = ["a", "b", "c", "d"].map(|name| unmet_demand(name, None));
     leader
@@ -1018,7 +1018,7 @@
     assert_eq!(begun.len(), StoreCapacity::default().limit());
     for instruction in &begun {
         let accepted = InstructionResult::Accepted;
-        leader.answered(1_110, instruction.instance.name(), &accepted);
+        leader.respond(1_110, instruction.instance.name(), &accepted);
     }
     leader.run(1_250);
     for instruction in &begun {
@@ -1044,7 +1044,7 @@
     let mut leader = TestLeader::new();
     let mut told = Vec::new();
     for (since, now) in [(0, 1_000), (1_000, 2_000), (2_000, 6_000)] {
-        leader.live(since, now);
+        leader.run_between(since, now);
         for connection in 1..=3 {
             let mut found = report(Vec::new());
             found.gateway = format!("g-{connection}");
@@ -1068,7 +1068,7 @@
 fn a_gateway_is_told_of_each_instance_once_when_a_leader_takes_charge() {
     let mut leader = TestLeader::new();
     for index in 0..5 {
-        leader.engine(1_000, &format!("e-{index}"), &["a"]);
+        leader.add_engine(1_000, &format!("e-{index}"), &["a"]);
     }
     let mut told = Vec::new();
     let mut complete = false;
--- a/crates/millpass-fleet/tests/harness/calls.rs
+++ b/crates/millpass-fleet/tests/harness/calls.rs
@@ -12,7 +12,7 @@
 
 impl Calls {
     /// Records the calls in these outputs.
-    pub fn note(&mut self, outputs: &[FleetOutput]) {
+    pub fn record(&mut self, outputs: &[FleetOutput]) {
         let calls = outputs.iter().filter_map(|output| match output {
             FleetOutput::Instruct(given) => Some((given.instance.clone(), given.call)),
             FleetOutput::ReadEngine { instance, call, .. } => Some((instance.clone(), *call)),
@@ -27,7 +27,7 @@
     }
 
     /// Returns a response to the newest call to an engine, or to an unknown call if there was none.
-    pub fn answer(&self, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
+    pub fn response(&self, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
         let call = self.newest.get(instance).copied().unwrap_or(CallId(0));
         response_to(call, instance, answer)
     }
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -123,7 +123,7 @@
     }
 
     /// Commits the next version, in which one route has another timeout.
-    pub fn put(&mut self, now: u64) {
+    pub fn commit_next_version(&mut self, now: u64) {
         let mut next = self
             .documents
             .document(self.version)
@@ -154,7 +154,7 @@
     }
 
     /// Sends a report of gateway g-N with unmet demand for an adapter.
-    pub fn report_need(&mut self, now: u64, connection: u64) {
+    pub fn report_unmet_demand(&mut self, now: u64, connection: u64) {
         let mut report = self.report_with(&format!("g-{connection}"), 1, Vec::new());
         report.demand.push(GatewayModelDemand {
             service: "service-3".into(),
@@ -206,13 +206,13 @@
         };
         let document = self.documents.document(self.version);
         let outputs = self.fleet.run(at(now), 3, document, &context);
-        self.calls.note(&outputs);
+        self.calls.record(&outputs);
         outputs
     }
 
     /// Responds to the newest call to an engine.
-    pub fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
-        let answer = self.calls.answer(instance, answer);
+    pub fn respond(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
+        let answer = self.calls.response(instance, answer);
         self.fleet.handle_call_result(at(now), &answer);
     }
 
--- a/crates/millpass-fleet/tests/harness/shares.rs
+++ b/crates/millpass-fleet/tests/harness/shares.rs
@@ -37,7 +37,7 @@
     incarnation: u64,
     sequence: u64,
     member: usize,
-    next: u64,
+    next_announcement: u64,
 }
 
 impl Instance {
@@ -83,28 +83,28 @@
 
 enum Message {
     Report(ShareReport),
-    Answer(usize, ShareResponse),
+    Response(usize, ShareResponse),
 }
 
 pub struct Cluster {
     pub now: u64,
     members: Vec<Fleet>,
-    ended: BTreeSet<usize>,
-    cut: BTreeSet<usize>,
+    stopped: BTreeSet<usize>,
+    partitioned: BTreeSet<usize>,
     leader: usize,
     instances: BTreeMap<u64, Instance>,
     muted: bool,
-    under_way: BTreeMap<(u64, u64), Message>,
-    words: u64,
+    messages: BTreeMap<(u64, u64), Message>,
+    message_count: u64,
     seed: u64,
-    failures: u64,
+    failure_percent: u64,
     document: DeploymentDocument,
     documents: DocumentHistory,
-    pub sizes: ReportStats,
-    pub forgotten: Vec<String>,
+    pub report_stats: ReportStats,
+    pub removed: Vec<String>,
     pub reads: usize,
     pub loads: usize,
-    answers: VecDeque<(InstanceId, CallId)>,
+    pending_reads: VecDeque<(InstanceId, CallId)>,
     updates: Vec<(u64, GatewayUpdate)>,
     demand: Option<(u64, u64)>,
 }
@@ -125,30 +125,30 @@
         let document = engine_document(models.collect(), &room);
         let mut documents = DocumentHistory::new();
         documents.record(at(0), &document);
-        let mut group = Cluster {
+        let mut cluster = Cluster {
             now: 0,
             members: (0..members).map(|_| Fleet::new(settings.clone())).collect(),
-            ended: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            stopped: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             leader: 0,
             instances: BTreeMap::new(),
             muted: false,
-            under_way: BTreeMap::new(),
-            words: 0,
+            messages: BTreeMap::new(),
+            message_count: 0,
             seed: 1,
-            failures: 0,
+            failure_percent: 0,
             document,
             documents,
-            sizes: ReportStats::default(),
-            forgotten: Vec::new(),
+            report_stats: ReportStats::default(),
+            removed: Vec::new(),
             reads: 0,
             loads: 0,
-            answers: VecDeque::new(),
+            pending_reads: VecDeque::new(),
             updates: Vec::new(),
             demand: None,
         };
-        group.add(instances, ANNOUNCE_INTERVAL);
-        group
+        cluster.add(instances, ANNOUNCE_INTERVAL);
+        cluster
     }
 
     pub fn name(number: u64) -> String {
@@ -163,16 +163,16 @@
                 incarnation: 1,
                 sequence: 0,
                 member: number as usize % self.members.len(),
-                next: self.now + number % within.max(1),
+                next_announcement: self.now + number % within.max(1),
             };
             self.instances.insert(number, instance);
         }
     }
 
     /// Makes this percentage of messages lost, delayed and duplicated each.
-    pub fn fail(&mut self, seed: u64, percent: u64) {
+    pub fn set_failures(&mut self, seed: u64, percent: u64) {
         self.seed = seed;
-        self.failures = percent;
+        self.failure_percent = percent;
     }
 
     /// Stops or resumes all announcements.
@@ -181,20 +181,20 @@
     }
 
     /// Stops a member.
-    pub fn ends(&mut self, member: usize) {
-        self.ended.insert(member);
+    pub fn stop_member(&mut self, member: usize) {
+        self.stopped.insert(member);
     }
 
     /// Cuts a member off from the other members, but not from instances, or reconnects it.
-    pub fn cut(&mut self, member: usize, is_cut: bool) {
+    pub fn set_partitioned(&mut self, member: usize, is_cut: bool) {
         match is_cut {
-            true => self.cut.insert(member),
-            false => self.cut.remove(&member),
+            true => self.partitioned.insert(member),
+            false => self.partitioned.remove(&member),
         };
     }
 
     /// Makes another member the leader.
-    pub fn lead(&mut self, member: u64) {
+    pub fn elect(&mut self, member: u64) {
         self.members[self.leader].reset();
         self.leader = member as usize;
         let leader = &mut self.members[self.leader];
@@ -219,11 +219,11 @@
     }
 
     /// Makes an instance announce itself at the next member.
-    pub fn moves(&mut self, number: u64) {
+    pub fn move_instance(&mut self, number: u64) {
         let members = self.members.len();
         if let Some(instance) = self.instances.get_mut(&number) {
             instance.member = (instance.member + 1) % members;
-            instance.next = self.now;
+            instance.next_announcement = self.now;
         }
     }
 
@@ -233,11 +233,11 @@
             instance.incarnation += 1;
             instance.sequence = 0;
         }
-        self.moves(number);
+        self.move_instance(number);
     }
 
     /// Sets the demand for a model, in prompt tokens a second.
-    pub fn ask_for(&mut self, model: u64, tokens: u64) {
+    pub fn set_demand(&mut self, model: u64, tokens: u64) {
         self.demand = Some((model, tokens));
     }
 
@@ -247,8 +247,8 @@
             self.now += STEP;
             self.announce();
             self.deliver();
-            self.lead_on();
-            self.report();
+            self.run_leader();
+            self.send_reports();
         }
     }
 
@@ -257,58 +257,58 @@
             return;
         }
         for instance in self.instances.values_mut() {
-            if instance.next > self.now {
+            if instance.next_announcement > self.now {
                 continue;
             }
-            if self.ended.contains(&instance.member) {
+            if self.stopped.contains(&instance.member) {
                 instance.member = (instance.member + 1) % self.members.len();
-                instance.next = self.now + RETRY_DELAY;
+                instance.next_announcement = self.now + RETRY_DELAY;
                 continue;
             }
             instance.sequence += 1;
-            instance.next += ANNOUNCE_INTERVAL;
+            instance.next_announcement += ANNOUNCE_INTERVAL;
             let record = instance.record();
             self.members[instance.member].handle_announcement(at(self.now), record, false);
         }
     }
 
     fn deliver(&mut self) {
-        let later = self.under_way.split_off(&(self.now + 1, 0));
-        let arrived = std::mem::replace(&mut self.under_way, later);
+        let later = self.messages.split_off(&(self.now + 1, 0));
+        let arrived = std::mem::replace(&mut self.messages, later);
         for word in arrived.into_values() {
             match word {
-                Message::Report(report) => self.take_report(report),
-                Message::Answer(member, answer) => {
+                Message::Report(report) => self.deliver_report(report),
+                Message::Response(member, answer) => {
                     self.members[member].handle_share_response(&answer)
                 }
             }
         }
     }
 
-    fn take_report(&mut self, report: ShareReport) {
+    fn deliver_report(&mut self, report: ShareReport) {
         let member = report.from.member.0 as usize - 1;
         let size = codec::encode(&LinkMessage::Share(report.clone()));
         let size = size.expect("a report encodes").len();
-        self.sizes.reports += 1;
-        self.sizes.bytes += size;
-        self.sizes.largest = self.sizes.largest.max(size);
-        self.sizes.most_records = self.sizes.most_records.max(report.instances.len());
+        self.report_stats.reports += 1;
+        self.report_stats.bytes += size;
+        self.report_stats.largest = self.report_stats.largest.max(size);
+        self.report_stats.most_records = self.report_stats.most_records.max(report.instances.len());
         let leader = &mut self.members[self.leader];
         let own = address(self.leader);
         let answer = leader.handle_share_report(at(self.now), &report, own, &|_| None);
-        self.send(Message::Answer(member, answer));
+        self.send(Message::Response(member, answer));
     }
 
-    fn report(&mut self) {
+    fn send_reports(&mut self) {
         for member in 0..self.members.len() {
             let fleet = &mut self.members[member];
             fleet.maintain_share(at(self.now));
-            let silent = member == self.leader || self.ended.contains(&member);
+            let silent = member == self.leader || self.stopped.contains(&member);
             if silent || !fleet.is_share_report_due(at(self.now)) {
                 continue;
             }
             let report = fleet.next_share_report(at(self.now), 77, &address(member), true);
-            if !self.cut.contains(&member) {
+            if !self.partitioned.contains(&member) {
                 self.send(Message::Report(report));
             }
         }
@@ -317,29 +317,31 @@
     fn send(&mut self, word: Message) {
         let copy = match &word {
             Message::Report(report) => Message::Report(report.clone()),
-            Message::Answer(member, answer) => Message::Answer(*member, answer.clone()),
+            Message::Response(member, answer) => Message::Response(*member, answer.clone()),
         };
-        if self.chance() {
+        if self.should_fail() {
             return;
         }
-        let delay = if self.chance() { 1_200 } else { 2 };
-        self.words += 1;
-        self.under_way.insert((self.now + delay, self.words), word);
-        if self.chance() {
-            self.words += 1;
-            self.under_way.insert((self.now + 700, self.words), copy);
+        let delay = if self.should_fail() { 1_200 } else { 2 };
+        self.message_count += 1;
+        self.messages
+            .insert((self.now + delay, self.message_count), word);
+        if self.should_fail() {
+            self.message_count += 1;
+            self.messages
+                .insert((self.now + 700, self.message_count), copy);
         }
     }
 
     /// SplitMix64.
-    fn chance(&mut self) -> bool {
+    fn should_fail(&mut self) -> bool {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.seed ^ (self.seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (mixed ^ (mixed >> 31)) % 100 < self.failures
+        (mixed ^ (mixed >> 31)) % 100 < self.failure_percent
     }
 
-    fn lead_on(&mut self) {
+    fn run_leader(&mut self) {
         if let Some((number, tokens)) = self.demand
             && self.now.is_multiple_of(100)
         {
@@ -358,7 +360,7 @@
             match output {
                 FleetOutput::ReadEngine { instance, call, .. } => {
                     self.reads += 1;
-                    self.answers.push_back((instance, call));
+                    self.pending_reads.push_back((instance, call));
                 }
                 FleetOutput::Instruct(instruction) => {
                     self.loads += usize::from(instruction.operation == InstructionOperation::Load);
@@ -369,16 +371,16 @@
                 FleetOutput::Event(event) if event.name == "instance-forgotten" => {
                     let name = &event.pairs[0].1;
                     let name = name.split('#').next().unwrap_or_default();
-                    self.forgotten.push(name.to_owned());
+                    self.removed.push(name.to_owned());
                 }
                 _ => {}
             }
         }
-        self.answer_reads();
+        self.respond_to_reads();
     }
 
-    fn answer_reads(&mut self) {
-        for (instance, call) in std::mem::take(&mut self.answers) {
+    fn respond_to_reads(&mut self) {
+        for (instance, call) in std::mem::take(&mut self.pending_reads) {
             let number: u64 = instance.name()[2..].parse().expect("a number");
             let Some(found) = self.instances.get(&number) else {
                 continue;
@@ -438,21 +440,21 @@
     }
 
     /// Returns the number of instances known to the leader.
-    pub fn known(&self) -> usize {
-        self.known_runs().len()
+    pub fn known_count(&self) -> usize {
+        self.known_incarnations().len()
     }
 
-    pub fn known_runs(&self) -> BTreeSet<String> {
+    pub fn known_incarnations(&self) -> BTreeSet<String> {
         let known = self.members[self.leader].known_instances();
         known.map(|instance| instance.0.clone()).collect()
     }
 
-    pub fn living_runs(&self) -> BTreeSet<String> {
+    pub fn live_incarnations(&self) -> BTreeSet<String> {
         self.instances.values().map(|it| it.id().0).collect()
     }
 
     /// Returns the number of instances that announce themselves at a member.
-    pub fn held_at(&self, member: usize) -> usize {
+    pub fn count_at(&self, member: usize) -> usize {
         self.instances
             .values()
             .filter(|it| it.member == member)
@@ -468,9 +470,9 @@
     }
 
     /// Returns the number of live active engines that hold a model.
-    pub fn living_replicas(&self, number: u64) -> usize {
+    pub fn live_replicas(&self, number: u64) -> usize {
         let name = model(number);
-        let living = self.living_runs();
+        let living = self.live_incarnations();
         let active = self.members[self.leader].active_instances();
         let holds = |record: &&InstanceRecord| record.models.iter().any(|it| it.model == name);
         let active = active.filter(holds);
--- a/crates/millpass-fleet/tests/harness/steering.rs
+++ b/crates/millpass-fleet/tests/harness/steering.rs
@@ -11,7 +11,7 @@
     document: DeploymentDocument,
     calls: Calls,
     number: u64,
-    known: u64,
+    revision: u64,
 }
 
 impl InstructingLeader {
@@ -34,7 +34,7 @@
             document: engine_document(models.to_vec(), &room),
             calls: Calls::default(),
             number: 0,
-            known: 0,
+            revision: 0,
         }
     }
 
@@ -48,8 +48,8 @@
 
     fn report(&mut self, instances: Vec<InstanceRecord>, seen: Vec<InstanceHeartbeat>) {
         self.number += 1;
-        let base = self.known;
-        self.known += u64::from(!instances.is_empty());
+        let base = self.revision;
+        self.revision += u64::from(!instances.is_empty());
         let member = MemberAddress {
             member: MemberId(2),
             zone: "z".into(),
@@ -61,7 +61,7 @@
             run: 7,
             number: self.number,
             base,
-            revision: self.known,
+            revision: self.revision,
             instances,
             expired: Vec::new(),
             heartbeats: seen,
@@ -73,7 +73,7 @@
     }
 
     /// Reports a changed announcement received by the other member.
-    pub fn tells(&mut self, sequence: u64, models: &[&str]) {
+    pub fn announce(&mut self, sequence: u64, models: &[&str]) {
         let record = InstanceRecord {
             instance: "e-1".into(),
             service: "text".into(),
@@ -91,7 +91,7 @@
     }
 
     /// Reports an unchanged announcement received by the other member.
-    pub fn sees(&mut self, sequence: u64) {
+    pub fn announce_unchanged(&mut self, sequence: u64) {
         let seen = InstanceHeartbeat {
             instance: "e-1".into(),
             sequence,
@@ -111,7 +111,7 @@
     }
 
     /// Reports a request that waits for a model.
-    pub fn needs(&mut self, now: u64, model: &str) {
+    pub fn report_demand(&mut self, now: u64, model: &str) {
         let report = GatewayReport {
             gateway: "g".to_owned(),
             zone: "z".into(),
@@ -139,7 +139,7 @@
     pub fn run(&mut self, now: u64) -> Vec<FleetOutput> {
         let document = Some(&self.document);
         let mut outputs = self.fleet.run(at(now), 3, document, &EMPTY_CONTEXT);
-        self.calls.note(&outputs);
+        self.calls.record(&outputs);
         outputs.retain(|output| {
             matches!(
                 output,
@@ -150,8 +150,8 @@
     }
 
     /// Responds to the newest call.
-    pub fn answers(&mut self, now: u64, answer: InstructionResult) {
-        let answer = self.calls.answer(&"e-1".into(), &answer);
+    pub fn respond(&mut self, now: u64, answer: InstructionResult) {
+        let answer = self.calls.response(&"e-1".into(), &answer);
         self.fleet.handle_call_result(at(now), &answer);
     }
 }
--- a/crates/millpass-fleet/tests/limits.rs
+++ b/crates/millpass-fleet/tests/limits.rs
@@ -103,7 +103,7 @@
     /// Runs once and responds to state reads.
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
         let outputs = self.0.run(at(now), 3, Some(&document()), &EMPTY_CONTEXT);
-        self.1.note(&outputs);
+        self.1.record(&outputs);
         for output in &outputs {
             let FleetOutput::ReadEngine { instance, .. } = output else {
                 continue;
@@ -113,13 +113,13 @@
                 _ => Vec::new(),
             };
             let state = InstructionResult::State(idle(held));
-            let answer = self.1.answer(instance, &state);
+            let answer = self.1.response(instance, &state);
             self.0.handle_call_result(at(now), &answer);
         }
         outputs
     }
 
-    fn hear_limit(&mut self, now: u64, milli_per_second: Option<u64>) {
+    fn report_limit(&mut self, now: u64, milli_per_second: Option<u64>) {
         let word = LimitObservation {
             instance: "i-1".into(),
             milli_per_second,
@@ -136,7 +136,7 @@
     }
 
     /// Returns the engines instructed while unmet demand for model `a` is reported.
-    fn loads(&mut self, from: u64) -> Vec<InstanceId> {
+    fn engines_loading(&mut self, from: u64) -> Vec<InstanceId> {
         let mut loads = Vec::new();
         for now in (from..from + 1_000).step_by(100) {
             let needs = vec![unserved("a")];
@@ -151,7 +151,7 @@
     }
 
     /// Returns the limits sent to each gateway by the next run.
-    fn told(&mut self, now: u64) -> Vec<Vec<Option<u64>>> {
+    fn limits_by_gateway(&mut self, now: u64) -> Vec<Vec<Option<u64>>> {
         let told = self.run(now).into_iter().filter_map(|output| match output {
             FleetOutput::Limits { update, .. } => Some(update.limits),
             _ => None,
@@ -164,18 +164,27 @@
 #[test]
 fn a_model_that_only_a_limited_engine_holds_is_brought_to_no_other() {
     let mut leader = Leader::new();
-    assert!(leader.loads(100).is_empty());
-    leader.hear_limit(1_200, Some(1_000));
-    assert_eq!(leader.loads(1_300).first(), Some(&"i-2".into()));
+    assert!(leader.engines_loading(100).is_empty());
+    leader.report_limit(1_200, Some(1_000));
+    assert_eq!(leader.engines_loading(1_300).first(), Some(&"i-2".into()));
 }
 
 #[test]
 fn a_gateway_is_not_told_of_a_limit_that_another_heard_or_of_its_end() {
     let mut leader = Leader::new();
-    assert_eq!(leader.told(100), Vec::<Vec<Option<u64>>>::new());
-    leader.hear_limit(200, Some(1_000));
-    assert_eq!(leader.told(201), vec![vec![Some(1_000)], vec![Some(1_000)]]);
-    leader.hear_limit(300, None);
-    assert_eq!(leader.told(301), vec![vec![None], vec![None]]);
-    assert_eq!(leader.told(400), Vec::<Vec<Option<u64>>>::new());
+    assert_eq!(
+        leader.limits_by_gateway(100),
+        Vec::<Vec<Option<u64>>>::new()
+    );
+    leader.report_limit(200, Some(1_000));
+    assert_eq!(
+        leader.limits_by_gateway(201),
+        vec![vec![Some(1_000)], vec![Some(1_000)]]
+    );
+    leader.report_limit(300, None);
+    assert_eq!(leader.limits_by_gateway(301), vec![vec![None], vec![None]]);
+    assert_eq!(
+        leader.limits_by_gateway(400),
+        Vec::<Vec<Option<u64>>>::new()
+    );
 }
--- a/crates/millpass-fleet/tests/rollout.rs
+++ b/crates/millpass-fleet/tests/rollout.rs
@@ -32,7 +32,7 @@
     leader.report(1_000, 1, 1);
     leader.report(1_000, 2, 1);
     leader.run(1_010);
-    leader.put(1_100);
+    leader.commit_next_version(1_100);
     leader.run(1_100);
     leader.report(1_140, 1, 2);
     let first = leader.run(1_150);
@@ -58,7 +58,7 @@
         leader.report(1_000, connection, 1);
     }
     leader.run(1_010);
-    leader.put(2_000);
+    leader.commit_next_version(2_000);
     leader.run(2_000);
     leader.report(2_100, 1, 2);
     leader.report(2_900, 2, 1);
@@ -99,7 +99,7 @@
     for connection in 0..100 {
         leader.report(1_000, connection, 1);
     }
-    leader.put(2_000);
+    leader.commit_next_version(2_000);
     leader.run(2_000);
     let lagging = events(&leader.run(3_000), "document-lags");
     assert_eq!(lagging.len(), 8);
--- a/crates/millpass-fleet/tests/room.rs
+++ b/crates/millpass-fleet/tests/room.rs
@@ -55,11 +55,11 @@
 impl Leader {
     /// Creates a leader that has read the engine's state: these models, and no accepted orders.
     fn new(held: &[HeldModel]) -> Leader {
-        Leader::with(held, &state(0, held))
+        Leader::with_state(held, &state(0, held))
     }
 
     /// Creates a leader whose engine announces these models, and responds to the read of its state.
-    fn with(held: &[HeldModel], read: &InstructionResult) -> Leader {
+    fn with_state(held: &[HeldModel], read: &InstructionResult) -> Leader {
         let settings = FleetSettings {
             order_handover: Duration::ZERO,
             ..FleetSettings::default()
@@ -70,20 +70,20 @@
             calls: Calls::default(),
             sequence: 0,
         };
-        leader.announced(1_000, held);
+        leader.announce(1_000, held);
         leader.run(1_000);
-        leader.answered(1_000, read);
+        leader.respond(1_000, read);
         leader
     }
 
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
         let document = Some(&self.document);
         let outputs = self.fleet.run(at(now), 3, document, &EMPTY_CONTEXT);
-        self.calls.note(&outputs);
+        self.calls.record(&outputs);
         outputs
     }
 
-    fn announced(&mut self, now: u64, held: &[HeldModel]) {
+    fn announce(&mut self, now: u64, held: &[HeldModel]) {
         self.sequence += 1;
         let record = InstanceRecord {
             instance: "e".into(),
@@ -102,7 +102,7 @@
     }
 
     /// Runs the leader, which must read the state, and returns the call.
-    fn read(&mut self, now: u64) -> CallId {
+    fn expect_read(&mut self, now: u64) -> CallId {
         let outputs = self.run(now).into_iter();
         let mut reads = outputs.filter_map(|output| match output {
             FleetOutput::ReadEngine { call, .. } => Some(call),
@@ -112,25 +112,20 @@
     }
 
     /// Responds to the newest call.
-    fn answered(&mut self, now: u64, answer: &InstructionResult) {
-        let answer = self.calls.answer(&"e".into(), answer);
+    fn respond(&mut self, now: u64, answer: &InstructionResult) {
+        let answer = self.calls.response(&"e".into(), answer);
         self.fleet.handle_call_result(at(now), &answer);
     }
 
     /// Responds to this call.
-    fn call_answered(&mut self, now: u64, call: CallId, answer: &InstructionResult) {
+    fn respond_to(&mut self, now: u64, call: CallId, answer: &InstructionResult) {
         let answer = calls::response_to(call, &"e".into(), answer);
         self.fleet.handle_call_result(at(now), &answer);
     }
 
     /// Reports demand for a model or an adapter of it for one second, and returns the instructions
     /// sent. State reads are not responded to.
-    fn asked_for(
-        &mut self,
-        now: u64,
-        model: &str,
-        adapter: Option<&str>,
-    ) -> Vec<EngineInstruction> {
+    fn request(&mut self, now: u64, model: &str, adapter: Option<&str>) -> Vec<EngineInstruction> {
         let mut given = Vec::new();
         for now in (now..now + 1_000).step_by(100) {
             let need = GatewayModelDemand {
@@ -173,18 +168,18 @@
 #[test]
 fn an_acceptance_that_comes_after_its_order_was_given_up_makes_the_next_order_wait_for_a_read() {
     let mut leader = Leader::new(&[held("a", &[])]);
-    let first = leader.asked_for(1_100, "b", None);
+    let first = leader.request(1_100, "b", None);
     assert_eq!(loads(&first), 1);
-    leader.call_answered(2_010, first[0].call, &InstructionResult::Unanswered);
+    leader.respond_to(2_010, first[0].call, &InstructionResult::Unanswered);
     // The state is read before the engine accepts the order.
-    let read = leader.read(2_500);
-    leader.call_answered(2_510, read, &state(0, &[held("a", &[])]));
-    leader.call_answered(2_800, first[0].call, &InstructionResult::Accepted);
-    let next = leader.asked_for(2_810, "c", None);
+    let read = leader.expect_read(2_500);
+    leader.respond_to(2_510, read, &state(0, &[held("a", &[])]));
+    leader.respond_to(2_800, first[0].call, &InstructionResult::Accepted);
+    let next = leader.request(2_810, "c", None);
     assert_eq!(loads(&next), 0, "b is on its way: {next:?}");
     // A state report shows what the engine holds.
-    leader.answered(3_900, &state(1, &[held("a", &[]), held("b", &[])]));
-    let next = leader.asked_for(4_000, "c", None);
+    leader.respond(3_900, &state(1, &[held("a", &[]), held("b", &[])]));
+    let next = leader.request(4_000, "c", None);
     assert_eq!(next.len(), 1, "{next:?}");
     assert_eq!(next[0].operation, InstructionOperation::Unload);
     assert_eq!(next[0].expected_revision, 1);
@@ -193,18 +188,18 @@
 #[test]
 fn the_silence_of_a_read_that_was_given_up_does_not_end_an_order() {
     let mut leader = Leader::new(&[held("a", &[])]);
-    let first = leader.asked_for(1_100, "b", None);
-    leader.call_answered(2_010, first[0].call, &InstructionResult::Conflict);
-    let old = leader.read(2_500);
+    let first = leader.request(1_100, "b", None);
+    leader.respond_to(2_010, first[0].call, &InstructionResult::Conflict);
+    let old = leader.expect_read(2_500);
     // There is no response for so long that the state is read again.
-    let new = leader.read(4_600);
+    let new = leader.expect_read(4_600);
     assert_ne!(old, new);
-    leader.call_answered(4_650, new, &state(0, &[held("a", &[])]));
-    let second = leader.asked_for(4_700, "b", None);
+    leader.respond_to(4_650, new, &state(0, &[held("a", &[])]));
+    let second = leader.request(4_700, "b", None);
     assert_eq!(loads(&second), 1);
-    leader.call_answered(5_700, old, &InstructionResult::Unanswered);
-    leader.call_answered(5_710, second[0].call, &InstructionResult::Accepted);
-    let next = leader.asked_for(5_720, "c", None);
+    leader.respond_to(5_700, old, &InstructionResult::Unanswered);
+    leader.respond_to(5_710, second[0].call, &InstructionResult::Accepted);
+    let next = leader.request(5_720, "c", None);
     assert_eq!(loads(&next), 0, "b is on its way: {next:?}");
 }
 
@@ -214,13 +209,13 @@
     let mut leader = Leader::new(&[held("a", &[])]);
     for adapter in ["x", "y"] {
         let now = if adapter == "x" { 1_100 } else { 2_200 };
-        let given = leader.asked_for(now, "a", Some(adapter));
+        let given = leader.request(now, "a", Some(adapter));
         assert_eq!(loads(&given), 1, "{given:?}");
-        leader.call_answered(now + 1_010, given[0].call, &InstructionResult::Accepted);
+        leader.respond_to(now + 1_010, given[0].call, &InstructionResult::Accepted);
         leader.run(now + 1_050);
     }
-    leader.announced(6_500, &[held("a", &[])]);
-    let next = leader.asked_for(6_510, "a", Some("z"));
+    leader.announce(6_500, &[held("a", &[])]);
+    let next = leader.request(6_510, "a", Some("z"));
     assert_eq!(loads(&next), 0, "both places are taken: {next:?}");
 }
 
@@ -229,16 +224,16 @@
 fn an_adapter_whose_unload_was_accepted_keeps_its_place_until_a_report_shows_it_gone() {
     let full = [held("a", &["x", "y"])];
     let mut leader = Leader::new(&full);
-    let given = leader.asked_for(1_100, "a", Some("z"));
+    let given = leader.request(1_100, "a", Some("z"));
     assert_eq!(given[0].operation, InstructionOperation::Unload);
-    leader.call_answered(2_110, given[0].call, &InstructionResult::Accepted);
-    let next = leader.asked_for(2_200, "a", Some("z"));
+    leader.respond_to(2_110, given[0].call, &InstructionResult::Accepted);
+    let next = leader.request(2_200, "a", Some("z"));
     assert_eq!(loads(&next), 0, "its runs go on: {next:?}");
-    leader.answered(3_300, &state(1, &full));
-    let next = leader.asked_for(3_400, "a", Some("z"));
+    leader.respond(3_300, &state(1, &full));
+    let next = leader.request(3_400, "a", Some("z"));
     assert_eq!(loads(&next), 0, "its runs still go on: {next:?}");
-    leader.answered(4_500, &state(1, &[held("a", &["y"])]));
-    let next = leader.asked_for(4_600, "a", Some("z"));
+    leader.respond(4_500, &state(1, &[held("a", &["y"])]));
+    let next = leader.request(4_600, "a", Some("z"));
     assert_eq!(loads(&next), 1, "{next:?}");
 }
 
@@ -253,9 +248,9 @@
         on_disk: Vec::new(),
         loading_adapters: vec![held("a", &["x", "y"])],
     });
-    let mut leader = Leader::with(&[held("a", &[])], &coming);
-    leader.announced(5_000, &[held("a", &[])]);
-    let next = leader.asked_for(5_010, "a", Some("z"));
+    let mut leader = Leader::with_state(&[held("a", &[])], &coming);
+    leader.announce(5_000, &[held("a", &[])]);
+    let next = leader.request(5_010, "a", Some("z"));
     assert_eq!(loads(&next), 0, "{next:?}");
 }
 
@@ -265,7 +260,7 @@
     let both = [held("a", &[]), held("b", &[])];
     let mut leader = Leader::new(&both);
     leader.document = document(&["a", "c", "d"]);
-    let given = leader.asked_for(1_100, "c", None);
+    let given = leader.request(1_100, "c", None);
     assert_eq!(loads(&given), 0, "{given:?}");
     assert_eq!(given.len(), 1);
     assert_eq!(given[0].model, "b".into(), "nobody can ask for it");
@@ -275,24 +270,24 @@
 #[test]
 fn an_announcement_that_says_an_unload_is_done_makes_no_room_before_the_engine_says_so() {
     let mut leader = Leader::new(&[held("a", &[]), held("b", &[])]);
-    let given = leader.asked_for(1_100, "c", None);
+    let given = leader.request(1_100, "c", None);
     assert_eq!(given[0].operation, InstructionOperation::Unload);
     let left = if given[0].model == "a".into() {
         "b"
     } else {
         "a"
     };
-    leader.call_answered(2_110, given[0].call, &InstructionResult::Accepted);
-    leader.announced(2_200, &[held(left, &[])]);
-    let asked = leader.asked_for(2_210, "c", None);
+    leader.respond_to(2_110, given[0].call, &InstructionResult::Accepted);
+    leader.announce(2_200, &[held(left, &[])]);
+    let asked = leader.request(2_210, "c", None);
     assert_eq!(asked.len(), 1, "{asked:?}");
     assert_eq!(asked[0].operation, InstructionOperation::Unload);
     // Running requests delay the unload, so the engine is busy with another order.
-    leader.call_answered(3_300, asked[0].call, &InstructionResult::Conflict);
-    let next = leader.asked_for(3_310, "c", None);
+    leader.respond_to(3_300, asked[0].call, &InstructionResult::Conflict);
+    let next = leader.request(3_310, "c", None);
     assert!(next.is_empty(), "{next:?}");
-    leader.answered(4_400, &state(1, &[held(left, &[])]));
-    let next = leader.asked_for(4_410, "c", None);
+    leader.respond(4_400, &state(1, &[held(left, &[])]));
+    let next = leader.request(4_410, "c", None);
     assert_eq!(loads(&next), 1, "{next:?}");
 }
 
@@ -302,18 +297,18 @@
 #[test]
 fn the_count_after_an_unload_at_once_is_read_before_the_next_order() {
     let mut leader = Leader::new(&[held("a", &["x", "y"])]);
-    let given = leader.asked_for(1_100, "a", Some("z"));
+    let given = leader.request(1_100, "a", Some("z"));
     assert_eq!(given[0].operation, InstructionOperation::Unload);
-    leader.call_answered(2_110, given[0].call, &InstructionResult::AlreadySo);
-    let next = leader.asked_for(2_120, "a", Some("z"));
+    leader.respond_to(2_110, given[0].call, &InstructionResult::AlreadySo);
+    let next = leader.request(2_120, "a", Some("z"));
     assert!(next.is_empty(), "{next:?}");
     let left = if given[0].adapter == Some("x".into()) {
         "y"
     } else {
         "x"
     };
-    leader.answered(3_200, &state(0, &[held("a", &[left])]));
-    let next = leader.asked_for(3_210, "a", Some("z"));
+    leader.respond(3_200, &state(0, &[held("a", &[left])]));
+    let next = leader.request(3_210, "a", Some("z"));
     assert_eq!(loads(&next), 1, "{next:?}");
     assert_eq!(next[0].expected_revision, 0);
 }
--- a/crates/millpass-fleet/tests/room_under_faults.rs
+++ b/crates/millpass-fleet/tests/room_under_faults.rs
@@ -42,15 +42,15 @@
 /// Runs a seed and returns the number of completed loads.
 fn run_seed(seed: u64) -> u64 {
     let mut simulation = Simulation::new(seed);
-    simulation.play();
+    simulation.run_phases();
     assert_no_violations(&simulation, seed);
     let loads = simulation.loads();
     assert!(
-        simulation.serves("a", "x"),
+        simulation.is_served_in_time("a", "x"),
         "seed {seed}: not served in calm"
     );
     assert!(
-        simulation.serves("g", "u"),
+        simulation.is_served_in_time("g", "u"),
         "seed {seed}: not served in calm"
     );
     assert_no_violations(&simulation, seed);
@@ -73,7 +73,7 @@
 
 /// Asserts that no engine was ordered beyond its capacity.
 fn assert_no_violations(simulation: &Simulation, seed: u64) {
-    for (engine, breaches) in simulation.breaches() {
+    for (engine, breaches) in simulation.violations() {
         assert!(
             breaches.is_empty(),
             "seed {seed}: {breaches:#?} {:#?}",
--- a/crates/millpass-fleet/tests/shares.rs
+++ b/crates/millpass-fleet/tests/shares.rs
@@ -27,73 +27,81 @@
 
 /// Returns the reports of ten seconds in a settled cluster.
 fn steady_cost(instances: u64) -> ReportStats {
-    let mut group = Cluster::new(MEMBERS, instances);
-    group.run(20_000);
-    assert_eq!(group.known(), instances as usize);
-    group.sizes = ReportStats::default();
-    group.run(10_000);
-    assert_eq!(group.known(), instances as usize);
-    group.sizes
+    let mut cluster = Cluster::new(MEMBERS, instances);
+    cluster.run(20_000);
+    assert_eq!(cluster.known_count(), instances as usize);
+    cluster.report_stats = ReportStats::default();
+    cluster.run(10_000);
+    assert_eq!(cluster.known_count(), instances as usize);
+    cluster.report_stats
 }
 
 /// All instances announce themselves within 100 ms.
 #[test]
 fn a_wave_of_announcements_is_told_in_bounded_words() {
-    let mut group = Cluster::new(MEMBERS, 0);
-    group.run(1_000);
-    group.add(20_000, 100);
-    group.run(2_000);
-    assert_eq!(group.known(), 20_000);
-    assert!(group.sizes.largest < 128 * 1024, "{:?}", group.sizes);
-    assert!(group.sizes.most_records <= 256, "{:?}", group.sizes);
+    let mut cluster = Cluster::new(MEMBERS, 0);
+    cluster.run(1_000);
+    cluster.add(20_000, 100);
+    cluster.run(2_000);
+    assert_eq!(cluster.known_count(), 20_000);
+    assert!(
+        cluster.report_stats.largest < 128 * 1024,
+        "{:?}",
+        cluster.report_stats
+    );
+    assert!(
+        cluster.report_stats.most_records <= 256,
+        "{:?}",
+        cluster.report_stats
+    );
 }
 
 /// Instances of a stopped member switch to another one, and none expires meanwhile.
 #[test]
 fn the_silence_of_a_member_is_not_that_of_its_instances() {
-    let mut group = Cluster::new(4, 200);
-    group.run(10_000);
-    group.ends(2);
-    group.run(30_000);
-    assert_eq!(group.known(), 200);
-    assert_eq!(group.forgotten, Vec::<String>::new());
+    let mut cluster = Cluster::new(4, 200);
+    cluster.run(10_000);
+    cluster.stop_member(2);
+    cluster.run(30_000);
+    assert_eq!(cluster.known_count(), 200);
+    assert_eq!(cluster.removed, Vec::<String>::new());
 }
 
 /// A member cut off from the leader only keeps receiving its instances.
 #[test]
 fn a_member_cut_off_from_the_leader_for_seconds_costs_no_instance() {
-    let mut group = Cluster::new(4, 200);
-    group.run(10_000);
-    group.cut(3, true);
-    group.run(10_000);
-    group.cut(3, false);
-    group.run(5_000);
-    assert_eq!(group.known(), 200);
-    assert_eq!(group.forgotten, Vec::<String>::new());
+    let mut cluster = Cluster::new(4, 200);
+    cluster.run(10_000);
+    cluster.set_partitioned(3, true);
+    cluster.run(10_000);
+    cluster.set_partitioned(3, false);
+    cluster.run(5_000);
+    assert_eq!(cluster.known_count(), 200);
+    assert_eq!(cluster.removed, Vec::<String>::new());
 }
 
 /// Guards against an expiry reported by a member that an instance has left.
 #[test]
 fn an_instance_that_ends_is_forgotten_where_it_was_last_heard() {
-    let mut group = Cluster::new(4, 40);
-    group.run(10_000);
-    group.crash(7);
+    let mut cluster = Cluster::new(4, 40);
+    cluster.run(10_000);
+    cluster.crash(7);
     // The member that it announced itself at before reports its expiry as well.
-    group.moves(8);
-    group.run(12_000);
-    assert_eq!(group.known(), 39);
-    assert_eq!(group.forgotten, vec![Cluster::name(7)]);
+    cluster.move_instance(8);
+    cluster.run(12_000);
+    assert_eq!(cluster.known_count(), 39);
+    assert_eq!(cluster.removed, vec![Cluster::name(7)]);
 }
 
 /// The new leader is sent every share whole; instances need not announce themselves again.
 #[test]
 fn the_next_leader_knows_the_fleet_from_its_members() {
-    let mut group = Cluster::new(MEMBERS, 5_000);
-    group.run(10_000);
-    group.mute(true);
-    group.lead(1);
-    group.run(1_000);
-    assert_eq!(group.known(), 5_000);
+    let mut cluster = Cluster::new(MEMBERS, 5_000);
+    cluster.run(10_000);
+    cluster.mute(true);
+    cluster.elect(1);
+    cluster.run(1_000);
+    assert_eq!(cluster.known_count(), 5_000);
 }
 
 /// After faults on the way between members, the leader knows exactly the live instances.
@@ -101,21 +109,21 @@
 fn words_that_are_lost_late_or_doubled_settle(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)] seed: u64,
 ) {
-    let mut group = Cluster::new(5, 60);
-    group.fail(seed, 30);
-    group.run(5_000);
+    let mut cluster = Cluster::new(5, 60);
+    cluster.set_failures(seed, 30);
+    cluster.run(5_000);
     for round in 0..6 {
-        group.crash(seed % 7 + round * 9);
-        group.moves(seed % 5 + round * 9 + 1);
-        group.restart(seed % 3 + round * 9 + 2);
+        cluster.crash(seed % 7 + round * 9);
+        cluster.move_instance(seed % 5 + round * 9 + 1);
+        cluster.restart(seed % 3 + round * 9 + 2);
         if round == 3 {
-            group.lead(1 + seed % 4);
+            cluster.elect(1 + seed % 4);
         }
-        group.run(1_500);
+        cluster.run(1_500);
     }
-    group.fail(seed, 0);
-    group.run(20_000);
-    assert_eq!(group.known_runs(), group.living_runs());
+    cluster.set_failures(seed, 0);
+    cluster.run(20_000);
+    assert_eq!(cluster.known_incarnations(), cluster.live_incarnations());
 }
 
 /// Guards against reading and publishing thousands of engines without demand.
@@ -132,9 +140,9 @@
 /// Returns the engines read until the cluster has settled, and the instances in a gateway's first
 /// update.
 fn first_update(engines: u64) -> (usize, usize) {
-    let mut group = Cluster::new(MEMBERS, engines);
-    group.run(10_000);
-    let update = group.first_update();
+    let mut cluster = Cluster::new(MEMBERS, engines);
+    cluster.run(10_000);
+    let update = cluster.first_update();
     assert!(update.complete);
     for model in 0..harness::shares::MODELS {
         let name: ModelName = harness::shares::model(model);
@@ -143,32 +151,32 @@
         let zones: std::collections::BTreeSet<_> = holders.map(|record| &record.zone).collect();
         assert!(zones.len() >= 2, "{name} is in {zones:?}");
     }
-    (group.reads, update.instances.len())
+    (cluster.reads, update.instances.len())
 }
 
 /// Demand beyond the capacity of the active replicas activates others without loads.
 #[test]
 fn demand_calls_up_replicas_that_stand_by() {
-    let mut group = Cluster::new(4, 2_000);
-    group.run(10_000);
-    let before = group.active_replicas(0);
+    let mut cluster = Cluster::new(4, 2_000);
+    cluster.run(10_000);
+    let before = cluster.active_replicas(0);
     // Twice what one engine processes.
-    group.ask_for(0, 76_000);
-    group.run(9_000);
-    let after = group.active_replicas(0);
+    cluster.set_demand(0, 76_000);
+    cluster.run(9_000);
+    let after = cluster.active_replicas(0);
     assert!(before < 7 && after >= 7, "{before}, {after}");
-    assert_eq!(group.loads, 0);
+    assert_eq!(cluster.loads, 0);
 }
 
 /// Each model keeps replicas, and standby instances replace the lost ones.
 #[test]
 fn the_loss_of_a_zone_leaves_replicas() {
-    let mut group = Cluster::new(4, 2_000);
-    group.run(10_000);
-    group.crash_zone(0);
-    assert!((0..harness::shares::MODELS).all(|model| group.living_replicas(model) > 0));
-    group.run(9_000);
-    assert!((0..harness::shares::MODELS).all(|model| group.living_replicas(model) >= 2));
+    let mut cluster = Cluster::new(4, 2_000);
+    cluster.run(10_000);
+    cluster.crash_zone(0);
+    assert!((0..harness::shares::MODELS).all(|model| cluster.live_replicas(model) > 0));
+    cluster.run(9_000);
+    assert!((0..harness::shares::MODELS).all(|model| cluster.live_replicas(model) >= 2));
 }
 
 /// Guards against completing an unload because a keepalive repeats the previous announcement: it
@@ -176,21 +184,21 @@
 #[test]
 fn an_unchanged_word_says_nothing_of_an_unload_under_way() {
     let mut leader = InstructingLeader::new();
-    leader.tells(1, &["a", "b"]);
+    leader.announce(1, &["a", "b"]);
     leader.run(100);
-    leader.answers(110, leader.state(0, &["a", "b"]));
-    leader.needs(5_000, "c");
+    leader.respond(110, leader.state(0, &["a", "b"]));
+    leader.report_demand(5_000, "c");
     let unload = leader.run(5_010);
     assert!(
         matches!(unload[..], [FleetOutput::Instruct(_)]),
         "{unload:?}"
     );
-    leader.answers(5_020, InstructionResult::Accepted);
-    leader.sees(2);
-    leader.sees(3);
+    leader.respond(5_020, InstructionResult::Accepted);
+    leader.announce_unchanged(2);
+    leader.announce_unchanged(3);
     let calls = leader.run(5_400);
     assert!(calls.is_empty(), "{calls:?}");
-    leader.tells(4, &["b"]);
+    leader.announce(4, &["b"]);
     let calls = leader.run(5_700);
     assert_eq!(calls.len(), 1, "{calls:?}");
 }
--- a/crates/millpass-fleet/tests/store.rs
+++ b/crates/millpass-fleet/tests/store.rs
@@ -15,7 +15,7 @@
     capacity: f64,
     stated: Duration,
     /// Remaining time of each load at full speed, in seconds.
-    left: BTreeMap<InstanceId, f64>,
+    remaining: BTreeMap<InstanceId, f64>,
     begun: usize,
     ended: usize,
     now: Timestamp,
@@ -26,7 +26,7 @@
         SharedStore {
             capacity,
             stated,
-            left: BTreeMap::new(),
+            remaining: BTreeMap::new(),
             begun: 0,
             ended: 0,
             now: Timestamp::from_millis(1_000),
@@ -36,26 +36,26 @@
     fn begin(&mut self) -> InstanceId {
         self.begun += 1;
         let instance = InstanceId(format!("e-{}", self.begun));
-        self.left
+        self.remaining
             .insert(instance.clone(), self.stated.as_secs_f64());
         instance
     }
 
     /// Advances one step and passes the pending loads to the estimator.
     fn step(&mut self, learner: &mut StoreCapacity) {
-        let share = (self.capacity / self.left.len().max(1) as f64).min(1.0);
-        for left in self.left.values_mut() {
+        let share = (self.capacity / self.remaining.len().max(1) as f64).min(1.0);
+        for left in self.remaining.values_mut() {
             *left -= share * STEP.as_secs_f64();
         }
-        let before = self.left.len();
-        self.left.retain(|_, left| *left > 0.0);
-        self.ended += before - self.left.len();
+        let before = self.remaining.len();
+        self.remaining.retain(|_, left| *left > 0.0);
+        self.ended += before - self.remaining.len();
         self.now = self.now + STEP;
-        self.show(learner);
+        self.observe(learner);
     }
 
-    fn show(&self, learner: &mut StoreCapacity) {
-        let loads = self.left.keys().map(|instance| PendingLoad {
+    fn observe(&self, learner: &mut StoreCapacity) {
+        let loads = self.remaining.keys().map(|instance| PendingLoad {
             instance: instance.clone(),
             model: "m".into(),
             nominal_time: self.stated,
@@ -64,13 +64,13 @@
     }
 
     /// Advances by `time` with more demand than may be loaded at once.
-    fn press(&mut self, learner: &mut StoreCapacity, time: Duration) {
+    fn run_saturated(&mut self, learner: &mut StoreCapacity, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            while self.left.len() < learner.limit() {
+            while self.remaining.len() < learner.limit() {
                 self.begin();
             }
-            self.show(learner);
+            self.observe(learner);
             self.step(learner);
         }
     }
@@ -84,7 +84,7 @@
     let stated = Duration::from_millis(stated);
     let mut store = SharedStore::new(capacity, stated);
     let mut learner = StoreCapacity::default();
-    store.press(&mut learner, stated * 14);
+    store.run_saturated(&mut learner, stated * 14);
     let limit = learner.limit() as f64;
     assert!(limit >= capacity * 0.8 - 0.5, "{limit} of {capacity}");
     assert!(limit <= capacity * 1.5 + 0.5, "{limit} of {capacity}");
@@ -95,7 +95,7 @@
     let stated = Duration::from_secs(6);
     let mut store = SharedStore::new(4.0, stated);
     let mut learner = StoreCapacity::default();
-    store.press(&mut learner, Duration::from_secs(34));
+    store.run_saturated(&mut learner, Duration::from_secs(34));
     assert!(store.ended >= 15, "ended {} of 22 possible", store.ended);
 }
 
@@ -105,8 +105,8 @@
     let mut store = SharedStore::new(30.0, stated);
     let mut learner = StoreCapacity::default();
     let stuck = store.begin();
-    store.left.insert(stuck, f64::MAX);
-    store.press(&mut learner, Duration::from_secs(40));
+    store.remaining.insert(stuck, f64::MAX);
+    store.run_saturated(&mut learner, Duration::from_secs(40));
     assert!(learner.limit() >= 20, "{}", learner.limit());
 }
 
@@ -115,12 +115,12 @@
     let stated = Duration::from_secs(3);
     let mut store = SharedStore::new(12.0, stated);
     let mut learner = StoreCapacity::default();
-    store.press(&mut learner, Duration::from_secs(30));
+    store.run_saturated(&mut learner, Duration::from_secs(30));
     store.capacity = 2.0;
-    store.press(&mut learner, Duration::from_secs(20));
+    store.run_saturated(&mut learner, Duration::from_secs(20));
     assert!(learner.limit() <= 4, "{}", learner.limit());
     store.capacity = 12.0;
-    store.press(&mut learner, Duration::from_secs(60));
+    store.run_saturated(&mut learner, Duration::from_secs(60));
     assert!(learner.limit() >= 9, "{}", learner.limit());
 }
 
@@ -147,9 +147,9 @@
     for _ in 0..3 {
         store.begin();
     }
-    store.show(&mut learner);
+    store.observe(&mut learner);
     store.step(&mut learner);
-    store.left.clear();
+    store.remaining.clear();
     store.now = store.now + STEP;
     learner.observe(store.now, Vec::new(), 0, |_, _| false);
     assert_eq!(learner.limit(), before);
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -127,7 +127,7 @@
     });
     leader.report(COMPLETE + 3, 2, 1);
     leader.updates(COMPLETE + 3);
-    leader.put(COMPLETE + 100);
+    leader.commit_next_version(COMPLETE + 100);
     let updates = leader.updates(COMPLETE + 100);
     assert_eq!(updates.len(), 2);
     for (_, update) in updates {
@@ -155,7 +155,7 @@
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     for version in 2..=4 {
-        leader.put(COMPLETE + version * 10);
+        leader.commit_next_version(COMPLETE + version * 10);
         let update = single(leader.updates(COMPLETE + version * 10));
         let change = update.document_change.expect("a change");
         assert_eq!((change.base, change.version), (version - 1, version));
@@ -166,7 +166,7 @@
 fn a_change_that_was_lost_with_its_connection_is_sent_on_the_next() {
     let mut leader = Leader::new(INSTANCES, 0);
     let known = connect_up_to_date(&mut leader, COMPLETE);
-    leader.put(COMPLETE + 100);
+    leader.commit_next_version(COMPLETE + 100);
     assert_eq!(leader.updates(COMPLETE + 100).len(), 1);
     leader.fleet.handle_disconnect(at(COMPLETE + 110), 1);
     leader.report_of(COMPLETE + 120, 2, "g-1", 1, known);
@@ -187,7 +187,7 @@
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     let sent = COMPLETE + 100;
-    leader.put(sent);
+    leader.commit_next_version(sent);
     assert_eq!(leader.updates(sent).len(), 1);
     leader.report_of(sent + 100, 1, "g-1", 1, Vec::new());
     let early = single(leader.updates(sent + 100));
@@ -220,7 +220,7 @@
     connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 2), 1);
     for version in 2..=20 {
-        leader.put(COMPLETE + version * 10);
+        leader.commit_next_version(COMPLETE + version * 10);
         leader.updates(COMPLETE + version * 10);
     }
     leader.report_of(COMPLETE + 500, 2, "g-1", 1, Vec::new());
@@ -342,7 +342,7 @@
     leader.fleet.set_backlogged(at(COMPLETE + 10), 1, true);
     for version in 2..=4 {
         let now = COMPLETE + version * 1_000;
-        leader.put(now);
+        leader.commit_next_version(now);
         leader
             .fleet
             .handle_announcement(at(now), record(version), false);
@@ -361,7 +361,7 @@
 fn a_version_that_waited_for_the_socket_is_not_overdue_at_once() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
-    leader.put(COMPLETE + 100);
+    leader.commit_next_version(COMPLETE + 100);
     assert_eq!(leader.updates(COMPLETE + 100).len(), 1);
     leader.fleet.set_backlogged(at(COMPLETE + 100), 1, true);
     leader.fleet.set_backlogged(at(COMPLETE + 3_000), 1, false);
@@ -397,7 +397,7 @@
         leader.report(10_000, connection, 1);
     }
     leader.run(10_000);
-    leader.report_need(12_000, 7);
+    leader.report_unmet_demand(12_000, 7);
     leader.run(12_000);
     let mut changed = record(3);
     changed.sequence = 2;
