--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -151,7 +151,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn a_gateway_that_was_up_to_date_is_told_nothing_of_instances(actions in prop::collection::vec(action(), 1..40)) {
+    fn reconnecting_up_to_date_gateway_is_sent_no_instances(actions in prop::collection::vec(action(), 1..40)) {
         let mut pair = Pair {
             leader: Leader::new(INSTANCES, 0),
             gateway: gateway(),
--- a/crates/millpass-fleet/tests/crashes.rs
+++ b/crates/millpass-fleet/tests/crashes.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn ends_seen_by_different_gateways_add_up_and_all_of_them_are_told() {
+fn crashes_reported_by_different_gateways_add_up_and_quarantine_reaches_all() {
     let mut leader = Leader::new(Vec::new());
     leader.run(5);
     report_three_crashes(&mut leader);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn what_is_certain_goes_to_the_log_and_the_next_leader_begins_with_it() {
+fn confirmed_quarantine_is_recorded_and_restored_by_next_leader() {
     let mut leader = Leader::new(Vec::new());
     report_three_crashes(&mut leader);
     let noted = |leader: &mut Leader, now| -> Vec<QuarantineRecord> {
@@ -178,7 +178,7 @@
 
 /// Guards a leader elected before the log recorded a quarantined request.
 #[test]
-fn a_leader_that_knows_nothing_learns_it_from_what_gateways_remember() {
+fn new_leader_rebuilds_quarantine_from_gateway_reports() {
     let mut leader = Leader::new(Vec::new());
     let mut remembered = CrashReport {
         crashes: Vec::new(),
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_run_that_announces_itself_has_not_ended() {
+fn announcement_withdraws_reported_crash() {
     let mut leader = Leader::new(Vec::new());
     report_three_crashes(&mut leader);
     leader
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn the_end_of_an_instance_that_leaves_says_nothing() {
+fn end_of_draining_instance_is_not_attributed() {
     let mut leader = Leader::new(Vec::new());
     for instance in ["i-1", "i-2", "i-3"] {
         leader
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn an_operator_or_a_whole_answer_lets_a_request_go_everywhere() {
+fn operator_or_served_response_lifts_quarantine_at_all_gateways() {
     for lifts in [true, false] {
         let mut leader = Leader::new(Vec::new());
         report_three_crashes(&mut leader);
@@ -249,7 +249,7 @@
 
 /// After three crashes during its load, a model is not loaded anywhere for some time.
 #[test]
-fn a_load_that_ends_engines_is_held_back() {
+fn load_that_crashes_engines_is_quarantined() {
     let mut leader = Leader::new(Vec::new());
     let mut ends = 0;
     let mut now = 1_000;
--- a/crates/millpass-fleet/tests/fleet.rs
+++ b/crates/millpass-fleet/tests/fleet.rs
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_needed_model_is_loaded_once_however_often_it_is_asked_for() {
+fn requested_model_is_loaded_once() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader.add_engine(1_000, "e-2", &["b"]);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn what_is_idle_makes_way_first_and_never_more_than_fits_is_ordered() {
+fn idle_model_is_evicted_first_and_load_waits_for_free_memory() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a", "b"]);
     // Model a is busy, b was never requested.
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn an_unanswered_instruction_is_followed_by_a_look_and_by_nothing_else() {
+fn unanswered_instruction_is_followed_by_a_read_only() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_copy_at_hand_wins_over_the_weight_store() {
+fn local_copy_is_preferred_over_weight_store() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     let mut second = record("e-2", 1, &["b"]);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn an_adapter_goes_to_an_engine_that_holds_its_model_and_is_told_once_it_has_settled() {
+fn adapter_is_loaded_at_holder_of_its_model_and_published_when_complete() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader.add_engine(1_000, "e-2", &["b"]);
@@ -310,7 +310,7 @@
 /// Guards against using the revision of a stale report, which made the engine refuse all further
 /// orders.
 #[test]
-fn a_report_of_fewer_orders_than_the_engine_has_surely_taken_is_read_again() {
+fn report_below_confirmed_revision_is_read_again() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader
@@ -339,7 +339,7 @@
 #[rstest]
 #[case::two_a_second(2_000, 9)]
 #[case::one_in_ten_seconds(100, 1)]
-fn the_store_s_rate_holds_in_every_window(#[case] milliloads: u64, #[case] allowed: usize) {
+fn store_rate_holds_in_every_window(#[case] milliloads: u64, #[case] allowed: usize) {
     let mut permits = StorePermits::default();
     let taken: Vec<u64> = (0..20_000)
         .step_by(10)
@@ -360,7 +360,7 @@
 /// Guards against evicting a replica of a busy model because a weight copy of the requested model
 /// is available there.
 #[test]
-fn a_busy_model_does_not_make_way_for_a_single_request() {
+fn busy_model_is_not_evicted_for_a_single_request() {
     let mut leader = TestLeader::new();
     let mut first = record("e-1", 1_000, &["a", "b"]);
     first.in_memory = vec!["c".into()];
@@ -379,7 +379,7 @@
 
 /// Guards against counting a model as held while its only engine has crashed.
 #[test]
-fn a_model_whose_only_engine_cannot_be_read_is_loaded_elsewhere() {
+fn model_of_unreachable_engine_is_loaded_elsewhere() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader.add_engine(1_000, "e-2", &["b"]);
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn a_model_whose_prompts_take_much_of_its_engine_gets_a_replica() {
+fn model_with_high_prompt_load_gets_a_replica() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader.add_engine(1_000, "e-2", &["b"]);
@@ -435,7 +435,7 @@
 
 /// Guards against loading a model twice in one round: for its reservation and for unmet demand.
 #[test]
-fn a_model_whose_room_was_just_made_is_loaded_there_alone() {
+fn reserved_model_is_loaded_only_at_its_reservation() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a", "b"]);
     leader
@@ -461,7 +461,7 @@
 }
 
 #[test]
-fn a_silent_instance_is_removed_and_gateways_are_told() {
+fn expired_instance_is_removed_from_gateways() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader
@@ -479,7 +479,7 @@
 #[rstest]
 #[case::not_in_charge(false)]
 #[case::refuses_announcements(true)]
-fn the_silence_of_a_leader_that_does_not_hear_is_not_that_of_instances(#[case] refuses: bool) {
+fn instances_do_not_expire_while_leader_receives_nothing(#[case] refuses: bool) {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     let mut outputs = leader.run_between(1_000, 2_000);
@@ -501,7 +501,7 @@
 /// Guards against a lost instance: if its removal and its return share one update, the gateway
 /// applies the removal last.
 #[test]
-fn an_instance_that_returns_before_its_removal_was_told_is_not_named_as_removed() {
+fn instance_returning_before_its_removal_was_sent_is_not_removed() {
     const GATEWAYS: u64 = 70;
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
@@ -539,7 +539,7 @@
 
 /// Guards against silently dropped removals: the leader keeps a bounded number of them.
 #[test]
-fn a_gateway_that_lacks_more_removals_than_are_remembered_is_told_everything() {
+fn gateway_missing_discarded_removals_gets_a_full_update() {
     const INSTANCES: usize = 1_100;
     let mut leader = TestLeader::new();
     let names: Vec<String> = (0..INSTANCES).map(|index| format!("e-{index}")).collect();
@@ -572,7 +572,7 @@
 
 /// Guards against unbounded memory use: followers collected an output for each departure.
 #[test]
-fn a_member_that_does_not_lead_keeps_nothing_of_departures() {
+fn follower_keeps_no_outputs_for_departures() {
     let mut leader = TestLeader::new();
     for index in 0..1_000 {
         leader
@@ -587,7 +587,7 @@
 #[rstest]
 #[case::all_loads_known(0, 6_000)]
 #[case::it_has_just_started(6_000, 6_000)]
-fn the_store_s_rate_holds_over_a_change_of_leader(#[case] listens_from: u64, #[case] change: u64) {
+fn store_rate_holds_over_a_change_of_leader(#[case] listens_from: u64, #[case] change: u64) {
     const MILLILOADS: u64 = 2_000;
     let mut history = InstructionHistory::new(at(listens_from), Duration::from_secs(60));
     let mut first = StorePermits::default();
@@ -622,7 +622,7 @@
 #[rstest]
 #[case::few(7, 100, 100)]
 #[case::many(70, 13, 15)]
-fn many_changes_travel_in_few_updates_where_there_are_many_gateways(
+fn changes_share_updates_with_many_gateways(
     #[case] gateways: u64,
     #[case] least: usize,
     #[case] most: usize,
@@ -655,7 +655,7 @@
 
 /// Guards against evicting a model with unmet demand for an adapter.
 #[test]
-fn a_reservation_takes_no_model_that_somebody_waits_for() {
+fn reservation_does_not_evict_model_with_unmet_demand() {
     let mut leader = TestLeader::new();
     let engine = leader.document.services[0].engine.as_mut().expect("engine");
     engine.models.push(EngineModelSpec {
@@ -691,7 +691,7 @@
 /// Guards against a second instruction that overwrites the pending one: the adapter load would be
 /// lost from the recorded state.
 #[test]
-fn an_engine_gets_one_instruction_a_round() {
+fn engine_gets_one_instruction_per_round() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a", "b"]);
     let needs = vec![unmet_demand("a", Some("x")), unmet_demand("c", None)];
@@ -702,7 +702,7 @@
 
 /// Guards against exceeding the adapter slots of an engine.
 #[test]
-fn adapters_on_their_way_take_their_places() {
+fn loading_adapters_use_slots() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     let coming = InstructionResult::State(EngineState {
@@ -725,7 +725,7 @@
 
 /// Guards against exceeding an engine's memory: announcements may be seconds old.
 #[test]
-fn an_announcement_from_before_a_load_makes_no_room() {
+fn announcement_sent_before_a_load_frees_no_memory() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader
@@ -749,7 +749,7 @@
 
 /// Guards against waiting for an engine that has not accepted its instruction.
 #[test]
-fn a_need_waits_for_no_engine_whose_instruction_is_not_confirmed() {
+fn demand_does_not_wait_for_engine_with_unaccepted_instruction() {
     let mut leader = TestLeader::new();
     let mut first = record("e-1", 1_000, &["a"]);
     first.in_memory = vec!["c".into()];
@@ -771,7 +771,7 @@
 
 /// Guards against requests for a model whose unload waits for running requests.
 #[test]
-fn a_model_that_is_being_unloaded_gets_no_requests_whatever_the_engine_announces() {
+fn unloading_model_is_not_served_whatever_the_engine_announces() {
     let mut leader = TestLeader::new();
     leader.fleet.handle_report(at(900), 1, &report(Vec::new()));
     leader.add_engine(1_000, "e-1", &["a", "b"]);
@@ -800,7 +800,7 @@
 
 /// Guards against gateways that hold requests for a model whose load has not started.
 #[test]
-fn gateways_are_told_when_a_model_that_waits_for_an_engine_will_serve() {
+fn ready_estimate_of_model_waiting_for_an_engine_is_published() {
     let mut leader = TestLeader::new();
     leader
         .fleet
@@ -829,7 +829,7 @@
 }
 
 #[test]
-fn no_more_loads_begin_at_once_than_the_weight_store_is_known_to_serve() {
+fn concurrent_store_loads_are_limited_to_known_capacity() {
     let mut leader = TestLeader::new();
     let service = &mut leader.document.services[0];
     let engine = service.engine.as_mut().expect("an engine");
@@ -849,7 +849,7 @@
 }
 
 #[test]
-fn a_copy_on_a_disk_is_loaded_while_the_weight_store_has_no_room() {
+fn disk_copy_is_loaded_while_weight_store_is_full() {
     let mut leader = TestLeader::new();
     let service = &mut leader.document.services[0];
     let engine = service.engine.as_mut().expect("an engine");
@@ -886,9 +886,7 @@
 }
 
 #[rstest]
-fn a_model_that_would_fill_several_engines_gets_further_replicas(
-    #[values(1, 2, 4, 9)] engines_filled: u32,
-) {
+fn model_with_load_of_several_engines_gets_replicas(#[values(1, 2, 4, 9)] engines_filled: u32) {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-0", &["a"]);
     for index in 1..8 {
@@ -907,7 +905,7 @@
 
 /// Guards against overflows and unbounded planning for absurd reports.
 #[test]
-fn absurd_demand_is_met_within_bounds() {
+fn absurd_demand_is_planned_within_bounds() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-0", &["a"]);
     for index in 1..6 {
@@ -933,7 +931,7 @@
 }
 
 #[test]
-fn gateways_are_told_what_all_of_them_have_in_flight() {
+fn requests_in_flight_are_summed_over_all_gateways() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     let with = |gateway: &str, in_flight| {
@@ -979,7 +977,7 @@
 }
 
 #[test]
-fn an_update_names_a_bounded_number_of_busy_instances() {
+fn update_lists_a_bounded_number_of_busy_instances() {
     let mut leader = TestLeader::new();
     let mut full = report(Vec::new());
     full.in_flight = (0..500)
@@ -1005,7 +1003,7 @@
 }
 
 #[test]
-fn what_the_leader_learns_of_the_weight_store_is_noted_for_the_leaders_to_come() {
+fn store_capacity_is_recorded_for_later_leaders() {
     let mut leader = TestLeader::new();
     for index in 0..4 {
         leader.add_engine(1_000, &format!("e-{index}"), &[]);
@@ -1040,7 +1038,7 @@
 /// A new leader does not know all gateways yet, and the reported ones would take over the others'
 /// portions of shared limits.
 #[test]
-fn a_leader_says_how_many_gateways_there_are_once_all_had_time_to_find_it() {
+fn gateway_count_is_sent_only_when_complete() {
     let mut leader = TestLeader::new();
     let mut told = Vec::new();
     for (since, now) in [(0, 1_000), (1_000, 2_000), (2_000, 6_000)] {
@@ -1065,7 +1063,7 @@
 }
 
 #[test]
-fn a_gateway_is_told_of_each_instance_once_when_a_leader_takes_charge() {
+fn new_leader_sends_each_instance_once() {
     let mut leader = TestLeader::new();
     for index in 0..5 {
         leader.add_engine(1_000, &format!("e-{index}"), &["a"]);
--- a/crates/millpass-fleet/tests/incarnations.rs
+++ b/crates/millpass-fleet/tests/incarnations.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn any_order_of_the_words_of_three_runs_ends_in_the_newest() {
+fn newest_incarnation_wins_in_any_order_of_heartbeats() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -114,7 +114,7 @@
 
 /// Guards against a stale announcement that replaces a later incarnation after a change of leader.
 #[test]
-fn a_leader_elected_between_two_runs_ends_with_the_later() {
+fn new_leader_keeps_the_later_incarnation() {
     let mut fleet = Fleet::new(FleetSettings::default());
     let word = |incarnation, sequence| Heartbeat {
         incarnation,
@@ -141,7 +141,7 @@
     #![proptest_config(Config { failure_persistence: None, ..Config::with_cases(256) })]
 
     #[test]
-    fn a_run_is_made_of_its_name_and_its_incarnation(name in "[a-z0-9#-]{0,12}", incarnation: u64, later: u64) {
+    fn instance_id_consists_of_name_and_incarnation(name in "[a-z0-9#-]{0,12}", incarnation: u64, later: u64) {
         let run = InstanceId::of_run(&name, incarnation);
         prop_assert_eq!(run.name(), name.as_str());
         prop_assert_eq!(run.incarnation(), incarnation);
--- a/crates/millpass-fleet/tests/limits.rs
+++ b/crates/millpass-fleet/tests/limits.rs
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_model_that_only_a_limited_engine_holds_is_brought_to_no_other() {
+fn model_of_limited_engine_gets_a_replica() {
     let mut leader = Leader::new();
     assert!(leader.engines_loading(100).is_empty());
     leader.report_limit(1_200, Some(1_000));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_gateway_is_not_told_of_a_limit_that_another_heard_or_of_its_end() {
+fn limit_and_its_end_are_sent_to_all_gateways() {
     let mut leader = Leader::new();
     assert_eq!(
         leader.limits_by_gateway(100),
--- a/crates/millpass-fleet/tests/rollout.rs
+++ b/crates/millpass-fleet/tests/rollout.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_time_to_each_gateway_is_measured_and_the_last_one_named() {
+fn propagation_time_is_output_per_gateway_and_completion_logged() {
     let mut leader = Leader::new(0, 0);
     leader.report(1_000, 1, 1);
     leader.report(1_000, 2, 1);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn gateways_that_lag_are_named_with_the_reason() {
+fn lagging_gateways_are_logged_with_reason() {
     let mut leader = Leader::new(0, 0);
     for connection in 1..=3 {
         leader.report(1_000, connection, 1);
@@ -83,7 +83,7 @@
 /// A gateway unknown to this leader may have had the version for long, so no propagation time is
 /// output.
 #[test]
-fn what_a_gateway_brings_along_is_not_measured() {
+fn version_held_on_connect_is_not_measured() {
     let mut leader = Leader::new(0, 0);
     leader.run(1_000);
     leader.report(60_000, 1, 1);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_names_of_many_that_lag_are_bounded() {
+fn number_of_logged_lagging_gateways_is_bounded() {
     let mut leader = Leader::new(0, 0);
     for connection in 0..100 {
         leader.report(1_000, connection, 1);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_time_of_a_departure_to_each_gateway_is_measured() {
+fn propagation_time_of_departure_is_output_per_gateway() {
     let told = |leader: &mut Leader, now: u64| {
         let outputs = leader.run(now).into_iter();
         let times = outputs.filter_map(|output| match output {
--- a/crates/millpass-fleet/tests/room.rs
+++ b/crates/millpass-fleet/tests/room.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn an_acceptance_that_comes_after_its_order_was_given_up_makes_the_next_order_wait_for_a_read() {
+fn late_acceptance_of_abandoned_order_requires_a_read_before_next_order() {
     let mut leader = Leader::new(&[held("a", &[])]);
     let first = leader.request(1_100, "b", None);
     assert_eq!(loads(&first), 1);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn the_silence_of_a_read_that_was_given_up_does_not_end_an_order() {
+fn timeout_of_abandoned_read_does_not_end_pending_order() {
     let mut leader = Leader::new(&[held("a", &[])]);
     let first = leader.request(1_100, "b", None);
     leader.respond_to(2_010, first[0].call, &InstructionResult::Conflict);
@@ -205,7 +205,7 @@
 
 /// The heartbeat was sent before the adapters were loaded and arrives three seconds later.
 #[test]
-fn a_late_heartbeat_frees_no_places_of_adapters() {
+fn late_heartbeat_frees_no_adapter_slots() {
     let mut leader = Leader::new(&[held("a", &[])]);
     for adapter in ["x", "y"] {
         let now = if adapter == "x" { 1_100 } else { 2_200 };
@@ -221,7 +221,7 @@
 
 /// An unload waits for the adapter's running requests; only a report shows its end.
 #[test]
-fn an_adapter_whose_unload_was_accepted_keeps_its_place_until_a_report_shows_it_gone() {
+fn unloaded_adapter_keeps_its_slot_until_a_report_shows_it_gone() {
     let full = [held("a", &["x", "y"])];
     let mut leader = Leader::new(&full);
     let given = leader.request(1_100, "a", Some("z"));
@@ -239,7 +239,7 @@
 
 /// Heartbeats do not list adapters being loaded, which may take seconds.
 #[test]
-fn adapters_on_their_way_keep_their_places_until_a_report_shows_otherwise() {
+fn loading_adapters_keep_their_slots_until_a_report_shows_otherwise() {
     let coming = InstructionResult::State(EngineState {
         revision: 2,
         busy: false,
@@ -256,7 +256,7 @@
 
 /// A model that is missing from the next document keeps its memory until it is unloaded.
 #[test]
-fn a_model_that_no_document_names_keeps_its_memory() {
+fn unconfigured_model_keeps_its_memory() {
     let both = [held("a", &[]), held("b", &[])];
     let mut leader = Leader::new(&both);
     leader.document = document(&["a", "c", "d"]);
@@ -268,7 +268,7 @@
 
 /// The announcement was sent before the load of the model being unloaded and arrives late.
 #[test]
-fn an_announcement_that_says_an_unload_is_done_makes_no_room_before_the_engine_says_so() {
+fn announced_unload_frees_no_memory_before_confirmation() {
     let mut leader = Leader::new(&[held("a", &[]), held("b", &[])]);
     let given = leader.request(1_100, "c", None);
     assert_eq!(given[0].operation, InstructionOperation::Unload);
@@ -295,7 +295,7 @@
 /// An order naming a revision that the engine reaches later would be carried out in an unknown
 /// state.
 #[test]
-fn the_count_after_an_unload_at_once_is_read_before_the_next_order() {
+fn revision_is_read_after_immediate_adapter_unload() {
     let mut leader = Leader::new(&[held("a", &["x", "y"])]);
     let given = leader.request(1_100, "a", Some("z"));
     assert_eq!(given[0].operation, InstructionOperation::Unload);
--- a/crates/millpass-fleet/tests/room_under_faults.rs
+++ b/crates/millpass-fleet/tests/room_under_faults.rs
@@ -33,7 +33,7 @@
 const REGRESSION_SEEDS: [u64; 5] = [1276, 2285, 3060, 3540, 6261];
 
 #[test]
-fn seeds_that_once_broke_hold() {
+fn regression_seeds_pass() {
     for seed in REGRESSION_SEEDS {
         run_seed(seed);
     }
@@ -58,7 +58,7 @@
 }
 
 #[rstest]
-fn no_engine_is_ordered_over_its_room(#[values(0, 1, 2, 3, 4, 5, 6, 7)] case: u64) {
+fn no_engine_is_ordered_beyond_its_capacity(#[values(0, 1, 2, 3, 4, 5, 6, 7)] case: u64) {
     let mut loads = 0;
     let seeds = seeds(case);
     let count = seeds.end - seeds.start;
--- a/crates/millpass-fleet/tests/shares.rs
+++ b/crates/millpass-fleet/tests/shares.rs
@@ -13,7 +13,7 @@
 
 /// Guards against a leader whose load grows with the number of instances while nothing changes.
 #[test]
-fn an_unchanged_fleet_costs_the_leader_the_same_at_any_size() {
+fn leader_cost_of_unchanged_fleet_does_not_depend_on_its_size() {
     let few = steady_cost(2_000);
     let many = steady_cost(20_000);
     assert_eq!(few.reports, many.reports);
@@ -38,7 +38,7 @@
 
 /// All instances announce themselves within 100 ms.
 #[test]
-fn a_wave_of_announcements_is_told_in_bounded_words() {
+fn wave_of_announcements_is_sent_in_bounded_reports() {
     let mut cluster = Cluster::new(MEMBERS, 0);
     cluster.run(1_000);
     cluster.add(20_000, 100);
@@ -58,7 +58,7 @@
 
 /// Instances of a stopped member switch to another one, and none expires meanwhile.
 #[test]
-fn the_silence_of_a_member_is_not_that_of_its_instances() {
+fn instances_do_not_expire_with_their_member() {
     let mut cluster = Cluster::new(4, 200);
     cluster.run(10_000);
     cluster.stop_member(2);
@@ -69,7 +69,7 @@
 
 /// A member cut off from the leader only keeps receiving its instances.
 #[test]
-fn a_member_cut_off_from_the_leader_for_seconds_costs_no_instance() {
+fn instances_survive_short_partition_of_their_member() {
     let mut cluster = Cluster::new(4, 200);
     cluster.run(10_000);
     cluster.set_partitioned(3, true);
@@ -82,7 +82,7 @@
 
 /// Guards against an expiry reported by a member that an instance has left.
 #[test]
-fn an_instance_that_ends_is_forgotten_where_it_was_last_heard() {
+fn ended_instance_expires_at_its_last_member() {
     let mut cluster = Cluster::new(4, 40);
     cluster.run(10_000);
     cluster.crash(7);
@@ -95,7 +95,7 @@
 
 /// The new leader is sent every share whole; instances need not announce themselves again.
 #[test]
-fn the_next_leader_knows_the_fleet_from_its_members() {
+fn next_leader_rebuilds_fleet_from_members() {
     let mut cluster = Cluster::new(MEMBERS, 5_000);
     cluster.run(10_000);
     cluster.mute(true);
@@ -106,7 +106,7 @@
 
 /// After faults on the way between members, the leader knows exactly the live instances.
 #[rstest]
-fn words_that_are_lost_late_or_doubled_settle(
+fn fleet_converges_after_lost_late_and_duplicated_messages(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)] seed: u64,
 ) {
     let mut cluster = Cluster::new(5, 60);
@@ -128,7 +128,7 @@
 
 /// Guards against reading and publishing thousands of engines without demand.
 #[test]
-fn engines_that_nobody_needs_are_neither_read_nor_told() {
+fn engines_without_demand_are_neither_read_nor_published() {
     // The limit for keeping all active, two replicas of each model, and spares in each zone.
     let most = 256 + 2 * 100 + 4 * 8;
     for engines in [2_000, 20_000] {
@@ -156,7 +156,7 @@
 
 /// Demand beyond the capacity of the active replicas activates others without loads.
 #[test]
-fn demand_calls_up_replicas_that_stand_by() {
+fn demand_activates_standby_replicas() {
     let mut cluster = Cluster::new(4, 2_000);
     cluster.run(10_000);
     let before = cluster.active_replicas(0);
@@ -170,7 +170,7 @@
 
 /// Each model keeps replicas, and standby instances replace the lost ones.
 #[test]
-fn the_loss_of_a_zone_leaves_replicas() {
+fn loss_of_a_zone_leaves_replicas() {
     let mut cluster = Cluster::new(4, 2_000);
     cluster.run(10_000);
     cluster.crash_zone(0);
@@ -182,7 +182,7 @@
 /// Guards against completing an unload because a keepalive repeats the previous announcement: it
 /// does not state what the leader has recorded as served.
 #[test]
-fn an_unchanged_word_says_nothing_of_an_unload_under_way() {
+fn keepalive_does_not_complete_pending_unload() {
     let mut leader = InstructingLeader::new();
     leader.announce(1, &["a", "b"]);
     leader.run(100);
--- a/crates/millpass-fleet/tests/store.rs
+++ b/crates/millpass-fleet/tests/store.rs
@@ -77,7 +77,7 @@
 }
 
 #[rstest]
-fn the_limit_comes_to_what_the_store_serves_at_full_speed(
+fn limit_converges_to_store_capacity(
     #[values(1.0, 2.0, 4.0, 7.0, 13.0, 30.0, 70.0)] capacity: f64,
     #[values(1_300, 6_000)] stated: u64,
 ) {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn loads_go_on_ending_before_a_store_that_serves_few() {
+fn loads_keep_completing_with_low_store_capacity() {
     let stated = Duration::from_secs(6);
     let mut store = SharedStore::new(4.0, stated);
     let mut learner = StoreCapacity::default();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn one_load_that_never_ends_does_not_lower_the_limit() {
+fn single_stuck_load_does_not_lower_the_limit() {
     let stated = Duration::from_secs(3);
     let mut store = SharedStore::new(30.0, stated);
     let mut learner = StoreCapacity::default();
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_store_that_was_disturbed_is_trusted_again_later() {
+fn limit_recovers_after_store_slowdown() {
     let stated = Duration::from_secs(3);
     let mut store = SharedStore::new(12.0, stated);
     let mut learner = StoreCapacity::default();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_new_leader_goes_on_with_what_the_one_before_it_learned() {
+fn new_leader_continues_with_recorded_capacity() {
     let mut history = InstructionHistory::new(Timestamp::ZERO, Duration::from_secs(3));
     let unknown = StoreCapacity::from_history(&history).limit();
     assert_eq!(unknown, StoreCapacity::default().limit());
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_load_that_is_lost_tells_nothing() {
+fn lost_load_does_not_change_the_limit() {
     let mut store = SharedStore::new(30.0, Duration::from_secs(3));
     let mut learner = StoreCapacity::default();
     let before = learner.limit();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn the_limit_stays_within_bounds_whatever_loads_do() {
+fn limit_stays_within_bounds() {
     let config = Config {
         failure_persistence: None,
         ..Config::default()
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_gateway_that_comes_back_unchanged_is_told_that_all_stands() {
+fn reconnecting_unchanged_gateway_is_sent_digests_only() {
     let mut leader = Leader::new(INSTANCES, DEPARTED);
     let known = connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
@@ -62,7 +62,7 @@
 
 /// An incomplete leader sends departures only to gateways that hold instances it does not know.
 #[test]
-fn a_new_leader_spares_the_departed_where_none_is_held() {
+fn incomplete_leader_sends_departures_only_if_needed() {
     let mut leader = Leader::new(INSTANCES, DEPARTED);
     let known: Vec<u64> = (0..INSTANCES)
         .map(|number| record(number).digest())
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_gateway_that_comes_back_is_told_of_the_instances_that_changed() {
+fn reconnecting_gateway_is_sent_changed_instances_only() {
     let mut leader = Leader::new(INSTANCES, 0);
     let known = connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_change_of_one_route_does_not_send_the_document() {
+fn change_of_one_route_does_not_send_the_document() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     let whole = single({
@@ -151,7 +151,7 @@
 
 /// A connection keeps its order: earlier messages arrive first.
 #[test]
-fn a_change_behind_one_on_its_way_begins_from_that_one() {
+fn change_is_based_on_last_sent_version() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     for version in 2..=4 {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_change_that_was_lost_with_its_connection_is_sent_on_the_next() {
+fn change_lost_with_its_connection_is_resent_on_the_next() {
     let mut leader = Leader::new(INSTANCES, 0);
     let known = connect_up_to_date(&mut leader, COMPLETE);
     leader.commit_next_version(COMPLETE + 100);
@@ -183,7 +183,7 @@
 
 /// A gateway that keeps reporting an older version is sent the whole document.
 #[test]
-fn a_version_that_does_not_arrive_is_sent_again() {
+fn unreported_version_is_resent() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     let sent = COMPLETE + 100;
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_gateway_whose_version_is_no_longer_kept_gets_the_document() {
+fn gateway_with_discarded_version_gets_the_document() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 2), 1);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_change_as_large_as_the_document_is_sent_as_the_document() {
+fn change_as_large_as_the_document_is_sent_as_document() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     let mut next = document(2);
@@ -271,7 +271,7 @@
 
 /// Guards against repeating unchanged loads and ready times in every response.
 #[test]
-fn an_answer_that_says_nothing_new_is_small() {
+fn response_without_changes_is_small() {
     let mut leader = Leader::new(INSTANCES, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     report_loads(&mut leader, COMPLETE + 100, 3);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_new_connection_is_told_outlook_and_loads() {
+fn new_connection_is_sent_ready_estimates_and_loads() {
     let mut leader = Leader::new(INSTANCES, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     report_loads(&mut leader, COMPLETE + 100, 3);
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn an_update_names_the_newest_report_that_it_answers() {
+fn update_acknowledges_the_newest_report() {
     let mut leader = Leader::new(0, 0);
     leader.report(COMPLETE, 1, 1);
     leader.report(COMPLETE, 1, 1);
@@ -322,7 +322,7 @@
 
 /// Guards against updates without a change or report.
 #[test]
-fn what_nobody_wants_is_not_sent() {
+fn no_update_is_sent_without_changes_or_reports() {
     let mut leader = Leader::new(INSTANCES, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     for millis in 10..500 {
@@ -336,7 +336,7 @@
 
 /// No updates are queued behind a backlog: changes accumulate at the leader and share one update.
 #[test]
-fn a_gateway_that_is_behind_gets_one_difference_when_it_has_caught_up() {
+fn backlogged_gateway_gets_one_update_after_its_backlog() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.set_backlogged(at(COMPLETE + 10), 1, true);
@@ -358,7 +358,7 @@
 
 /// Updates left the queue only now, so the report cannot have arrived yet.
 #[test]
-fn a_version_that_waited_for_the_socket_is_not_overdue_at_once() {
+fn version_delayed_by_backlog_is_not_overdue_at_once() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     leader.commit_next_version(COMPLETE + 100);
@@ -373,7 +373,7 @@
 /// Guards against a stale report, read by another thread, that takes the session from the newer
 /// connection of its gateway.
 #[test]
-fn the_last_report_of_a_connection_before_changes_nothing_of_the_newer_one() {
+fn late_report_of_older_connection_is_ignored() {
     let mut leader = Leader::new(3, 0);
     leader.report_of(100, 1, "g", 1, Vec::new());
     leader.run(100);
@@ -391,7 +391,7 @@
 /// With a thousand gateways, each is sent one update a second; the one with waiting requests is
 /// sent the change at once.
 #[test]
-fn a_gateway_whose_requests_wait_is_told_at_once() {
+fn gateway_with_waiting_requests_is_updated_at_once() {
     let mut leader = Leader::new(20, 0);
     for connection in 0..1_000 {
         leader.report(10_000, connection, 1);
@@ -420,7 +420,7 @@
 #[rstest]
 #[case::they_hold_nothing(false, 3_000)]
 #[case::they_come_back(true, 500)]
-fn gateways_that_come_at_once_are_told_in_bounded_looks(
+fn simultaneous_connects_are_served_in_bounded_passes(
     #[case] come_back: bool,
     #[case] within: u64,
 ) {
