--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -115,7 +115,7 @@
         .missing_replicas()
         .into_iter()
         .map(|(benefit, model)| LoadCandidate {
-            benefit: benefit,
+            benefit,
             purpose: LoadPurpose::Replica(model),
         });
     let mut candidates: Vec<LoadCandidate<'_>> = demand.chain(replicas).collect();
@@ -334,7 +334,7 @@
         steps.push(Step {
             instance: placement.instance.clone(),
             instruction: Some((operation, subject, None)),
-            expected_time: expected_time,
+            expected_time,
             from_store,
             is_confirmation: false,
             used_kilobytes,
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -257,7 +257,7 @@
                 .weights_kilobytes
                 .saturating_sub(self.used_kilobytes(specification, engine)),
             utilization: self.engine_utilization(engine),
-            available_in: available_in,
+            available_in,
             evictable,
         }
     }
@@ -570,7 +570,7 @@
             victim: victim.cloned(),
             cost: loss + self.utilization * UTILIZATION_COST_MILLIS,
             available_in: self.available_in,
-            load_time: load_time,
+            load_time,
         })
     }
 }
--- a/crates/millpass-fleet/src/updates.rs
+++ b/crates/millpass-fleet/src/updates.rs
@@ -211,7 +211,7 @@
             document_change: None,
             unchanged_instance_digests: Vec::new(),
             ready_estimates_unchanged: estimates_unchanged,
-            loads_unchanged: loads_unchanged,
+            loads_unchanged,
             document_version: document.map_or(0, |document| document.version),
         };
         if first {
--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -127,7 +127,7 @@
     fn reconnect(&mut self) {
         // Delivers pending updates, so that the gateway is up to date.
         self.exchange();
-        let before = self.gateway.instance_count();
+        let instance_count = self.gateway.instance_count();
         self.leader
             .fleet
             .handle_disconnect(at(self.now), self.connection);
@@ -142,8 +142,15 @@
             first_update.instances
         );
         assert!(first_update.document.is_none() && first_update.document_change.is_none());
-        assert_eq!(first_update.unchanged_instance_digests.len(), before);
-        assert_eq!(self.gateway.instance_count(), before, "all count as named");
+        assert_eq!(
+            first_update.unchanged_instance_digests.len(),
+            instance_count
+        );
+        assert_eq!(
+            self.gateway.instance_count(),
+            instance_count,
+            "all instances are kept"
+        );
     }
 }
 
--- a/crates/millpass-fleet/tests/crashes.rs
+++ b/crates/millpass-fleet/tests/crashes.rs
@@ -38,13 +38,13 @@
     }
 }
 
-fn report(gateway: &str, needs: Vec<GatewayModelDemand>) -> GatewayReport {
+fn report(gateway: &str, demand: Vec<GatewayModelDemand>) -> GatewayReport {
     GatewayReport {
         gateway: gateway.to_owned(),
         zone: "z".into(),
         sequence: 1,
         version: 1,
-        demand: needs,
+        demand,
         inconsistent: Vec::new(),
         in_flight: Vec::new(),
         as_of: 0,
@@ -63,12 +63,12 @@
 }
 
 fn document() -> DeploymentDocument {
-    let room = EngineCapacity {
+    let capacity = EngineCapacity {
         weights_kilobytes: 130,
         adapter_slots: 2,
         milliloads_per_second: 20_000,
     };
-    engine_document(vec![documents::model("a", 60, 0)], &room)
+    engine_document(vec![documents::model("a", 60, 0)], &capacity)
 }
 
 struct Leader(Fleet, Calls);
@@ -95,39 +95,40 @@
     }
 
     /// Responds to the newest call to an engine.
-    fn respond(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
-        let answer = self.1.response(instance, answer);
-        self.0.handle_call_result(at(now), &answer);
+    fn respond(&mut self, now: u64, instance: &InstanceId, result: &InstructionResult) {
+        let result = self.1.response(instance, result);
+        self.0.handle_call_result(at(now), &result);
     }
 
     /// Returns the quarantined requests sent by the next run, one list per gateway.
     fn quarantined_by_gateway(&mut self, now: u64) -> Vec<Vec<RequestFingerprint>> {
-        let told = self.run(now).into_iter().filter_map(|output| match output {
+        let updates = self.run(now).into_iter().filter_map(|output| match output {
             FleetOutput::Crashes { update, .. } => Some(update),
             _ => None,
         });
-        told.map(|update| {
-            let held = update
-                .requests
-                .into_iter()
-                .filter(|it| it.remaining_millis > 0);
-            held.map(|it| it.request).collect()
-        })
-        .collect()
+        updates
+            .map(|update| {
+                let quarantined = update
+                    .requests
+                    .into_iter()
+                    .filter(|request| request.remaining_millis > 0);
+                quarantined.map(|request| request.request).collect()
+            })
+            .collect()
     }
 }
 
 /// Reports three crashes of instances that had request 1 in flight.
 fn report_three_crashes(leader: &mut Leader) {
-    for (place, instance) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
-        let place = place as u64;
+    for (index, instance) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
+        let index = index as u64;
         leader
             .0
-            .handle_announcement(at(10 + place), record(instance, 1, &[]), false);
-        let now = at(1_000 * (place + 1));
+            .handle_announcement(at(10 + index), record(instance, 1, &[]), false);
+        let now = at(1_000 * (index + 1));
         leader
             .0
-            .handle_crash_report(now, &crash_report(instance, &[1, 20 + place]));
+            .handle_crash_report(now, &crash_report(instance, &[1, 20 + index]));
     }
 }
 
@@ -149,27 +150,27 @@
 fn confirmed_quarantine_is_recorded_and_restored_by_next_leader() {
     let mut leader = Leader::new(Vec::new());
     report_three_crashes(&mut leader);
-    let noted = |leader: &mut Leader, now| -> Vec<QuarantineRecord> {
-        let notes = leader
+    let recorded = |leader: &mut Leader, now| -> Vec<QuarantineRecord> {
+        let records = leader
             .run(now)
             .into_iter()
             .filter_map(|output| match output {
-                FleetOutput::QuarantineRequest(note) => Some(note),
+                FleetOutput::QuarantineRequest(record) => Some(record),
                 _ => None,
             });
-        notes.collect()
+        records.collect()
     };
     assert!(
-        noted(&mut leader, 3_100).is_empty(),
-        "a run may announce itself yet"
+        recorded(&mut leader, 3_100).is_empty(),
+        "an instance may still announce itself"
     );
-    let notes = noted(&mut leader, 5_000);
-    assert_eq!(notes.len(), 1);
+    let records = recorded(&mut leader, 5_000);
+    assert_eq!(records.len(), 1);
     assert_eq!(
-        (notes[0].request.clone(), notes[0].crashes),
+        (records[0].request.clone(), records[0].crashes),
         (request(1), 3)
     );
-    let mut next = Leader::new(notes);
+    let mut next = Leader::new(records);
     assert_eq!(
         next.quarantined_by_gateway(10),
         vec![vec![request(1)], vec![request(1)]]
@@ -226,11 +227,11 @@
 
 #[test]
 fn operator_or_served_response_lifts_quarantine_at_all_gateways() {
-    for lifts in [true, false] {
+    for by_operator in [true, false] {
         let mut leader = Leader::new(Vec::new());
         report_three_crashes(&mut leader);
         leader.run(5_000);
-        if lifts {
+        if by_operator {
             assert!(leader.0.lift_quarantine(&request(1)));
             assert!(!leader.0.lift_quarantine(&request(2)));
         } else {
@@ -251,7 +252,7 @@
 #[test]
 fn load_that_crashes_engines_is_quarantined() {
     let mut leader = Leader::new(Vec::new());
-    let mut ends = 0;
+    let mut crash_count = 0;
     let mut now = 1_000;
     for engine in 0..8 {
         let name = format!("e-{engine}");
@@ -269,7 +270,7 @@
         let id: InstanceId = name.as_str().into();
         leader.run(now);
         leader.respond(now, &id, &InstructionResult::State(state));
-        let need = GatewayModelDemand {
+        let demand = GatewayModelDemand {
             service: "text".into(),
             model: "a".into(),
             adapter: None,
@@ -281,13 +282,13 @@
         };
         leader
             .0
-            .handle_report(at(now + 10), 0, &report("g-1", vec![need]));
+            .handle_report(at(now + 10), 0, &report("g-1", vec![demand]));
         let outputs = leader.run(now + 200);
         let loads = outputs
             .iter()
             .any(|output| matches!(output, FleetOutput::Instruct(_)));
         if loads {
-            ends += 1;
+            crash_count += 1;
             leader.respond(now + 210, &id, &InstructionResult::Accepted);
         }
         // The load is overdue, so the engine's state is read.
@@ -295,5 +296,5 @@
         leader.respond(now + 3_010, &id, &InstructionResult::OtherRun);
         now += 4_000;
     }
-    assert_eq!(ends, 3);
+    assert_eq!(crash_count, 3);
 }
--- a/crates/millpass-fleet/tests/engine_model/engine.rs
+++ b/crates/millpass-fleet/tests/engine_model/engine.rs
@@ -77,11 +77,11 @@
     /// Restarts the engine, which keeps only its weight copies on disk.
     pub fn restart(&mut self, now: u64, name: &str) {
         let fresh = Engine::new(name, now);
-        let before = std::mem::replace(self, fresh);
-        self.on_disk = before.on_disk;
-        self.violations = before.violations;
-        self.loads = before.loads;
-        self.counts_done_unloads = before.counts_done_unloads;
+        let previous = std::mem::replace(self, fresh);
+        self.on_disk = previous.on_disk;
+        self.violations = previous.violations;
+        self.loads = previous.loads;
+        self.counts_done_unloads = previous.counts_done_unloads;
     }
 
     pub fn id(&self) -> InstanceId {
@@ -105,53 +105,53 @@
         if self
             .running_order
             .as_ref()
-            .is_some_and(|busy| busy.done_at <= now)
+            .is_some_and(|order| order.done_at <= now)
         {
-            let busy = self.running_order.take().expect("it is busy");
-            self.finish(busy);
+            let order = self.running_order.take().expect("an order is running");
+            self.finish(order);
             self.state_changed = true;
             self.record_state(now);
         }
-        let (come, coming) = std::mem::take(&mut self.loading_adapters)
+        let (loaded, loading) = std::mem::take(&mut self.loading_adapters)
             .into_iter()
-            .partition(|moving| moving.done_at <= now);
-        self.loading_adapters = coming;
-        let (gone, going) = std::mem::take(&mut self.unloading_adapters)
+            .partition(|transition| transition.done_at <= now);
+        self.loading_adapters = loading;
+        let (unloaded, unloading) = std::mem::take(&mut self.unloading_adapters)
             .into_iter()
-            .partition(|moving| moving.done_at <= now);
-        self.unloading_adapters = going;
-        if come.is_empty() && gone.is_empty() {
+            .partition(|transition| transition.done_at <= now);
+        self.unloading_adapters = unloading;
+        if loaded.is_empty() && unloaded.is_empty() {
             return;
         }
-        for AdapterTransition { model, adapter, .. } in come {
+        for AdapterTransition { model, adapter, .. } in loaded {
             self.loads += 1;
             let held = self.held.iter_mut().find(|held| held.model == model);
-            held.expect("adapters come to models")
+            held.expect("adapters are loaded to held models")
                 .adapters
                 .push(adapter);
         }
-        for AdapterTransition { model, adapter, .. } in gone {
+        for AdapterTransition { model, adapter, .. } in unloaded {
             self.remove_adapter(&model, &adapter);
         }
         self.record_state(now);
     }
 
-    fn finish(&mut self, busy: RunningOrder) {
-        match busy.operation {
+    fn finish(&mut self, order: RunningOrder) {
+        match order.operation {
             InstructionOperation::Load => {
                 self.loads += 1;
-                self.on_disk.push(busy.model.clone());
+                self.on_disk.push(order.model.clone());
                 self.held.push(HeldModel {
-                    model: busy.model,
+                    model: order.model,
                     adapters: Vec::new(),
                 });
             }
             InstructionOperation::Unload => {
-                self.held.retain(|held| held.model != busy.model);
+                self.held.retain(|held| held.model != order.model);
                 self.loading_adapters
-                    .retain(|moving| moving.model != busy.model);
+                    .retain(|transition| transition.model != order.model);
                 self.unloading_adapters
-                    .retain(|moving| moving.model != busy.model);
+                    .retain(|transition| transition.model != order.model);
             }
         }
     }
@@ -191,21 +191,21 @@
         if self.running_order.is_some() || order.expected_revision != self.revision {
             return InstructionResult::Conflict;
         }
-        let there = self.holds(&order.model, order.adapter.as_ref());
-        let loads = order.operation == InstructionOperation::Load;
-        let answer = match (&order.adapter, loads) {
-            (None, false) if !there => {
+        let is_held = self.holds(&order.model, order.adapter.as_ref());
+        let is_load = order.operation == InstructionOperation::Load;
+        let result = match (&order.adapter, is_load) {
+            (None, false) if !is_held => {
                 // The contract does not specify whether fulfilled orders count.
                 self.revision += u64::from(self.counts_done_unloads);
                 InstructionResult::AlreadySo
             }
-            _ if there == loads => InstructionResult::AlreadySo,
+            _ if is_held == is_load => InstructionResult::AlreadySo,
             (None, _) => self.order_model(now, order, random),
             (Some(adapter), true) => self.load_adapter(now, order, adapter, random),
             (Some(adapter), false) => self.unload_adapter(now, &order.model, adapter, random),
         };
         self.record_state(now);
-        answer
+        result
     }
 
     fn order_model(
@@ -216,7 +216,7 @@
     ) -> InstructionResult {
         self.check_capacity(now, order, MODEL_KILOBYTES, 0);
         self.revision += 1;
-        let takes = match order.operation {
+        let duration = match order.operation {
             InstructionOperation::Unload => random.random_range(20..2_500),
             InstructionOperation::Load if self.on_disk.contains(&order.model) => 800,
             InstructionOperation::Load => 2_000,
@@ -224,14 +224,14 @@
         self.running_order = Some(RunningOrder {
             operation: order.operation,
             model: order.model.clone(),
-            done_at: now + takes,
+            done_at: now + duration,
         });
         InstructionResult::Accepted
     }
 
-    fn check_capacity(&mut self, now: u64, order: &EngineInstruction, kilobytes: u64, places: u64) {
+    fn check_capacity(&mut self, now: u64, order: &EngineInstruction, kilobytes: u64, slots: u64) {
         let fits = self.used_kilobytes() + kilobytes <= MEMORY_KILOBYTES
-            && self.adapter_count() + places <= ADAPTER_SLOTS;
+            && self.adapter_count() + slots <= ADAPTER_SLOTS;
         if order.operation == InstructionOperation::Load && !fits {
             self.violations.push(format!(
                 "{now} ms: {} holds {:?}, ordered {order:?}",
@@ -251,18 +251,18 @@
         if !self.holds(model, None) {
             return InstructionResult::Refused("no such model".to_owned());
         }
-        let mut coming = self.loading_adapters.iter();
-        if coming.any(|moving| moving.model == *model && moving.adapter == *adapter) {
+        let mut loading = self.loading_adapters.iter();
+        if loading.any(|transition| transition.model == *model && transition.adapter == *adapter) {
             return InstructionResult::AlreadySo;
         }
         self.check_capacity(now, order, ADAPTER_KILOBYTES, 1);
         self.revision += 1;
-        let slow = random.random_bool(0.1);
-        let takes = if slow { 1..4_000 } else { 2..40 };
+        let is_slow = random.random_bool(0.1);
+        let duration = if is_slow { 1..4_000 } else { 2..40 };
         self.loading_adapters.push(AdapterTransition {
             model: model.clone(),
             adapter: adapter.clone(),
-            done_at: now + random.random_range(takes),
+            done_at: now + random.random_range(duration),
         });
         InstructionResult::Accepted
     }
@@ -305,9 +305,9 @@
             loading_adapters: self
                 .loading_adapters
                 .iter()
-                .map(|moving| HeldModel {
-                    model: moving.model.clone(),
-                    adapters: vec![moving.adapter.clone()],
+                .map(|transition| HeldModel {
+                    model: transition.model.clone(),
+                    adapters: vec![transition.adapter.clone()],
                 })
                 .collect(),
         }
@@ -318,8 +318,8 @@
         self.advance(now);
         let as_of = now.saturating_sub(random.random_range(0..MAX_REPORT_AGE - 60));
         let states = self.states.iter().rev();
-        let mut before = states.filter(|(since, _)| *since <= as_of);
-        let (_, state) = before.next().unwrap_or(&self.states[0]);
+        let mut earlier = states.filter(|(since, _)| *since <= as_of);
+        let (_, state) = earlier.next().unwrap_or(&self.states[0]);
         state.clone()
     }
 
--- a/crates/millpass-fleet/tests/engine_model/mod.rs
+++ b/crates/millpass-fleet/tests/engine_model/mod.rs
@@ -115,12 +115,12 @@
 
     /// Requests a model and an adapter of it; returns whether an engine holds both in time.
     pub fn is_served_in_time(&mut self, model: &str, adapter: &str) -> bool {
-        let wanted = (ModelName::from(model), Some(AdapterName::from(adapter)));
-        self.demand = vec![wanted.clone()];
+        let demand = (ModelName::from(model), Some(AdapterName::from(adapter)));
+        self.demand = vec![demand.clone()];
         let end = self.now + SERVE_TIMEOUT_MILLIS;
         let held = |simulation: &Simulation| {
             let mut engines = simulation.engines.iter();
-            engines.any(|engine| engine.holds(&wanted.0, wanted.1.as_ref()))
+            engines.any(|engine| engine.holds(&demand.0, demand.1.as_ref()))
         };
         while self.now < end && !held(self) {
             self.step();
@@ -180,9 +180,9 @@
             // Some announcements are lost, others arrive after the partition.
             return;
         }
-        let held_up = self.partitioned_until[number].saturating_sub(self.now);
+        let remaining_partition = self.partitioned_until[number].saturating_sub(self.now);
         for _ in 0..1 + u32::from(self.chance(0.05)) {
-            let delay = held_up + self.delay();
+            let delay = remaining_partition + self.delay();
             self.send_in(delay, Message::Announcement(self.term, record.clone()));
         }
     }
@@ -196,8 +196,8 @@
             }
             5 => {
                 self.name_count += 1;
-                let same = self.random.random_bool(0.5);
-                let name = match same {
+                let keeps_name = self.random.random_bool(0.5);
+                let name = match keeps_name {
                     true => self.engines[number].name.clone(),
                     false => format!("e-{number}-{}", self.name_count),
                 };
@@ -217,22 +217,22 @@
     }
 
     fn change_document(&mut self) {
-        let left_out = self.random.random_range(0..MODELS.len() * 2);
-        let named = MODELS.iter().enumerate();
-        let named: Vec<&str> = named
-            .filter(|(number, _)| *number != left_out)
+        let omitted = self.random.random_range(0..MODELS.len() * 2);
+        let models = MODELS.iter().enumerate();
+        let models: Vec<&str> = models
+            .filter(|(number, _)| *number != omitted)
             .map(|(_, name)| *name)
             .collect();
-        self.document = document(&named);
+        self.document = document(&models);
     }
 
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         match message {
             Message::Order(number, order) => {
-                let answer = self.engines[number].handle_order(now, &order, &mut self.random);
+                let result = self.engines[number].handle_order(now, &order, &mut self.random);
                 self.trace_lines.push(format!(
-                    "{now} engine {} takes call {} {:?} {} {:?} expecting {}: {answer:?}",
+                    "{now} engine {} receives call {} {:?} {} {:?} expecting {}: {result:?}",
                     self.engines[number].id(),
                     order.call,
                     order.operation,
@@ -240,24 +240,24 @@
                     order.adapter,
                     order.expected_revision
                 ));
-                self.send_response(number, order.instance, order.call, answer);
+                self.send_response(number, order.instance, order.call, result);
             }
             Message::Read(number, instance, call) => {
                 let state = self.engines[number].report(now, &mut self.random);
-                let answer = match instance.name() == self.engines[number].name {
+                let result = match instance.name() == self.engines[number].name {
                     true => InstructionResult::State(state),
                     false => InstructionResult::OtherRun,
                 };
-                self.send_response(number, instance, call, answer);
+                self.send_response(number, instance, call, result);
             }
-            Message::Response(term, answer) if term == self.term => {
-                let is_silence = answer.result == InstructionResult::Unanswered;
-                if !is_silence {
-                    self.responded.insert(answer.call);
-                } else if self.responded.contains(&answer.call) {
+            Message::Response(term, call_result) if term == self.term => {
+                let is_timeout = call_result.result == InstructionResult::Unanswered;
+                if !is_timeout {
+                    self.responded.insert(call_result.call);
+                } else if self.responded.contains(&call_result.call) {
                     return;
                 }
-                self.fleet.handle_call_result(at(now), &answer);
+                self.fleet.handle_call_result(at(now), &call_result);
             }
             Message::Announcement(term, record) if term == self.term => {
                 self.recorded
@@ -274,18 +274,18 @@
         number: usize,
         instance: InstanceId,
         call: CallId,
-        answer: InstructionResult,
+        result: InstructionResult,
     ) {
         if self.now < self.partitioned_until[number] {
             return;
         }
-        let answer = calls::response_to(call, &instance, &answer);
+        let result = calls::response_to(call, &instance, &result);
         for _ in 0..1 + u32::from(self.chance(0.05)) {
             if self.chance(0.1) {
                 continue;
             }
             let delay = self.delay();
-            self.send_in(delay, Message::Response(self.term, answer.clone()));
+            self.send_in(delay, Message::Response(self.term, result.clone()));
         }
     }
 
@@ -296,45 +296,45 @@
         call: CallId,
         message: impl Fn(usize) -> Message,
     ) {
-        let waits = if self.chance(0.1) {
+        let queue_time = if self.chance(0.1) {
             self.random.random_range(10..2_500)
         } else {
             0
         };
         let unanswered = calls::response_to(call, instance, &InstructionResult::Unanswered);
         self.send_in(
-            waits + CALL_TIMEOUT_MILLIS,
+            queue_time + CALL_TIMEOUT_MILLIS,
             Message::Response(self.term, unanswered),
         );
         let mut engines = self.engines.iter();
-        let found = engines.position(|engine| {
+        let position = engines.position(|engine| {
             // An engine that restarts under another name keeps the number of its host.
             engine.name.split('-').nth(1) == instance.name().split('-').nth(1)
         });
-        let number = found.expect("engines keep their places");
-        let cut = self.now + waits < self.partitioned_until[number];
-        let late = self.chance(0.15);
-        if cut && !late {
+        let engine_index = position.expect("engines keep their base names");
+        let is_partitioned = self.now + queue_time < self.partitioned_until[engine_index];
+        let is_late = self.chance(0.15);
+        if is_partitioned && !is_late {
             return;
         }
         for _ in 0..1 + u32::from(self.chance(0.05)) {
-            let extra = if late {
+            let extra = if is_late {
                 self.random.random_range(CALL_TIMEOUT_MILLIS..6_000)
             } else {
                 0
             };
-            let delay = waits + extra + self.random.random_range(1..20);
-            self.send_in(delay, message(number));
+            let delay = queue_time + extra + self.random.random_range(1..20);
+            self.send_in(delay, message(engine_index));
         }
     }
 
     fn run_leader(&mut self) {
         if !self.fleet.has_started_leading() {
-            let mut noted: Vec<InstanceRecord> = self.recorded.values().cloned().collect();
-            noted.retain(|_| self.random.random_bool(0.8));
+            let mut recorded: Vec<InstanceRecord> = self.recorded.values().cloned().collect();
+            recorded.retain(|_| self.random.random_bool(0.8));
             let nothing = std::iter::empty();
             self.fleet
-                .start_leading(at(self.now), noted.into_iter(), nothing, &self.history);
+                .start_leading(at(self.now), recorded.into_iter(), nothing, &self.history);
         }
         if self.now.is_multiple_of(100) {
             self.report_demand();
@@ -371,16 +371,16 @@
     /// Returns the last trace lines about an engine.
     pub fn trace(&self, name: &str) -> Vec<&String> {
         let lines = self.trace_lines.iter().filter(|line| line.contains(name));
-        let all: Vec<&String> = lines.collect();
-        all[all.len().saturating_sub(TRACE_LINES)..].to_vec()
+        let lines: Vec<&String> = lines.collect();
+        lines[lines.len().saturating_sub(TRACE_LINES)..].to_vec()
     }
 
     fn send_instruction(&mut self, order: EngineInstruction) {
-        let note = InstructionIntent {
+        let intent = InstructionIntent {
             instances: vec![order.instance.clone()],
             store_loads: 0,
         };
-        self.history.record(at(self.now), &note);
+        self.history.record(at(self.now), &intent);
         let (instance, call) = (order.instance.clone(), order.call);
         self.send_call(&instance, call, |number| {
             Message::Order(number, order.clone())
@@ -391,16 +391,16 @@
         if self.faults_enabled && self.now.is_multiple_of(1_500) {
             self.demand = (0..3).map(|_| self.random_model()).collect();
         }
-        let doubted = self.chance(0.02);
-        let any = self.random.random_range(0..ENGINES);
+        let is_inconsistent = self.chance(0.02);
+        let index = self.random.random_range(0..ENGINES);
         let report = GatewayReport {
             gateway: "g".to_owned(),
             zone: "z".into(),
             sequence: self.now,
             version: 1,
             demand: self.demand.iter().cloned().map(model_demand).collect(),
-            inconsistent: doubted
-                .then(|| self.engines[any].id())
+            inconsistent: is_inconsistent
+                .then(|| self.engines[index].id())
                 .into_iter()
                 .collect(),
             in_flight: Vec::new(),
@@ -447,10 +447,10 @@
         adapter_kilobytes: ADAPTER_KILOBYTES,
         ..documents::model(name, MODEL_KILOBYTES, ADAPTERS.len() as u32)
     };
-    let room = EngineCapacity {
+    let capacity = EngineCapacity {
         weights_kilobytes: MEMORY_KILOBYTES,
         adapter_slots: ADAPTER_SLOTS as u32,
         milliloads_per_second: 20_000,
     };
-    engine_document(models.iter().map(model).collect(), &room)
+    engine_document(models.iter().map(model).collect(), &capacity)
 }
--- a/crates/millpass-fleet/tests/fleet.rs
+++ b/crates/millpass-fleet/tests/fleet.rs
@@ -22,12 +22,12 @@
 }
 
 fn document() -> DeploymentDocument {
-    let room = EngineCapacity {
+    let capacity = EngineCapacity {
         weights_kilobytes: MEMORY_KILOBYTES,
         adapter_slots: 2,
         milliloads_per_second: 2_000,
     };
-    engine_document(["a", "b", "c", "d"].map(model).to_vec(), &room)
+    engine_document(["a", "b", "c", "d"].map(model).to_vec(), &capacity)
 }
 
 fn held(models: &[&str]) -> Vec<HeldModel> {
@@ -69,13 +69,13 @@
     }
 }
 
-fn report(needs: Vec<GatewayModelDemand>) -> GatewayReport {
+fn report(demand: Vec<GatewayModelDemand>) -> GatewayReport {
     GatewayReport {
         gateway: "g".to_owned(),
         zone: "z".into(),
         sequence: 1,
         version: 1,
-        demand: needs,
+        demand,
         inconsistent: Vec::new(),
         in_flight: Vec::new(),
         as_of: 0,
@@ -127,28 +127,28 @@
     }
 
     /// Runs the leader until it reads the engine's state, and responds.
-    fn respond_to_read(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
-        let before = self.calls.newest(instance);
+    fn respond_to_read(&mut self, now: u64, instance: &str, result: &InstructionResult) {
+        let previous = self.calls.newest(instance);
         for now in (now..now + 500).step_by(9) {
             self.run(now);
-            if self.calls.newest(instance) != before {
-                return self.respond(now, instance, answer);
+            if self.calls.newest(instance) != previous {
+                return self.respond(now, instance, result);
             }
         }
-        panic!("{instance} is not read");
+        panic!("the state of {instance} is not read");
     }
 
     /// Responds to the newest call to an engine.
-    fn respond(&mut self, now: u64, instance: &str, answer: &InstructionResult) {
-        let answer = self.calls.response(&instance.into(), answer);
-        self.fleet.handle_call_result(at(now), &answer);
+    fn respond(&mut self, now: u64, instance: &str, result: &InstructionResult) {
+        let result = self.calls.response(&instance.into(), result);
+        self.fleet.handle_call_result(at(now), &result);
     }
 
     /// Runs the leader every 100 ms: only time between frequent runs counts towards the instance
     /// timeout.
     fn run_between(&mut self, from: u64, to: u64) -> Vec<FleetOutput> {
-        let moments = (from..to).step_by(100).chain([to]);
-        moments.flat_map(|now| self.run(now)).collect()
+        let times = (from..to).step_by(100).chain([to]);
+        times.flat_map(|now| self.run(now)).collect()
     }
 
     fn instructions(&mut self, now: u64) -> Vec<EngineInstruction> {
@@ -186,18 +186,18 @@
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader.add_engine(1_000, "e-2", &["b"]);
-    let mut given = Vec::new();
+    let mut instructions = Vec::new();
     for connection in 0..5 {
         let mut report = report(vec![unmet_demand("c", None)]);
         report.gateway = format!("g-{connection}");
         leader.fleet.handle_report(at(1_100), connection, &report);
-        given.extend(leader.instructions(1_100 + connection * 120));
+        instructions.extend(leader.instructions(1_100 + connection * 120));
     }
-    assert_eq!(given.len(), 1, "{given:?}");
-    assert_eq!(given[0].operation, InstructionOperation::Load);
-    assert_eq!(given[0].model, "c".into());
-    assert_eq!(given[0].expected_revision, 0);
-    assert_eq!(given[0].fence, 3);
+    assert_eq!(instructions.len(), 1, "{instructions:?}");
+    assert_eq!(instructions[0].operation, InstructionOperation::Load);
+    assert_eq!(instructions[0].model, "c".into());
+    assert_eq!(instructions[0].expected_revision, 0);
+    assert_eq!(instructions[0].fence, 3);
 }
 
 #[test]
@@ -218,23 +218,32 @@
     leader.respond(1_110, "e-1", &InstructionResult::Accepted);
     assert!(
         leader.instructions(1_250).is_empty(),
-        "room is not there yet"
+        "memory is not free yet"
     );
     leader
         .fleet
         .handle_announcement(at(1_300), record("e-1", 2_000, &["a"]), false);
     // The announcement may be stale: the unload is repeated to confirm that it is done.
-    let asked = leader.instructions(1_350);
-    assert_eq!(asked.len(), 1, "{asked:?}");
-    assert_eq!(asked[0].operation, InstructionOperation::Unload);
-    assert_eq!(asked[0].expected_revision, 1, "the unload counts");
-    assert!(leader.instructions(1_390).is_empty(), "nor is room yet");
+    let repeated = leader.instructions(1_350);
+    assert_eq!(repeated.len(), 1, "{repeated:?}");
+    assert_eq!(repeated[0].operation, InstructionOperation::Unload);
+    assert_eq!(
+        repeated[0].expected_revision, 1,
+        "the unload increments the revision"
+    );
+    assert!(
+        leader.instructions(1_390).is_empty(),
+        "the unload is not confirmed yet"
+    );
     leader.respond(1_400, "e-1", &InstructionResult::AlreadySo);
     let second = leader.instructions(1_450);
     assert_eq!(second.len(), 1, "{second:?}");
     assert_eq!(second[0].operation, InstructionOperation::Load);
     assert_eq!(second[0].model, "c".into());
-    assert_eq!(second[0].expected_revision, 1, "the unload counts");
+    assert_eq!(
+        second[0].expected_revision, 1,
+        "the unload increments the revision"
+    );
 }
 
 #[test]
@@ -257,11 +266,11 @@
         .fleet
         .handle_report(at(2_650), 1, &report(vec![unmet_demand("c", None)]));
     leader.respond(2_700, "e-1", &state(4, &["a"]));
-    let again = leader.instructions(2_800);
-    assert_eq!(again.len(), 1);
+    let second = leader.instructions(2_800);
+    assert_eq!(second.len(), 1);
     assert_eq!(
-        again[0].expected_revision, 4,
-        "a late copy of the first does nothing"
+        second[0].expected_revision, 4,
+        "the new revision makes a late copy of the first order fail"
     );
 }
 
@@ -277,8 +286,8 @@
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
-    let given = leader.instructions(1_100);
-    assert_eq!(given[0].instance, "e-2".into());
+    let instructions = leader.instructions(1_100);
+    assert_eq!(instructions[0].instance, "e-2".into());
 }
 
 #[test]
@@ -289,10 +298,13 @@
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("b", Some("x"))]));
-    let given = leader.instructions(1_100);
-    assert_eq!(given.len(), 1);
+    let instructions = leader.instructions(1_100);
+    assert_eq!(instructions.len(), 1);
     assert_eq!(
-        (given[0].instance.clone(), given[0].adapter.clone()),
+        (
+            instructions[0].instance.clone(),
+            instructions[0].adapter.clone()
+        ),
         ("e-2".into(), Some("x".into()))
     );
     leader.respond(1_110, "e-2", &InstructionResult::Accepted);
@@ -300,11 +312,11 @@
     leader
         .fleet
         .handle_announcement(at(1_120), record("e-2", 1_500, &["b"]), false);
-    let told = leader.run(1_130).into_iter().any(|output| {
+    let published = leader.run(1_130).into_iter().any(|output| {
         matches!(output, FleetOutput::Update { update, .. } if update.instances.iter().any(
             |record| record.models.iter().any(|held| held.adapters.contains(&"x".into()))))
     });
-    assert!(told);
+    assert!(published);
 }
 
 /// Guards against using the revision of a stale report, which made the engine refuse all further
@@ -319,21 +331,21 @@
     assert_eq!(leader.instructions(1_100).len(), 1);
     leader.respond(1_110, "e-1", &InstructionResult::Accepted);
     leader.run(1_200);
-    let mut doubts = report(vec![unmet_demand("a", Some("y"))]);
-    doubts.inconsistent = vec!["e-1".into()];
-    leader.fleet.handle_report(at(1_210), 1, &doubts);
+    let mut inconsistency = report(vec![unmet_demand("a", Some("y"))]);
+    inconsistency.inconsistent = vec!["e-1".into()];
+    leader.fleet.handle_report(at(1_210), 1, &inconsistency);
     leader.respond_to_read(1_220, "e-1", &state(0, &["a"]));
     assert!(
         leader.instructions(1_550).is_empty(),
-        "the count is not known"
+        "the revision is unknown"
     );
     leader.respond_to_read(1_560, "e-1", &state(1, &["a"]));
     leader
         .fleet
         .handle_report(at(1_710), 1, &report(vec![unmet_demand("a", Some("y"))]));
-    let given = leader.instructions(1_800);
-    assert_eq!(given.len(), 1);
-    assert_eq!(given[0].expected_revision, 1);
+    let instructions = leader.instructions(1_800);
+    assert_eq!(instructions.len(), 1);
+    assert_eq!(instructions[0].expected_revision, 1);
 }
 
 #[rstest]
@@ -341,20 +353,20 @@
 #[case::one_in_ten_seconds(100, 1)]
 fn store_rate_holds_in_every_window(#[case] milliloads: u64, #[case] allowed: usize) {
     let mut permits = StorePermits::default();
-    let taken: Vec<u64> = (0..20_000)
+    let acquired: Vec<u64> = (0..20_000)
         .step_by(10)
         .filter(|now| permits.try_acquire(at(*now), milliloads))
         .collect();
-    assert_eq!(max_in_window(&taken), Some(allowed));
+    assert_eq!(max_in_window(&acquired), Some(allowed));
 }
 
 /// Returns the maximum number of loads that begin in any five seconds.
-fn max_in_window(begun: &[u64]) -> Option<usize> {
+fn max_in_window(started: &[u64]) -> Option<usize> {
     let in_window = |start: &u64| {
         let window = *start..*start + 5_000;
-        begun.iter().filter(|at| window.contains(at)).count()
+        started.iter().filter(|at| window.contains(at)).count()
     };
-    begun.iter().map(in_window).max()
+    started.iter().map(in_window).max()
 }
 
 /// Guards against evicting a replica of a busy model because a weight copy of the requested model
@@ -372,8 +384,8 @@
         in_flight: 5,
         ..unmet_demand(model, None)
     };
-    let needs = vec![busy("a"), busy("b"), unmet_demand("c", None)];
-    leader.fleet.handle_report(at(1_050), 1, &report(needs));
+    let demand = vec![busy("a"), busy("b"), unmet_demand("c", None)];
+    leader.fleet.handle_report(at(1_050), 1, &report(demand));
     assert!(leader.instructions(1_100).is_empty());
 }
 
@@ -383,19 +395,22 @@
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
     leader.add_engine(1_000, "e-2", &["b"]);
-    let mut doubts = report(vec![unmet_demand("a", None)]);
-    doubts.inconsistent = vec!["e-1".into()];
-    leader.fleet.handle_report(at(1_050), 1, &doubts);
+    let mut inconsistency = report(vec![unmet_demand("a", None)]);
+    inconsistency.inconsistent = vec!["e-1".into()];
+    leader.fleet.handle_report(at(1_050), 1, &inconsistency);
     leader.run(1_100);
     leader.run(1_400);
     leader.respond(1_500, "e-1", &InstructionResult::Unanswered);
     leader
         .fleet
         .handle_report(at(1_510), 1, &report(vec![unmet_demand("a", None)]));
-    let given = leader.instructions(1_600);
-    assert_eq!(given.len(), 1, "{given:?}");
+    let instructions = leader.instructions(1_600);
+    assert_eq!(instructions.len(), 1, "{instructions:?}");
     assert_eq!(
-        (given[0].instance.clone(), given[0].model.clone()),
+        (
+            instructions[0].instance.clone(),
+            instructions[0].model.clone()
+        ),
         ("e-2".into(), "a".into())
     );
     // The engine is used again once it announces itself.
@@ -420,15 +435,21 @@
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![busy.clone()]));
-    assert!(leader.instructions(1_100).is_empty(), "not yet busy");
+    assert!(
+        leader.instructions(1_100).is_empty(),
+        "utilization is still low"
+    );
     busy.unread_tokens = 60_000;
     leader
         .fleet
         .handle_report(at(1_150), 1, &report(vec![busy]));
-    let given = leader.instructions(1_200);
-    assert_eq!(given.len(), 1, "{given:?}");
+    let instructions = leader.instructions(1_200);
+    assert_eq!(instructions.len(), 1, "{instructions:?}");
     assert_eq!(
-        (given[0].instance.clone(), given[0].model.clone()),
+        (
+            instructions[0].instance.clone(),
+            instructions[0].model.clone()
+        ),
         ("e-2".into(), "a".into())
     );
 }
@@ -441,23 +462,23 @@
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
-    let left = leader.accept_eviction();
+    let remaining = leader.accept_eviction();
     leader.add_engine(1_150, "e-2", &["d"]);
     leader
         .fleet
-        .handle_announcement(at(1_200), record("e-1", 2_000, &[left]), false);
+        .handle_announcement(at(1_200), record("e-1", 2_000, &[remaining]), false);
     assert_eq!(
         leader.instructions(1_250).len(),
         1,
-        "it is asked whether it is done"
+        "the unload is repeated for confirmation"
     );
     leader.respond(1_260, "e-1", &InstructionResult::AlreadySo);
     leader
         .fleet
         .handle_report(at(1_270), 1, &report(vec![unmet_demand("c", None)]));
-    let given = leader.instructions(1_400);
-    assert_eq!(given.len(), 1, "{given:?}");
-    assert_eq!(given[0].instance, "e-1".into());
+    let instructions = leader.instructions(1_400);
+    assert_eq!(instructions.len(), 1, "{instructions:?}");
+    assert_eq!(instructions[0].instance, "e-1".into());
 }
 
 #[test]
@@ -491,11 +512,11 @@
     }
     outputs.extend(leader.run(9_000));
     outputs.extend(leader.run_between(9_000, 10_000));
-    let forgotten = |output: &FleetOutput| matches!(output, FleetOutput::Event(event) if event.name == "instance-forgotten");
-    assert!(!outputs.iter().any(forgotten));
+    let is_removal = |output: &FleetOutput| matches!(output, FleetOutput::Event(event) if event.name == "instance-forgotten");
+    assert!(!outputs.iter().any(is_removal));
     // Without announcements while the leader runs, the instance expires.
     let outputs = leader.run_between(10_000, 17_000);
-    assert!(outputs.iter().any(forgotten));
+    assert!(outputs.iter().any(is_removal));
 }
 
 /// Guards against a lost instance: if its removal and its return share one update, the gateway
@@ -517,12 +538,12 @@
         leader.fleet.handle_report(at(6_990), connection, &first);
     }
     leader.run(6_990);
-    let forgotten = leader.run(7_010).into_iter().any(
+    let removed = leader.run(7_010).into_iter().any(
         |output| matches!(output, FleetOutput::Event(event) if event.name == "instance-forgotten"),
     );
-    assert!(forgotten);
+    assert!(removed);
     leader.add_engine(7_020, "e-1", &["a"]);
-    let told: Vec<_> = leader
+    let updates: Vec<_> = leader
         .run(7_100)
         .into_iter()
         .filter_map(|output| match output {
@@ -530,8 +551,8 @@
             _ => None,
         })
         .collect();
-    assert_eq!(told.len(), GATEWAYS as usize);
-    for update in told {
+    assert_eq!(updates.len(), GATEWAYS as usize);
+    for update in updates {
         assert_eq!(update.instances.len(), 1, "{update:?}");
         assert!(update.removed.is_empty(), "{update:?}");
     }
@@ -555,7 +576,7 @@
     for name in &names {
         leader.fleet.handle_departure(&name.as_str().into(), true);
     }
-    let told = leader
+    let update = leader
         .run(1_100)
         .into_iter()
         .find_map(|output| match output {
@@ -564,9 +585,9 @@
         })
         .expect("an update");
     assert!(
-        told.first || told.removed.len() == INSTANCES,
-        "it names {} removals",
-        told.removed.len()
+        update.first || update.removed.len() == INSTANCES,
+        "the update lists {} removals",
+        update.removed.len()
     );
 }
 
@@ -579,8 +600,8 @@
             .fleet
             .handle_departure(&format!("e-{index}").as_str().into(), true);
     }
-    let kept = leader.run(1_000);
-    assert!(kept.is_empty(), "{} outputs", kept.len());
+    let outputs = leader.run(1_000);
+    assert!(outputs.is_empty(), "{} outputs", outputs.len());
 }
 
 /// The rate limit spans a change of leader: recorded loads count, and unknown ones are assumed.
@@ -591,31 +612,31 @@
     const MILLILOADS: u64 = 2_000;
     let mut history = InstructionHistory::new(at(listens_from), Duration::from_secs(60));
     let mut first = StorePermits::default();
-    let mut begun: Vec<u64> = Vec::new();
+    let mut started: Vec<u64> = Vec::new();
     for now in (0..change).step_by(10) {
         // The old leader uses all of its saved permits right before it fails.
         if now >= change - 500 && first.try_acquire(at(now), MILLILOADS) {
-            begun.push(now);
-            let note = InstructionIntent {
+            started.push(now);
+            let intent = InstructionIntent {
                 instances: Vec::new(),
                 store_loads: 1,
             };
             if now >= listens_from {
-                history.record(at(now), &note);
+                history.record(at(now), &intent);
             }
         }
     }
-    assert_eq!(begun.len(), 9);
+    assert_eq!(started.len(), 9);
     let mut second = StorePermits::from_history(&history);
-    begun.extend(
+    started.extend(
         (change..20_000)
             .step_by(10)
             .filter(|now| second.try_acquire(at(*now), MILLILOADS)),
     );
-    let most = max_in_window(&begun);
+    let max_started = max_in_window(&started);
     // The rate allows ten loads in five seconds; the store tolerates 10 % and three more.
-    assert!(most <= Some(14), "{most:?}");
-    assert!(begun.len() > 25, "{begun:?}");
+    assert!(max_started <= Some(14), "{max_started:?}");
+    assert!(started.len() > 25, "{started:?}");
 }
 
 /// Guards against overloading the leader by sending every change to many gateways at once.
@@ -624,8 +645,8 @@
 #[case::many(70, 13, 15)]
 fn changes_share_updates_with_many_gateways(
     #[case] gateways: u64,
-    #[case] least: usize,
-    #[case] most: usize,
+    #[case] min_updates: usize,
+    #[case] max_updates: usize,
 ) {
     let mut leader = TestLeader::new();
     leader
@@ -650,14 +671,17 @@
             .filter(|output| matches!(output, FleetOutput::Update { connection: 0, .. }))
             .count();
     }
-    assert!((least..=most).contains(&updates), "{updates}");
+    assert!((min_updates..=max_updates).contains(&updates), "{updates}");
 }
 
 /// Guards against evicting a model with unmet demand for an adapter.
 #[test]
 fn reservation_does_not_evict_model_with_unmet_demand() {
     let mut leader = TestLeader::new();
-    let engine = leader.document.services[0].engine.as_mut().expect("engine");
+    let engine = leader.document.services[0]
+        .engine
+        .as_mut()
+        .expect("an engine");
     engine.models.push(EngineModelSpec {
         weights_kilobytes: 2 * MODEL_KILOBYTES,
         ..model("large")
@@ -666,24 +690,26 @@
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("large", None)]));
-    let left = leader.accept_eviction();
+    let remaining = leader.accept_eviction();
     leader
         .fleet
-        .handle_announcement(at(1_300), record("e-1", 2_000, &[left]), false);
+        .handle_announcement(at(1_300), record("e-1", 2_000, &[remaining]), false);
     assert_eq!(
         leader.instructions(1_350).len(),
         1,
-        "it is asked whether it is done"
+        "the unload is repeated for confirmation"
     );
     leader.respond(1_360, "e-1", &InstructionResult::AlreadySo);
-    leader
-        .fleet
-        .handle_report(at(1_410), 1, &report(vec![unmet_demand(left, Some("x"))]));
+    leader.fleet.handle_report(
+        at(1_410),
+        1,
+        &report(vec![unmet_demand(remaining, Some("x"))]),
+    );
     let second = leader.instructions(1_500);
     assert!(
         second
             .iter()
-            .all(|given| given.operation == InstructionOperation::Load),
+            .all(|instruction| instruction.operation == InstructionOperation::Load),
         "{second:?}"
     );
 }
@@ -694,10 +720,10 @@
 fn engine_gets_one_instruction_per_round() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a", "b"]);
-    let needs = vec![unmet_demand("a", Some("x")), unmet_demand("c", None)];
-    leader.fleet.handle_report(at(1_050), 1, &report(needs));
-    let given = leader.instructions(1_100);
-    assert_eq!(given.len(), 1, "{given:?}");
+    let demand = vec![unmet_demand("a", Some("x")), unmet_demand("c", None)];
+    leader.fleet.handle_report(at(1_050), 1, &report(demand));
+    let instructions = leader.instructions(1_100);
+    assert_eq!(instructions.len(), 1, "{instructions:?}");
 }
 
 /// Guards against exceeding the adapter slots of an engine.
@@ -705,7 +731,7 @@
 fn loading_adapters_use_slots() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
-    let coming = InstructionResult::State(EngineState {
+    let state = InstructionResult::State(EngineState {
         revision: 2,
         busy: false,
         models: held(&["a"]),
@@ -716,11 +742,11 @@
             adapters: vec!["x".into(), "y".into()],
         }],
     });
-    leader.respond(1_010, "e-1", &coming);
-    let needs = vec![unmet_demand("a", Some("z"))];
-    leader.fleet.handle_report(at(1_050), 1, &report(needs));
-    let given = leader.instructions(1_100);
-    assert!(given.is_empty(), "{given:?}");
+    leader.respond(1_010, "e-1", &state);
+    let demand = vec![unmet_demand("a", Some("z"))];
+    leader.fleet.handle_report(at(1_050), 1, &report(demand));
+    let instructions = leader.instructions(1_100);
+    assert!(instructions.is_empty(), "{instructions:?}");
 }
 
 /// Guards against exceeding an engine's memory: announcements may be seconds old.
@@ -743,8 +769,8 @@
         .fleet
         .handle_report(at(3_310), 1, &report(vec![unmet_demand("c", None)]));
     let given = leader.instructions(3_400);
-    let loads = |given: &EngineInstruction| given.operation == InstructionOperation::Load;
-    assert!(!given.iter().any(loads), "{given:?}");
+    let is_load = |given: &EngineInstruction| given.operation == InstructionOperation::Load;
+    assert!(!given.iter().any(is_load), "{given:?}");
 }
 
 /// Guards against waiting for an engine that has not accepted its instruction.
@@ -764,9 +790,9 @@
     leader
         .fleet
         .handle_report(at(1_210), 1, &report(vec![unmet_demand("c", None)]));
-    let given = leader.instructions(1_300);
-    assert_eq!(given.len(), 1, "{given:?}");
-    assert_eq!(given[0].instance, "e-2".into());
+    let instructions = leader.instructions(1_300);
+    assert_eq!(instructions.len(), 1, "{instructions:?}");
+    assert_eq!(instructions[0].instance, "e-2".into());
 }
 
 /// Guards against requests for a model whose unload waits for running requests.
@@ -778,7 +804,7 @@
     leader
         .fleet
         .handle_report(at(1_050), 1, &report(vec![unmet_demand("c", None)]));
-    let left = leader.accept_eviction();
+    let remaining = leader.accept_eviction();
     leader
         .fleet
         .handle_announcement(at(1_200), record("e-1", 2_000, &["a", "b"]), false);
@@ -795,7 +821,7 @@
         })
         .flatten();
     let last = records.last().expect("an update");
-    assert_eq!(last.models, held(&[left]));
+    assert_eq!(last.models, held(&[remaining]));
 }
 
 /// Guards against gateways that hold requests for a model whose load has not started.
@@ -815,16 +841,18 @@
         .fleet
         .handle_report(at(1_300), 1, &report(vec![unmet_demand("c", None)]));
     let outputs = leader.run(1_400);
-    let outlook = outputs
+    let estimates = outputs
         .iter()
         .find_map(|output| match output {
             FleetOutput::Update { update, .. } => Some(&update.ready_estimates),
             _ => None,
         })
         .expect("an update");
-    let ready = outlook.iter().find(|outlook| outlook.model == "c".into());
+    let ready = estimates
+        .iter()
+        .find(|estimate| estimate.model == "c".into());
     // The load of b from the weight store ends at 3.1 s.
-    let ready = ready.expect("c is awaited").ready_in_millis;
+    let ready = ready.expect("an estimate for c").ready_in_millis;
     assert!((1_700..3_000).contains(&ready), "{ready}");
 }
 
@@ -838,14 +866,14 @@
     for index in 0..20 {
         leader.add_engine(1_000, &format!("e-{index}"), &[]);
     }
-    let needs = (0..20).map(|index| unmet_demand(&format!("m-{index}"), None));
+    let demand = (0..20).map(|index| unmet_demand(&format!("m-{index}"), None));
     leader
         .fleet
-        .handle_report(at(1_050), 1, &report(needs.collect()));
-    let mut begun = leader.instructions(1_100).len();
-    begun += leader.instructions(1_250).len();
-    let first = StoreCapacity::default().limit();
-    assert_eq!(begun, first, "of 20 that are asked for");
+        .handle_report(at(1_050), 1, &report(demand.collect()));
+    let mut started = leader.instructions(1_100).len();
+    started += leader.instructions(1_250).len();
+    let limit = StoreCapacity::default().limit();
+    assert_eq!(started, limit, "of 20 requested models");
 }
 
 #[test]
@@ -858,10 +886,10 @@
     for index in 0..8 {
         leader.add_engine(1_000, &format!("e-{index}"), &[]);
     }
-    let needs = (0..8).map(|index| unmet_demand(&format!("m-{index}"), None));
+    let demand = (0..8).map(|index| unmet_demand(&format!("m-{index}"), None));
     leader
         .fleet
-        .handle_report(at(1_050), 1, &report(needs.collect()));
+        .handle_report(at(1_050), 1, &report(demand.collect()));
     let first = leader.instructions(1_100).len();
     assert_eq!(first, StoreCapacity::default().limit());
     let mut copy = record("e-8", 2_000, &[]);
@@ -900,7 +928,10 @@
         .fleet
         .handle_report(at(1_050), 1, &report(vec![busy]));
     let instructions = leader.instructions(1_100);
-    assert!(!instructions.is_empty(), "nothing makes way for it");
+    assert!(
+        !instructions.is_empty(),
+        "no model is evicted for a replica"
+    );
 }
 
 /// Guards against overflows and unbounded planning for absurd reports.
@@ -913,12 +944,12 @@
         leader.add_engine(1_000, &name, &["b", "c"]);
     }
     for gateway in 0..3 {
-        let mut absurd = unmet_demand("a", None);
-        absurd.unserved = u32::MAX;
-        absurd.arrivals = u32::MAX;
-        absurd.in_flight = u32::MAX;
-        absurd.unread_tokens = u64::MAX;
-        let mut report = report(vec![absurd]);
+        let mut demand = unmet_demand("a", None);
+        demand.unserved = u32::MAX;
+        demand.arrivals = u32::MAX;
+        demand.in_flight = u32::MAX;
+        demand.unread_tokens = u64::MAX;
+        let mut report = report(vec![demand]);
         report.gateway = format!("g-{gateway}");
         leader.fleet.handle_report(at(1_050), gateway, &report);
     }
@@ -934,7 +965,7 @@
 fn requests_in_flight_are_summed_over_all_gateways() {
     let mut leader = TestLeader::new();
     leader.add_engine(1_000, "e-1", &["a"]);
-    let with = |gateway: &str, in_flight| {
+    let report_of = |gateway: &str, in_flight| {
         let mut report = report(Vec::new());
         report.gateway = gateway.to_owned();
         report.in_flight = vec![InstanceLoad {
@@ -943,7 +974,7 @@
         }];
         report
     };
-    let told = |leader: &mut TestLeader, now: u64| -> Vec<u32> {
+    let loads_sent = |leader: &mut TestLeader, now: u64| -> Vec<u32> {
         leader.fleet.handle_report(at(now), 9, &report(Vec::new()));
         let outputs = leader.run(now);
         let updates = outputs.into_iter().filter_map(|output| match output {
@@ -956,24 +987,34 @@
         let loads = updates.flat_map(|update| update.loads);
         loads.map(|load| load.in_flight).collect()
     };
-    leader.fleet.handle_report(at(1_010), 1, &with("g-1", 4));
-    leader.fleet.handle_report(at(1_020), 2, &with("g-2", 5));
-    assert_eq!(told(&mut leader, 1_100), [9]);
-    leader.fleet.handle_report(at(1_110), 1, &with("g-1", 1));
+    leader
+        .fleet
+        .handle_report(at(1_010), 1, &report_of("g-1", 4));
+    leader
+        .fleet
+        .handle_report(at(1_020), 2, &report_of("g-2", 5));
+    assert_eq!(loads_sent(&mut leader, 1_100), [9]);
+    leader
+        .fleet
+        .handle_report(at(1_110), 1, &report_of("g-1", 1));
     assert_eq!(
-        told(&mut leader, 1_200),
+        loads_sent(&mut leader, 1_200),
         [6],
-        "a newer report takes its place"
+        "a newer report replaces the previous one"
     );
     leader.fleet.handle_disconnect(at(1_200), 2);
-    assert_eq!(told(&mut leader, 1_300), [1]);
+    assert_eq!(loads_sent(&mut leader, 1_300), [1]);
     leader
         .fleet
-        .handle_report(at(1_310), 1, &with("g-1", u32::MAX));
+        .handle_report(at(1_310), 1, &report_of("g-1", u32::MAX));
     leader
         .fleet
-        .handle_report(at(1_320), 3, &with("g-3", u32::MAX));
-    assert_eq!(told(&mut leader, 1_400), [u32::MAX], "absurd, and harmless");
+        .handle_report(at(1_320), 3, &report_of("g-3", u32::MAX));
+    assert_eq!(
+        loads_sent(&mut leader, 1_400),
+        [u32::MAX],
+        "the sum saturates"
+    );
 }
 
 #[test]
@@ -998,7 +1039,7 @@
     assert_eq!(loads.len(), 64);
     assert!(
         loads.iter().all(|load| load.in_flight >= 436),
-        "the busiest"
+        "the busiest instances are listed"
     );
 }
 
@@ -1008,23 +1049,23 @@
     for index in 0..4 {
         leader.add_engine(1_000, &format!("e-{index}"), &[]);
     }
-    let needs = ["a", "b", "c", "d"].map(|name| unmet_demand(name, None));
+    let demand = ["a", "b", "c", "d"].map(|name| unmet_demand(name, None));
     leader
         .fleet
-        .handle_report(at(1_050), 1, &report(needs.to_vec()));
-    let begun = leader.instructions(1_100);
-    assert_eq!(begun.len(), StoreCapacity::default().limit());
-    for instruction in &begun {
+        .handle_report(at(1_050), 1, &report(demand.to_vec()));
+    let instructions = leader.instructions(1_100);
+    assert_eq!(instructions.len(), StoreCapacity::default().limit());
+    for instruction in &instructions {
         let accepted = InstructionResult::Accepted;
         leader.respond(1_110, instruction.instance.name(), &accepted);
     }
     leader.run(1_250);
-    for instruction in &begun {
+    for instruction in &instructions {
         let held = [instruction.model.as_str()];
         let loaded = record(instruction.instance.name(), 9_000, &held);
         leader.fleet.handle_announcement(at(3_150), loaded, false);
     }
-    let noted = leader
+    let recorded = leader
         .run(3_200)
         .into_iter()
         .find_map(|output| match output {
@@ -1032,7 +1073,10 @@
             _ => None,
         });
     let first = StoreCapacity::default().limit() as u32 * 100;
-    assert!(noted > Some(first), "{noted:?}: none of them was slowed");
+    assert!(
+        recorded > Some(first),
+        "{recorded:?}: the limit grows as no load was slowed"
+    );
 }
 
 /// A new leader does not know all gateways yet, and the reported ones would take over the others'
@@ -1040,24 +1084,24 @@
 #[test]
 fn gateway_count_is_sent_only_when_complete() {
     let mut leader = TestLeader::new();
-    let mut told = Vec::new();
+    let mut counts = Vec::new();
     for (since, now) in [(0, 1_000), (1_000, 2_000), (2_000, 6_000)] {
         leader.run_between(since, now);
         for connection in 1..=3 {
-            let mut found = report(Vec::new());
-            found.gateway = format!("g-{connection}");
+            let mut connected = report(Vec::new());
+            connected.gateway = format!("g-{connection}");
             leader
                 .fleet
-                .handle_report(at(now + connection), connection, &found);
+                .handle_report(at(now + connection), connection, &connected);
             let outputs = leader.run(now + connection);
-            told.extend(outputs.into_iter().filter_map(|output| match output {
+            counts.extend(outputs.into_iter().filter_map(|output| match output {
                 FleetOutput::Update { update, .. } => Some((now, update.gateways)),
                 _ => None,
             }));
         }
     }
-    assert!(told.len() >= 9, "{told:?}");
-    for (now, gateways) in told {
+    assert!(counts.len() >= 9, "{counts:?}");
+    for (now, gateways) in counts {
         assert_eq!(gateways, if now < 6_000 { 0 } else { 3 }, "at {now}");
     }
 }
@@ -1068,7 +1112,7 @@
     for index in 0..5 {
         leader.add_engine(1_000, &format!("e-{index}"), &["a"]);
     }
-    let mut told = Vec::new();
+    let mut sent = Vec::new();
     let mut complete = false;
     for step in 0..20 {
         let now = 1_100 + step * 300;
@@ -1081,7 +1125,7 @@
         leader.fleet.handle_report(at(now), 1, &report(Vec::new()));
         for output in leader.run(now) {
             if let FleetOutput::Update { update, .. } = output {
-                told.extend(
+                sent.extend(
                     update
                         .instances
                         .iter()
@@ -1091,6 +1135,6 @@
             }
         }
     }
-    assert!(complete, "it is said that all are named");
-    assert_eq!(told.len(), 5, "{told:?}");
+    assert!(complete, "an update is marked complete");
+    assert_eq!(sent.len(), 5, "{sent:?}");
 }
--- a/crates/millpass-fleet/tests/harness/calls.rs
+++ b/crates/millpass-fleet/tests/harness/calls.rs
@@ -14,7 +14,9 @@
     /// Records the calls in these outputs.
     pub fn record(&mut self, outputs: &[FleetOutput]) {
         let calls = outputs.iter().filter_map(|output| match output {
-            FleetOutput::Instruct(given) => Some((given.instance.clone(), given.call)),
+            FleetOutput::Instruct(instruction) => {
+                Some((instruction.instance.clone(), instruction.call))
+            }
             FleetOutput::ReadEngine { instance, call, .. } => Some((instance.clone(), *call)),
             _ => None,
         });
@@ -27,18 +29,18 @@
     }
 
     /// Returns a response to the newest call to an engine, or to an unknown call if there was none.
-    pub fn response(&self, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
+    pub fn response(&self, instance: &InstanceId, result: &InstructionResult) -> CallResult {
         let call = self.newest.get(instance).copied().unwrap_or(CallId(0));
-        response_to(call, instance, answer)
+        response_to(call, instance, result)
     }
 }
 
 /// Returns a response to a call.
-pub fn response_to(call: CallId, instance: &InstanceId, answer: &InstructionResult) -> CallResult {
+pub fn response_to(call: CallId, instance: &InstanceId, result: &InstructionResult) -> CallResult {
     CallResult {
         instance: instance.clone(),
         call,
-        result: answer.clone(),
+        result: result.clone(),
         queue_time: Duration::ZERO,
         response_time: Duration::ZERO,
     }
--- a/crates/millpass-fleet/tests/harness/documents.rs
+++ b/crates/millpass-fleet/tests/harness/documents.rs
@@ -31,7 +31,10 @@
     }
 }
 
-pub fn engine_document(models: Vec<EngineModelSpec>, room: &EngineCapacity) -> DeploymentDocument {
+pub fn engine_document(
+    models: Vec<EngineModelSpec>,
+    capacity: &EngineCapacity,
+) -> DeploymentDocument {
     DeploymentDocument {
         version: 1,
         routes: Vec::new(),
@@ -42,9 +45,9 @@
             engine: Some(EngineSpec {
                 slots: 8,
                 cache_tokens: 1_000,
-                weights_kilobytes: room.weights_kilobytes,
-                adapter_slots: room.adapter_slots,
-                milliloads_per_second: room.milliloads_per_second,
+                weights_kilobytes: capacity.weights_kilobytes,
+                adapter_slots: capacity.adapter_slots,
+                milliloads_per_second: capacity.milliloads_per_second,
                 models,
             }),
         }],
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -128,7 +128,7 @@
             .documents
             .document(self.version)
             .cloned()
-            .expect("kept");
+            .expect("the current version is kept");
         self.version += 1;
         next.version = self.version;
         next.routes[7].timeout_millis += 1;
@@ -211,9 +211,9 @@
     }
 
     /// Responds to the newest call to an engine.
-    pub fn respond(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
-        let answer = self.calls.response(instance, answer);
-        self.fleet.handle_call_result(at(now), &answer);
+    pub fn respond(&mut self, now: u64, instance: &InstanceId, result: &InstructionResult) {
+        let result = self.calls.response(instance, result);
+        self.fleet.handle_call_result(at(now), &result);
     }
 
     /// Returns the sequence number of the newest report.
@@ -236,7 +236,7 @@
 pub fn encoded_size(update: &GatewayUpdate) -> usize {
     let message = ControlToRouter::Gateway(update.clone());
     let encoded = millpass_proto::codec::encode(&message);
-    encoded.expect("an update encodes").len()
+    encoded.expect("the update can be encoded").len()
 }
 
 /// Returns a gateway core without limits.
--- a/crates/millpass-fleet/tests/harness/shares.rs
+++ b/crates/millpass-fleet/tests/harness/shares.rs
@@ -117,12 +117,12 @@
             ..FleetSettings::default()
         };
         let models = (0..MODELS).map(|number| model_spec(&model(number).0, 60, 0));
-        let room = EngineCapacity {
+        let capacity = EngineCapacity {
             weights_kilobytes: 130,
             adapter_slots: 2,
             milliloads_per_second: 2_000,
         };
-        let document = engine_document(models.collect(), &room);
+        let document = engine_document(models.collect(), &capacity);
         let mut documents = DocumentHistory::new();
         documents.record(at(0), &document);
         let mut cluster = Cluster {
@@ -213,9 +213,9 @@
         self.instances.remove(&number);
     }
 
-    pub fn crash_zone(&mut self, lost: u64) {
+    pub fn crash_zone(&mut self, in_zone: u64) {
         self.instances
-            .retain(|number, _| zone(*number) != zone(lost));
+            .retain(|number, _| zone(*number) != zone(in_zone));
     }
 
     /// Makes an instance announce itself at the next member.
@@ -275,11 +275,11 @@
     fn deliver(&mut self) {
         let later = self.messages.split_off(&(self.now + 1, 0));
         let arrived = std::mem::replace(&mut self.messages, later);
-        for word in arrived.into_values() {
-            match word {
+        for message in arrived.into_values() {
+            match message {
                 Message::Report(report) => self.deliver_report(report),
-                Message::Response(member, answer) => {
-                    self.members[member].handle_share_response(&answer)
+                Message::Response(member, response) => {
+                    self.members[member].handle_share_response(&response)
                 }
             }
         }
@@ -288,23 +288,23 @@
     fn deliver_report(&mut self, report: ShareReport) {
         let member = report.from.member.0 as usize - 1;
         let size = codec::encode(&LinkMessage::Share(report.clone()));
-        let size = size.expect("a report encodes").len();
+        let size = size.expect("the report can be encoded").len();
         self.report_stats.reports += 1;
         self.report_stats.bytes += size;
         self.report_stats.largest = self.report_stats.largest.max(size);
         self.report_stats.most_records = self.report_stats.most_records.max(report.instances.len());
         let leader = &mut self.members[self.leader];
         let own = address(self.leader);
-        let answer = leader.handle_share_report(at(self.now), &report, own, &|_| None);
-        self.send(Message::Response(member, answer));
+        let response = leader.handle_share_report(at(self.now), &report, own, &|_| None);
+        self.send(Message::Response(member, response));
     }
 
     fn send_reports(&mut self) {
         for member in 0..self.members.len() {
             let fleet = &mut self.members[member];
             fleet.maintain_share(at(self.now));
-            let silent = member == self.leader || self.stopped.contains(&member);
-            if silent || !fleet.is_share_report_due(at(self.now)) {
+            let is_silent = member == self.leader || self.stopped.contains(&member);
+            if is_silent || !fleet.is_share_report_due(at(self.now)) {
                 continue;
             }
             let report = fleet.next_share_report(at(self.now), 77, &address(member), true);
@@ -314,10 +314,10 @@
         }
     }
 
-    fn send(&mut self, word: Message) {
-        let copy = match &word {
+    fn send(&mut self, message: Message) {
+        let copy = match &message {
             Message::Report(report) => Message::Report(report.clone()),
-            Message::Response(member, answer) => Message::Response(*member, answer.clone()),
+            Message::Response(member, response) => Message::Response(*member, response.clone()),
         };
         if self.should_fail() {
             return;
@@ -325,7 +325,7 @@
         let delay = if self.should_fail() { 1_200 } else { 2 };
         self.message_count += 1;
         self.messages
-            .insert((self.now + delay, self.message_count), word);
+            .insert((self.now + delay, self.message_count), message);
         if self.should_fail() {
             self.message_count += 1;
             self.messages
@@ -381,11 +381,13 @@
 
     fn respond_to_reads(&mut self) {
         for (instance, call) in std::mem::take(&mut self.pending_reads) {
-            let number: u64 = instance.name()[2..].parse().expect("a number");
+            let number: u64 = instance.name()[2..]
+                .parse()
+                .expect("instance names end in a number");
             let Some(found) = self.instances.get(&number) else {
                 continue;
             };
-            let answer = millpass_fleet::CallResult {
+            let result = millpass_fleet::CallResult {
                 instance,
                 call,
                 result: InstructionResult::State(EngineState {
@@ -399,12 +401,12 @@
                 queue_time: Duration::ZERO,
                 response_time: Duration::ZERO,
             };
-            self.members[self.leader].handle_call_result(at(self.now), &answer);
+            self.members[self.leader].handle_call_result(at(self.now), &result);
         }
     }
 
     fn demand_report(&self, number: u64, tokens: u64) -> GatewayReport {
-        let needs = match tokens {
+        let demand = match tokens {
             0 => Vec::new(),
             _ => vec![GatewayModelDemand {
                 service: "text".into(),
@@ -422,7 +424,7 @@
             zone: "zone-0".into(),
             sequence: self.now,
             version: 1,
-            demand: needs,
+            demand,
             inconsistent: Vec::new(),
             in_flight: Vec::new(),
             as_of: 0,
@@ -436,7 +438,7 @@
         self.members[self.leader].handle_report(at(self.now), 5, &report);
         self.run(STEP);
         let first = self.updates.iter().find(|(connection, _)| *connection == 5);
-        first.expect("an update").1.clone()
+        first.expect("a first update is sent").1.clone()
     }
 
     /// Returns the number of instances known to the leader.
@@ -472,10 +474,10 @@
     /// Returns the number of live active engines that hold a model.
     pub fn live_replicas(&self, number: u64) -> usize {
         let name = model(number);
-        let living = self.live_incarnations();
+        let live = self.live_incarnations();
         let active = self.members[self.leader].active_instances();
         let holds = |record: &&InstanceRecord| record.models.iter().any(|it| it.model == name);
         let active = active.filter(holds);
-        active.filter(|it| living.contains(&it.instance.0)).count()
+        active.filter(|it| live.contains(&it.instance.0)).count()
     }
 }
--- a/crates/millpass-fleet/tests/harness/steering.rs
+++ b/crates/millpass-fleet/tests/harness/steering.rs
@@ -16,7 +16,7 @@
 
 impl InstructingLeader {
     pub fn new() -> InstructingLeader {
-        let room = EngineCapacity {
+        let capacity = EngineCapacity {
             weights_kilobytes: 130,
             adapter_slots: 2,
             milliloads_per_second: 2_000,
@@ -31,7 +31,7 @@
         fleet.start_leading(at(0), nothing(), std::iter::empty(), &history);
         InstructingLeader {
             fleet,
-            document: engine_document(models.to_vec(), &room),
+            document: engine_document(models.to_vec(), &capacity),
             calls: Calls::default(),
             number: 0,
             revision: 0,
@@ -46,7 +46,7 @@
         models.iter().map(held).collect()
     }
 
-    fn report(&mut self, instances: Vec<InstanceRecord>, seen: Vec<InstanceHeartbeat>) {
+    fn report(&mut self, instances: Vec<InstanceRecord>, heartbeats: Vec<InstanceHeartbeat>) {
         self.number += 1;
         let base = self.revision;
         self.revision += u64::from(!instances.is_empty());
@@ -64,7 +64,7 @@
             revision: self.revision,
             instances,
             expired: Vec::new(),
-            heartbeats: seen,
+            heartbeats,
             active_revision: 0,
         };
         let now = at(self.number);
@@ -92,11 +92,11 @@
 
     /// Reports an unchanged announcement received by the other member.
     pub fn announce_unchanged(&mut self, sequence: u64) {
-        let seen = InstanceHeartbeat {
+        let heartbeat = InstanceHeartbeat {
             instance: "e-1".into(),
             sequence,
         };
-        self.report(Vec::new(), vec![seen]);
+        self.report(Vec::new(), vec![heartbeat]);
     }
 
     pub fn state(&self, revision: u64, models: &[&str]) -> InstructionResult {
@@ -150,8 +150,8 @@
     }
 
     /// Responds to the newest call.
-    pub fn respond(&mut self, now: u64, answer: InstructionResult) {
-        let answer = self.calls.response(&"e-1".into(), &answer);
-        self.fleet.handle_call_result(at(now), &answer);
+    pub fn respond(&mut self, now: u64, result: InstructionResult) {
+        let result = self.calls.response(&"e-1".into(), &result);
+        self.fleet.handle_call_result(at(now), &result);
     }
 }
--- a/crates/millpass-fleet/tests/incarnations.rs
+++ b/crates/millpass-fleet/tests/incarnations.rs
@@ -48,23 +48,25 @@
 }
 
 /// Returns the incarnation that should be recorded, and whether it drains.
-fn expected(words: &[Heartbeat]) -> Option<(u64, bool)> {
-    let mut known: Option<Heartbeat> = None;
-    for word in words {
-        known = match known {
-            Some(held) if word.incarnation < held.incarnation => known,
-            Some(held) if word.incarnation == held.incarnation => match word.sequence {
-                sequence if sequence < held.sequence => known,
-                sequence => Some(Heartbeat {
-                    sequence,
-                    draining: held.draining || word.draining,
-                    ..held
-                }),
-            },
-            _ => Some(*word),
+fn expected(heartbeats: &[Heartbeat]) -> Option<(u64, bool)> {
+    let mut latest: Option<Heartbeat> = None;
+    for heartbeat in heartbeats {
+        latest = match latest {
+            Some(current) if heartbeat.incarnation < current.incarnation => latest,
+            Some(current) if heartbeat.incarnation == current.incarnation => {
+                match heartbeat.sequence {
+                    sequence if sequence < current.sequence => latest,
+                    sequence => Some(Heartbeat {
+                        sequence,
+                        draining: current.draining || heartbeat.draining,
+                        ..current
+                    }),
+                }
+            }
+            _ => Some(*heartbeat),
         };
     }
-    known.map(|word| (word.incarnation, word.draining))
+    latest.map(|heartbeat| (heartbeat.incarnation, heartbeat.draining))
 }
 
 #[test]
@@ -76,64 +78,64 @@
     };
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
-    let words = proptest::collection::vec(heartbeat(), 1..25);
-    let verdict = runner.run(&words, |words| {
+    let heartbeats = proptest::collection::vec(heartbeat(), 1..25);
+    let result = runner.run(&heartbeats, |heartbeats| {
         let mut leader = Leader::new(0, 0);
         let mut gateway = gateway();
-        let mut told: BTreeMap<InstanceId, InstanceRecord> = BTreeMap::new();
+        let mut held: BTreeMap<InstanceId, InstanceRecord> = BTreeMap::new();
         let mut now = 10_000;
-        for word in &words {
+        for heartbeat in &heartbeats {
             now += PAUSE;
             leader
                 .fleet
-                .handle_announcement(at(now), word.record(), false);
+                .handle_announcement(at(now), heartbeat.record(), false);
             leader.report(now, 1, 1);
             for (_, update) in leader.updates(now) {
-                told.extend(
+                held.extend(
                     update
                         .instances
                         .iter()
                         .map(|it| (it.instance.clone(), it.clone())),
                 );
                 for removed in &update.removed {
-                    told.remove(removed);
+                    held.remove(removed);
                 }
                 gateway.update(at(now), update);
             }
         }
-        let (incarnation, draining) = expected(&words).expect("some word");
+        let (incarnation, draining) = expected(&heartbeats).expect("at least one heartbeat");
         let run = InstanceId::of_run(NAME, incarnation);
         prop_assert_eq!(leader.fleet.latest_incarnation(&run), Some(run.clone()));
-        prop_assert_eq!(told.keys().collect::<Vec<_>>(), vec![&run]);
-        prop_assert_eq!(told[&run].draining, draining);
+        prop_assert_eq!(held.keys().collect::<Vec<_>>(), vec![&run]);
+        prop_assert_eq!(held[&run].draining, draining);
         prop_assert_eq!(gateway.instance_count(), 1);
         Ok(())
     });
-    verdict.unwrap_or_else(|failure| panic!("{failure}"));
+    result.unwrap_or_else(|failure| panic!("{failure}"));
 }
 
 /// Guards against a stale announcement that replaces a later incarnation after a change of leader.
 #[test]
 fn new_leader_keeps_the_later_incarnation() {
     let mut fleet = Fleet::new(FleetSettings::default());
-    let word = |incarnation, sequence| Heartbeat {
+    let heartbeat = |incarnation, sequence| Heartbeat {
         incarnation,
         sequence,
         draining: false,
     };
-    let noted = [word(1_000, 900).record()];
+    let recorded = [heartbeat(1_000, 900).record()];
     let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-    fleet.start_leading(at(0), noted.into_iter(), std::iter::empty(), &history);
-    fleet.handle_announcement(at(10), word(2_000, 0).record(), false);
-    fleet.handle_announcement(at(20), word(1_000, 901).record(), false);
+    fleet.start_leading(at(0), recorded.into_iter(), std::iter::empty(), &history);
+    fleet.handle_announcement(at(10), heartbeat(2_000, 0).record(), false);
+    fleet.handle_announcement(at(20), heartbeat(1_000, 901).record(), false);
     let run = InstanceId::of_run(NAME, 2_000);
     assert_eq!(fleet.latest_incarnation(&run), Some(run.clone()));
     fleet.handle_departure(&run, true);
-    fleet.handle_announcement(at(30), word(1_000, 902).record(), false);
+    fleet.handle_announcement(at(30), heartbeat(1_000, 902).record(), false);
     assert_eq!(
         fleet.latest_incarnation(&run),
         None,
-        "it does not come back after that"
+        "a departed instance is not restored by a stale heartbeat"
     );
 }
 
@@ -151,7 +153,7 @@
         let table = BTreeMap::from([(run.clone(), ()), (other.clone(), ()), (InstanceId::of_run("x-other", later), ())]);
         let found: Vec<&InstanceId> = run.runs_in(&table).collect();
         let expected: BTreeSet<&InstanceId> = [&run, &other].into();
-        prop_assert_eq!(found.len(), expected.len(), "each once");
+        prop_assert_eq!(found.len(), expected.len(), "each incarnation is returned once");
         prop_assert_eq!(found.into_iter().collect::<BTreeSet<_>>(), expected);
     }
 }
--- a/crates/millpass-fleet/tests/limits.rs
+++ b/crates/millpass-fleet/tests/limits.rs
@@ -31,13 +31,13 @@
     }
 }
 
-fn report(gateway: &str, sequence: u64, needs: Vec<GatewayModelDemand>) -> GatewayReport {
+fn report(gateway: &str, sequence: u64, demand: Vec<GatewayModelDemand>) -> GatewayReport {
     GatewayReport {
         gateway: gateway.to_owned(),
         zone: "z".into(),
         sequence,
         version: 1,
-        demand: needs,
+        demand,
         inconsistent: Vec::new(),
         in_flight: Vec::new(),
         as_of: 0,
@@ -59,12 +59,12 @@
 }
 
 fn document() -> DeploymentDocument {
-    let room = EngineCapacity {
+    let capacity = EngineCapacity {
         weights_kilobytes: 130,
         adapter_slots: 2,
         milliloads_per_second: 20_000,
     };
-    engine_document(vec![documents::model("a", 60, 0)], &room)
+    engine_document(vec![documents::model("a", 60, 0)], &capacity)
 }
 
 /// Returns the state of an engine that has received no orders.
@@ -120,7 +120,7 @@
     }
 
     fn report_limit(&mut self, now: u64, milli_per_second: Option<u64>) {
-        let word = LimitObservation {
+        let observation = LimitObservation {
             instance: "i-1".into(),
             milli_per_second,
             request_age_millis: 5,
@@ -129,7 +129,7 @@
         let request = PermitRequest {
             gateway: "g-1".to_owned(),
             sequence: now,
-            observations: vec![word],
+            observations: vec![observation],
             instances: Vec::new(),
         };
         self.0.handle_permit_request(at(now), 3, &request);
@@ -137,26 +137,33 @@
 
     /// Returns the engines instructed while unmet demand for model `a` is reported.
     fn engines_loading(&mut self, from: u64) -> Vec<InstanceId> {
-        let mut loads = Vec::new();
+        let mut engines = Vec::new();
         for now in (from..from + 1_000).step_by(100) {
-            let needs = vec![unserved("a")];
-            self.0.handle_report(at(now), 0, &report("g-1", now, needs));
+            let demand = vec![unserved("a")];
+            self.0
+                .handle_report(at(now), 0, &report("g-1", now, demand));
             for output in self.run(now) {
-                if let FleetOutput::Instruct(given) = output {
-                    loads.push(given.instance);
+                if let FleetOutput::Instruct(instruction) = output {
+                    engines.push(instruction.instance);
                 }
             }
         }
-        loads
+        engines
     }
 
     /// Returns the limits sent to each gateway by the next run.
     fn limits_by_gateway(&mut self, now: u64) -> Vec<Vec<Option<u64>>> {
-        let told = self.run(now).into_iter().filter_map(|output| match output {
+        let updates = self.run(now).into_iter().filter_map(|output| match output {
             FleetOutput::Limits { update, .. } => Some(update.limits),
             _ => None,
         });
-        told.map(|words| words.iter().map(|word| word.milli_per_second).collect())
+        updates
+            .map(|observations| {
+                observations
+                    .iter()
+                    .map(|observation| observation.milli_per_second)
+                    .collect()
+            })
             .collect()
     }
 }
--- a/crates/millpass-fleet/tests/rollout.rs
+++ b/crates/millpass-fleet/tests/rollout.rs
@@ -47,7 +47,7 @@
     );
     leader.report(1_400, 2, 2);
     let later = leader.run(1_400);
-    assert!(reached(&later).is_empty(), "once for each gateway");
+    assert!(reached(&later).is_empty(), "output once per gateway");
     assert!(events(&later, "document-everywhere").is_empty());
 }
 
@@ -75,7 +75,7 @@
     );
     assert!(
         events(&leader.run(3_900), "document-lags").is_empty(),
-        "the pause doubles"
+        "the interval doubles"
     );
     assert_eq!(events(&leader.run(4_000), "document-lags").len(), 2);
 }
@@ -90,7 +90,10 @@
     assert!(reached(&leader.run(60_000)).is_empty());
     leader.fleet.handle_disconnect(at(60_100), 1);
     leader.report(60_200, 7, 1);
-    assert!(reached(&leader.run(60_200)).is_empty(), "known from before");
+    assert!(
+        reached(&leader.run(60_200)).is_empty(),
+        "its version is known from its previous connection"
+    );
 }
 
 #[test]
@@ -108,7 +111,7 @@
 
 #[test]
 fn propagation_time_of_departure_is_output_per_gateway() {
-    let told = |leader: &mut Leader, now: u64| {
+    let propagation_times = |leader: &mut Leader, now: u64| {
         let outputs = leader.run(now).into_iter();
         let times = outputs.filter_map(|output| match output {
             FleetOutput::DepartureAcknowledged(after) => Some(after.as_millis()),
@@ -120,16 +123,16 @@
     leader.fleet.record_departure_commit(at(900), 4);
     leader.report_as_of(1_000, 1, 5);
     assert_eq!(
-        told(&mut leader, 1_000),
+        propagation_times(&mut leader, 1_000),
         [0; 0],
-        "what it brings along is not measured"
+        "what it received before it connected is not measured"
     );
     leader.fleet.record_departure_commit(at(1_100), 7);
     leader.fleet.record_departure_commit(at(1_120), 9);
     leader.report_as_of(1_150, 1, 7);
-    assert_eq!(told(&mut leader, 1_150), [50]);
+    assert_eq!(propagation_times(&mut leader, 1_150), [50]);
     leader.report_as_of(1_200, 1, 7);
-    assert_eq!(told(&mut leader, 1_200), [0; 0]);
+    assert_eq!(propagation_times(&mut leader, 1_200), [0; 0]);
     leader.report_as_of(1_250, 1, 12);
-    assert_eq!(told(&mut leader, 1_250), [130]);
+    assert_eq!(propagation_times(&mut leader, 1_250), [130]);
 }
--- a/crates/millpass-fleet/tests/room.rs
+++ b/crates/millpass-fleet/tests/room.rs
@@ -18,12 +18,12 @@
 /// Returns a document whose engines hold up to two models and two adapters.
 fn document(models: &[&str]) -> DeploymentDocument {
     let models = models.iter().map(|name| documents::model(name, 60, 9));
-    let room = EngineCapacity {
+    let capacity = EngineCapacity {
         weights_kilobytes: 130,
         adapter_slots: 2,
         milliloads_per_second: 20_000,
     };
-    engine_document(models.collect(), &room)
+    engine_document(models.collect(), &capacity)
 }
 
 fn held(model: &str, adapters: &[&str]) -> HeldModel {
@@ -59,7 +59,7 @@
     }
 
     /// Creates a leader whose engine announces these models, and responds to the read of its state.
-    fn with_state(held: &[HeldModel], read: &InstructionResult) -> Leader {
+    fn with_state(held: &[HeldModel], state_report: &InstructionResult) -> Leader {
         let settings = FleetSettings {
             order_handover: Duration::ZERO,
             ..FleetSettings::default()
@@ -72,7 +72,7 @@
         };
         leader.announce(1_000, held);
         leader.run(1_000);
-        leader.respond(1_000, read);
+        leader.respond(1_000, state_report);
         leader
     }
 
@@ -112,23 +112,23 @@
     }
 
     /// Responds to the newest call.
-    fn respond(&mut self, now: u64, answer: &InstructionResult) {
-        let answer = self.calls.response(&"e".into(), answer);
-        self.fleet.handle_call_result(at(now), &answer);
+    fn respond(&mut self, now: u64, result: &InstructionResult) {
+        let result = self.calls.response(&"e".into(), result);
+        self.fleet.handle_call_result(at(now), &result);
     }
 
     /// Responds to this call.
-    fn respond_to(&mut self, now: u64, call: CallId, answer: &InstructionResult) {
-        let answer = calls::response_to(call, &"e".into(), answer);
-        self.fleet.handle_call_result(at(now), &answer);
+    fn respond_to(&mut self, now: u64, call: CallId, result: &InstructionResult) {
+        let result = calls::response_to(call, &"e".into(), result);
+        self.fleet.handle_call_result(at(now), &result);
     }
 
     /// Reports demand for a model or an adapter of it for one second, and returns the instructions
     /// sent. State reads are not responded to.
     fn request(&mut self, now: u64, model: &str, adapter: Option<&str>) -> Vec<EngineInstruction> {
-        let mut given = Vec::new();
+        let mut instructions = Vec::new();
         for now in (now..now + 1_000).step_by(100) {
-            let need = GatewayModelDemand {
+            let demand = GatewayModelDemand {
                 service: "text".into(),
                 model: model.into(),
                 adapter: adapter.map(Into::into),
@@ -143,7 +143,7 @@
                 zone: "z".into(),
                 sequence: now,
                 version: 1,
-                demand: vec![need],
+                demand: vec![demand],
                 inconsistent: Vec::new(),
                 in_flight: Vec::new(),
                 as_of: 0,
@@ -151,18 +151,21 @@
             };
             self.fleet.handle_report(at(now), 1, &report);
             let outputs = self.run(now).into_iter();
-            given.extend(outputs.filter_map(|output| match output {
+            instructions.extend(outputs.filter_map(|output| match output {
                 FleetOutput::Instruct(instruction) => Some(instruction),
                 _ => None,
             }));
         }
-        given
+        instructions
     }
 }
 
-fn loads(given: &[EngineInstruction]) -> usize {
+fn loads(instructions: &[EngineInstruction]) -> usize {
     let load = InstructionOperation::Load;
-    given.iter().filter(|given| given.operation == load).count()
+    instructions
+        .iter()
+        .filter(|instructions| instructions.operation == load)
+        .count()
 }
 
 #[test]
@@ -176,7 +179,7 @@
     leader.respond_to(2_510, read, &state(0, &[held("a", &[])]));
     leader.respond_to(2_800, first[0].call, &InstructionResult::Accepted);
     let next = leader.request(2_810, "c", None);
-    assert_eq!(loads(&next), 0, "b is on its way: {next:?}");
+    assert_eq!(loads(&next), 0, "b is being loaded: {next:?}");
     // A state report shows what the engine holds.
     leader.respond(3_900, &state(1, &[held("a", &[]), held("b", &[])]));
     let next = leader.request(4_000, "c", None);
@@ -200,7 +203,7 @@
     leader.respond_to(5_700, old, &InstructionResult::Unanswered);
     leader.respond_to(5_710, second[0].call, &InstructionResult::Accepted);
     let next = leader.request(5_720, "c", None);
-    assert_eq!(loads(&next), 0, "b is on its way: {next:?}");
+    assert_eq!(loads(&next), 0, "b is being loaded: {next:?}");
 }
 
 /// The heartbeat was sent before the adapters were loaded and arrives three seconds later.
@@ -209,14 +212,18 @@
     let mut leader = Leader::new(&[held("a", &[])]);
     for adapter in ["x", "y"] {
         let now = if adapter == "x" { 1_100 } else { 2_200 };
-        let given = leader.request(now, "a", Some(adapter));
-        assert_eq!(loads(&given), 1, "{given:?}");
-        leader.respond_to(now + 1_010, given[0].call, &InstructionResult::Accepted);
+        let instructions = leader.request(now, "a", Some(adapter));
+        assert_eq!(loads(&instructions), 1, "{instructions:?}");
+        leader.respond_to(
+            now + 1_010,
+            instructions[0].call,
+            &InstructionResult::Accepted,
+        );
         leader.run(now + 1_050);
     }
     leader.announce(6_500, &[held("a", &[])]);
     let next = leader.request(6_510, "a", Some("z"));
-    assert_eq!(loads(&next), 0, "both places are taken: {next:?}");
+    assert_eq!(loads(&next), 0, "both slots are in use: {next:?}");
 }
 
 /// An unload waits for the adapter's running requests; only a report shows its end.
@@ -224,14 +231,14 @@
 fn unloaded_adapter_keeps_its_slot_until_a_report_shows_it_gone() {
     let full = [held("a", &["x", "y"])];
     let mut leader = Leader::new(&full);
-    let given = leader.request(1_100, "a", Some("z"));
-    assert_eq!(given[0].operation, InstructionOperation::Unload);
-    leader.respond_to(2_110, given[0].call, &InstructionResult::Accepted);
+    let instructions = leader.request(1_100, "a", Some("z"));
+    assert_eq!(instructions[0].operation, InstructionOperation::Unload);
+    leader.respond_to(2_110, instructions[0].call, &InstructionResult::Accepted);
     let next = leader.request(2_200, "a", Some("z"));
-    assert_eq!(loads(&next), 0, "its runs go on: {next:?}");
+    assert_eq!(loads(&next), 0, "its requests are still running: {next:?}");
     leader.respond(3_300, &state(1, &full));
     let next = leader.request(3_400, "a", Some("z"));
-    assert_eq!(loads(&next), 0, "its runs still go on: {next:?}");
+    assert_eq!(loads(&next), 0, "its requests are still running: {next:?}");
     leader.respond(4_500, &state(1, &[held("a", &["y"])]));
     let next = leader.request(4_600, "a", Some("z"));
     assert_eq!(loads(&next), 1, "{next:?}");
@@ -240,7 +247,7 @@
 /// Heartbeats do not list adapters being loaded, which may take seconds.
 #[test]
 fn loading_adapters_keep_their_slots_until_a_report_shows_otherwise() {
-    let coming = InstructionResult::State(EngineState {
+    let loading = InstructionResult::State(EngineState {
         revision: 2,
         busy: false,
         models: vec![held("a", &[])],
@@ -248,7 +255,7 @@
         on_disk: Vec::new(),
         loading_adapters: vec![held("a", &["x", "y"])],
     });
-    let mut leader = Leader::with_state(&[held("a", &[])], &coming);
+    let mut leader = Leader::with_state(&[held("a", &[])], &loading);
     leader.announce(5_000, &[held("a", &[])]);
     let next = leader.request(5_010, "a", Some("z"));
     assert_eq!(loads(&next), 0, "{next:?}");
@@ -260,33 +267,37 @@
     let both = [held("a", &[]), held("b", &[])];
     let mut leader = Leader::new(&both);
     leader.document = document(&["a", "c", "d"]);
-    let given = leader.request(1_100, "c", None);
-    assert_eq!(loads(&given), 0, "{given:?}");
-    assert_eq!(given.len(), 1);
-    assert_eq!(given[0].model, "b".into(), "nobody can ask for it");
+    let instructions = leader.request(1_100, "c", None);
+    assert_eq!(loads(&instructions), 0, "{instructions:?}");
+    assert_eq!(instructions.len(), 1);
+    assert_eq!(
+        instructions[0].model,
+        "b".into(),
+        "the model missing from the configuration is unloaded"
+    );
 }
 
 /// The announcement was sent before the load of the model being unloaded and arrives late.
 #[test]
 fn announced_unload_frees_no_memory_before_confirmation() {
     let mut leader = Leader::new(&[held("a", &[]), held("b", &[])]);
-    let given = leader.request(1_100, "c", None);
-    assert_eq!(given[0].operation, InstructionOperation::Unload);
-    let left = if given[0].model == "a".into() {
+    let instructions = leader.request(1_100, "c", None);
+    assert_eq!(instructions[0].operation, InstructionOperation::Unload);
+    let remaining = if instructions[0].model == "a".into() {
         "b"
     } else {
         "a"
     };
-    leader.respond_to(2_110, given[0].call, &InstructionResult::Accepted);
-    leader.announce(2_200, &[held(left, &[])]);
-    let asked = leader.request(2_210, "c", None);
-    assert_eq!(asked.len(), 1, "{asked:?}");
-    assert_eq!(asked[0].operation, InstructionOperation::Unload);
+    leader.respond_to(2_110, instructions[0].call, &InstructionResult::Accepted);
+    leader.announce(2_200, &[held(remaining, &[])]);
+    let repeated = leader.request(2_210, "c", None);
+    assert_eq!(repeated.len(), 1, "{repeated:?}");
+    assert_eq!(repeated[0].operation, InstructionOperation::Unload);
     // Running requests delay the unload, so the engine is busy with another order.
-    leader.respond_to(3_300, asked[0].call, &InstructionResult::Conflict);
+    leader.respond_to(3_300, repeated[0].call, &InstructionResult::Conflict);
     let next = leader.request(3_310, "c", None);
     assert!(next.is_empty(), "{next:?}");
-    leader.respond(4_400, &state(1, &[held(left, &[])]));
+    leader.respond(4_400, &state(1, &[held(remaining, &[])]));
     let next = leader.request(4_410, "c", None);
     assert_eq!(loads(&next), 1, "{next:?}");
 }
@@ -297,17 +308,17 @@
 #[test]
 fn revision_is_read_after_immediate_adapter_unload() {
     let mut leader = Leader::new(&[held("a", &["x", "y"])]);
-    let given = leader.request(1_100, "a", Some("z"));
-    assert_eq!(given[0].operation, InstructionOperation::Unload);
-    leader.respond_to(2_110, given[0].call, &InstructionResult::AlreadySo);
+    let instructions = leader.request(1_100, "a", Some("z"));
+    assert_eq!(instructions[0].operation, InstructionOperation::Unload);
+    leader.respond_to(2_110, instructions[0].call, &InstructionResult::AlreadySo);
     let next = leader.request(2_120, "a", Some("z"));
     assert!(next.is_empty(), "{next:?}");
-    let left = if given[0].adapter == Some("x".into()) {
+    let remaining = if instructions[0].adapter == Some("x".into()) {
         "y"
     } else {
         "x"
     };
-    leader.respond(3_200, &state(0, &[held("a", &[left])]));
+    leader.respond(3_200, &state(0, &[held("a", &[remaining])]));
     let next = leader.request(3_210, "a", Some("z"));
     assert_eq!(loads(&next), 1, "{next:?}");
     assert_eq!(next[0].expected_revision, 0);
--- a/crates/millpass-fleet/tests/room_under_faults.rs
+++ b/crates/millpass-fleet/tests/room_under_faults.rs
@@ -17,15 +17,20 @@
 const MIN_MEAN_LOADS: u64 = 8;
 
 fn seeds(case: u64) -> Range<u64> {
-    let by_hand = std::env::var("MILLPASS_ROOM_SEEDS").ok();
-    let range = by_hand.as_deref().and_then(|range| range.split_once(".."));
+    let from_environment = std::env::var("MILLPASS_ROOM_SEEDS").ok();
+    let range = from_environment
+        .as_deref()
+        .and_then(|range| range.split_once(".."));
     let Some((first, end)) = range else {
         return case * SEEDS_PER_CASE..(case + 1) * SEEDS_PER_CASE;
     };
-    let number = |text: &str| text.parse::<u64>().expect("FIRST..END");
+    let number = |text: &str| {
+        text.parse::<u64>()
+            .expect("MILLPASS_ROOM_SEEDS must be FIRST..END")
+    };
     let (first, end) = (number(first), number(end));
-    let share = (end - first).div_ceil(8);
-    (first + case * share).min(end)..(first + (case + 1) * share).min(end)
+    let seeds_per_case = (end - first).div_ceil(8);
+    (first + case * seeds_per_case).min(end)..(first + (case + 1) * seeds_per_case).min(end)
 }
 
 /// Regressions: a recorded revision that was too high (2285, 3540, 6261), a load carried out by a
@@ -47,11 +52,11 @@
     let loads = simulation.loads();
     assert!(
         simulation.is_served_in_time("a", "x"),
-        "seed {seed}: not served in calm"
+        "seed {seed}: not served in time without faults"
     );
     assert!(
         simulation.is_served_in_time("g", "u"),
-        "seed {seed}: not served in calm"
+        "seed {seed}: not served in time without faults"
     );
     assert_no_violations(&simulation, seed);
     loads
--- a/crates/millpass-fleet/tests/shares.rs
+++ b/crates/millpass-fleet/tests/shares.rs
@@ -130,10 +130,13 @@
 #[test]
 fn engines_without_demand_are_neither_read_nor_published() {
     // The limit for keeping all active, two replicas of each model, and spares in each zone.
-    let most = 256 + 2 * 100 + 4 * 8;
+    let limit = 256 + 2 * 100 + 4 * 8;
     for engines in [2_000, 20_000] {
-        let (reads, told) = first_update(engines);
-        assert!(reads <= most && told <= most, "{engines}: {reads}, {told}");
+        let (reads, published) = first_update(engines);
+        assert!(
+            reads <= limit && published <= limit,
+            "{engines}: {reads}, {published}"
+        );
     }
 }
 
--- a/crates/millpass-fleet/tests/store.rs
+++ b/crates/millpass-fleet/tests/store.rs
@@ -42,36 +42,36 @@
     }
 
     /// Advances one step and passes the pending loads to the estimator.
-    fn step(&mut self, learner: &mut StoreCapacity) {
-        let share = (self.capacity / self.remaining.len().max(1) as f64).min(1.0);
+    fn step(&mut self, estimator: &mut StoreCapacity) {
+        let speed = (self.capacity / self.remaining.len().max(1) as f64).min(1.0);
         for left in self.remaining.values_mut() {
-            *left -= share * STEP.as_secs_f64();
+            *left -= speed * STEP.as_secs_f64();
         }
-        let before = self.remaining.len();
+        let pending = self.remaining.len();
         self.remaining.retain(|_, left| *left > 0.0);
-        self.ended += before - self.remaining.len();
+        self.ended += pending - self.remaining.len();
         self.now = self.now + STEP;
-        self.observe(learner);
+        self.observe(estimator);
     }
 
-    fn observe(&self, learner: &mut StoreCapacity) {
+    fn observe(&self, estimator: &mut StoreCapacity) {
         let loads = self.remaining.keys().map(|instance| PendingLoad {
             instance: instance.clone(),
             model: "m".into(),
             nominal_time: self.stated,
         });
-        learner.observe(self.now, loads.collect(), 0, |_, _| true);
+        estimator.observe(self.now, loads.collect(), 0, |_, _| true);
     }
 
     /// Advances by `time` with more demand than may be loaded at once.
-    fn run_saturated(&mut self, learner: &mut StoreCapacity, time: Duration) {
+    fn run_saturated(&mut self, estimator: &mut StoreCapacity, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            while self.remaining.len() < learner.limit() {
+            while self.remaining.len() < estimator.limit() {
                 self.begin();
             }
-            self.observe(learner);
-            self.step(learner);
+            self.observe(estimator);
+            self.step(estimator);
         }
     }
 }
@@ -83,9 +83,9 @@
 ) {
     let stated = Duration::from_millis(stated);
     let mut store = SharedStore::new(capacity, stated);
-    let mut learner = StoreCapacity::default();
-    store.run_saturated(&mut learner, stated * 14);
-    let limit = learner.limit() as f64;
+    let mut estimator = StoreCapacity::default();
+    store.run_saturated(&mut estimator, stated * 14);
+    let limit = estimator.limit() as f64;
     assert!(limit >= capacity * 0.8 - 0.5, "{limit} of {capacity}");
     assert!(limit <= capacity * 1.5 + 0.5, "{limit} of {capacity}");
 }
@@ -94,8 +94,8 @@
 fn loads_keep_completing_with_low_store_capacity() {
     let stated = Duration::from_secs(6);
     let mut store = SharedStore::new(4.0, stated);
-    let mut learner = StoreCapacity::default();
-    store.run_saturated(&mut learner, Duration::from_secs(34));
+    let mut estimator = StoreCapacity::default();
+    store.run_saturated(&mut estimator, Duration::from_secs(34));
     assert!(store.ended >= 15, "ended {} of 22 possible", store.ended);
 }
 
@@ -103,25 +103,25 @@
 fn single_stuck_load_does_not_lower_the_limit() {
     let stated = Duration::from_secs(3);
     let mut store = SharedStore::new(30.0, stated);
-    let mut learner = StoreCapacity::default();
+    let mut estimator = StoreCapacity::default();
     let stuck = store.begin();
     store.remaining.insert(stuck, f64::MAX);
-    store.run_saturated(&mut learner, Duration::from_secs(40));
-    assert!(learner.limit() >= 20, "{}", learner.limit());
+    store.run_saturated(&mut estimator, Duration::from_secs(40));
+    assert!(estimator.limit() >= 20, "{}", estimator.limit());
 }
 
 #[test]
 fn limit_recovers_after_store_slowdown() {
     let stated = Duration::from_secs(3);
     let mut store = SharedStore::new(12.0, stated);
-    let mut learner = StoreCapacity::default();
-    store.run_saturated(&mut learner, Duration::from_secs(30));
+    let mut estimator = StoreCapacity::default();
+    store.run_saturated(&mut estimator, Duration::from_secs(30));
     store.capacity = 2.0;
-    store.run_saturated(&mut learner, Duration::from_secs(20));
-    assert!(learner.limit() <= 4, "{}", learner.limit());
+    store.run_saturated(&mut estimator, Duration::from_secs(20));
+    assert!(estimator.limit() <= 4, "{}", estimator.limit());
     store.capacity = 12.0;
-    store.run_saturated(&mut learner, Duration::from_secs(60));
-    assert!(learner.limit() >= 9, "{}", learner.limit());
+    store.run_saturated(&mut estimator, Duration::from_secs(60));
+    assert!(estimator.limit() >= 9, "{}", estimator.limit());
 }
 
 #[test]
@@ -135,24 +135,24 @@
     assert_eq!(
         StoreCapacity::from_history(&history).limit(),
         1,
-        "absurd, and harmless"
+        "the limit is at least one"
     );
 }
 
 #[test]
 fn lost_load_does_not_change_the_limit() {
     let mut store = SharedStore::new(30.0, Duration::from_secs(3));
-    let mut learner = StoreCapacity::default();
-    let before = learner.limit();
+    let mut estimator = StoreCapacity::default();
+    let previous_limit = estimator.limit();
     for _ in 0..3 {
         store.begin();
     }
-    store.observe(&mut learner);
-    store.step(&mut learner);
+    store.observe(&mut estimator);
+    store.step(&mut estimator);
     store.remaining.clear();
     store.now = store.now + STEP;
-    learner.observe(store.now, Vec::new(), 0, |_, _| false);
-    assert_eq!(learner.limit(), before);
+    estimator.observe(store.now, Vec::new(), 0, |_, _| false);
+    assert_eq!(estimator.limit(), previous_limit);
 }
 
 #[test]
@@ -162,27 +162,30 @@
         ..Config::default()
     };
     let generator = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let look = (0_u64..20_000, 0_usize..6, 0_usize..4, any::<bool>());
-    let looks = proptest::collection::vec(look, 1..60);
+    let observation = (0_u64..20_000, 0_usize..6, 0_usize..4, any::<bool>());
+    let observations = proptest::collection::vec(observation, 1..60);
     TestRunner::new_with_rng(config, generator)
-        .run(&(looks, 0_u64..60_000), |(looks, stated)| {
-            let mut learner = StoreCapacity::default();
+        .run(&(observations, 0_u64..60_000), |(observations, stated)| {
+            let mut estimator = StoreCapacity::default();
             let mut now = Timestamp::ZERO;
-            let mut most = learner.limit();
-            for (millis, loads, others, brought) in looks {
+            let mut most = estimator.limit();
+            for (millis, loads, unknown_loads, completed) in observations {
                 now = now + Duration::from_millis(millis);
                 let under_way = (0..loads).map(|index| PendingLoad {
                     instance: InstanceId(format!("e-{index}")),
                     model: "m".into(),
                     nominal_time: Duration::from_millis(stated),
                 });
-                most = most.max(loads + others);
-                learner.observe(now, under_way.collect(), others, |_, _| brought);
-                prop_assert!(learner.limit() >= 1);
-                let limit = learner.limit();
-                prop_assert!(limit <= most * 2, "{limit} with {most} at once");
+                most = most.max(loads + unknown_loads);
+                estimator.observe(now, under_way.collect(), unknown_loads, |_, _| completed);
+                prop_assert!(estimator.limit() >= 1);
+                let limit = estimator.limit();
+                prop_assert!(
+                    limit <= most * 2,
+                    "limit {limit} with at most {most} concurrent loads"
+                );
             }
             Ok(())
         })
-        .expect("bounded");
+        .expect("the limit stays bounded");
 }
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -40,18 +40,18 @@
 #[test]
 fn reconnecting_unchanged_gateway_is_sent_digests_only() {
     let mut leader = Leader::new(INSTANCES, DEPARTED);
-    let known = connect_up_to_date(&mut leader, COMPLETE);
+    let digests = connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
-    leader.report_of(COMPLETE + 20, 2, "g-1", 1, known.clone());
+    leader.report_of(COMPLETE + 20, 2, "g-1", 1, digests.clone());
     let update = single(leader.updates(COMPLETE + 20));
     assert!(update.first);
     assert!(update.instances.is_empty() && update.removed.is_empty());
     assert!(update.document.is_none() && update.document_change.is_none());
-    let mut kept = update.unchanged_instance_digests.clone();
-    let mut known = known;
-    kept.sort_unstable();
-    known.sort_unstable();
-    assert_eq!(kept, known, "each counts as named");
+    let mut unchanged = update.unchanged_instance_digests.clone();
+    let mut digests = digests;
+    unchanged.sort_unstable();
+    digests.sort_unstable();
+    assert_eq!(unchanged, digests, "all digests are unchanged");
     // A digest takes at most ten bytes, the rest of the update a few dozen.
     assert!(
         encoded_size(&update) <= 1_500,
@@ -64,10 +64,10 @@
 #[test]
 fn incomplete_leader_sends_departures_only_if_needed() {
     let mut leader = Leader::new(INSTANCES, DEPARTED);
-    let known: Vec<u64> = (0..INSTANCES)
+    let digests: Vec<u64> = (0..INSTANCES)
         .map(|number| record(number).digest())
         .collect();
-    leader.report_of(100, 1, "g-1", 1, known.clone());
+    leader.report_of(100, 1, "g-1", 1, digests.clone());
     let update = single(leader.updates(100));
     assert!(!update.complete);
     assert!(
@@ -75,7 +75,7 @@
         "{} bytes",
         encoded_size(&update)
     );
-    let mut one_more = known;
+    let mut one_more = digests;
     one_more.push(record(INSTANCES).digest());
     leader.report_of(200, 2, "g-2", 1, one_more);
     let update = single(leader.updates(200));
@@ -85,31 +85,31 @@
     assert_eq!(
         update.removed.len(),
         DEPARTED as usize,
-        "it may not say what it holds"
+        "a gateway without digests may hold any instance"
     );
 }
 
 #[test]
 fn reconnecting_gateway_is_sent_changed_instances_only() {
     let mut leader = Leader::new(INSTANCES, 0);
-    let known = connect_up_to_date(&mut leader, COMPLETE);
+    let digests = connect_up_to_date(&mut leader, COMPLETE);
     leader.fleet.handle_disconnect(at(COMPLETE + 10), 1);
     leader.fleet.handle_departure(&"i-000000003".into(), false);
     leader.fleet.handle_departure(&"i-000000004".into(), true);
-    let mut again = record(5);
-    again.sequence = 9;
+    let mut announced = record(5);
+    announced.sequence = 9;
     leader
         .fleet
-        .handle_announcement(at(COMPLETE + 11), again, false);
-    leader.report_of(COMPLETE + 20, 2, "g-1", 1, known.clone());
+        .handle_announcement(at(COMPLETE + 11), announced, false);
+    leader.report_of(COMPLETE + 20, 2, "g-1", 1, digests.clone());
     let update = single(leader.updates(COMPLETE + 20));
-    let named: Vec<&str> = update
+    let changed: Vec<&str> = update
         .instances
         .iter()
         .map(|record| record.instance.as_str())
         .collect();
-    assert_eq!(named, ["i-000000003"]);
-    assert_eq!(update.unchanged_instance_digests.len(), known.len() - 2);
+    assert_eq!(changed, ["i-000000003"]);
+    assert_eq!(update.unchanged_instance_digests.len(), digests.len() - 2);
     assert!(
         !update
             .unchanged_instance_digests
@@ -121,7 +121,7 @@
 fn change_of_one_route_does_not_send_the_document() {
     let mut leader = Leader::new(0, 0);
     connect_up_to_date(&mut leader, COMPLETE);
-    let whole = single({
+    let full_update = single({
         leader.report(COMPLETE + 2, 2, 0);
         leader.updates(COMPLETE + 2)
     });
@@ -144,7 +144,7 @@
             encoded_size(&update) <= 200,
             "{} of {} bytes",
             encoded_size(&update),
-            encoded_size(&whole)
+            encoded_size(&full_update)
         );
     }
 }
@@ -165,11 +165,11 @@
 #[test]
 fn change_lost_with_its_connection_is_resent_on_the_next() {
     let mut leader = Leader::new(INSTANCES, 0);
-    let known = connect_up_to_date(&mut leader, COMPLETE);
+    let digests = connect_up_to_date(&mut leader, COMPLETE);
     leader.commit_next_version(COMPLETE + 100);
     assert_eq!(leader.updates(COMPLETE + 100).len(), 1);
     leader.fleet.handle_disconnect(at(COMPLETE + 110), 1);
-    leader.report_of(COMPLETE + 120, 2, "g-1", 1, known);
+    leader.report_of(COMPLETE + 120, 2, "g-1", 1, digests);
     let update = single(leader.updates(COMPLETE + 120));
     let change = update.document_change.as_ref().expect("a change");
     assert_eq!((change.base, change.version), (1, 2));
@@ -193,24 +193,24 @@
     let early = single(leader.updates(sent + 100));
     assert!(
         early.document.is_none() && early.document_change.is_none(),
-        "on its way"
+        "the version is still on its way"
     );
     // Without reports nothing is resent: it would queue behind what is already pending.
     assert!(leader.updates(sent + 1_500).is_empty());
     leader.report_of(sent + 1_600, 1, "g-1", 1, Vec::new());
-    let again = single(leader.updates(sent + 1_600));
-    assert_eq!(again.document.as_ref().map(|found| found.version), Some(2));
+    let resent = single(leader.updates(sent + 1_600));
+    assert_eq!(resent.document.as_ref().map(|found| found.version), Some(2));
     leader.report_of(sent + 1_700, 1, "g-1", 1, Vec::new());
     assert!(
         single(leader.updates(sent + 1_700)).document.is_none(),
-        "not at each report"
+        "not resent at each report"
     );
     leader.report_of(sent + 3_200, 1, "g-1", 1, Vec::new());
     assert!(single(leader.updates(sent + 3_200)).document.is_some());
     leader.report_of(sent + 4_800, 1, "g-1", 2, Vec::new());
     assert!(
         single(leader.updates(sent + 4_800)).document.is_none(),
-        "it has it"
+        "the version has arrived"
     );
 }
 
@@ -275,22 +275,22 @@
     let mut leader = Leader::new(INSTANCES, 0);
     connect_up_to_date(&mut leader, COMPLETE);
     report_loads(&mut leader, COMPLETE + 100, 3);
-    let news = single(leader.updates(COMPLETE + 100));
-    assert!(!news.loads_unchanged);
-    assert_eq!(news.loads.len(), 64);
+    let changed = single(leader.updates(COMPLETE + 100));
+    assert!(!changed.loads_unchanged);
+    assert_eq!(changed.loads.len(), 64);
     report_loads(&mut leader, COMPLETE + 500, 3);
-    let answer = single(leader.updates(COMPLETE + 500));
-    assert!(answer.loads_unchanged && answer.ready_estimates_unchanged);
-    assert!(answer.loads.is_empty() && answer.ready_estimates.is_empty());
+    let unchanged = single(leader.updates(COMPLETE + 500));
+    assert!(unchanged.loads_unchanged && unchanged.ready_estimates_unchanged);
+    assert!(unchanged.loads.is_empty() && unchanged.ready_estimates.is_empty());
     assert!(
-        encoded_size(&answer) <= 32,
+        encoded_size(&unchanged) <= 32,
         "{} bytes",
-        encoded_size(&answer)
+        encoded_size(&unchanged)
     );
     report_loads(&mut leader, COMPLETE + 900, 4);
-    let news = single(leader.updates(COMPLETE + 900));
-    assert!(!news.loads_unchanged && news.ready_estimates_unchanged);
-    assert_eq!(news.loads[0].in_flight, 4);
+    let changed = single(leader.updates(COMPLETE + 900));
+    assert!(!changed.loads_unchanged && changed.ready_estimates_unchanged);
+    assert_eq!(changed.loads[0].in_flight, 4);
 }
 
 #[test]
@@ -312,12 +312,12 @@
     leader.report(COMPLETE, 1, 1);
     let newest = leader.newest_report();
     leader.report(COMPLETE, 2, 1);
-    let answers: Vec<u64> = leader
+    let acknowledged: Vec<u64> = leader
         .updates(COMPLETE)
         .iter()
         .map(|(_, update)| update.acknowledged_report)
         .collect();
-    assert_eq!(answers, [newest, newest + 1]);
+    assert_eq!(acknowledged, [newest, newest + 1]);
 }
 
 /// Guards against updates without a change or report.
@@ -380,12 +380,18 @@
     leader.report_of(200, 2, "g", 1, Vec::new());
     leader.run(200);
     leader.report_of(210, 1, "g", 1, Vec::new());
-    assert!(leader.updates(220).is_empty(), "nobody is at the older one");
+    assert!(
+        leader.updates(220).is_empty(),
+        "no update is sent on the older connection"
+    );
     leader.report_of(300, 2, "g", 1, Vec::new());
-    let told = leader.updates(310);
-    let connections: Vec<u64> = told.iter().map(|(connection, _)| *connection).collect();
+    let updates = leader.updates(310);
+    let connections: Vec<u64> = updates.iter().map(|(connection, _)| *connection).collect();
     assert_eq!(connections, [2]);
-    assert!(!told[0].1.first, "it is the session of before");
+    assert!(
+        !updates[0].1.first,
+        "the session of the newer connection continues"
+    );
 }
 
 /// With a thousand gateways, each is sent one update a second; the one with waiting requests is
@@ -406,13 +412,13 @@
         adapters: vec!["a1".into()],
     }];
     leader.fleet.handle_announcement(at(12_050), changed, false);
-    let told: Vec<u64> = leader
+    let updated: Vec<u64> = leader
         .updates(12_060)
         .iter()
         .filter(|(_, update)| !update.instances.is_empty())
         .map(|(connection, _)| *connection)
         .collect();
-    assert!(told.contains(&7), "{told:?}");
+    assert!(updated.contains(&7), "{updated:?}");
 }
 
 /// Guards against long passes when a thousand gateways connect at once. Those that hold all
@@ -434,16 +440,16 @@
         let gateway = format!("g-{connection}");
         leader.report_of(COMPLETE, connection, &gateway, 1, held.clone());
     }
-    let mut greeted = 0;
-    for look in 0..within / 10 {
-        let updates = leader.updates(COMPLETE + 10 * look);
-        let named: usize = updates
+    let mut first_updates = 0;
+    for pass in 0..within / 10 {
+        let updates = leader.updates(COMPLETE + 10 * pass);
+        let records: usize = updates
             .iter()
             .map(|(_, update)| update.instances.len())
             .sum();
         // The last first update of a pass starts below the bound.
-        assert!(named <= 4_096 + 500, "{named}");
-        greeted += updates.iter().filter(|(_, update)| update.first).count();
+        assert!(records <= 4_096 + 500, "{records}");
+        first_updates += updates.iter().filter(|(_, update)| update.first).count();
     }
-    assert_eq!(greeted, 1_000);
+    assert_eq!(first_updates, 1_000);
 }
