--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -105,8 +105,8 @@
         self.evidence
     }
 
-    pub(crate) fn set_evidence(&mut self, now: Timestamp, word: Evidence) {
-        self.evidence = Some((word, now));
+    pub(crate) fn set_evidence(&mut self, now: Timestamp, evidence: Evidence) {
+        self.evidence = Some((evidence, now));
     }
 
     fn add_adapter(&mut self, model: &ModelName, adapter: AdapterName) {
--- a/crates/millpass-fleet/src/observed_state.rs
+++ b/crates/millpass-fleet/src/observed_state.rs
@@ -60,8 +60,8 @@
     let loading = engine.loading_adapters().iter().cloned();
     items.extend(loading.map(|(model, adapter)| (model, Some(adapter))));
     let mut pairs = vec![("believed", format_items(&items))];
-    if let Some((word, at)) = engine.evidence() {
-        pairs.push(("from", word.to_string()));
+    if let Some((evidence, at)) = engine.evidence() {
+        pairs.push(("from", evidence.to_string()));
         pairs.push(("age_ms", now.since(at).as_millis().to_string()));
     }
     pairs
