--- a/crates/millpass-cli/src/commands/programs.rs
+++ b/crates/millpass-cli/src/commands/programs.rs
@@ -260,7 +260,7 @@
             retry_slack: settings.retries.slack as f64,
             retry_window: millis(settings.retries.window_ms),
             prompt_tokens_per_milli: settings.instances.prompt_tokens_per_second as f64 / 1_000.0,
-            default_patience: millis(settings.instances.default_patience_ms),
+            default_timeout: millis(settings.instances.default_patience_ms),
             quota: quota(
                 settings.quota.window_ms,
                 &settings.quota.overage,
@@ -269,10 +269,11 @@
             key_lifetime: (settings.tenants.unchecked_keys == "refuse")
                 .then(|| millis(settings.tenants.key_lifetime_ms)),
             freshness: FreshnessSettings {
-                in_force: millis(settings.freshness.in_force_ms),
-                departed: millis(settings.freshness.departed_ms),
-                sending: millis(settings.instances.connect_timeout_ms) + SENDING_BEYOND_CONNECTING,
-                cut_off: millis(settings.freshness.cut_off_ms),
+                max_staleness: millis(settings.freshness.in_force_ms),
+                max_departure_staleness: millis(settings.freshness.departed_ms),
+                max_send_delay: millis(settings.instances.connect_timeout_ms)
+                    + SENDING_BEYOND_CONNECTING,
+                max_isolated_staleness: millis(settings.freshness.cut_off_ms),
             },
         },
         clock: ProcessClock::start(),
--- a/crates/millpass-dispatch/src/choosing.rs
+++ b/crates/millpass-dispatch/src/choosing.rs
@@ -45,9 +45,9 @@
 impl Dispatcher {
     /// Decides what to do with a request now. A send is noted as begun.
     pub fn choose(&mut self, now: Timestamp, ticket: &mut Ticket) -> Choice {
-        if let Some(retry_after) = self.held_back(now, ticket) {
+        if let Some(retry_after) = self.quarantined_for(now, ticket) {
             return Choice::Refuse {
-                reason: RefusalReason::EndsInstances,
+                reason: RefusalReason::Quarantined,
                 retry_after,
             };
         }
@@ -207,7 +207,7 @@
             self.needs.sent(key, unread);
         }
         self.unwant_permit(ticket);
-        self.permits.sent(now, instance, self.gateways);
+        self.permits.record_send(now, instance, self.gateways);
         ticket.tried.push(instance.clone());
         ticket.sends += 1;
         ticket.sent_at = Some(now);
@@ -397,7 +397,7 @@
 /// An instance may have left since: nothing is sent to any. The request waits a moment, then is refused.
 fn unconfirmed(now: Timestamp, ticket: &mut Ticket) -> Choice {
     let since = *ticket.unconfirmed_since.get_or_insert(now);
-    let until = (since + UNCONFIRMED_WAIT).min(ticket.give_up);
+    let until = (since + UNCONFIRMED_WAIT).min(ticket.expires_at);
     if now < until {
         return Choice::Wait { until };
     }
--- a/crates/millpass-dispatch/src/closed.rs
+++ b/crates/millpass-dispatch/src/closed.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::{Choice, Dispatcher, RefusalReason};
 use crate::instances::Instance;
 use crate::request::Ticket;
-use millpass_limits::Opening;
+use millpass_limits::Availability;
 use millpass_proto::{Duration, InstanceId, Timestamp};
 
 impl Dispatcher {
@@ -15,10 +15,10 @@
     }
 
     /// When an instance that is not open may take a request, and why not before.
-    fn opening(&self, now: Timestamp, instance: &InstanceId) -> (Opening, RefusalReason) {
-        let by_limit = || self.permits.opening(now, instance, self.gateways);
+    fn opening(&self, now: Timestamp, instance: &InstanceId) -> (Availability, RefusalReason) {
+        let by_limit = || self.permits.availability(now, instance, self.gateways);
         match self.statements.rests_until(now, instance) {
-            Some(until) => (Opening::At(until), RefusalReason::Resting),
+            Some(until) => (Availability::At(until), RefusalReason::Backoff),
             None => (by_limit(), RefusalReason::Limited),
         }
     }
@@ -40,27 +40,29 @@
             let (opening, reason) = self.opening(now, instance);
             (opening, reason, instance)
         });
-        let soonest = openings.min_by_key(|(opening, _, _)| opening.latest());
+        let soonest = openings.min_by_key(|(opening, _, _)| opening.known_by());
         let Some((opening, reason, instance)) = soonest else {
             return self.without_candidates(now, ticket, engine);
         };
         let on_time = ticket.arrived + ticket.objective();
         match opening {
-            Opening::Unanswered(until) if now < on_time => {
+            Availability::AwaitingResponse(until) if now < on_time => {
                 self.want_permit(now, ticket, instance);
                 Choice::Wait {
                     until: until.min(on_time),
                 }
             }
-            Opening::At(opens) if opens <= ticket.patient_until() => {
+            Availability::At(opens) if opens <= ticket.patient_until() => {
                 self.want_permit(now, ticket, instance);
                 Choice::Wait { until: opens }
             }
-            Opening::At(_) if engine && self.is_coming(ticket) => self.wait_for_load(now, ticket),
-            Opening::Unanswered(opens) | Opening::At(opens) => {
+            Availability::At(_) if engine && self.is_coming(ticket) => {
+                self.wait_for_load(now, ticket)
+            }
+            Availability::AwaitingResponse(opens) | Availability::At(opens) => {
                 self.unwant_permit(ticket);
                 if reason == RefusalReason::Limited {
-                    self.permits.refused(instance);
+                    self.permits.record_refusal(instance);
                 }
                 Choice::Refuse {
                     reason,
@@ -76,7 +78,7 @@
             true => Duration::ZERO,
             false => {
                 let (opening, _) = self.opening(now, &instance.record.instance);
-                opening.latest().since(now)
+                opening.known_by().since(now)
             }
         };
         let soonest = self.fit(now, ticket, engine).map(opens_in).min();
@@ -94,12 +96,12 @@
         }
         self.unwant_permit(ticket);
         ticket.permit_wanted = Some((instance.clone(), now));
-        self.permits.want(now, instance);
+        self.permits.add_waiter(now, instance);
     }
 
     pub(crate) fn unwant_permit(&mut self, ticket: &mut Ticket) {
         if let Some((instance, _)) = ticket.permit_wanted.take() {
-            self.permits.unwant(&instance);
+            self.permits.remove_waiter(&instance);
         }
     }
 
--- a/crates/millpass-dispatch/src/credit.rs
+++ b/crates/millpass-dispatch/src/credit.rs
@@ -10,7 +10,7 @@
 #[error(
     "the token figures cannot be read; send the tokens of the prompt and the most wanted, once"
 )]
-pub struct UnreadableTokens;
+pub struct MalformedTokens;
 
 impl Dispatcher {
     /// Claims what a request costs of its tenant's quota; none where there is no limit.
@@ -18,7 +18,7 @@
         &mut self,
         now: Timestamp,
         ticket: &Ticket,
-    ) -> Result<Option<CreditClaim>, UnreadableTokens> {
+    ) -> Result<Option<CreditClaim>, MalformedTokens> {
         let Some(tenant) = &ticket.tenant else {
             return Ok(None);
         };
@@ -52,13 +52,13 @@
     }
 
     /// Takes the leader's answer.
-    pub fn take_credit(&mut self, now: Timestamp, answer: &CreditResponse) {
+    pub fn apply_credit(&mut self, now: Timestamp, answer: &CreditResponse) {
         self.credit.answer(now, answer);
     }
 
     /// Whether the leader owes an answer about credit for longer than one takes; `heard_at` is when it was last
     /// heard.
-    pub fn is_leader_silent(&self, now: Timestamp, heard_at: Timestamp) -> bool {
+    pub fn is_credit_response_overdue(&self, now: Timestamp, heard_at: Timestamp) -> bool {
         self.credit.is_leader_silent(now, heard_at)
     }
 
@@ -68,11 +68,11 @@
     }
 }
 
-fn cost(tenant: &TenantAccess, tokens: StatedTokens) -> Result<u64, UnreadableTokens> {
+fn cost(tenant: &TenantAccess, tokens: StatedTokens) -> Result<u64, MalformedTokens> {
     match (&tenant.unit, tokens) {
         (QuotaUnit::Requests, _) => Ok(1),
         (QuotaUnit::Tokens, StatedTokens::Missing) => Ok(tenant.plain_cost),
         (QuotaUnit::Tokens, StatedTokens::Sum(tokens)) => Ok(tokens),
-        (QuotaUnit::Tokens, StatedTokens::Unreadable) => Err(UnreadableTokens),
+        (QuotaUnit::Tokens, StatedTokens::Malformed) => Err(MalformedTokens),
     }
 }
--- a/crates/millpass-dispatch/src/dispatcher.rs
+++ b/crates/millpass-dispatch/src/dispatcher.rs
@@ -2,9 +2,9 @@
 
 use crate::crashes::CrashWatch;
 use crate::freshness::{Freshness, FreshnessSettings, FreshnessTracker};
-use crate::instances::{Instance, SendEnd, ToldLoad};
+use crate::instances::{Instance, ReportedLoad, SendOutcome};
 use crate::needs::Needs;
-use crate::request::{Description, SendRecord, Ticket};
+use crate::request::{RequestDescription, SendRecord, Ticket};
 use crate::retry_budget::RetryBudget;
 use crate::statements::Statements;
 use crate::table::{IdentityError, RouteError, RoutingTable};
@@ -37,7 +37,7 @@
     /// Prompt tokens an engine reads in a millisecond.
     pub prompt_tokens_per_milli: f64,
     /// How long a caller without a stated deadline waits.
-    pub default_patience: Duration,
+    pub default_timeout: Duration,
     /// What the contract bears above a tenant's limit.
     pub quota: QuotaTerms,
     /// Time without confirmation of what is known after which keys count as unchecked; none to go on with them.
@@ -60,13 +60,13 @@
     /// This gateway stops before it could be answered.
     Stopping,
     /// The instances that began to run it ended.
-    EndsInstances,
+    Quarantined,
     /// What this gateway knows may be outdated.
     Unconfirmed,
     /// All instances that could serve it state a limit, and have no room within it now.
     Limited,
     /// All instances that could serve it have asked this gateway for rest.
-    Resting,
+    Backoff,
 }
 
 impl RefusalReason {
@@ -78,10 +78,10 @@
             RefusalReason::NoInstance => "no-instance",
             RefusalReason::NoAttempts => "no-attempts",
             RefusalReason::Stopping => "stopping",
-            RefusalReason::EndsInstances => "ends-instances",
+            RefusalReason::Quarantined => "ends-instances",
             RefusalReason::Unconfirmed => "unconfirmed",
             RefusalReason::Limited => "limited",
-            RefusalReason::Resting => "resting",
+            RefusalReason::Backoff => "resting",
         }
     }
 }
@@ -201,7 +201,7 @@
         let table = self.table.as_ref().ok_or(RouteError::NotConfigured)?;
         match self.freshness(now) {
             Freshness::Confirmed => table.route(host, path),
-            Freshness::CutOff => table.route(host, path).map_err(|_| RouteError::Unconfirmed),
+            Freshness::Isolated => table.route(host, path).map_err(|_| RouteError::Unconfirmed),
             Freshness::Unconfirmed => Err(RouteError::Unconfirmed),
         }
     }
@@ -214,15 +214,15 @@
         key: PresentedKey,
     ) -> Result<Option<Arc<TenantAccess>>, IdentityError> {
         let Some(table) = &self.table else {
-            return Err(IdentityError::Outdated);
+            return Err(IdentityError::Unverifiable);
         };
         let tenant = table.identify(route, key);
         if tenant.is_err() && self.freshness(now) != Freshness::Confirmed {
-            return Err(IdentityError::Outdated);
+            return Err(IdentityError::Unverifiable);
         }
         let tenant = tenant?;
         if tenant.is_some() && self.keys_unchecked(now) {
-            return Err(IdentityError::Outdated);
+            return Err(IdentityError::Unverifiable);
         }
         Ok(tenant)
     }
@@ -241,7 +241,7 @@
         now: Timestamp,
         route: Arc<RouteSpec>,
         tenant: Option<Arc<TenantAccess>>,
-        description: Description,
+        description: RequestDescription,
         draw: f64,
     ) -> Ticket {
         let table = self.table.as_ref();
@@ -249,13 +249,11 @@
             table.rank(tenant.as_deref(), &route)
         });
         let service = pick_target(&route, self.next_position(&route, draw));
-        let patience = description
-            .patience
-            .unwrap_or(self.settings.default_patience);
+        let patience = description.timeout.unwrap_or(self.settings.default_timeout);
         let deadline = now + patience;
         let timeout = Duration::from_millis(route.timeout_millis);
         let ticket = Ticket {
-            give_up: deadline.min(now + timeout),
+            expires_at: deadline.min(now + timeout),
             route,
             service,
             arrived: now,
@@ -294,7 +292,7 @@
     }
 
     /// How a send ended. Each send that [`Dispatcher::choose`] noted ends once.
-    pub fn ended(&mut self, now: Timestamp, record: &SendRecord, end: SendEnd) {
+    pub fn record_send_outcome(&mut self, now: Timestamp, record: &SendRecord, end: SendOutcome) {
         if let Some(model) = &record.model {
             let key = (
                 record.service.clone(),
@@ -308,15 +306,15 @@
             return;
         };
         found.ended(now, end);
-        if end == SendEnd::Replaced {
+        if end == SendOutcome::Replaced {
             self.doubted.insert(record.instance.clone());
             self.instances.remove(&record.instance);
             return;
         }
-        if end == SendEnd::Unreachable || end == SendEnd::Ended {
+        if end == SendOutcome::Unreachable || end == SendOutcome::ConnectionRefused {
             self.doubted.insert(record.instance.clone());
         }
-        if end == SendEnd::Misdirected {
+        if end == SendOutcome::Misdirected {
             self.doubted.insert(record.instance.clone());
             if let Some(model) = &record.model {
                 found.turned_away(now, model, record.adapter.as_ref());
@@ -325,13 +323,15 @@
     }
 
     /// What a send's end says of the instance's run, and of the request.
-    fn note_end(&mut self, now: Timestamp, record: &SendRecord, end: SendEnd) {
+    fn note_end(&mut self, now: Timestamp, record: &SendRecord, end: SendOutcome) {
         match end {
-            SendEnd::Broken => self
+            SendOutcome::Broken => self
                 .crashes
                 .broke(now, &record.instance, &record.fingerprint),
-            SendEnd::Ended | SendEnd::Replaced => self.crashes.ended(now, &record.instance),
-            SendEnd::Answered(_) => self.crashes.served(&record.fingerprint),
+            SendOutcome::ConnectionRefused | SendOutcome::Replaced => {
+                self.crashes.ended(now, &record.instance)
+            }
+            SendOutcome::Responded(_) => self.crashes.served(&record.fingerprint),
             _ => {}
         }
     }
@@ -358,7 +358,7 @@
     }
 
     /// How much longer a request is held back, as it ends the instances that run it.
-    pub fn held_back(&self, now: Timestamp, ticket: &Ticket) -> Option<Duration> {
+    pub fn quarantined_for(&self, now: Timestamp, ticket: &Ticket) -> Option<Duration> {
         self.crashes.held_for(now, &ticket.description.fingerprint)
     }
 
@@ -368,7 +368,7 @@
     }
 
     /// Takes the leader's word on requests that end instances.
-    pub fn take_crashes(&mut self, now: Timestamp, update: &CrashUpdate) {
+    pub fn apply_crash_update(&mut self, now: Timestamp, update: &CrashUpdate) {
         self.crashes.update(now, update);
     }
 
@@ -381,14 +381,14 @@
     }
 
     /// Requests that the leader holds back.
-    pub fn held_requests(&self) -> usize {
+    pub fn quarantined_requests(&self) -> usize {
         self.crashes.held_count()
     }
 
     /// Takes the load an instance told with an answer.
-    pub fn told_load(&mut self, now: Timestamp, instance: &InstanceId, load: ToldLoad) {
+    pub fn record_load(&mut self, now: Timestamp, instance: &InstanceId, load: ReportedLoad) {
         if let Some(found) = self.instances.get_mut(instance) {
-            found.told_load(now, load);
+            found.record_load(now, load);
         }
     }
 
@@ -398,7 +398,7 @@
     }
 
     /// Whether the leader has answered the last report.
-    pub fn is_report_answered(&self) -> bool {
+    pub fn is_report_acknowledged(&self) -> bool {
         self.freshness.is_answered(self.reports)
     }
 
--- a/crates/millpass-dispatch/src/freshness.rs
+++ b/crates/millpass-dispatch/src/freshness.rs
@@ -45,24 +45,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FreshnessSettings {
     /// Time after an acknowledgement by which what it promises is in force at each gateway.
-    pub in_force: Duration,
+    pub max_staleness: Duration,
     /// The same of a departure: from then on no request arrives at the instance.
-    pub departed: Duration,
+    pub max_departure_staleness: Duration,
     /// Time from the choice of an instance to the arrival of the request there, at most: what is chosen later than this
     /// before the end of `departed` would arrive after it.
-    pub sending: Duration,
+    pub max_send_delay: Duration,
     /// Time without confirmation for which a gateway that reaches no majority of the members goes on with the
     /// routes that it knows.
-    pub cut_off: Duration,
+    pub max_isolated_staleness: Duration,
 }
 
 impl Default for FreshnessSettings {
     fn default() -> Self {
         FreshnessSettings {
-            in_force: Duration::from_millis(2_000),
-            departed: Duration::from_millis(2_000),
-            sending: Duration::from_millis(350),
-            cut_off: Duration::from_millis(300_000),
+            max_staleness: Duration::from_millis(2_000),
+            max_departure_staleness: Duration::from_millis(2_000),
+            max_send_delay: Duration::from_millis(350),
+            max_isolated_staleness: Duration::from_millis(300_000),
         }
     }
 }
@@ -74,7 +74,7 @@
     Confirmed,
     /// That cannot be confirmed, as no majority of the members is reached, and nothing newer was heard of: known routes are
     /// served, and nothing is said not to exist.
-    CutOff,
+    Isolated,
     /// It may be outdated, or nothing was ever confirmed: nothing is answered by it.
     Unconfirmed,
 }
@@ -84,7 +84,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Freshness::Confirmed => "confirmed",
-            Freshness::CutOff => "cut-off",
+            Freshness::Isolated => "cut-off",
             Freshness::Unconfirmed => "unconfirmed",
         }
     }
@@ -96,9 +96,9 @@
     /// None has answered lately.
     Unknown,
     /// Those that answered know of no leader.
-    Vacant,
+    NoLeader,
     /// The member at this peer address leads.
-    Named(SocketAddr),
+    Leader(SocketAddr),
 }
 
 /// A member's newest answer.
@@ -288,7 +288,7 @@
     }
 
     /// Peer addresses to ask: all that are known, so that a group whose voters have all moved is found.
-    pub(crate) fn members_to_ask(&self) -> Vec<SocketAddr> {
+    pub(crate) fn members_to_query(&self) -> Vec<SocketAddr> {
         let known = self.members.union(&self.voters);
         known.copied().take(MAXIMUM_MEMBERS).collect()
     }
@@ -306,14 +306,14 @@
         };
         let leader = newest.response.leader.as_deref();
         let leader = leader.and_then(|text| text.parse().ok());
-        leader.map_or(Leadership::Vacant, Leadership::Named)
+        leader.map_or(Leadership::NoLeader, Leadership::Leader)
     }
 
     /// Whether the member at this address has answered lately, and is said to lead.
     pub(crate) fn is_leading(&self, now: Timestamp, address: SocketAddr) -> bool {
         let reached = self.reached.get(&address);
         let answered = reached.is_some_and(|at| now.since(*at) <= LEADER_ANSWER_LIFETIME);
-        answered && self.leadership(now) == Leadership::Named(address)
+        answered && self.leadership(now) == Leadership::Leader(address)
     }
 
     /// Index of the newest entry that binds, of those that members told of.
@@ -330,14 +330,15 @@
         let Some(age) = self.age(now) else {
             return Freshness::Unconfirmed;
         };
-        if age <= settings.in_force {
+        if age <= settings.max_staleness {
             return Freshness::Confirmed;
         }
         // What members spoke of may be in force, whether they are still reached or not.
         let knows_all_heard = self.newest_heard() <= self.as_of;
-        let cut_off = age <= settings.cut_off && self.is_out_of_reach(now, settings.in_force);
+        let cut_off = age <= settings.max_isolated_staleness
+            && self.is_out_of_reach(now, settings.max_staleness);
         match cut_off && knows_all_heard {
-            true => Freshness::CutOff,
+            true => Freshness::Isolated,
             false => Freshness::Unconfirmed,
         }
     }
@@ -375,8 +376,10 @@
     /// How new what is known here will be when a request that is sent now arrives.
     pub(crate) fn freshness_on_arrival(&self, now: Timestamp) -> Freshness {
         let settings = &self.settings.freshness;
-        let earlier = settings.in_force.saturating_sub(settings.departed);
-        self.freshness(now + settings.sending + earlier)
+        let earlier = settings
+            .max_staleness
+            .saturating_sub(settings.max_departure_staleness);
+        self.freshness(now + settings.max_send_delay + earlier)
     }
 
     /// Time since what is known here was last confirmed to be the newest; none before the first time.
@@ -385,24 +388,24 @@
     }
 
     /// Log index up to which this gateway was told of what binds it, and the newest that members spoke of.
-    pub fn binding_indexes(&self) -> (u64, u64) {
+    pub fn required_indexes(&self) -> (u64, u64) {
         (self.freshness.as_of(), self.freshness.newest_heard())
     }
 
     /// Begins a round of questions to the members if one is due, or at once; gives its number.
-    pub fn begin_round(&mut self, now: Timestamp, at_once: bool) -> Option<u64> {
-        let in_force = self.settings.freshness.in_force;
+    pub fn begin_query_round(&mut self, now: Timestamp, at_once: bool) -> Option<u64> {
+        let in_force = self.settings.freshness.max_staleness;
         let due = at_once || self.freshness.is_asking_due(now, in_force);
         due.then(|| self.freshness.begin_round(now))
     }
 
     /// Peer addresses to ask.
-    pub fn members_to_ask(&self) -> Vec<SocketAddr> {
-        self.freshness.members_to_ask()
+    pub fn members_to_query(&self) -> Vec<SocketAddr> {
+        self.freshness.members_to_query()
     }
 
     /// Takes the answer of the member at a peer address. True when it confirms what is known anew.
-    pub fn take_freshness(
+    pub fn record_freshness_response(
         &mut self,
         now: Timestamp,
         address: SocketAddr,
@@ -412,7 +415,7 @@
     }
 
     /// The member at this peer address was connected to, or heard.
-    pub fn member_reached(&mut self, now: Timestamp, address: SocketAddr) {
+    pub fn record_member_contact(&mut self, now: Timestamp, address: SocketAddr) {
         self.freshness.note_reached(now, address);
     }
 
@@ -433,8 +436,8 @@
 
     /// Whether members hold something that binds and was not told here: any of them can pass on what is
     /// committed.
-    pub fn lacks_news(&self) -> bool {
-        let (as_of, newest) = self.binding_indexes();
+    pub fn is_missing_updates(&self) -> bool {
+        let (as_of, newest) = self.required_indexes();
         as_of == 0 || newest > as_of
     }
 }
--- a/crates/millpass-dispatch/src/instances.rs
+++ b/crates/millpass-dispatch/src/instances.rs
@@ -22,9 +22,9 @@
 
 /// How a send ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// It was answered, after this time.
-    Answered(Duration),
+    Responded(Duration),
     /// It was turned away and did not run: no room.
     Full,
     /// It was turned away: what was asked for is not there.
@@ -34,18 +34,18 @@
     /// The instance could not be connected to: the request did not reach it.
     Unreachable,
     /// Its address refuses connections: the run has ended, and the request did not reach it.
-    Ended,
+    ConnectionRefused,
     /// It failed: an error of the server or a wrong answer.
     Failed,
     /// The connection broke before the answer was whole.
     Broken,
     /// It was given up: the caller left or its time was over.
-    GivenUp,
+    Abandoned,
 }
 
 /// The load that an instance tells with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests it works on.
     pub running: u32,
     /// Requests that wait there.
@@ -180,7 +180,7 @@
     }
 
     /// Takes the load that the instance told with an answer.
-    pub(crate) fn told_load(&mut self, now: Timestamp, load: ToldLoad) {
+    pub(crate) fn record_load(&mut self, now: Timestamp, load: ReportedLoad) {
         let requests = f64::from(load.running) + f64::from(load.waiting);
         self.others = (requests - f64::from(self.in_flight)).max(0.0);
         self.waiting = f64::from(load.waiting);
@@ -204,10 +204,10 @@
     }
 
     /// Notes how a send ended.
-    pub(crate) fn ended(&mut self, now: Timestamp, end: SendEnd) {
+    pub(crate) fn ended(&mut self, now: Timestamp, end: SendOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let failed = match end {
-            SendEnd::Answered(time) => {
+            SendOutcome::Responded(time) => {
                 self.pause = UNREACHABLE_PAUSE;
                 let millis = time.as_secs_f64() * 1_000.0;
                 self.answer_millis = if self.answer_millis == 0.0 {
@@ -217,18 +217,18 @@
                 };
                 0.0
             }
-            SendEnd::Full => {
+            SendOutcome::Full => {
                 self.others = f64::from(self.record.slots.max(1)) * 1.2;
                 self.others_at = now;
                 return;
             }
-            SendEnd::Misdirected | SendEnd::Replaced | SendEnd::GivenUp => return,
-            SendEnd::Unreachable | SendEnd::Ended => {
+            SendOutcome::Misdirected | SendOutcome::Replaced | SendOutcome::Abandoned => return,
+            SendOutcome::Unreachable | SendOutcome::ConnectionRefused => {
                 self.left_out_until = now + self.pause;
                 self.pause = (self.pause * 2).min(MAXIMUM_PAUSE);
                 1.0
             }
-            SendEnd::Failed | SendEnd::Broken => 1.0,
+            SendOutcome::Failed | SendOutcome::Broken => 1.0,
         };
         self.failures = self.failures(now) * (1.0 - FAILURE_WEIGHT) + failed * FAILURE_WEIGHT;
         self.failures_at = now;
--- a/crates/millpass-dispatch/src/lib.rs
+++ b/crates/millpass-dispatch/src/lib.rs
@@ -37,13 +37,13 @@
 mod table;
 mod updates;
 
-pub use credit::UnreadableTokens;
+pub use credit::MalformedTokens;
 pub use dispatcher::{Choice, DispatchSettings, Dispatcher, RefusalReason};
 pub use fingerprint::RequestIdentity;
 pub use freshness::{Freshness, FreshnessSettings, Leadership};
-pub use instances::{SendEnd, ToldLoad};
+pub use instances::{ReportedLoad, SendOutcome};
 pub use millpass_limits::RequestRate;
-pub use request::{Description, PromptPart, SendRecord, StatedTokens, Ticket};
+pub use request::{PromptPart, RequestDescription, SendRecord, StatedTokens, Ticket};
 pub use retry_budget::{BudgetTerms, RetryBudget};
 pub use statements::{Stated, Statement, StatementChange};
 pub use table::{IdentityError, RouteError, RoutingTable};
--- a/crates/millpass-dispatch/src/limits.rs
+++ b/crates/millpass-dispatch/src/limits.rs
@@ -2,12 +2,12 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::statements::{Stated, Statement, StatementChange};
-use millpass_limits::{HeardLimit, LimitChange};
+use millpass_limits::{LimitChange, ObservedLimit};
 use millpass_proto::{InstanceId, LimitUpdate, PermitRequest, PermitResponse, Timestamp};
 
 impl Dispatcher {
     /// Takes what an instance stated in the head of its answer to a request that was sent at `sent_at`.
-    pub fn heard_statement(
+    pub fn record_statement(
         &mut self,
         now: Timestamp,
         sent_at: Timestamp,
@@ -18,26 +18,26 @@
         let rate = match statement.limit {
             Stated::Value(rate) => Some(rate),
             Stated::Missing => None,
-            Stated::Unreadable => return changes,
+            Stated::Malformed => return changes,
         };
-        let heard_at = now;
-        let word = HeardLimit {
+        let received_at = now;
+        let word = ObservedLimit {
             rate,
             sent_at,
-            heard_at,
+            received_at,
         };
-        let change = self.permits.heard(now, instance, word);
+        let change = self.permits.record_statement(now, instance, word);
         changes.extend(change.as_ref().map(StatementChange::of_limit));
         changes
     }
 
     /// Takes the limits that the leader tells; gives those that changed by it.
-    pub fn take_limits(
+    pub fn apply_limits(
         &mut self,
         now: Timestamp,
         update: &LimitUpdate,
     ) -> Vec<(InstanceId, StatementChange)> {
-        let changes = self.permits.told(now, update).into_iter();
+        let changes = self.permits.apply_update(now, update).into_iter();
         let named = |change: LimitChange| {
             let stated = StatementChange::of_limit(&change);
             (change.instance, stated)
@@ -52,17 +52,17 @@
 
     /// The next message about limits, if one is due.
     pub fn permit_request(&mut self, now: Timestamp) -> Option<PermitRequest> {
-        self.permits.request(now)
+        self.permits.next_request(now)
     }
 
     /// Takes the leader's answer to one.
-    pub fn take_permits(&mut self, now: Timestamp, answer: &PermitResponse) {
-        self.permits.answer(now, answer);
+    pub fn apply_permits(&mut self, now: Timestamp, answer: &PermitResponse) {
+        self.permits.apply_response(now, answer);
     }
 
     /// How many instances have a limit in force.
     pub fn limited_instances(&self) -> usize {
-        self.permits.limited()
+        self.permits.limited_count()
     }
 }
 
--- a/crates/millpass-dispatch/src/prompts.rs
+++ b/crates/millpass-dispatch/src/prompts.rs
@@ -1,6 +1,6 @@
 //! Which prompt parts an instance has lately read, as far as this gateway's own sends tell.
 
-use crate::request::Description;
+use crate::request::RequestDescription;
 use millpass_proto::Timestamp;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -63,7 +63,7 @@
 
 /// The beginnings of a prompt, the shortest first. Parts count only
 /// for the same model and adapter, and only behind the same parts.
-pub(crate) fn beginnings(description: &Description) -> Vec<Beginning> {
+pub(crate) fn beginnings(description: &RequestDescription) -> Vec<Beginning> {
     let mut hasher = DefaultHasher::new();
     description.model.hash(&mut hasher);
     description.adapter.hash(&mut hasher);
--- a/crates/millpass-dispatch/src/request.rs
+++ b/crates/millpass-dispatch/src/request.rs
@@ -21,11 +21,11 @@
 
 /// What a request says of itself; filled by the front door.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Description {
+pub struct RequestDescription {
     /// The caller's name for this attempt.
     pub attempt: String,
     /// How long the caller waits, from its arrival here.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Model asked for.
     pub model: Option<ModelName>,
     /// Adapter asked for.
@@ -49,14 +49,14 @@
     /// Prompt and answer together.
     Sum(u64),
     /// What stands there are no figures, or stands there twice.
-    Unreadable,
+    Malformed,
 }
 
 /// A request under way.
 #[derive(Clone, Debug)]
 pub struct Ticket {
     /// What it says of itself.
-    pub description: Description,
+    pub description: RequestDescription,
     /// Its route, as in force when it arrived.
     pub route: Arc<RouteSpec>,
     /// The service it goes to.
@@ -64,7 +64,7 @@
     /// When it arrived.
     pub arrived: Timestamp,
     /// When the caller gives up, or the route's time is over.
-    pub give_up: Timestamp,
+    pub expires_at: Timestamp,
     /// When the caller gives up; engines are told.
     pub deadline: Timestamp,
     /// Instances it was offered to.
@@ -102,7 +102,7 @@
 
 impl Ticket {
     /// The record of a send to an instance.
-    pub fn record(&self, instance: &InstanceId) -> SendRecord {
+    pub fn send_record(&self, instance: &InstanceId) -> SendRecord {
         SendRecord {
             instance: instance.clone(),
             service: self.service.clone(),
@@ -124,9 +124,9 @@
     /// When the caller leaves if nothing has come.
     pub fn leaves_at(&self) -> Timestamp {
         match self.route.first_event_millis {
-            0 => self.give_up,
+            0 => self.expires_at,
             millis => self
-                .give_up
+                .expires_at
                 .min(self.arrived + Duration::from_millis(millis)),
         }
     }
@@ -139,7 +139,7 @@
 
     /// Time within which an answer is on time.
     pub fn objective(&self) -> Duration {
-        let patience = self.give_up.since(self.arrived);
+        let patience = self.expires_at.since(self.arrived);
         match self.route.objective_millis {
             0 => patience,
             millis => Duration::from_millis(millis).min(patience),
--- a/crates/millpass-dispatch/src/statements.rs
+++ b/crates/millpass-dispatch/src/statements.rs
@@ -24,7 +24,7 @@
     /// It is stated.
     Value(T),
     /// What stands there cannot be read.
-    Unreadable,
+    Malformed,
 }
 
 impl<T> Stated<T> {
@@ -33,7 +33,7 @@
         match self {
             Stated::Missing => Stated::Missing,
             Stated::Value(value) => Stated::Value(form(value)),
-            Stated::Unreadable => Stated::Unreadable,
+            Stated::Malformed => Stated::Malformed,
         }
     }
 }
@@ -44,14 +44,14 @@
     /// Most requests a second, from all gateways together.
     pub limit: Stated<RequestRate>,
     /// Time for which it takes nothing from this gateway.
-    pub rest: Stated<Duration>,
+    pub backoff: Stated<Duration>,
     /// The instance leaves.
     pub leaving: bool,
 }
 
 impl Statement {
     fn is_unreadable(&self) -> bool {
-        self.limit == Stated::Unreadable || self.rest == Stated::Unreadable
+        self.limit == Stated::Malformed || self.backoff == Stated::Malformed
     }
 }
 
@@ -63,11 +63,11 @@
     /// No limit is in force any more.
     Unlimited,
     /// It takes nothing from this gateway for this long.
-    Resting(Duration),
+    Backoff(Duration),
     /// It leaves.
     Leaving,
     /// A limit or a rest could not be read; what was known stays in force.
-    Unreadable,
+    Malformed,
 }
 
 /// What instances have stated.
@@ -88,9 +88,9 @@
         statement: &Statement,
     ) -> Vec<StatementChange> {
         let mut changes = Vec::new();
-        changes.extend(self.heard_rest(now, instance, statement.rest));
+        changes.extend(self.heard_rest(now, instance, statement.backoff));
         if statement.is_unreadable() && self.is_unreadable_news(now, instance) {
-            changes.push(StatementChange::Unreadable);
+            changes.push(StatementChange::Malformed);
         }
         if statement.leaving && !self.leaving.contains_key(instance) {
             make_room(&mut self.leaving, |noted_at| *noted_at);
@@ -108,7 +108,7 @@
         stated: Stated<Duration>,
     ) -> Option<StatementChange> {
         let rest = match stated {
-            Stated::Missing | Stated::Unreadable => return None,
+            Stated::Missing | Stated::Malformed => return None,
             Stated::Value(rest) => rest.min(LONGEST_REST),
         };
         let until = now + rest;
@@ -118,7 +118,7 @@
         self.rests.retain(|_, until| now < *until);
         make_room(&mut self.rests, |until| *until);
         self.rests.insert(instance.clone(), until);
-        Some(StatementChange::Resting(rest))
+        Some(StatementChange::Backoff(rest))
     }
 
     fn is_unreadable_news(&mut self, now: Timestamp, instance: &InstanceId) -> bool {
--- a/crates/millpass-dispatch/src/table.rs
+++ b/crates/millpass-dispatch/src/table.rs
@@ -35,7 +35,7 @@
     KeyUnknown,
     /// Keys may have been taken away since this gateway last heard of them.
     #[error("keys cannot be checked here for the moment; come back shortly")]
-    Outdated,
+    Unverifiable,
 }
 
 impl IdentityError {
@@ -45,7 +45,7 @@
             IdentityError::KeyMissing => "key-missing",
             IdentityError::KeyUnusable => "key-unusable",
             IdentityError::KeyUnknown => "key-unknown",
-            IdentityError::Outdated => "keys-outdated",
+            IdentityError::Unverifiable => "keys-outdated",
         }
     }
 }
--- a/crates/millpass-dispatch/src/updates.rs
+++ b/crates/millpass-dispatch/src/updates.rs
@@ -23,7 +23,7 @@
     pub stale: bool,
     /// It had a change of the document that begins from this version, which is not in force here; it was not
     /// applied. The leader sends the document whole once it hears which version is.
-    pub unfit_change: Option<u64>,
+    pub mismatched_base: Option<u64>,
 }
 
 impl Dispatcher {
@@ -50,7 +50,7 @@
             (None, Some(change)) if change.version > held => {
                 let table = self.table.as_ref();
                 let applied = table.and_then(|table| change.apply(table.document()));
-                outcome.unfit_change = applied.is_none().then_some(change.base);
+                outcome.mismatched_base = applied.is_none().then_some(change.base);
                 applied
             }
             (document, _) => document,
--- a/crates/millpass-dispatch/tests/crashes.rs
+++ b/crates/millpass-dispatch/tests/crashes.rs
@@ -1,8 +1,8 @@
 //! What a gateway tells of runs that end, and what it holds back: with a leader, cut off from one, between two.
 
 use millpass_dispatch::{
-    Choice, Description, DispatchSettings, Dispatcher, FreshnessSettings, RefusalReason,
-    RequestIdentity, SendEnd, Ticket,
+    Choice, DispatchSettings, Dispatcher, FreshnessSettings, RefusalReason, RequestDescription,
+    RequestIdentity, SendOutcome, Ticket,
 };
 use millpass_proto::*;
 use millpass_tenancy::QuotaTerms;
@@ -57,12 +57,12 @@
         retry_slack: 100.0,
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
-        default_patience: Duration::from_secs(15),
+        default_timeout: Duration::from_secs(15),
         quota: QuotaTerms::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
-            in_force: Duration::from_secs(3_600),
-            departed: Duration::from_secs(3_600),
+            max_staleness: Duration::from_secs(3_600),
+            max_departure_staleness: Duration::from_secs(3_600),
             ..FreshnessSettings::default()
         },
     });
@@ -119,10 +119,10 @@
 }
 
 fn begin(dispatcher: &mut Dispatcher, now: u64, body: &str) -> Ticket {
-    let description = Description {
+    let description = RequestDescription {
         attempt: format!("attempt-{now}"),
         fingerprint: fingerprint(body),
-        ..Description::default()
+        ..RequestDescription::default()
     };
     let route = dispatcher.route(at(now), "h.example", "/a").expect("route");
     dispatcher.begin(at(now), route, None, description, 0.5)
@@ -135,7 +135,11 @@
     let Choice::Send { instance, .. } = choice else {
         panic!("{choice:?}");
     };
-    dispatcher.ended(at(now + 50), &ticket.record(&instance), SendEnd::Broken);
+    dispatcher.record_send_outcome(
+        at(now + 50),
+        &ticket.send_record(&instance),
+        SendOutcome::Broken,
+    );
     let probes = dispatcher.take_probes();
     assert_eq!(probes.len(), 1);
     dispatcher.run_ended(at(now + 51), &probes[0].0);
@@ -161,7 +165,7 @@
     }
 }
 
-const HELD: Option<RefusalReason> = Some(RefusalReason::EndsInstances);
+const HELD: Option<RefusalReason> = Some(RefusalReason::Quarantined);
 
 #[test]
 fn tries_of_a_request_share_a_fingerprint_and_tenants_never_do() {
@@ -207,7 +211,7 @@
     let Choice::Send { instance, .. } = dispatcher.choose(at(10), &mut ticket) else {
         panic!("sent");
     };
-    dispatcher.ended(at(20), &ticket.record(&instance), SendEnd::Broken);
+    dispatcher.record_send_outcome(at(20), &ticket.send_record(&instance), SendOutcome::Broken);
     assert_eq!(dispatcher.take_probes()[0].0, instance);
     assert_eq!(dispatcher.crash_report(), None);
     let ended = end_under(&mut dispatcher, 100, "deadly");
@@ -226,11 +230,11 @@
 #[test]
 fn the_leaders_word_holds_a_request_back_and_lets_it_go() {
     let mut dispatcher = dispatcher();
-    dispatcher.take_crashes(at(5), &told(1, &[("deadly", 60_000)]));
+    dispatcher.apply_crash_update(at(5), &told(1, &[("deadly", 60_000)]));
     assert_eq!(refusal(&mut dispatcher, 10, "deadly"), HELD);
     assert_eq!(refusal(&mut dispatcher, 10, "other"), None);
-    assert_eq!(dispatcher.held_requests(), 1);
-    dispatcher.take_crashes(at(20), &told(1, &[]));
+    assert_eq!(dispatcher.quarantined_requests(), 1);
+    dispatcher.apply_crash_update(at(20), &told(1, &[]));
     assert_eq!(refusal(&mut dispatcher, 30, "deadly"), None);
 }
 
@@ -238,7 +242,7 @@
 #[test]
 fn without_a_leader_the_last_word_holds_and_own_ends_count() {
     let mut dispatcher = dispatcher();
-    dispatcher.take_crashes(at(5), &told(2, &[("deadly", 60_000)]));
+    dispatcher.apply_crash_update(at(5), &told(2, &[("deadly", 60_000)]));
     dispatcher.connection_ended();
     assert_eq!(refusal(&mut dispatcher, 50_000, "deadly"), HELD);
     assert_eq!(refusal(&mut dispatcher, 60_006, "deadly"), None);
@@ -247,10 +251,10 @@
     }
     assert_eq!(refusal(&mut dispatcher, 110_000, "mine"), HELD);
     // An older leader's word is late.
-    dispatcher.take_crashes(at(110_001), &told(1, &[]));
+    dispatcher.apply_crash_update(at(110_001), &told(1, &[]));
     assert_eq!(refusal(&mut dispatcher, 110_002, "mine"), HELD);
     // A new leader decides, and has been told what this gateway saw.
-    dispatcher.take_crashes(at(110_003), &told(3, &[("mine", 600_000)]));
+    dispatcher.apply_crash_update(at(110_003), &told(3, &[("mine", 600_000)]));
     assert_eq!(refusal(&mut dispatcher, 110_004, "mine"), HELD);
 }
 
@@ -263,8 +267,8 @@
     let Choice::Send { instance, .. } = dispatcher.choose(at(2_000), &mut ticket) else {
         panic!("sent");
     };
-    let answered = SendEnd::Answered(Duration::from_millis(20));
-    dispatcher.ended(at(2_020), &ticket.record(&instance), answered);
+    let answered = SendOutcome::Responded(Duration::from_millis(20));
+    dispatcher.record_send_outcome(at(2_020), &ticket.send_record(&instance), answered);
     let report = dispatcher.crash_report().expect("a report");
     assert_eq!(report.served, vec![fingerprint("beside")]);
 }
@@ -280,14 +284,18 @@
     let mut places = Vec::new();
     for _ in 0..2 {
         let mut dispatcher = dispatcher();
-        dispatcher.take_crashes(at(5), &told(1, &suspects));
+        dispatcher.apply_crash_update(at(5), &told(1, &suspects));
         let chosen = names.iter().map(|body| {
             let mut ticket = begin(&mut dispatcher, 10, body);
             let choice = dispatcher.choose(at(10), &mut ticket);
             let Choice::Send { instance, .. } = choice else {
                 panic!("{choice:?}");
             };
-            dispatcher.ended(at(11), &ticket.record(&instance), SendEnd::GivenUp);
+            dispatcher.record_send_outcome(
+                at(11),
+                &ticket.send_record(&instance),
+                SendOutcome::Abandoned,
+            );
             instance
         });
         places.push(chosen.collect::<Vec<_>>());
--- a/crates/millpass-dispatch/tests/departures.rs
+++ b/crates/millpass-dispatch/tests/departures.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::{at, begin, exchange, gateway, record, sent_to, update};
-use millpass_dispatch::{Choice, SendEnd, Statement};
+use millpass_dispatch::{Choice, SendOutcome, Statement};
 use rstest::rstest;
 
 fn leaving() -> Statement {
@@ -35,7 +35,7 @@
     let instances = [record("i-1", "web"), record("i-2", "web")];
     let mut dispatcher = gateway("g-1", 7, &instances);
     let first = exchange(&mut dispatcher, 0, "/web/", &leaving()).expect("sent");
-    dispatcher.heard_statement(at(20), at(15), &first, &Statement::default());
+    dispatcher.record_statement(at(20), at(15), &first, &Statement::default());
     for now in (100..3_000).step_by(100) {
         let sent = exchange(&mut dispatcher, now, "/web/", &Statement::default());
         assert_ne!(sent.expect("the other one"), first);
@@ -65,7 +65,11 @@
             continue;
         };
         assert_ne!(sent, leaves);
-        dispatcher.ended(at(now), &ticket.record(&sent), SendEnd::Unreachable);
+        dispatcher.record_send_outcome(
+            at(now),
+            &ticket.send_record(&sent),
+            SendOutcome::Unreachable,
+        );
     }
 }
 
@@ -76,8 +80,8 @@
     let mut ticket = begin(&mut dispatcher, 0, "/text/");
     let first = sent_to(&mut dispatcher, 0, &mut ticket).expect("sent");
     let other = if first == "i-1".into() { "i-2" } else { "i-1" };
-    dispatcher.heard_statement(at(10), at(5), &other.into(), &leaving());
-    dispatcher.ended(at(20), &ticket.record(&first), SendEnd::Broken);
+    dispatcher.record_statement(at(10), at(5), &other.into(), &leaving());
+    dispatcher.record_send_outcome(at(20), &ticket.send_record(&first), SendOutcome::Broken);
     assert_eq!(sent_to(&mut dispatcher, 20, &mut ticket), None);
 }
 
@@ -93,8 +97,12 @@
         dispatcher.choose(at(10), &mut ticket),
         Choice::Wait { .. }
     ));
-    dispatcher.heard_statement(at(20), at(0), &"i-1".into(), &leaving());
-    dispatcher.ended(at(20), &ticket.record(&"i-1".into()), SendEnd::Failed);
+    dispatcher.record_statement(at(20), at(0), &"i-1".into(), &leaving());
+    dispatcher.record_send_outcome(
+        at(20),
+        &ticket.send_record(&"i-1".into()),
+        SendOutcome::Failed,
+    );
     assert_eq!(sent_to(&mut dispatcher, 30, &mut ticket), None);
 }
 
--- a/crates/millpass-dispatch/tests/dispatch.rs
+++ b/crates/millpass-dispatch/tests/dispatch.rs
@@ -1,8 +1,8 @@
 //! Routes, choices, waits, refusals and the retry budget.
 
 use millpass_dispatch::{
-    BudgetTerms, Choice, Description, DispatchSettings, Dispatcher, FreshnessSettings, PromptPart,
-    RefusalReason, RetryBudget, RouteError, SendEnd, Ticket,
+    BudgetTerms, Choice, DispatchSettings, Dispatcher, FreshnessSettings, PromptPart,
+    RefusalReason, RequestDescription, RetryBudget, RouteError, SendOutcome, Ticket,
 };
 use millpass_proto::*;
 use millpass_tenancy::QuotaTerms;
@@ -21,12 +21,12 @@
         retry_slack: 10.0,
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
-        default_patience: Duration::from_secs(15),
+        default_timeout: Duration::from_secs(15),
         quota: QuotaTerms::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
-            in_force: Duration::from_secs(3_600),
-            departed: Duration::from_secs(3_600),
+            max_staleness: Duration::from_secs(3_600),
+            max_departure_staleness: Duration::from_secs(3_600),
             ..FreshnessSettings::default()
         },
     }
@@ -165,16 +165,16 @@
     let route = dispatcher
         .route(at(0), "H.example:80", path)
         .expect("route");
-    let description = Description {
+    let description = RequestDescription {
         attempt: "r".to_owned(),
-        patience: Some(Duration::from_millis(5_000)),
+        timeout: Some(Duration::from_millis(5_000)),
         model: model.map(Into::into),
         adapter: None,
         prompt: vec![PromptPart {
             identity: 7,
             tokens: 1_000,
         }],
-        ..Description::default()
+        ..RequestDescription::default()
     };
     dispatcher.begin(at(now), route, None, description, 0.5)
 }
@@ -274,7 +274,11 @@
     let Choice::Send { instance, .. } = dispatcher.choose(at(0), &mut ticket) else {
         panic!("room is free");
     };
-    dispatcher.ended(at(1), &ticket.record(&instance), SendEnd::Unreachable);
+    dispatcher.record_send_outcome(
+        at(1),
+        &ticket.send_record(&instance),
+        SendOutcome::Unreachable,
+    );
     for now in [2, 100, 400] {
         let mut next = begin(&mut dispatcher, now, "/web/", None);
         let Choice::Send {
@@ -373,10 +377,10 @@
         let Choice::Send { instance, .. } = dispatcher.choose(at(now), &mut ticket) else {
             panic!("room is free");
         };
-        dispatcher.ended(
+        dispatcher.record_send_outcome(
             at(now + 100),
-            &ticket.record(&instance),
-            SendEnd::Answered(Duration::from_millis(50)),
+            &ticket.send_record(&instance),
+            SendOutcome::Responded(Duration::from_millis(50)),
         );
         chosen.push(instance);
     }
@@ -399,10 +403,14 @@
         let choice = dispatcher.choose(at(now), &mut ticket);
         let sent = matches!(choice, Choice::Send { .. });
         if sent && now == 0 {
-            dispatcher.ended(at(1), &ticket.record(&"e-1".into()), SendEnd::Misdirected);
+            dispatcher.record_send_outcome(
+                at(1),
+                &ticket.send_record(&"e-1".into()),
+                SendOutcome::Misdirected,
+            );
         } else if sent {
-            let end = SendEnd::Answered(Duration::from_millis(5));
-            dispatcher.ended(at(now + 5), &ticket.record(&"e-1".into()), end);
+            let end = SendOutcome::Responded(Duration::from_millis(5));
+            dispatcher.record_send_outcome(at(now + 5), &ticket.send_record(&"e-1".into()), end);
         }
         sent
     };
@@ -421,7 +429,11 @@
         dispatcher.choose(at(0), &mut ticket),
         Choice::Send { .. }
     ));
-    dispatcher.ended(at(1), &ticket.record(&"e-1".into()), SendEnd::Misdirected);
+    dispatcher.record_send_outcome(
+        at(1),
+        &ticket.send_record(&"e-1".into()),
+        SendOutcome::Misdirected,
+    );
     for now in 2..200 {
         dispatcher.choose(at(now), &mut ticket);
     }
@@ -443,7 +455,11 @@
         dispatcher.choose(at(0), &mut ticket),
         Choice::Send { .. }
     ));
-    dispatcher.ended(at(1), &ticket.record(&"e-1".into()), SendEnd::Replaced);
+    dispatcher.record_send_outcome(
+        at(1),
+        &ticket.send_record(&"e-1".into()),
+        SendOutcome::Replaced,
+    );
     assert_eq!(dispatcher.instance_count(), 0);
     assert_eq!(dispatcher.report(at(0)).inconsistent, ["e-1".into()]);
 }
@@ -457,7 +473,11 @@
         let Choice::Send { instance, .. } = dispatcher.choose(at(now), &mut ticket) else {
             panic!("an attempt is left");
         };
-        dispatcher.ended(at(now), &ticket.record(&instance), SendEnd::Failed);
+        dispatcher.record_send_outcome(
+            at(now),
+            &ticket.send_record(&instance),
+            SendOutcome::Failed,
+        );
     }
     let refused = dispatcher.choose(at(2), &mut ticket);
     assert!(matches!(
@@ -524,7 +544,7 @@
                 at(request),
                 split.clone(),
                 None,
-                Description::default(),
+                RequestDescription::default(),
                 draw,
             );
             of_small += u32::from(ticket.service == "text".into());
@@ -578,7 +598,11 @@
             panic!("room is free");
         };
         assert_eq!(instance, "i-2".into());
-        dispatcher.ended(at(now), &ticket.record(&instance), SendEnd::GivenUp);
+        dispatcher.record_send_outcome(
+            at(now),
+            &ticket.send_record(&instance),
+            SendOutcome::Abandoned,
+        );
     }
 }
 
@@ -702,7 +726,7 @@
     let mut dispatcher = dispatcher(Vec::new());
     let outcome = dispatcher.update(at(1), changed(2, 3));
     assert_eq!(outcome.version, None);
-    assert_eq!(outcome.unfit_change, Some(2));
+    assert_eq!(outcome.mismatched_base, Some(2));
     assert_eq!(
         dispatcher.report(at(0)).version,
         1,
@@ -711,12 +735,12 @@
     assert!(dispatcher.route(at(0), "h.example", "/text/x").is_ok());
     let outcome = dispatcher.update(at(2), changed(1, 3));
     assert_eq!(outcome.version, Some(3));
-    assert_eq!(outcome.unfit_change, None);
+    assert_eq!(outcome.mismatched_base, None);
     assert_eq!(dispatcher.report(at(0)).version, 3);
     assert!(dispatcher.route(at(0), "h.example", "/text/x").is_err());
     let outcome = dispatcher.update(at(3), changed(1, 3));
     assert_eq!(outcome.version, None);
-    assert_eq!(outcome.unfit_change, None, "it is there already");
+    assert_eq!(outcome.mismatched_base, None, "it is there already");
 }
 
 /// A copy of a member that does not lead is no base: the gateway reports none and is told the whole.
@@ -730,7 +754,7 @@
     dispatcher.update(at(0), copy);
     let outcome = dispatcher.update(at(1), changed(1, 2));
     assert_eq!(outcome.version, None);
-    assert_eq!(outcome.unfit_change, Some(1));
+    assert_eq!(outcome.mismatched_base, Some(1));
 }
 
 /// Loads that stand as told count as told anew: what all gateways have in flight fades only while nothing is heard.
--- a/crates/millpass-dispatch/tests/freshness.rs
+++ b/crates/millpass-dispatch/tests/freshness.rs
@@ -6,8 +6,8 @@
 //! waited for seconds in a socket counted as news of the moment at which it arrived.
 
 use millpass_dispatch::{
-    Choice, Description, DispatchSettings, Dispatcher, Freshness, FreshnessSettings, Leadership,
-    RefusalReason, RouteError,
+    Choice, DispatchSettings, Dispatcher, Freshness, FreshnessSettings, Leadership, RefusalReason,
+    RequestDescription, RouteError,
 };
 use millpass_proto::*;
 use millpass_tenancy::QuotaTerms;
@@ -116,14 +116,14 @@
         retry_slack: 10.0,
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
-        default_patience: Duration::from_secs(15),
+        default_timeout: Duration::from_secs(15),
         quota: QuotaTerms::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
-            in_force: Duration::from_millis(IN_FORCE),
-            departed: Duration::from_millis(IN_FORCE),
-            sending: Duration::from_millis(SENDING),
-            cut_off: Duration::from_millis(CUT_OFF),
+            max_staleness: Duration::from_millis(IN_FORCE),
+            max_departure_staleness: Duration::from_millis(IN_FORCE),
+            max_send_delay: Duration::from_millis(SENDING),
+            max_isolated_staleness: Duration::from_millis(CUT_OFF),
         },
     });
     gateway.set_members((1..=3).map(address).collect());
@@ -158,10 +158,10 @@
 
 /// Asks, and lets these members answer with the last index that binds in their logs.
 fn ask(gateway: &mut Dispatcher, now: u64, answers: &[(u64, u64)]) {
-    let round = gateway.begin_round(at(now), true).expect("a round");
+    let round = gateway.begin_query_round(at(now), true).expect("a round");
     for (member, binding) in answers {
         let answer = response(*member, round, *binding, &[1, 2, 3]);
-        gateway.take_freshness(at(now), address(*member), answer);
+        gateway.record_freshness_response(at(now), address(*member), answer);
     }
 }
 
@@ -238,10 +238,10 @@
 #[test]
 fn late_answers_count_from_when_they_were_asked_for() {
     let mut gateway = confirmed();
-    let round = gateway.begin_round(at(1_000), true).expect("a round");
+    let round = gateway.begin_query_round(at(1_000), true).expect("a round");
     for member in [1, 2] {
         let answer = response(member, round, 10, &[1, 2, 3]);
-        gateway.take_freshness(at(2_800), address(member), answer);
+        gateway.record_freshness_response(at(2_800), address(member), answer);
     }
     assert_eq!(gateway.freshness(at(3_000)), Freshness::Confirmed);
     assert_eq!(gateway.freshness(at(3_001)), Freshness::Unconfirmed);
@@ -250,17 +250,17 @@
 #[test]
 fn during_a_change_of_members_both_sets_of_voters_count() {
     let mut gateway = confirmed();
-    let round = gateway.begin_round(at(1_900), true).expect("a round");
+    let round = gateway.begin_query_round(at(1_900), true).expect("a round");
     let joint = |member| FreshnessResponse {
         outgoing_voters: [1, 2, 3].map(MemberId).to_vec(),
         membership_index: 7,
         ..response(member, round, 10, &[3, 4, 5])
     };
     for member in [3, 4] {
-        gateway.take_freshness(at(1_950), address(member), joint(member));
+        gateway.record_freshness_response(at(1_950), address(member), joint(member));
     }
     assert_eq!(gateway.freshness(at(2_100)), Freshness::Unconfirmed);
-    gateway.take_freshness(at(1_960), address(1), response(1, round, 10, &[1, 2, 3]));
+    gateway.record_freshness_response(at(1_960), address(1), response(1, round, 10, &[1, 2, 3]));
     assert_eq!(gateway.freshness(at(2_100)), Freshness::Confirmed);
 }
 
@@ -286,11 +286,11 @@
         ask(&mut gateway, now, &[]);
         let expected = match now {
             0..=IN_FORCE => Freshness::Confirmed,
-            _ if now <= CUT_OFF => Freshness::CutOff,
+            _ if now <= CUT_OFF => Freshness::Isolated,
             _ => Freshness::Unconfirmed,
         };
         assert_eq!(gateway.freshness(at(now)), expected, "at {now} ms");
-        if expected == Freshness::CutOff {
+        if expected == Freshness::Isolated {
             assert!(known(&gateway, now));
             assert_eq!(unknown(&gateway, now), RouteError::Unconfirmed);
         }
@@ -315,8 +315,8 @@
     let mut gateway = confirmed();
     for now in (700..3_000).step_by(200) {
         ask(&mut gateway, now, &[]);
-        gateway.member_reached(at(now), address(1));
-        gateway.member_reached(at(now), address(2));
+        gateway.record_member_contact(at(now), address(1));
+        gateway.record_member_contact(at(now), address(2));
     }
     assert_eq!(gateway.freshness(at(3_000)), Freshness::Unconfirmed);
 }
@@ -339,7 +339,7 @@
 fn a_request_waits_a_moment_for_a_confirmation_then_it_is_refused_as_not_run() {
     let mut gateway = confirmed();
     let route = gateway.route(at(1_990), "h", "/known/a").expect("route");
-    let mut ticket = gateway.begin(at(1_990), route, None, Description::default(), 0.5);
+    let mut ticket = gateway.begin(at(1_990), route, None, RequestDescription::default(), 0.5);
     assert_eq!(
         gateway.choose(at(2_010), &mut ticket),
         Choice::Wait { until: at(2_310) }
@@ -366,7 +366,7 @@
 fn a_request_is_sent_only_if_it_arrives_within_the_bound(#[case] now: u64, #[case] sent: bool) {
     let mut gateway = confirmed();
     let route = gateway.route(at(now), "h", "/known/a").expect("route");
-    let mut ticket = gateway.begin(at(now), route, None, Description::default(), 0.5);
+    let mut ticket = gateway.begin(at(now), route, None, RequestDescription::default(), 0.5);
     let choice = gateway.choose(at(now), &mut ticket);
     assert_eq!(matches!(choice, Choice::Send { .. }), sent, "{choice:?}");
 }
@@ -386,16 +386,19 @@
 fn members_name_the_leader_of_the_highest_term() {
     let mut gateway = confirmed();
     assert_eq!(gateway.leadership(at(0)), Leadership::Unknown);
-    let round = gateway.begin_round(at(1_000), true).expect("a round");
+    let round = gateway.begin_query_round(at(1_000), true).expect("a round");
     let says = |member, term, leader: Option<u64>| FreshnessResponse {
         term,
         leader: leader.map(|leader| address(leader).to_string()),
         ..response(member, round, 10, &[1, 2, 3])
     };
-    gateway.take_freshness(at(1_000), address(1), says(1, 3, Some(2)));
-    assert_eq!(gateway.leadership(at(1_000)), Leadership::Named(address(2)));
-    gateway.take_freshness(at(1_000), address(3), says(3, 4, None));
-    assert_eq!(gateway.leadership(at(1_000)), Leadership::Vacant);
+    gateway.record_freshness_response(at(1_000), address(1), says(1, 3, Some(2)));
+    assert_eq!(
+        gateway.leadership(at(1_000)),
+        Leadership::Leader(address(2))
+    );
+    gateway.record_freshness_response(at(1_000), address(3), says(3, 4, None));
+    assert_eq!(gateway.leadership(at(1_000)), Leadership::NoLeader);
     assert_eq!(gateway.leadership(at(2_100)), Leadership::Unknown);
 }
 
@@ -479,7 +482,7 @@
                     let index = group.committed();
                     group.acknowledged.push((index, now));
                 }
-                Step::Ask => round = gateway.begin_round(at(now), true),
+                Step::Ask => round = gateway.begin_query_round(at(now), true),
                 Step::Answer(member) => if let Some(round) = round {
                     let number = member as u64 + 1;
                     let answer = response(number, round, group.logs[member], &[1, 2, 3, 4, 5]);
@@ -487,7 +490,7 @@
                 },
                 Step::Arrive => if !on_the_way.is_empty() {
                     let (member, answer) = on_the_way.remove(0);
-                    gateway.take_freshness(at(now), address(member as u64 + 1), answer);
+                    gateway.record_freshness_response(at(now), address(member as u64 + 1), answer);
                 },
                 Step::PassOn => {
                     gateway.update(at(now), update(0, group.committed(), true));
@@ -501,7 +504,7 @@
                 Step::Wait(time) => now += time,
             }
             if gateway.freshness(at(now)) == Freshness::Confirmed {
-                let (as_of, _) = gateway.binding_indexes();
+                let (as_of, _) = gateway.required_indexes();
                 prop_assert!(as_of >= group.acknowledged_by(now - IN_FORCE - 1));
             }
         }
@@ -511,9 +514,9 @@
 #[test]
 fn all_known_members_are_asked() {
     let mut gateway = confirmed();
-    let asked: BTreeSet<SocketAddr> = gateway.members_to_ask().into_iter().collect();
+    let asked: BTreeSet<SocketAddr> = gateway.members_to_query().into_iter().collect();
     assert_eq!(asked, (1..=3).map(address).collect());
-    let round = gateway.begin_round(at(100), true).expect("a round");
-    gateway.take_freshness(at(100), address(1), response(1, round, 10, &[1, 2, 8]));
-    assert!(gateway.members_to_ask().contains(&address(8)));
+    let round = gateway.begin_query_round(at(100), true).expect("a round");
+    gateway.record_freshness_response(at(100), address(1), response(1, round, 10, &[1, 2, 8]));
+    assert!(gateway.members_to_query().contains(&address(8)));
 }
--- a/crates/millpass-dispatch/tests/harness/mod.rs
+++ b/crates/millpass-dispatch/tests/harness/mod.rs
@@ -17,12 +17,12 @@
         retry_slack: 10_000.0,
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
-        default_patience: Duration::from_secs(15),
+        default_timeout: Duration::from_secs(15),
         quota: QuotaTerms::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
-            in_force: day,
-            departed: day,
+            max_staleness: day,
+            max_departure_staleness: day,
             ..FreshnessSettings::default()
         },
     }
@@ -151,11 +151,11 @@
 pub fn begin(dispatcher: &mut Dispatcher, now: u64, path: &str) -> Ticket {
     let route = dispatcher.route(at(now), "h.example", path).expect("route");
     let model = (path == "/text/").then(|| "a".into());
-    let description = Description {
+    let description = RequestDescription {
         attempt: "r".to_owned(),
-        patience: Some(Duration::from_millis(5_000)),
+        timeout: Some(Duration::from_millis(5_000)),
         model,
-        ..Description::default()
+        ..RequestDescription::default()
     };
     dispatcher.begin(at(now), route, None, description, 0.5)
 }
@@ -177,8 +177,8 @@
 ) -> Option<InstanceId> {
     let mut ticket = begin(dispatcher, now, path);
     let instance = sent_to(dispatcher, now, &mut ticket)?;
-    dispatcher.heard_statement(at(now + 5), at(now), &instance, statement);
-    let end = SendEnd::Answered(Duration::from_millis(5));
-    dispatcher.ended(at(now + 5), &ticket.record(&instance), end);
+    dispatcher.record_statement(at(now + 5), at(now), &instance, statement);
+    let end = SendOutcome::Responded(Duration::from_millis(5));
+    dispatcher.record_send_outcome(at(now + 5), &ticket.send_record(&instance), end);
     Some(instance)
 }
--- a/crates/millpass-dispatch/tests/limits.rs
+++ b/crates/millpass-dispatch/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use harness::{at, begin, exchange, gateway, record, sent_to, update};
 use millpass_dispatch::{
-    Choice, Dispatcher, RefusalReason, RequestRate, SendEnd, Stated, Statement, StatementChange,
+    Choice, Dispatcher, RefusalReason, RequestRate, SendOutcome, Stated, Statement, StatementChange,
 };
 use millpass_proto::{Duration, PermitGrant, PermitResponse};
 use rstest::rstest;
@@ -84,7 +84,7 @@
         sequence: request.sequence,
         grants: grants.collect(),
     };
-    dispatcher.take_permits(at(now), &answer);
+    dispatcher.apply_permits(at(now), &answer);
 }
 
 /// A gateway with one instance, which stated a limit of one request a second at the start.
@@ -98,7 +98,7 @@
         sequence: told.sequence,
         grants: Vec::new(),
     };
-    dispatcher.take_permits(at(6), &answer);
+    dispatcher.apply_permits(at(6), &answer);
     dispatcher
 }
 
@@ -151,7 +151,7 @@
 fn a_limited_instance_is_asked_while_another_has_room() {
     let instances = [record("i-1", "web"), record("i-2", "web")];
     let mut dispatcher = gateway("g-1", 7, &instances);
-    dispatcher.heard_statement(at(1), at(0), &"i-1".into(), &limited(1_000_000));
+    dispatcher.record_statement(at(1), at(0), &"i-1".into(), &limited(1_000_000));
     for now in (500..3_000).step_by(100) {
         let sent = exchange(&mut dispatcher, now, "/web/", &Statement::default());
         assert_eq!(sent, Some("i-2".into()));
@@ -171,13 +171,13 @@
 fn a_limit_that_cannot_be_read_lifts_the_one_in_force() {
     let mut dispatcher = limited_gateway("text");
     let unreadable = Statement {
-        limit: Stated::Unreadable,
+        limit: Stated::Malformed,
         ..Statement::default()
     };
-    let changes = dispatcher.heard_statement(at(101), at(100), &"i-1".into(), &unreadable);
-    assert_eq!(changes, [StatementChange::Unreadable]);
+    let changes = dispatcher.record_statement(at(101), at(100), &"i-1".into(), &unreadable);
+    assert_eq!(changes, [StatementChange::Malformed]);
     assert_eq!(dispatcher.limited_instances(), 1);
-    let again = dispatcher.heard_statement(at(201), at(200), &"i-1".into(), &unreadable);
+    let again = dispatcher.record_statement(at(201), at(200), &"i-1".into(), &unreadable);
     assert_eq!(again, []);
 }
 
@@ -185,7 +185,7 @@
 fn a_withdrawn_limit_goes_on() {
     let mut dispatcher = limited_gateway("text");
     let withdrawn = Statement::default();
-    dispatcher.heard_statement(at(101), at(100), &"i-1".into(), &withdrawn);
+    dispatcher.record_statement(at(101), at(100), &"i-1".into(), &withdrawn);
     for now in (200..1_000).step_by(100) {
         assert!(exchange(&mut dispatcher, now, "/text/", &withdrawn).is_some());
     }
@@ -198,7 +198,7 @@
     let mut ticket = begin(&mut dispatcher, 0, "/text/");
     let first = sent_to(&mut dispatcher, 0, &mut ticket).expect("sent");
     let other = if first == "i-1".into() { "i-2" } else { "i-1" };
-    dispatcher.heard_statement(at(10), at(5), &other.into(), &limited(1_000));
-    dispatcher.ended(at(20), &ticket.record(&first), SendEnd::Broken);
+    dispatcher.record_statement(at(10), at(5), &other.into(), &limited(1_000));
+    dispatcher.record_send_outcome(at(20), &ticket.send_record(&first), SendOutcome::Broken);
     assert_eq!(sent_to(&mut dispatcher, 20, &mut ticket), None);
 }
--- a/crates/millpass-dispatch/tests/rests.rs
+++ b/crates/millpass-dispatch/tests/rests.rs
@@ -4,14 +4,14 @@
 
 use harness::{at, begin, exchange, gateway, record, sent_to, update};
 use millpass_dispatch::{
-    Choice, Dispatcher, RefusalReason, RequestRate, SendEnd, Stated, Statement, Ticket,
+    Choice, Dispatcher, RefusalReason, RequestRate, SendOutcome, Stated, Statement, Ticket,
 };
 use millpass_proto::{Duration, InstanceId};
 use rstest::rstest;
 
 fn resting(millis: u64) -> Statement {
     Statement {
-        rest: Stated::Value(Duration::from_millis(millis)),
+        backoff: Stated::Value(Duration::from_millis(millis)),
         ..Statement::default()
     }
 }
@@ -25,8 +25,8 @@
 ) -> (Ticket, InstanceId) {
     let mut ticket = begin(dispatcher, now, path);
     let instance = sent_to(dispatcher, now, &mut ticket).expect("sent");
-    dispatcher.heard_statement(at(now), at(now), &instance, statement);
-    dispatcher.ended(at(now), &ticket.record(&instance), SendEnd::Full);
+    dispatcher.record_statement(at(now), at(now), &instance, statement);
+    dispatcher.record_send_outcome(at(now), &ticket.send_record(&instance), SendOutcome::Full);
     (ticket, instance)
 }
 
@@ -71,7 +71,7 @@
     assert_eq!(told, Duration::from_millis(3_000));
     let mut next = begin(&mut dispatcher, 1_000, path);
     let choice = dispatcher.choose(at(1_000), &mut next);
-    let reason = RefusalReason::Resting;
+    let reason = RefusalReason::Backoff;
     let retry_after = Duration::from_millis(2_000);
     assert_eq!(
         choice,
@@ -112,11 +112,11 @@
 #[case::shorter_asked_later(resting(500))]
 #[case::zero(resting(0))]
 #[case::answered_well(Statement::default())]
-#[case::unreadable(Statement { rest: Stated::Unreadable, ..Statement::default() })]
+#[case::unreadable(Statement { backoff: Stated::Malformed, ..Statement::default() })]
 fn a_rest_is_cut_short_by_another_answer(#[case] statement: Statement) {
     let mut dispatcher = gateway("g-1", 7, &[record("i-1", "web")]);
     turned_away(&mut dispatcher, 0, "/web/", &resting(3_000));
-    dispatcher.heard_statement(at(100), at(50), &"i-1".into(), &statement);
+    dispatcher.record_statement(at(100), at(50), &"i-1".into(), &statement);
     assert_eq!(sends(&mut dispatcher, 0, 3_000, "/web/"), Vec::<u64>::new());
 }
 
@@ -124,7 +124,7 @@
 fn a_longer_rest_is_not_taken_from_a_later_answer() {
     let mut dispatcher = gateway("g-1", 7, &[record("i-1", "web")]);
     turned_away(&mut dispatcher, 0, "/web/", &resting(1_000));
-    dispatcher.heard_statement(at(500), at(0), &"i-1".into(), &resting(2_000));
+    dispatcher.record_statement(at(500), at(0), &"i-1".into(), &resting(2_000));
     assert_eq!(sends(&mut dispatcher, 0, 2_500, "/web/"), Vec::<u64>::new());
 }
 
@@ -159,7 +159,11 @@
             continue;
         };
         assert_ne!(sent, resting);
-        dispatcher.ended(at(now), &ticket.record(&sent), SendEnd::Unreachable);
+        dispatcher.record_send_outcome(
+            at(now),
+            &ticket.send_record(&sent),
+            SendOutcome::Unreachable,
+        );
     }
 }
 
@@ -170,8 +174,8 @@
     let mut ticket = begin(&mut dispatcher, 0, "/text/");
     let first = sent_to(&mut dispatcher, 0, &mut ticket).expect("sent");
     let other = if first == "i-1".into() { "i-2" } else { "i-1" };
-    dispatcher.heard_statement(at(10), at(5), &other.into(), &resting(3_000));
-    dispatcher.ended(at(20), &ticket.record(&first), SendEnd::Broken);
+    dispatcher.record_statement(at(10), at(5), &other.into(), &resting(3_000));
+    dispatcher.record_send_outcome(at(20), &ticket.send_record(&first), SendOutcome::Broken);
     assert_eq!(sent_to(&mut dispatcher, 20, &mut ticket), None);
 }
 
--- a/crates/millpass-dispatch/tests/tenants.rs
+++ b/crates/millpass-dispatch/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! Whose a request is, and its rank.
 
 use millpass_dispatch::{
-    Description, DispatchSettings, Dispatcher, FreshnessSettings, IdentityError,
+    DispatchSettings, Dispatcher, FreshnessSettings, IdentityError, RequestDescription,
 };
 use millpass_proto::*;
 use millpass_tenancy::{CreditOutcome, KeyHash, PresentedKey, QuotaTerms};
@@ -90,12 +90,12 @@
         retry_slack: 10.0,
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
-        default_patience: Duration::from_secs(15),
+        default_timeout: Duration::from_secs(15),
         quota: QuotaTerms::default(),
         key_lifetime,
         freshness: FreshnessSettings {
-            in_force: Duration::from_secs(3_600),
-            departed: Duration::from_secs(3_600),
+            max_staleness: Duration::from_secs(3_600),
+            max_departure_staleness: Duration::from_secs(3_600),
             ..FreshnessSettings::default()
         },
     }
@@ -174,7 +174,7 @@
 
 #[rstest]
 #[case::served_on(None, Ok(Some("one".to_owned())))]
-#[case::refused(Some(LIFETIME), Err(IdentityError::Outdated))]
+#[case::refused(Some(LIFETIME), Err(IdentityError::Unverifiable))]
 fn a_gateway_without_word_of_the_leader(
     #[case] lifetime: Option<Duration>,
     #[case] expected: Result<Option<String>, IdentityError>,
@@ -245,7 +245,7 @@
             now,
             route,
             tenant.expect("known"),
-            Description::default(),
+            RequestDescription::default(),
             0.0,
         );
         let claim = dispatcher.claim_credit(now, &ticket).expect("readable");
@@ -265,7 +265,7 @@
         let route = dispatcher.route(Timestamp::ZERO, "h", path).expect("route");
         let presented = name.map_or(PresentedKey::Missing, key);
         let tenant = dispatcher.identify(Timestamp::ZERO, &route, presented);
-        let description = Description::default();
+        let description = RequestDescription::default();
         let tenant = tenant.expect("known");
         dispatcher
             .begin(Timestamp::ZERO, route, tenant, description, 0.0)
--- a/crates/millpass-fleet/src/limits.rs
+++ b/crates/millpass-fleet/src/limits.rs
@@ -13,10 +13,10 @@
         term: u64,
         request: &PermitRequest,
     ) -> PermitResponse {
-        for change in self.limits.take_words(now, &request.observations) {
+        for change in self.limits.record_limits(now, &request.observations) {
             self.log_limit(&request.gateway, &change);
         }
-        let (answer, exhausted) = self.limits.answer(now, term, request);
+        let (answer, exhausted) = self.limits.respond(now, term, request);
         for event in exhausted {
             self.log_exhausted(&request.gateway, &event);
         }
--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -74,7 +74,7 @@
                 greeting = Some(update.clone());
             }
             let outcome = self.gateway.update(at(self.now), update);
-            assert_eq!(outcome.unfit_change, None);
+            assert_eq!(outcome.mismatched_base, None);
         }
         greeting
     }
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -246,7 +246,7 @@
         retry_slack: 10.0,
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
-        default_patience: Duration::from_secs(15),
+        default_timeout: Duration::from_secs(15),
         quota: QuotaTerms::default(),
         key_lifetime: None,
         freshness: FreshnessSettings::default(),
--- a/crates/millpass-gateway/src/answers.rs
+++ b/crates/millpass-gateway/src/answers.rs
@@ -20,7 +20,7 @@
     error: IdentityError,
 ) -> Response<RelayBody> {
     let (status, retry_after) = match error {
-        IdentityError::Outdated => (StatusCode::SERVICE_UNAVAILABLE, Some(NOT_CONFIGURED_WAIT)),
+        IdentityError::Unverifiable => (StatusCode::SERVICE_UNAVAILABLE, Some(NOT_CONFIGURED_WAIT)),
         IdentityError::KeyMissing | IdentityError::KeyUnusable | IdentityError::KeyUnknown => {
             (StatusCode::UNAUTHORIZED, None)
         }
--- a/crates/millpass-gateway/src/credit.rs
+++ b/crates/millpass-gateway/src/credit.rs
@@ -1,7 +1,7 @@
 //! What a request needs of its tenant's quota: claimed before it is sent, given back if it does not run.
 
 use crate::shared::Shared;
-use millpass_dispatch::{Ticket, UnreadableTokens};
+use millpass_dispatch::{MalformedTokens, Ticket};
 use millpass_proto::{Duration, Timestamp};
 use millpass_tenancy::{CreditClaim, CreditOutcome};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     pub(crate) fn claim(
         shared: &Arc<Shared>,
         ticket: &Ticket,
-    ) -> Result<Option<CreditHold>, UnreadableTokens> {
+    ) -> Result<Option<CreditHold>, MalformedTokens> {
         let claim = shared.core().claim_credit(shared.now(), ticket)?;
         Ok(claim.map(|claim| CreditHold {
             shared: shared.clone(),
@@ -74,7 +74,7 @@
 
     fn give_up(&self, ticket: &Ticket) -> Timestamp {
         let longest = ticket.objective().mul_f64(UNANSWERED_PART);
-        (ticket.arrived + longest).min(ticket.give_up)
+        (ticket.arrived + longest).min(ticket.expires_at)
     }
 
     /// Whether the request may have run by now.
--- a/crates/millpass-gateway/src/forward.rs
+++ b/crates/millpass-gateway/src/forward.rs
@@ -15,7 +15,7 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use millpass_dispatch::{Choice, RefusalReason, RequestIdentity, RouteError, SendEnd, Ticket};
+use millpass_dispatch::{Choice, RefusalReason, RequestIdentity, RouteError, SendOutcome, Ticket};
 use millpass_proto::{Duration, InstanceId, RouteSpec, Timestamp};
 use millpass_telemetry::event_line;
 use rand::RngExt;
@@ -195,10 +195,10 @@
     /// Serves the request once its tenant's quota covers it.
     async fn within_quota(mut self) -> Response<RelayBody> {
         let now = self.shared.now();
-        let held_back = self.shared.core().held_back(now, &self.ticket);
+        let held_back = self.shared.core().quarantined_for(now, &self.ticket);
         if let Some(retry_after) = held_back {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            let reason = RefusalReason::EndsInstances.as_str();
+            let reason = RefusalReason::Quarantined.as_str();
             return self.give_up(status, reason, Some(retry_after));
         }
         let hold = match CreditHold::claim(&self.shared, &self.ticket) {
@@ -263,7 +263,7 @@
         let shared = self.shared.clone();
         let sent_at = shared.now();
         self.note_ran(true);
-        let active = ActiveSend::new(shared.clone(), self.ticket.record(&instance));
+        let active = ActiveSend::new(shared.clone(), self.ticket.send_record(&instance));
         let facts = SendFacts {
             remaining: self.ticket.deadline.since(sent_at),
             instance: &instance,
@@ -271,7 +271,7 @@
             tenant: self.ticket.tenant.as_ref().map(|tenant| &tenant.name),
             last_event: None,
         };
-        let give_up = self.ticket.give_up;
+        let give_up = self.ticket.expires_at;
         let received = exchange::send(&shared, &self.template, address, &facts, give_up).await;
         let received = match received {
             Ok(received) => received,
@@ -284,7 +284,7 @@
         }
         note_statement(&shared, &self.ticket, &instance, sent_at, &received.facts);
         if let Some(load) = received.facts.load {
-            shared.core().told_load(shared.now(), &instance, load);
+            shared.core().record_load(shared.now(), &instance, load);
         }
         if received.facts.misdirected || received.facts.not_executed {
             note_turned_away(&shared, &self.ticket, active, &received);
@@ -335,8 +335,8 @@
         self.may_have_run = true;
         let body = read_failure(received.body).await;
         active.end(match body {
-            Some(_) => SendEnd::Failed,
-            None => SendEnd::Broken,
+            Some(_) => SendOutcome::Failed,
+            None => SendOutcome::Broken,
         });
         let Some(body) = body else {
             if self.ticket.is_repeatable() {
@@ -409,14 +409,23 @@
     failure: &SendFailure,
 ) {
     let (outcome, detail, end) = match failure {
-        SendFailure::Unreachable(reason) => ("unreachable", reason.as_str(), SendEnd::Unreachable),
-        SendFailure::Ended(reason) => ("unreachable", reason.as_str(), SendEnd::Ended),
-        SendFailure::Broken(reason) => ("broken", reason.as_str(), SendEnd::Broken),
-        SendFailure::TimedOut => ("timed-out", "", SendEnd::GivenUp),
+        SendFailure::Unreachable(reason) => {
+            ("unreachable", reason.as_str(), SendOutcome::Unreachable)
+        }
+        SendFailure::Ended(reason) => (
+            "unreachable",
+            reason.as_str(),
+            SendOutcome::ConnectionRefused,
+        ),
+        SendFailure::Broken(reason) => ("broken", reason.as_str(), SendOutcome::Broken),
+        SendFailure::TimedOut => ("timed-out", "", SendOutcome::Abandoned),
     };
     log_send(shared, ticket, &active.record().instance, outcome, detail);
     active.end(end);
-    if matches!(end, SendEnd::Unreachable | SendEnd::Ended) {
+    if matches!(
+        end,
+        SendOutcome::Unreachable | SendOutcome::ConnectionRefused
+    ) {
         ticket.sends = ticket.sends.saturating_sub(1);
     }
 }
@@ -451,15 +460,15 @@
 }
 
 /// How a send ended that the instance says did not run.
-fn turned_away(facts: &AnswerFacts, instance: &InstanceId) -> SendEnd {
+fn turned_away(facts: &AnswerFacts, instance: &InstanceId) -> SendOutcome {
     let other_run = facts
         .instance
         .as_ref()
         .is_some_and(|found| found.name() != instance.name());
     match (facts.misdirected, other_run) {
-        (true, true) => SendEnd::Replaced,
-        (true, false) => SendEnd::Misdirected,
-        (false, _) => SendEnd::Full,
+        (true, true) => SendOutcome::Replaced,
+        (true, false) => SendOutcome::Misdirected,
+        (false, _) => SendOutcome::Full,
     }
 }
 
--- a/crates/millpass-gateway/src/freshness.rs
+++ b/crates/millpass-gateway/src/freshness.rs
@@ -55,7 +55,7 @@
         let urgent = shared.asked.swap(false, Ordering::AcqRel);
         let (round, members) = {
             let mut core = shared.core();
-            (core.begin_round(now, urgent), core.members_to_ask())
+            (core.begin_query_round(now, urgent), core.members_to_query())
         };
         if let Some(round) = round {
             send_all(socket, &members, round).await;
@@ -113,9 +113,9 @@
     let now = shared.now();
     let (confirmed, more_members) = {
         let mut core = shared.core();
-        let asked = core.members_to_ask().len();
-        let confirmed = core.take_freshness(now, from, response);
-        (confirmed, core.members_to_ask().len() > asked)
+        let asked = core.members_to_query().len();
+        let confirmed = core.record_freshness_response(now, from, response);
+        (confirmed, core.members_to_query().len() > asked)
     };
     if more_members {
         shared.ask_members();
@@ -133,7 +133,7 @@
     let (freshness, age, (as_of, newest)) = {
         let core = shared.core();
         let age = core.confirmation_age(now);
-        (core.freshness(now), age, core.binding_indexes())
+        (core.freshness(now), age, core.required_indexes())
     };
     if let Some(age) = age {
         shared.metrics.confirmation_age.observe(age.as_secs_f64());
--- a/crates/millpass-gateway/src/interface.rs
+++ b/crates/millpass-gateway/src/interface.rs
@@ -2,7 +2,7 @@
 //! nothing.
 
 use http::{HeaderMap, Method, StatusCode, Uri};
-use millpass_dispatch::{Description, Statement, ToldLoad};
+use millpass_dispatch::{ReportedLoad, RequestDescription, Statement};
 use millpass_proto::{Duration, InstanceId, TenantName};
 
 /// What a send to an instance states beside the caller's own words.
@@ -32,7 +32,7 @@
     /// Instance that answers, where it says so; which of its runs is not said.
     pub instance: Option<InstanceId>,
     /// Requests running and waiting there.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// What it states of itself beside its load.
     pub statement: Statement,
     /// Time an idle connection is kept open there.
@@ -45,7 +45,7 @@
     fn is_readiness(&self, method: &Method, uri: &Uri) -> bool;
 
     /// Describes a request.
-    fn describe(&self, headers: &HeaderMap) -> Description;
+    fn describe(&self, headers: &HeaderMap) -> RequestDescription;
 
     /// Removes from a caller's head what only the system may set, and what no instance may see.
     fn strip_reserved(&self, headers: &mut HeaderMap);
--- a/crates/millpass-gateway/src/link.rs
+++ b/crates/millpass-gateway/src/link.rs
@@ -120,11 +120,11 @@
         let now = shared.now();
         let (leadership, lacks_news) = {
             let core = shared.core();
-            (core.leadership(now), core.lacks_news())
+            (core.leadership(now), core.is_missing_updates())
         };
         match leadership {
-            Leadership::Named(leader) => return members.choice.named(Some(leader)),
-            Leadership::Vacant if !lacks_news && now < until => {
+            Leadership::Leader(leader) => return members.choice.named(Some(leader)),
+            Leadership::NoLeader if !lacks_news && now < until => {
                 shared.wait_for_change(answered, until).await;
             }
             _ => return,
@@ -171,7 +171,7 @@
         let answered = shared.member_answered.listen();
         let now = shared.now();
         let leadership = shared.core().leadership(now);
-        let named = matches!(leadership, Leadership::Named(leader) if leader != left);
+        let named = matches!(leadership, Leadership::Leader(leader) if leader != left);
         if now >= until || (named && asked > 0) {
             return;
         }
@@ -204,7 +204,7 @@
         Ok(stream) => Arc::new(stream),
         Err(error) => return (LinkEnd::Lost(error.to_string()), false),
     };
-    shared.core().member_reached(shared.now(), address);
+    shared.core().record_member_contact(shared.now(), address);
     let mut served = false;
     let end = {
         let reading = read(shared, &stream, address, &mut served, members);
@@ -239,7 +239,7 @@
         let now = shared.now();
         let (answered, urgent) = {
             let core = shared.core();
-            (core.is_report_answered(), core.is_report_urgent())
+            (core.is_report_acknowledged(), core.is_report_urgent())
         };
         let due = schedule.is_due(now, answered, urgent);
         let mut messages = Vec::new();
@@ -301,12 +301,12 @@
                 take_update(shared, update);
             }
             Ok(ControlToRouter::Credit(answer)) => {
-                shared.core().take_credit(shared.now(), &answer);
+                shared.core().apply_credit(shared.now(), &answer);
                 shared.changed.notify(usize::MAX);
             }
             Ok(ControlToRouter::Crashes(update)) => take_crashes(shared, &update),
             Ok(ControlToRouter::Permits(answer)) => {
-                shared.core().take_permits(shared.now(), &answer);
+                shared.core().apply_permits(shared.now(), &answer);
                 shared.changed.notify(usize::MAX);
             }
             Ok(ControlToRouter::Limits(update)) => take_limits(shared, &update),
@@ -330,7 +330,7 @@
         Timer::after(SILENCE_LOOK).await;
         let now = shared.now();
         let silence = now.since(heard_at);
-        let suspect = silence >= longest || shared.core().is_leader_silent(now, heard_at);
+        let suspect = silence >= longest || shared.core().is_credit_response_overdue(now, heard_at);
         if !suspect {
             continue;
         }
@@ -362,9 +362,9 @@
     let provisional = update.provisional;
     let (outcome, instances, brought_answer) = {
         let mut core = shared.core();
-        let was_answered = core.is_report_answered();
+        let was_answered = core.is_report_acknowledged();
         let outcome = core.update(now, update);
-        let brought_answer = !was_answered && core.is_report_answered();
+        let brought_answer = !was_answered && core.is_report_acknowledged();
         (outcome, core.instance_count(), brought_answer)
     };
     if brought_answer {
@@ -372,7 +372,7 @@
         shared.report.notify(usize::MAX);
     }
     shared.metrics.instances.set(instances as i64);
-    if let Some(base) = outcome.unfit_change {
+    if let Some(base) = outcome.mismatched_base {
         // The next report says which version is held, and the leader sends the document whole.
         log::warn!("event=document_change_unfit term={term} base={base}");
     }
@@ -406,9 +406,9 @@
     let now = shared.now();
     let (before, held) = {
         let mut core = shared.core();
-        let before = core.held_requests();
-        core.take_crashes(now, update);
-        (before, core.held_requests())
+        let before = core.quarantined_requests();
+        core.apply_crash_update(now, update);
+        (before, core.quarantined_requests())
     };
     if held != before {
         shared.metrics.held_back.set(held as i64);
--- a/crates/millpass-gateway/src/metrics.rs
+++ b/crates/millpass-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and histograms of the gateway.
 
-use millpass_dispatch::SendEnd;
+use millpass_dispatch::SendOutcome;
 use millpass_proto::TenantName;
 use millpass_telemetry::{exposition, registry};
 use prometheus::{Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry};
@@ -166,20 +166,20 @@
             .inc();
     }
 
-    pub(crate) fn count_send(&self, end: SendEnd) {
+    pub(crate) fn count_send(&self, end: SendOutcome) {
         let label = match end {
-            SendEnd::Answered(time) => {
+            SendOutcome::Responded(time) => {
                 self.first_byte.observe(time.as_secs_f64());
                 "answered"
             }
-            SendEnd::Full => "full",
-            SendEnd::Misdirected => "misdirected",
-            SendEnd::Replaced => "replaced",
-            SendEnd::Unreachable => "unreachable",
-            SendEnd::Ended => "ended",
-            SendEnd::Failed => "failed",
-            SendEnd::Broken => "broken",
-            SendEnd::GivenUp => "given-up",
+            SendOutcome::Full => "full",
+            SendOutcome::Misdirected => "misdirected",
+            SendOutcome::Replaced => "replaced",
+            SendOutcome::Unreachable => "unreachable",
+            SendOutcome::ConnectionRefused => "ended",
+            SendOutcome::Failed => "failed",
+            SendOutcome::Broken => "broken",
+            SendOutcome::Abandoned => "given-up",
         };
         self.sends.with_label_values(&[label]).inc();
     }
--- a/crates/millpass-gateway/src/relay.rs
+++ b/crates/millpass-gateway/src/relay.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::client::conn::http1::SendRequest;
-use millpass_dispatch::{Choice, SendEnd, Ticket};
+use millpass_dispatch::{Choice, SendOutcome, Ticket};
 use millpass_proto::Duration;
 use std::convert::Infallible;
 use std::io;
@@ -140,7 +140,7 @@
             }
         };
         let timer = async {
-            self.shared.sleep_until(self.ticket.give_up).await;
+            self.shared.sleep_until(self.ticket.expires_at).await;
             Part::TimedOut
         };
         future::or(read, timer).await
@@ -155,7 +155,7 @@
         if let Some(sender) = self.sender.take() {
             self.shared.pool.put(&instance, sender, self.keep_alive);
         }
-        active.end(SendEnd::Answered(self.took));
+        active.end(SendOutcome::Responded(self.took));
         if !self.note_end() {
             return;
         }
@@ -184,9 +184,9 @@
         self.sender = None;
         if let Some(active) = self.active.take() {
             let end = if outcome == "broken" {
-                SendEnd::Broken
+                SendOutcome::Broken
             } else {
-                SendEnd::GivenUp
+                SendOutcome::Abandoned
             };
             active.end(end);
         }
@@ -208,7 +208,7 @@
                 self.ticket.description.attempt,
                 self.ticket.description.fingerprint
             );
-            active.end(SendEnd::Broken);
+            active.end(SendOutcome::Broken);
         }
         if let Some(events) = &mut self.events {
             events.discard_part();
@@ -224,7 +224,7 @@
                     }
                 }
                 Choice::Wait { until } => {
-                    if now >= self.ticket.give_up {
+                    if now >= self.ticket.expires_at {
                         return false;
                     }
                     self.shared.wait_for_change(changed, until).await;
@@ -237,7 +237,7 @@
     /// Whether the stream goes on at this instance; otherwise another may be tried.
     async fn send_again(&mut self, instance: millpass_proto::InstanceId, address: &str) -> bool {
         let shared = self.shared.clone();
-        let active = ActiveSend::new(shared.clone(), self.ticket.record(&instance));
+        let active = ActiveSend::new(shared.clone(), self.ticket.send_record(&instance));
         let last = self
             .events
             .as_ref()
@@ -251,7 +251,7 @@
             tenant: self.ticket.tenant.as_ref().map(|tenant| &tenant.name),
             last_event: last.as_deref(),
         };
-        let give_up = self.ticket.give_up;
+        let give_up = self.ticket.expires_at;
         let sent = exchange::send(&shared, &self.template, address, &facts, give_up).await;
         let received = match sent {
             Ok(received) => received,
@@ -270,7 +270,7 @@
             return false;
         }
         if !same || received.head.status != self.status {
-            active.end(SendEnd::Failed);
+            active.end(SendOutcome::Failed);
             return false;
         }
         log::info!(
--- a/crates/millpass-gateway/src/shared.rs
+++ b/crates/millpass-gateway/src/shared.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use event_listener::{Event, EventListener};
 use futures_lite::future;
-use millpass_dispatch::{Choice, Dispatcher, SendEnd, SendRecord, Ticket};
+use millpass_dispatch::{Choice, Dispatcher, SendOutcome, SendRecord, Ticket};
 use millpass_proto::{Duration, Timestamp};
 use millpass_telemetry::ProcessClock;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -163,18 +163,20 @@
     }
 
     /// Notes how it ended.
-    pub(crate) fn end(mut self, end: SendEnd) {
+    pub(crate) fn end(mut self, end: SendOutcome) {
         self.note(end);
     }
 
-    fn note(&mut self, end: SendEnd) {
+    fn note(&mut self, end: SendOutcome) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
         self.shared.metrics.count_send(end);
         let now = self.shared.now();
-        self.shared.core().ended(now, &self.record, end);
-        if end == SendEnd::Broken {
+        self.shared
+            .core()
+            .record_send_outcome(now, &self.record, end);
+        if end == SendOutcome::Broken {
             self.shared.probe.notify(1);
         }
         self.shared.changed.notify(usize::MAX);
@@ -183,6 +185,6 @@
 
 impl Drop for ActiveSend {
     fn drop(&mut self) {
-        self.note(SendEnd::GivenUp);
+        self.note(SendOutcome::Abandoned);
     }
 }
--- a/crates/millpass-gateway/src/statements.rs
+++ b/crates/millpass-gateway/src/statements.rs
@@ -23,7 +23,7 @@
     let statement = &facts.statement;
     let changes = shared
         .core()
-        .heard_statement(now, sent_at, instance, statement);
+        .record_statement(now, sent_at, instance, statement);
     if changes.is_empty() {
         return;
     }
@@ -36,7 +36,7 @@
 
 /// Takes the limits that the leader tells.
 pub(crate) fn take_limits(shared: &Shared, update: &LimitUpdate) {
-    let changes = shared.core().take_limits(shared.now(), update);
+    let changes = shared.core().apply_limits(shared.now(), update);
     for (instance, change) in changes {
         log_change(shared, None, &instance, change);
     }
@@ -59,9 +59,9 @@
     let (name, value) = match change {
         StatementChange::Limited(rate) => ("limited", rate.milli_per_second.to_string()),
         StatementChange::Unlimited => ("unlimited", String::new()),
-        StatementChange::Resting(rest) => ("resting", millis(rest)),
+        StatementChange::Backoff(rest) => ("resting", millis(rest)),
         StatementChange::Leaving => ("leaving", String::new()),
-        StatementChange::Unreadable => ("unreadable", String::new()),
+        StatementChange::Malformed => ("unreadable", String::new()),
     };
     shared.metrics.statements.with_label_values(&[name]).inc();
     let request = ticket.map(|ticket| ticket.description.attempt.clone());
@@ -73,7 +73,7 @@
     ];
     let line = event_line("instance_stated", &pairs);
     match change {
-        StatementChange::Unreadable => {
+        StatementChange::Malformed => {
             log::warn!("{line} remedy=\"have the server state a decimal number without sign\"");
         }
         _ => log::info!("{line}"),
--- a/crates/millpass-limits/src/ledger.rs
+++ b/crates/millpass-limits/src/ledger.rs
@@ -5,7 +5,7 @@
 //! begins with empty buckets: what the one before it lent lapses while they fill.
 
 use crate::rate::RequestRate;
-use crate::word::{HeardLimit, LimitChange, Words};
+use crate::word::{LimitChange, ObservedLimit, Words};
 use millpass_proto::{
     Duration, InstanceId, InstancePermitRequest, LimitObservation, LimitUpdate, PermitGrant,
     PermitRequest, PermitResponse, Timestamp,
@@ -104,15 +104,19 @@
     }
 
     /// Limits in force.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.words.limited()
     }
 
     /// Takes what gateways heard; gives the limits in force that changed by it.
-    pub fn take_words(&mut self, now: Timestamp, words: &[LimitObservation]) -> Vec<LimitChange> {
+    pub fn record_limits(
+        &mut self,
+        now: Timestamp,
+        words: &[LimitObservation],
+    ) -> Vec<LimitChange> {
         let mut changes = Vec::new();
         for word in words {
-            let heard = HeardLimit::received(now, word);
+            let heard = ObservedLimit::received(now, word);
             let before = self.words.rate(&word.instance);
             let Some(change) = self.words.take(now, &word.instance, heard) else {
                 continue;
@@ -136,7 +140,7 @@
     }
 
     /// Answers a gateway whose words were taken.
-    pub fn answer(
+    pub fn respond(
         &mut self,
         now: Timestamp,
         term: u64,
--- a/crates/millpass-limits/src/lib.rs
+++ b/crates/millpass-limits/src/lib.rs
@@ -16,6 +16,6 @@
 mod word;
 
 pub use ledger::{PermitLedger, PermitsExhausted};
-pub use pool::{Opening, PermitPool};
+pub use pool::{Availability, PermitPool};
 pub use rate::RequestRate;
-pub use word::{HeardLimit, LimitChange};
+pub use word::{LimitChange, ObservedLimit};
--- a/crates/millpass-limits/src/pool.rs
+++ b/crates/millpass-limits/src/pool.rs
@@ -3,7 +3,7 @@
 use crate::ledger::LONGEST_WAIT;
 use crate::rate::RequestRate;
 use crate::slots::Slots;
-use crate::word::{HeardLimit, LimitChange, Words};
+use crate::word::{LimitChange, ObservedLimit, Words};
 use millpass_proto::{
     Duration, InstanceId, InstancePermitRequest, LimitObservation, LimitUpdate, PermitGrant,
     PermitRequest, PermitResponse, Timestamp,
@@ -30,18 +30,18 @@
 
 /// When a request may go to a limited instance that has no permit now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
+pub enum Availability {
     /// The leader is asked; it answers by then, or is silent.
-    Unanswered(Timestamp),
+    AwaitingResponse(Timestamp),
     /// Not before.
     At(Timestamp),
 }
 
-impl Opening {
+impl Availability {
     /// The time by which it is known whether a request may go.
-    pub fn latest(&self) -> Timestamp {
+    pub fn known_by(&self) -> Timestamp {
         match self {
-            Opening::Unanswered(until) | Opening::At(until) => *until,
+            Availability::AwaitingResponse(until) | Availability::At(until) => *until,
         }
     }
 }
@@ -135,11 +135,11 @@
     }
 
     /// Takes what an answer stated; gives the limit in force if that changed.
-    pub fn heard(
+    pub fn record_statement(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        word: HeardLimit,
+        word: ObservedLimit,
     ) -> Option<LimitChange> {
         let change = self.words.take(now, instance, word);
         if change.is_some() || self.disputed.contains(instance) {
@@ -150,10 +150,10 @@
     }
 
     /// Takes what the leader tells; gives the limits in force that changed by it.
-    pub fn told(&mut self, now: Timestamp, update: &LimitUpdate) -> Vec<LimitChange> {
+    pub fn apply_update(&mut self, now: Timestamp, update: &LimitUpdate) -> Vec<LimitChange> {
         let mut changes = Vec::new();
         for word in &update.limits {
-            let heard = HeardLimit::received(now, word);
+            let heard = ObservedLimit::received(now, word);
             changes.extend(self.words.take(now, &word.instance, heard));
             match self.words.rate(&word.instance) == heard.rate {
                 true => self.disputed.remove(&word.instance),
@@ -184,7 +184,7 @@
     }
 
     /// How many limits are in force.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.words.limited()
     }
 
@@ -202,7 +202,7 @@
     }
 
     /// A request goes to an instance that [`PermitPool::may_send`] allows.
-    pub fn sent(&mut self, now: Timestamp, instance: &InstanceId, gateways: u32) {
+    pub fn record_send(&mut self, now: Timestamp, instance: &InstanceId, gateways: u32) {
         let Some(rate) = self.words.rate(instance) else {
             return;
         };
@@ -216,7 +216,7 @@
     }
 
     /// A request looks for a permit; at an instance without a limit it needs none.
-    pub fn want(&mut self, now: Timestamp, instance: &InstanceId) {
+    pub fn add_waiter(&mut self, now: Timestamp, instance: &InstanceId) {
         if self.words.rate(instance).is_none() {
             return;
         }
@@ -228,37 +228,42 @@
     }
 
     /// A request that looked for a permit looks no more: a permit lent for it would lapse.
-    pub fn unwant(&mut self, instance: &InstanceId) {
+    pub fn remove_waiter(&mut self, instance: &InstanceId) {
         if let Some(account) = self.accounts.get_mut(instance) {
             account.wants.pop_front();
         }
     }
 
     /// When a request may go to a limited instance that it may not go to now.
-    pub fn opening(&self, now: Timestamp, instance: &InstanceId, gateways: u32) -> Opening {
+    pub fn availability(
+        &self,
+        now: Timestamp,
+        instance: &InstanceId,
+        gateways: u32,
+    ) -> Availability {
         let Some(rate) = self.words.rate(instance) else {
-            return Opening::At(now);
+            return Availability::At(now);
         };
         let Some(account) = self.accounts.get(instance) else {
-            return Opening::Unanswered(now + ANSWER_TIME);
+            return Availability::AwaitingResponse(now + ANSWER_TIME);
         };
         if now < account.denied_until {
             let refused = rate.interval() * account.refused;
             let opens = account.none_until.max(account.denied_until);
             let at = (opens + refused).min(now + LONGEST_WAIT);
-            return Opening::At(at);
+            return Availability::At(at);
         }
         let since = account.unanswered_since.unwrap_or(now);
         let answered_by = since + ANSWER_TIME;
         if now < answered_by {
-            return Opening::Unanswered(answered_by);
+            return Availability::AwaitingResponse(answered_by);
         }
         let next = Slots::new(&self.gateway, instance, rate, gateways).next(now);
-        Opening::At(next.max(since + SILENCE).min(now + LONGEST_WAIT))
+        Availability::At(next.max(since + SILENCE).min(now + LONGEST_WAIT))
     }
 
-    /// A request is refused by what [`PermitPool::opening`] said: the next one is told a later time.
-    pub fn refused(&mut self, instance: &InstanceId) {
+    /// A request is refused by what [`PermitPool::availability`] said: the next one is told a later time.
+    pub fn record_refusal(&mut self, instance: &InstanceId) {
         if let Some(account) = self.accounts.get_mut(instance) {
             account.refused = account.refused.saturating_add(1);
         }
@@ -273,7 +278,7 @@
     }
 
     /// The next message to the leader, if one is due.
-    pub fn request(&mut self, now: Timestamp) -> Option<PermitRequest> {
+    pub fn next_request(&mut self, now: Timestamp) -> Option<PermitRequest> {
         if !self.is_request_due(now) {
             return None;
         }
@@ -312,7 +317,7 @@
     }
 
     /// Takes the leader's answer. One to an earlier message is too late: its permits count as lost.
-    pub fn answer(&mut self, now: Timestamp, answer: &PermitResponse) {
+    pub fn apply_response(&mut self, now: Timestamp, answer: &PermitResponse) {
         let asked = self
             .asked
             .take_if(|asked| asked.sequence == answer.sequence);
--- a/crates/millpass-limits/src/word.rs
+++ b/crates/millpass-limits/src/word.rs
@@ -11,13 +11,13 @@
 
 /// What an answer stated of its instance's limit. The instance wrote it at some time between the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardLimit {
+pub struct ObservedLimit {
     /// Limit; none where none is stated.
     pub rate: Option<RequestRate>,
     /// When the request was sent.
     pub sent_at: Timestamp,
     /// When its answer came.
-    pub heard_at: Timestamp,
+    pub received_at: Timestamp,
 }
 
 /// The limit in force of an instance has changed.
@@ -29,16 +29,16 @@
     pub rate: Option<RequestRate>,
 }
 
-impl HeardLimit {
+impl ObservedLimit {
     /// From a message, with its ages.
-    pub(crate) fn received(now: Timestamp, word: &LimitObservation) -> HeardLimit {
+    pub(crate) fn received(now: Timestamp, word: &LimitObservation) -> ObservedLimit {
         let ago = |millis| now.earlier(Duration::from_millis(millis));
-        HeardLimit {
+        ObservedLimit {
             rate: word
                 .milli_per_second
                 .map(|milli_per_second| RequestRate { milli_per_second }),
             sent_at: ago(word.request_age_millis),
-            heard_at: ago(word.response_age_millis),
+            received_at: ago(word.response_age_millis),
         }
     }
 
@@ -48,19 +48,19 @@
             instance: instance.clone(),
             milli_per_second: self.rate.map(|rate| rate.milli_per_second),
             request_age_millis: now.since(self.sent_at).as_millis() as u64,
-            response_age_millis: now.since(self.heard_at).as_millis() as u64,
+            response_age_millis: now.since(self.received_at).as_millis() as u64,
         }
     }
 
     /// Whether it takes the place of what is held. Of two words that may have been written in either order the
     /// stricter holds: answers overtake each other.
-    fn outdates(&self, held: &HeardLimit) -> bool {
-        if self.heard_at <= held.sent_at {
+    fn outdates(&self, held: &ObservedLimit) -> bool {
+        if self.received_at <= held.sent_at {
             return false;
         }
-        let is_after = self.sent_at >= held.heard_at;
+        let is_after = self.sent_at >= held.received_at;
         match (self.rate, held.rate) {
-            (Some(new), Some(old)) if new == old => self.heard_at > held.heard_at,
+            (Some(new), Some(old)) if new == old => self.received_at > held.received_at,
             (Some(new), Some(old)) => new < old || is_after,
             (Some(_), None) => true,
             (None, _) => is_after,
@@ -71,7 +71,7 @@
 /// The last words of instances.
 #[derive(Debug, Default)]
 pub(crate) struct Words {
-    words: BTreeMap<InstanceId, HeardLimit>,
+    words: BTreeMap<InstanceId, ObservedLimit>,
 }
 
 impl Words {
@@ -80,7 +80,7 @@
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        word: HeardLimit,
+        word: ObservedLimit,
     ) -> Option<LimitChange> {
         let held = self.words.get(instance);
         let before = held.and_then(|held| held.rate);
@@ -99,12 +99,13 @@
     }
 
     fn forget_old(&mut self, now: Timestamp) {
-        self.words
-            .retain(|_, word| word.rate.is_some() || now.since(word.heard_at) < WITHDRAWN_MEMORY);
+        self.words.retain(|_, word| {
+            word.rate.is_some() || now.since(word.received_at) < WITHDRAWN_MEMORY
+        });
         if self.words.len() < MAXIMUM_WORDS {
             return;
         }
-        let oldest = self.words.iter().min_by_key(|(_, word)| word.heard_at);
+        let oldest = self.words.iter().min_by_key(|(_, word)| word.received_at);
         if let Some(instance) = oldest.map(|(instance, _)| instance.clone()) {
             self.words.remove(&instance);
         }
@@ -115,11 +116,11 @@
         self.words.get(instance)?.rate
     }
 
-    pub(crate) fn get(&self, instance: &InstanceId) -> Option<&HeardLimit> {
+    pub(crate) fn get(&self, instance: &InstanceId) -> Option<&ObservedLimit> {
         self.words.get(instance)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&InstanceId, &HeardLimit)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&InstanceId, &ObservedLimit)> {
         self.words.iter()
     }
 
--- a/crates/millpass-limits/tests/over_all_gateways.rs
+++ b/crates/millpass-limits/tests/over_all_gateways.rs
@@ -1,6 +1,6 @@
 //! What all gateways send to an instance that states a limit, with a leader and without one.
 
-use millpass_limits::{HeardLimit, PermitLedger, PermitPool, RequestRate};
+use millpass_limits::{ObservedLimit, PermitLedger, PermitPool, RequestRate};
 use millpass_proto::{InstanceId, LimitUpdate, PermitRequest, PermitResponse, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -98,12 +98,12 @@
     }
 
     fn hear(&mut self, now: u64, gateway: usize, milli_per_second: Option<u64>) {
-        let word = HeardLimit {
+        let word = ObservedLimit {
             rate: milli_per_second.map(|milli_per_second| RequestRate { milli_per_second }),
             sent_at: at(now.saturating_sub(5)),
-            heard_at: at(now),
+            received_at: at(now),
         };
-        self.gateways[gateway].heard(at(now), &self.instance, word);
+        self.gateways[gateway].record_statement(at(now), &self.instance, word);
     }
 
     /// Requests wait at a gateway; whether one is sent.
@@ -112,12 +112,12 @@
         let pool = &mut self.gateways[gateway];
         let may = pool.may_send(at(now), &self.instance, known);
         if may {
-            pool.unwant(&self.instance);
-            pool.sent(at(now), &self.instance, known);
+            pool.remove_waiter(&self.instance);
+            pool.record_send(at(now), &self.instance, known);
         } else if self.looked[gateway].is_none_or(|looked| now >= looked + LOOK_MILLIS) {
             self.looked[gateway] = Some(now);
             for _ in 0..waiting {
-                pool.want(at(now), &self.instance);
+                pool.add_waiter(at(now), &self.instance);
             }
         }
         may
@@ -130,7 +130,7 @@
                 self.told[gateway] = 0;
                 continue;
             }
-            if let Some(request) = self.gateways[gateway].request(at(now)) {
+            if let Some(request) = self.gateways[gateway].next_request(at(now)) {
                 self.messages += 1;
                 let message = Message::Request(gateway, request);
                 self.on_the_way.push((now + self.delay, message));
@@ -160,14 +160,14 @@
         }
         match message {
             Message::Request(_, request) => {
-                self.ledger.take_words(at(now), &request.observations);
-                let (answer, _) = self.ledger.answer(at(now), self.term, &request);
+                self.ledger.record_limits(at(now), &request.observations);
+                let (answer, _) = self.ledger.respond(at(now), self.term, &request);
                 let answer = Message::Answer(gateway, answer);
                 self.on_the_way.push((now + self.delay, answer));
             }
-            Message::Answer(_, answer) => self.gateways[gateway].answer(at(now), &answer),
+            Message::Answer(_, answer) => self.gateways[gateway].apply_response(at(now), &answer),
             Message::Limits(_, update) => {
-                self.gateways[gateway].told(at(now), &update);
+                self.gateways[gateway].apply_update(at(now), &update);
             }
         }
     }
@@ -233,8 +233,8 @@
                 world.sent.push(now);
             } else {
                 let instance = world.instance.clone();
-                world.gateways[gateway].unwant(&instance);
-                world.gateways[gateway].refused(&instance);
+                world.gateways[gateway].remove_waiter(&instance);
+                world.gateways[gateway].record_refusal(&instance);
             }
         }
     }
@@ -345,12 +345,12 @@
     }
     world.hear(1_000, 0, Some(1_000));
     // Sent before the first gateway heard the limit again: which of the two is newer is not known.
-    let withdrawn = HeardLimit {
+    let withdrawn = ObservedLimit {
         rate: None,
         sent_at: at(999),
-        heard_at: at(1_001),
+        received_at: at(1_001),
     };
-    world.gateways[1].heard(at(1_001), &"i-1".into(), withdrawn);
+    world.gateways[1].record_statement(at(1_001), &"i-1".into(), withdrawn);
     for now in (1_010..1_100).step_by(10) {
         world.exchange_messages(now, &Faults::default());
     }
@@ -385,20 +385,20 @@
         let limit = RequestRate {
             milli_per_second: 1_000,
         };
-        let word = HeardLimit {
+        let word = ObservedLimit {
             rate: Some(limit),
             sent_at: at(0),
-            heard_at: at(1),
+            received_at: at(1),
         };
-        pool.heard(at(1), &instance, word);
+        pool.record_statement(at(1), &instance, word);
     }
     for (sent, heard, rate) in [first, second] {
-        let word = HeardLimit {
+        let word = ObservedLimit {
             rate: rate.map(|milli_per_second| RequestRate { milli_per_second }),
             sent_at: at(sent),
-            heard_at: at(heard),
+            received_at: at(heard),
         };
-        pool.heard(at(heard), &instance, word);
+        pool.record_statement(at(heard), &instance, word);
     }
     let held = pool.rate(&instance).map(|rate| rate.milli_per_second);
     assert_eq!(held, expected);
