--- a/crates/millpass-dispatch/tests/freshness.rs
+++ b/crates/millpass-dispatch/tests/freshness.rs
@@ -1,9 +1,5 @@
-//! What a gateway answers by knowledge of some age.
-//!
-//! Users saw 404 for routes that had been acknowledged seconds before, and requests served by services that a newer
-//! document had replaced. The gateways concerned had lost the leader, or had started while there was none: they
-//! went on with the copy they had for as long as no newer one reached them, and an update that had
-//! waited for seconds in a socket counted as news of the moment at which it arrived.
+//! Staleness limits of gateways that lost the leader, started without one, or received updates
+//! late. A stale gateway must not report missing routes or send requests to replaced services.
 
 use millpass_dispatch::{
     Choice, DispatchSettings, Dispatcher, Freshness, FreshnessSettings, Leadership, RefusalReason,
@@ -16,9 +12,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-const IN_FORCE: u64 = 2_000;
-const SENDING: u64 = 350;
-const CUT_OFF: u64 = 10_000;
+const MAX_STALENESS_MILLIS: u64 = 2_000;
+const MAX_SEND_DELAY_MILLIS: u64 = 350;
+const MAX_ISOLATED_STALENESS_MILLIS: u64 = 10_000;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -84,7 +80,7 @@
     }
 }
 
-fn update(answers: u64, as_of: u64, provisional: bool) -> GatewayUpdate {
+fn update(acknowledged_report: u64, as_of: u64, provisional: bool) -> GatewayUpdate {
     GatewayUpdate {
         term: u64::from(!provisional),
         complete: !provisional,
@@ -97,7 +93,7 @@
         members: Vec::new(),
         provisional,
         loads: Vec::new(),
-        acknowledged_report: answers,
+        acknowledged_report,
         as_of,
         document_change: None,
         unchanged_instance_digests: Vec::new(),
@@ -120,17 +116,17 @@
         quota: QuotaTerms::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
-            max_staleness: Duration::from_millis(IN_FORCE),
-            max_departure_staleness: Duration::from_millis(IN_FORCE),
-            max_send_delay: Duration::from_millis(SENDING),
-            max_isolated_staleness: Duration::from_millis(CUT_OFF),
+            max_staleness: Duration::from_millis(MAX_STALENESS_MILLIS),
+            max_departure_staleness: Duration::from_millis(MAX_STALENESS_MILLIS),
+            max_send_delay: Duration::from_millis(MAX_SEND_DELAY_MILLIS),
+            max_isolated_staleness: Duration::from_millis(MAX_ISOLATED_STALENESS_MILLIS),
         },
     });
     gateway.set_members((1..=3).map(address).collect());
     gateway
 }
 
-/// A gateway whose report of 0 ms the leader answered: it knows all up to index 10.
+/// A gateway whose report at 0 ms was acknowledged: it has applied everything up to index 10.
 fn confirmed() -> Dispatcher {
     let mut gateway = gateway();
     let report = gateway.report(at(0));
@@ -138,12 +134,12 @@
     gateway
 }
 
-fn response(member: u64, round: u64, binding: u64, voters: &[u64]) -> FreshnessResponse {
+fn response(member: u64, round: u64, required_index: u64, voters: &[u64]) -> FreshnessResponse {
     FreshnessResponse {
         round,
         member: MemberId(member),
-        required_index: binding,
-        applied: binding,
+        required_index,
+        applied: required_index,
         membership_index: 1,
         voters: voters.iter().copied().map(MemberId).collect(),
         outgoing_voters: Vec::new(),
@@ -156,64 +152,76 @@
     }
 }
 
-/// Asks, and lets these members answer with the last index that binds in their logs.
-fn ask(gateway: &mut Dispatcher, now: u64, answers: &[(u64, u64)]) {
+/// Begins a query round and delivers responses of these members with their required indexes.
+fn query_members(gateway: &mut Dispatcher, now: u64, responses: &[(u64, u64)]) {
     let round = gateway.begin_query_round(at(now), true).expect("a round");
-    for (member, binding) in answers {
-        let answer = response(*member, round, *binding, &[1, 2, 3]);
-        gateway.record_freshness_response(at(now), address(*member), answer);
+    for (member, required_index) in responses {
+        let response = response(*member, round, *required_index, &[1, 2, 3]);
+        gateway.record_freshness_response(at(now), address(*member), response);
     }
 }
 
-fn unknown(gateway: &Dispatcher, now: u64) -> RouteError {
+fn unknown_route_error(gateway: &Dispatcher, now: u64) -> RouteError {
     let route = gateway.route(at(now), "h", "/unknown/");
     route.expect_err("no such route")
 }
 
-fn known(gateway: &Dispatcher, now: u64) -> bool {
+fn serves_known_route(gateway: &Dispatcher, now: u64) -> bool {
     gateway.route(at(now), "h", "/known/a").is_ok()
 }
 
 #[test]
-fn an_answer_confirms_as_of_the_report_that_it_answers_not_of_its_arrival() {
+fn response_confirms_as_of_its_report_not_its_arrival() {
     let mut gateway = gateway();
     let report = gateway.report(at(0));
-    // The answer waited for longer than the bound on its way.
+    // The response was delayed for longer than the staleness limit.
     gateway.update(at(2_500), update(report.sequence, 10, false));
     assert_eq!(gateway.freshness(at(2_500)), Freshness::Unconfirmed);
-    assert_eq!(unknown(&gateway, 2_500), RouteError::Unconfirmed);
+    assert_eq!(
+        unknown_route_error(&gateway, 2_500),
+        RouteError::Unconfirmed
+    );
     let report = gateway.report(at(2_500));
     gateway.update(at(2_600), update(report.sequence, 10, false));
     assert_eq!(gateway.freshness(at(4_500)), Freshness::Confirmed);
     assert_eq!(gateway.freshness(at(4_501)), Freshness::Unconfirmed);
 }
 
-/// Urgent reports leave every few milliseconds while models are needed; a busy leader answers late all the same.
+/// Urgent reports are sent every few milliseconds, and a busy leader responds late.
 #[test]
-fn a_late_answer_confirms_whatever_many_reports_left_since() {
+fn late_response_confirms_despite_many_later_reports() {
     let mut gateway = gateway();
     let first = gateway.report(at(0));
     for now in (5..1_500).step_by(5) {
         gateway.report(at(now));
     }
     gateway.update(at(1_500), update(first.sequence + 20, 10, false));
-    // The report it answers left at 100 ms.
+    // The acknowledged report was sent at 100 ms.
     assert_eq!(gateway.freshness(at(2_100)), Freshness::Confirmed);
     assert_eq!(gateway.freshness(at(2_101)), Freshness::Unconfirmed);
 }
 
 #[test]
-fn that_a_route_does_not_exist_is_said_only_by_a_confirmed_document() {
+fn missing_route_is_reported_only_while_confirmed() {
     let gateway = confirmed();
-    assert_eq!(unknown(&gateway, IN_FORCE), RouteError::NoRoute);
-    assert_eq!(unknown(&gateway, IN_FORCE + 1), RouteError::Unconfirmed);
-    assert!(!known(&gateway, IN_FORCE + 1), "the route may have changed");
+    assert_eq!(
+        unknown_route_error(&gateway, MAX_STALENESS_MILLIS),
+        RouteError::NoRoute
+    );
+    assert_eq!(
+        unknown_route_error(&gateway, MAX_STALENESS_MILLIS + 1),
+        RouteError::Unconfirmed
+    );
+    assert!(
+        !serves_known_route(&gateway, MAX_STALENESS_MILLIS + 1),
+        "the route may have changed"
+    );
 }
 
 #[test]
-fn without_a_leader_a_majority_that_holds_nothing_newer_confirms() {
+fn majority_without_newer_entries_confirms_without_leader() {
     let mut gateway = confirmed();
-    ask(&mut gateway, 1_900, &[(1, 10), (3, 9)]);
+    query_members(&mut gateway, 1_900, &[(1, 10), (3, 9)]);
     assert_eq!(gateway.freshness(at(3_900)), Freshness::Confirmed);
     assert_eq!(gateway.freshness(at(3_901)), Freshness::Unconfirmed);
 }
@@ -222,33 +230,33 @@
 #[case::one_of_three(&[(1, 10)])]
 #[case::one_has_more(&[(1, 10), (2, 11)])]
 #[case::a_member_that_does_not_vote(&[(1, 10), (9, 10)])]
-fn what_does_not_confirm(#[case] answers: &[(u64, u64)]) {
+fn insufficient_responses_do_not_confirm(#[case] responses: &[(u64, u64)]) {
     let mut gateway = confirmed();
-    ask(&mut gateway, 1_900, answers);
+    query_members(&mut gateway, 1_900, responses);
     assert_eq!(gateway.freshness(at(2_100)), Freshness::Unconfirmed);
 }
 
 #[test]
-fn a_majority_without_the_newer_entry_outweighs_one_member_that_has_it() {
+fn majority_without_newer_entry_outweighs_one_member_with_it() {
     let mut gateway = confirmed();
-    ask(&mut gateway, 1_900, &[(1, 10), (2, 11), (3, 10)]);
+    query_members(&mut gateway, 1_900, &[(1, 10), (2, 11), (3, 10)]);
     assert_eq!(gateway.freshness(at(3_900)), Freshness::Confirmed);
 }
 
 #[test]
-fn late_answers_count_from_when_they_were_asked_for() {
+fn late_responses_count_from_the_start_of_their_round() {
     let mut gateway = confirmed();
     let round = gateway.begin_query_round(at(1_000), true).expect("a round");
     for member in [1, 2] {
-        let answer = response(member, round, 10, &[1, 2, 3]);
-        gateway.record_freshness_response(at(2_800), address(member), answer);
+        let response = response(member, round, 10, &[1, 2, 3]);
+        gateway.record_freshness_response(at(2_800), address(member), response);
     }
     assert_eq!(gateway.freshness(at(3_000)), Freshness::Confirmed);
     assert_eq!(gateway.freshness(at(3_001)), Freshness::Unconfirmed);
 }
 
 #[test]
-fn during_a_change_of_members_both_sets_of_voters_count() {
+fn joint_membership_requires_both_voter_sets() {
     let mut gateway = confirmed();
     let round = gateway.begin_query_round(at(1_900), true).expect("a round");
     let joint = |member| FreshnessResponse {
@@ -265,56 +273,56 @@
 }
 
 #[test]
-fn a_gateway_that_starts_answers_nothing_by_a_copy_of_unknown_age() {
+fn starting_gateway_does_not_serve_unconfirmed_copy() {
     let mut gateway = gateway();
     gateway.update(at(0), update(0, 10, true));
     assert_eq!(gateway.freshness(at(1)), Freshness::Unconfirmed);
-    assert!(!known(&gateway, 1));
-    ask(&mut gateway, 100, &[(1, 12), (2, 12), (3, 10)]);
-    assert_eq!(unknown(&gateway, 150), RouteError::Unconfirmed);
-    // A member passes on the newer document, of which a majority has said that there is nothing beyond.
+    assert!(!serves_known_route(&gateway, 1));
+    query_members(&mut gateway, 100, &[(1, 12), (2, 12), (3, 10)]);
+    assert_eq!(unknown_route_error(&gateway, 150), RouteError::Unconfirmed);
+    // A member relays the newer document, beyond which a majority requires nothing.
     gateway.update(at(200), update(0, 12, true));
-    assert!(known(&gateway, 220));
-    assert_eq!(unknown(&gateway, 220), RouteError::NoRoute);
+    assert!(serves_known_route(&gateway, 220));
+    assert_eq!(unknown_route_error(&gateway, 220), RouteError::NoRoute);
 }
 
 #[test]
-fn a_gateway_that_is_cut_off_goes_on_with_known_routes_for_a_bounded_time() {
+fn isolated_gateway_serves_known_routes_for_limited_time() {
     let mut gateway = confirmed();
     let mut now = 700;
-    while now <= CUT_OFF + 400 {
-        ask(&mut gateway, now, &[]);
+    while now <= MAX_ISOLATED_STALENESS_MILLIS + 400 {
+        query_members(&mut gateway, now, &[]);
         let expected = match now {
-            0..=IN_FORCE => Freshness::Confirmed,
-            _ if now <= CUT_OFF => Freshness::Isolated,
+            0..=MAX_STALENESS_MILLIS => Freshness::Confirmed,
+            _ if now <= MAX_ISOLATED_STALENESS_MILLIS => Freshness::Isolated,
             _ => Freshness::Unconfirmed,
         };
         assert_eq!(gateway.freshness(at(now)), expected, "at {now} ms");
         if expected == Freshness::Isolated {
-            assert!(known(&gateway, now));
-            assert_eq!(unknown(&gateway, now), RouteError::Unconfirmed);
+            assert!(serves_known_route(&gateway, now));
+            assert_eq!(unknown_route_error(&gateway, now), RouteError::Unconfirmed);
         }
         now += 200;
     }
 }
 
-/// Found in a soak with 115 gateways and starved members: gateways had heard of a newer entry, lost the members to
-/// their lack of processor, and served with a key that had been taken away for 4.1 s after the acknowledgement.
+/// A gateway that has learned of a newer entry, such as a revoked key, and then loses the members
+/// must not keep serving.
 #[test]
-fn a_gateway_that_heard_of_something_newer_does_not_go_on_when_it_is_cut_off() {
+fn isolated_gateway_that_knows_of_newer_entry_stops_serving() {
     let mut gateway = confirmed();
-    ask(&mut gateway, 700, &[(2, 12)]);
+    query_members(&mut gateway, 700, &[(2, 12)]);
     for now in (900..3_400).step_by(200) {
-        ask(&mut gateway, now, &[]);
+        query_members(&mut gateway, now, &[]);
     }
     assert_eq!(gateway.freshness(at(3_400)), Freshness::Unconfirmed);
 }
 
 #[test]
-fn a_gateway_that_reaches_a_majority_and_gets_no_confirmation_refuses() {
+fn gateway_with_majority_contact_but_no_confirmation_refuses() {
     let mut gateway = confirmed();
     for now in (700..3_000).step_by(200) {
-        ask(&mut gateway, now, &[]);
+        query_members(&mut gateway, now, &[]);
         gateway.record_member_contact(at(now), address(1));
         gateway.record_member_contact(at(now), address(2));
     }
@@ -322,21 +330,21 @@
 }
 
 #[test]
-fn a_gateway_that_was_suspended_is_not_cut_off_when_it_wakes() {
+fn resumed_gateway_does_not_count_as_isolated() {
     let mut gateway = confirmed();
     for now in (700..2_000).step_by(200) {
-        ask(&mut gateway, now, &[]);
+        query_members(&mut gateway, now, &[]);
     }
-    // It did not run from 1.9 s to 6 s: what it did not hear says nothing.
+    // It was suspended from 1.9 s to 6 s: missing responses prove nothing.
     assert_eq!(gateway.freshness(at(6_000)), Freshness::Unconfirmed);
-    ask(&mut gateway, 6_000, &[]);
+    query_members(&mut gateway, 6_000, &[]);
     assert_eq!(gateway.freshness(at(6_100)), Freshness::Unconfirmed);
-    ask(&mut gateway, 6_200, &[(2, 10), (3, 10)]);
+    query_members(&mut gateway, 6_200, &[(2, 10), (3, 10)]);
     assert_eq!(gateway.freshness(at(6_200)), Freshness::Confirmed);
 }
 
 #[test]
-fn a_request_waits_a_moment_for_a_confirmation_then_it_is_refused_as_not_run() {
+fn request_waits_briefly_for_confirmation_then_is_refused() {
     let mut gateway = confirmed();
     let route = gateway.route(at(1_990), "h", "/known/a").expect("route");
     let mut ticket = gateway.begin(at(1_990), route, None, RequestDescription::default(), 0.5);
@@ -352,18 +360,21 @@
             ..
         }
     ));
-    ask(&mut gateway, 2_320, &[(1, 10), (2, 10)]);
+    query_members(&mut gateway, 2_320, &[(1, 10), (2, 10)]);
     assert!(matches!(
         gateway.choose(at(2_330), &mut ticket),
         Choice::Send { .. }
     ));
 }
 
-/// What counts for an instance that leaves is when a request arrives there.
+/// For a leaving instance the arrival time of the request counts.
 #[rstest]
-#[case::in_time(IN_FORCE - SENDING, true)]
-#[case::too_late(IN_FORCE - SENDING + 1, false)]
-fn a_request_is_sent_only_if_it_arrives_within_the_bound(#[case] now: u64, #[case] sent: bool) {
+#[case::in_time(MAX_STALENESS_MILLIS - MAX_SEND_DELAY_MILLIS, true)]
+#[case::too_late(MAX_STALENESS_MILLIS - MAX_SEND_DELAY_MILLIS + 1, false)]
+fn request_is_sent_only_if_it_arrives_within_the_staleness_limit(
+    #[case] now: u64,
+    #[case] sent: bool,
+) {
     let mut gateway = confirmed();
     let route = gateway.route(at(now), "h", "/known/a").expect("route");
     let mut ticket = gateway.begin(at(now), route, None, RequestDescription::default(), 0.5);
@@ -371,43 +382,44 @@
     assert_eq!(matches!(choice, Choice::Send { .. }), sent, "{choice:?}");
 }
 
-/// Questions may be lost, or members too busy to answer, while the leader's updates come, late.
+/// Queries may be lost or members too busy to respond while late updates of the leader arrive.
 #[test]
-fn a_gateway_that_hears_the_leader_is_not_cut_off() {
+fn gateway_with_leader_contact_is_not_isolated() {
     let mut gateway = confirmed();
     for now in (700..2_400).step_by(200) {
-        ask(&mut gateway, now, &[]);
+        query_members(&mut gateway, now, &[]);
     }
     gateway.update(at(2_300), update(0, 10, false));
     assert_eq!(gateway.freshness(at(2_400)), Freshness::Unconfirmed);
 }
 
 #[test]
-fn members_name_the_leader_of_the_highest_term() {
+fn leadership_follows_the_highest_term() {
     let mut gateway = confirmed();
     assert_eq!(gateway.leadership(at(0)), Leadership::Unknown);
     let round = gateway.begin_query_round(at(1_000), true).expect("a round");
-    let says = |member, term, leader: Option<u64>| FreshnessResponse {
+    let reports = |member, term, leader: Option<u64>| FreshnessResponse {
         term,
         leader: leader.map(|leader| address(leader).to_string()),
         ..response(member, round, 10, &[1, 2, 3])
     };
-    gateway.record_freshness_response(at(1_000), address(1), says(1, 3, Some(2)));
+    gateway.record_freshness_response(at(1_000), address(1), reports(1, 3, Some(2)));
     assert_eq!(
         gateway.leadership(at(1_000)),
         Leadership::Leader(address(2))
     );
-    gateway.record_freshness_response(at(1_000), address(3), says(3, 4, None));
+    gateway.record_freshness_response(at(1_000), address(3), reports(3, 4, None));
     assert_eq!(gateway.leadership(at(1_000)), Leadership::NoLeader);
     assert_eq!(gateway.leadership(at(2_100)), Leadership::Unknown);
 }
 
-/// A group's logs, as far as they bind gateways: each member holds a prefix of what leaders appended.
+/// Logs of a group, as far as gateways require them: each member holds a prefix of the leader's
+/// log.
 #[derive(Debug)]
 struct Group {
-    /// Highest index in each member's log, by place.
+    /// Highest index in each member's log.
     logs: Vec<u64>,
-    /// Index with the moment at which it was acknowledged.
+    /// Acknowledged index, and when.
     acknowledged: Vec<(u64, u64)>,
 }
 
@@ -418,7 +430,7 @@
         logs[logs.len() / 2]
     }
 
-    /// The newest index that was acknowledged at this moment or before.
+    /// Returns the newest index acknowledged at this time or before.
     fn acknowledged_by(&self, moment: u64) -> u64 {
         let before = self.acknowledged.iter().filter(|(_, at)| *at <= moment);
         before.map(|(index, _)| *index).max().unwrap_or(0)
@@ -429,19 +441,19 @@
 enum Step {
     /// The leader, always the first member, appends an entry.
     Append,
-    /// A member takes what the leader's log holds.
+    /// A member copies the leader's log.
     Replicate(usize),
-    /// What a majority holds is acknowledged.
+    /// The index held by a majority is acknowledged.
     Acknowledge,
-    /// A round begins.
-    Ask,
-    /// A member answers the newest round, by its log of now; the answer arrives later.
-    Answer(usize),
-    /// The oldest answer on its way arrives.
-    Arrive,
-    /// A member passes on what is committed.
-    PassOn,
-    /// The gateway reports, and the leader's answer arrives this much later.
+    /// A query round begins.
+    BeginRound,
+    /// A member responds to the newest round with its current log; the response arrives later.
+    Respond(usize),
+    /// The oldest response in transit arrives.
+    Deliver,
+    /// A member relays the committed state.
+    Relay,
+    /// The gateway reports, and the leader's response arrives after this time.
     Report(u64),
     Wait(u64),
 }
@@ -451,10 +463,10 @@
         2 => Just(Step::Append),
         4 => (0..5_usize).prop_map(Step::Replicate),
         3 => Just(Step::Acknowledge),
-        3 => Just(Step::Ask),
-        6 => (0..5_usize).prop_map(Step::Answer),
-        6 => Just(Step::Arrive),
-        1 => Just(Step::PassOn),
+        3 => Just(Step::BeginRound),
+        6 => (0..5_usize).prop_map(Step::Respond),
+        6 => Just(Step::Deliver),
+        1 => Just(Step::Relay),
         1 => (0..3_000_u64).prop_map(Step::Report),
         4 => (1..700_u64).prop_map(Step::Wait),
     ]
@@ -463,17 +475,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or reordered: a gateway that counts as confirmed knows all that was acknowledged longer
-    /// ago than the bound.
+    /// However messages are lost, delayed or reordered, a confirmed gateway has applied everything
+    /// acknowledged longer ago than the staleness limit.
     #[test]
-    fn a_confirmed_gateway_knows_what_was_acknowledged_before_the_bound(
+    fn confirmed_gateway_has_applied_entries_acknowledged_before_the_limit(
         steps in prop::collection::vec(step(), 1..200),
     ) {
         let mut gateway = gateway();
         let mut group = Group { logs: vec![1; 5], acknowledged: Vec::new() };
         let mut now = 10_000;
         let mut round = None;
-        let mut on_the_way: Vec<(usize, FreshnessResponse)> = Vec::new();
+        let mut in_transit: Vec<(usize, FreshnessResponse)> = Vec::new();
         for step in steps {
             match step {
                 Step::Append => group.logs[0] += 1,
@@ -482,40 +494,40 @@
                     let index = group.committed();
                     group.acknowledged.push((index, now));
                 }
-                Step::Ask => round = gateway.begin_query_round(at(now), true),
-                Step::Answer(member) => if let Some(round) = round {
+                Step::BeginRound => round = gateway.begin_query_round(at(now), true),
+                Step::Respond(member) => if let Some(round) = round {
                     let number = member as u64 + 1;
-                    let answer = response(number, round, group.logs[member], &[1, 2, 3, 4, 5]);
-                    on_the_way.push((member, answer));
+                    let response = response(number, round, group.logs[member], &[1, 2, 3, 4, 5]);
+                    in_transit.push((member, response));
                 },
-                Step::Arrive => if !on_the_way.is_empty() {
-                    let (member, answer) = on_the_way.remove(0);
-                    gateway.record_freshness_response(at(now), address(member as u64 + 1), answer);
+                Step::Deliver => if !in_transit.is_empty() {
+                    let (member, response) = in_transit.remove(0);
+                    gateway.record_freshness_response(at(now), address(member as u64 + 1), response);
                 },
-                Step::PassOn => {
+                Step::Relay => {
                     gateway.update(at(now), update(0, group.committed(), true));
                 }
                 Step::Report(wait) => {
                     let report = gateway.report(at(now));
-                    let answer = update(report.sequence, group.committed(), false);
+                    let response = update(report.sequence, group.committed(), false);
                     now += wait;
-                    gateway.update(at(now), answer);
+                    gateway.update(at(now), response);
                 }
                 Step::Wait(time) => now += time,
             }
             if gateway.freshness(at(now)) == Freshness::Confirmed {
                 let (as_of, _) = gateway.required_indexes();
-                prop_assert!(as_of >= group.acknowledged_by(now - IN_FORCE - 1));
+                prop_assert!(as_of >= group.acknowledged_by(now - MAX_STALENESS_MILLIS - 1));
             }
         }
     }
 }
 
 #[test]
-fn all_known_members_are_asked() {
+fn all_known_members_are_queried() {
     let mut gateway = confirmed();
-    let asked: BTreeSet<SocketAddr> = gateway.members_to_query().into_iter().collect();
-    assert_eq!(asked, (1..=3).map(address).collect());
+    let queried: BTreeSet<SocketAddr> = gateway.members_to_query().into_iter().collect();
+    assert_eq!(queried, (1..=3).map(address).collect());
     let round = gateway.begin_query_round(at(100), true).expect("a round");
     gateway.record_freshness_response(at(100), address(1), response(1, round, 10, &[1, 2, 8]));
     assert!(gateway.members_to_query().contains(&address(8)));
--- a/crates/millpass-dispatch/tests/harness/mod.rs
+++ b/crates/millpass-dispatch/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway's core, its document and its instances, for tests of what instances state.
+//! A gateway with a document and instances, for tests of what instances state.
 
 use millpass_dispatch::*;
 use millpass_proto::*;
@@ -116,7 +116,7 @@
     }
 }
 
-/// An update of the leader of a term that names these instances, all there are.
+/// The first update of a leader, with a complete list of instances.
 pub fn update(term: u64, gateways: u32, instances: Vec<InstanceRecord>) -> GatewayUpdate {
     GatewayUpdate {
         term,
@@ -140,7 +140,7 @@
     }
 }
 
-/// A gateway that has been told of these instances.
+/// A gateway that has received these instances.
 pub fn gateway(name: &str, gateways: u32, instances: &[InstanceRecord]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(settings(name));
     dispatcher.report(at(0));
@@ -160,7 +160,7 @@
     dispatcher.begin(at(now), route, None, description, 0.5)
 }
 
-/// Where a request is sent at once, if anywhere.
+/// Returns the instance to which a request is sent at once, if any.
 pub fn sent_to(dispatcher: &mut Dispatcher, now: u64, ticket: &mut Ticket) -> Option<InstanceId> {
     match dispatcher.choose(at(now), ticket) {
         Choice::Send { instance, .. } => Some(instance),
@@ -168,7 +168,7 @@
     }
 }
 
-/// A request that is sent at once, if it can be, and answered whole with this statement.
+/// Sends a request at once, if possible, and completes it with this statement.
 pub fn exchange(
     dispatcher: &mut Dispatcher,
     now: u64,
--- a/crates/millpass-dispatch/tests/limits.rs
+++ b/crates/millpass-dispatch/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that instances state, over all gateways.
+//! Limits stated by instances, over all gateways.
 
 mod harness;
 
@@ -9,7 +9,6 @@
 use millpass_proto::{Duration, PermitGrant, PermitResponse};
 use rstest::rstest;
 
-/// Length of the window in which requests are counted, in milliseconds.
 const WINDOW_MILLIS: u64 = 4_000;
 
 fn limited(milli_per_second: u64) -> Statement {
@@ -19,12 +18,12 @@
     }
 }
 
-/// Most requests in a window that the contract bears for a limit.
-fn borne(milli_per_second: u64) -> usize {
+/// Most requests per window that the contract allows for a limit.
+fn allowed_in_window(milli_per_second: u64) -> usize {
     (WINDOW_MILLIS * milli_per_second * 3 / 2 / 1_000_000) as usize + 5
 }
 
-/// Most of these times that fall into one window.
+/// Most of these times within one window.
 fn busiest_window(times: &[u64]) -> usize {
     let in_window = |start: &u64| {
         let end = start + WINDOW_MILLIS;
@@ -43,7 +42,7 @@
 #[case::faster(7, 20_000, 50)]
 #[case::fraction(7, 250, 400)]
 #[case::zero(7, 0, 400)]
-fn several_gateways_together_exceed_a_limit_that_each_has_heard(
+fn gateways_without_leader_do_not_exceed_limit_together(
     #[case] gateways: u32,
     #[case] limit: u64,
     #[case] pause: u64,
@@ -65,54 +64,59 @@
         }
     }
     assert!(
-        busiest_window(&sent) <= borne(limit),
+        busiest_window(&sent) <= allowed_in_window(limit),
         "{} in a window",
         busiest_window(&sent)
     );
 }
 
-/// The leader's answer that it lends so many permits for the only instance, or has none for this long.
-fn lend(dispatcher: &mut Dispatcher, now: u64, permits: u32, wait_millis: u64) {
-    let request = dispatcher.permit_request(at(now)).expect("an ask");
-    let grants = request.instances.iter().map(|ask| PermitGrant {
-        instance: ask.instance.clone(),
+/// Delivers the leader's response for the only instance: so many permits, or none for
+/// `wait_millis`.
+fn grant(dispatcher: &mut Dispatcher, now: u64, permits: u32, wait_millis: u64) {
+    let request = dispatcher
+        .permit_request(at(now))
+        .expect("a permit request");
+    let grants = request.instances.iter().map(|wanted| PermitGrant {
+        instance: wanted.instance.clone(),
         permits,
         wait_millis,
     });
-    let answer = PermitResponse {
+    let response = PermitResponse {
         term: 1,
         sequence: request.sequence,
         grants: grants.collect(),
     };
-    dispatcher.apply_permits(at(now), &answer);
+    dispatcher.apply_permits(at(now), &response);
 }
 
-/// A gateway with one instance, which stated a limit of one request a second at the start.
+/// A gateway whose only instance has stated a limit of one request per second.
 fn limited_gateway(service: &str) -> Dispatcher {
     let mut dispatcher = gateway("g-1", 7, &[record("i-1", service)]);
     exchange(&mut dispatcher, 0, &format!("/{service}/"), &limited(1_000)).expect("sent");
-    let told = dispatcher.permit_request(at(5)).expect("the limit is told");
-    assert_eq!(told.observations.len(), 1);
-    let answer = PermitResponse {
+    let report = dispatcher
+        .permit_request(at(5))
+        .expect("the limit is reported");
+    assert_eq!(report.observations.len(), 1);
+    let response = PermitResponse {
         term: 1,
-        sequence: told.sequence,
+        sequence: report.sequence,
         grants: Vec::new(),
     };
-    dispatcher.apply_permits(at(6), &answer);
+    dispatcher.apply_permits(at(6), &response);
     dispatcher
 }
 
 #[rstest]
 #[case("text")]
 #[case("web")]
-fn a_request_that_no_permit_can_come_for_is_not_refused_at_once(#[case] service: &str) {
+fn request_is_refused_as_soon_as_permit_is_denied(#[case] service: &str) {
     let mut dispatcher = limited_gateway(service);
     let mut ticket = begin(&mut dispatcher, 1_000, &format!("/{service}/"));
     assert!(matches!(
         dispatcher.choose(at(1_000), &mut ticket),
         Choice::Wait { .. }
     ));
-    lend(&mut dispatcher, 1_010, 0, 2_000);
+    grant(&mut dispatcher, 1_010, 0, 2_000);
     let refused = |retry_after| Choice::Refuse {
         reason: RefusalReason::Limited,
         retry_after: Duration::from_millis(retry_after),
@@ -123,32 +127,32 @@
 }
 
 #[test]
-fn a_request_waits_for_a_permit_that_comes_in_time() {
+fn request_waits_for_permit_expected_in_time() {
     let mut dispatcher = limited_gateway("text");
     let mut ticket = begin(&mut dispatcher, 1_000, "/text/");
     assert_eq!(sent_to(&mut dispatcher, 1_000, &mut ticket), None);
-    lend(&mut dispatcher, 1_010, 0, 100);
+    grant(&mut dispatcher, 1_010, 0, 100);
     let until = at(1_110);
     assert_eq!(
         dispatcher.choose(at(1_010), &mut ticket),
         Choice::Wait { until }
     );
-    lend(&mut dispatcher, 1_110, 1, 0);
+    grant(&mut dispatcher, 1_110, 1, 0);
     assert!(sent_to(&mut dispatcher, 1_110, &mut ticket).is_some());
 }
 
 #[test]
-fn a_permit_outlives_its_second() {
+fn permit_expires_after_one_second() {
     let mut dispatcher = limited_gateway("text");
     let mut ticket = begin(&mut dispatcher, 1_000, "/text/");
     assert_eq!(sent_to(&mut dispatcher, 1_000, &mut ticket), None);
-    lend(&mut dispatcher, 1_010, 1, 0);
+    grant(&mut dispatcher, 1_010, 1, 0);
     let mut later = begin(&mut dispatcher, 2_010, "/text/");
     assert_eq!(sent_to(&mut dispatcher, 2_010, &mut later), None);
 }
 
 #[test]
-fn a_limited_instance_is_asked_while_another_has_room() {
+fn limited_instance_is_avoided_while_another_has_capacity() {
     let instances = [record("i-1", "web"), record("i-2", "web")];
     let mut dispatcher = gateway("g-1", 7, &instances);
     dispatcher.record_statement(at(1), at(0), &"i-1".into(), &limited(1_000_000));
@@ -159,7 +163,7 @@
 }
 
 #[test]
-fn a_record_that_is_named_anew_forgets_its_instance_s_limit() {
+fn limit_survives_removal_and_readdition_of_record() {
     let mut dispatcher = limited_gateway("text");
     dispatcher.update(at(100), update(2, 7, Vec::new()));
     dispatcher.update(at(200), update(3, 7, vec![record("i-1", "text")]));
@@ -168,21 +172,21 @@
 }
 
 #[test]
-fn a_limit_that_cannot_be_read_lifts_the_one_in_force() {
+fn malformed_limit_leaves_limit_in_force() {
     let mut dispatcher = limited_gateway("text");
-    let unreadable = Statement {
+    let malformed = Statement {
         limit: Stated::Malformed,
         ..Statement::default()
     };
-    let changes = dispatcher.record_statement(at(101), at(100), &"i-1".into(), &unreadable);
+    let changes = dispatcher.record_statement(at(101), at(100), &"i-1".into(), &malformed);
     assert_eq!(changes, [StatementChange::Malformed]);
     assert_eq!(dispatcher.limited_instances(), 1);
-    let again = dispatcher.record_statement(at(201), at(200), &"i-1".into(), &unreadable);
+    let again = dispatcher.record_statement(at(201), at(200), &"i-1".into(), &malformed);
     assert_eq!(again, []);
 }
 
 #[test]
-fn a_withdrawn_limit_goes_on() {
+fn withdrawn_limit_ends() {
     let mut dispatcher = limited_gateway("text");
     let withdrawn = Statement::default();
     dispatcher.record_statement(at(101), at(100), &"i-1".into(), &withdrawn);
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn a_stream_that_goes_on_elsewhere_needs_no_permit() {
+fn resumed_stream_needs_permit() {
     let instances = [record("i-1", "text"), record("i-2", "text")];
     let mut dispatcher = gateway("g-1", 7, &instances);
     let mut ticket = begin(&mut dispatcher, 0, "/text/");
--- a/crates/millpass-dispatch/tests/tenants.rs
+++ b/crates/millpass-dispatch/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, and its rank.
+//! Identification of tenants, and ranks of requests.
 
 use millpass_dispatch::{
     DispatchSettings, Dispatcher, FreshnessSettings, IdentityError, RequestDescription,
@@ -101,14 +101,18 @@
     }
 }
 
-/// The gateway reports, and the leader answers.
-fn leader_says(dispatcher: &mut Dispatcher, now: Timestamp, document: Option<DeploymentDocument>) {
+/// The gateway reports, and the leader responds.
+fn receive_leader_update(
+    dispatcher: &mut Dispatcher,
+    now: Timestamp,
+    document: Option<DeploymentDocument>,
+) {
     let report = dispatcher.report(now);
-    let answer = GatewayUpdate {
+    let update = GatewayUpdate {
         acknowledged_report: report.sequence,
         ..update(document, false)
     };
-    dispatcher.update(now, answer);
+    dispatcher.update(now, update);
 }
 
 fn identify(
@@ -141,14 +145,14 @@
 ) {
     let mut dispatcher = dispatcher(None);
     let tenants = vec![tenant("one", b"k-1", 0), tenant("two", b"k-2", 0)];
-    leader_says(&mut dispatcher, Timestamp::ZERO, Some(document(1, tenants)));
+    receive_leader_update(&mut dispatcher, Timestamp::ZERO, Some(document(1, tenants)));
     assert_eq!(identify(&dispatcher, Timestamp::ZERO, path, key), expected);
 }
 
 #[test]
 fn without_tenants_no_key_is_needed() {
     let mut dispatcher = dispatcher(None);
-    leader_says(
+    receive_leader_update(
         &mut dispatcher,
         Timestamp::ZERO,
         Some(document(1, Vec::new())),
@@ -162,12 +166,12 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_nobodys_from_the_update_on() {
+fn revoked_key_is_unknown_after_update() {
     let mut dispatcher = dispatcher(None);
     let first = document(1, vec![tenant("one", b"k-1", 0)]);
-    leader_says(&mut dispatcher, Timestamp::ZERO, Some(first));
+    receive_leader_update(&mut dispatcher, Timestamp::ZERO, Some(first));
     let second = document(2, vec![tenant("one", b"k-2", 0)]);
-    leader_says(&mut dispatcher, Timestamp::ZERO, Some(second));
+    receive_leader_update(&mut dispatcher, Timestamp::ZERO, Some(second));
     let found = identify(&dispatcher, Timestamp::ZERO, "/keyed/", key(b"k-1"));
     assert_eq!(found, Err(IdentityError::KeyUnknown));
 }
@@ -175,40 +179,38 @@
 #[rstest]
 #[case::served_on(None, Ok(Some("one".to_owned())))]
 #[case::refused(Some(LIFETIME), Err(IdentityError::Unverifiable))]
-fn a_gateway_without_word_of_the_leader(
+fn keys_without_confirmation_expire_if_a_lifetime_is_set(
     #[case] lifetime: Option<Duration>,
     #[case] expected: Result<Option<String>, IdentityError>,
 ) {
     let mut dispatcher = dispatcher(lifetime);
     let tenants = vec![tenant("one", b"k-1", 0)];
-    leader_says(&mut dispatcher, Timestamp::ZERO, Some(document(1, tenants)));
+    receive_leader_update(&mut dispatcher, Timestamp::ZERO, Some(document(1, tenants)));
     let later = Timestamp::ZERO + LIFETIME + Duration::from_millis(1);
     assert_eq!(
         identify(&dispatcher, later, "/keyed/", key(b"k-1")),
         expected
     );
-    // An unknown key is refused in any case; callers without one go on.
+    // Unknown keys are refused in any case, and callers without a key are still served.
     let unknown = identify(&dispatcher, later, "/keyed/", key(b"k-9"));
     assert_eq!(unknown, Err(IdentityError::KeyUnknown));
     let open = identify(&dispatcher, later, "/open/", PresentedKey::Missing);
     assert_eq!(open, Ok(None));
-    // A member's own copy is no word of the leader.
+    // A copy relayed by another member is no confirmation.
     dispatcher.update(later, update(None, true));
     assert_eq!(
         identify(&dispatcher, later, "/keyed/", key(b"k-1")),
         expected
     );
-    leader_says(&mut dispatcher, later, None);
+    receive_leader_update(&mut dispatcher, later, None);
     let found = identify(&dispatcher, later, "/keyed/", key(b"k-1"));
     assert_eq!(found, Ok(Some("one".to_owned())));
 }
 
-/// Without a leader gateways share what the contract bears above a limit, each its part. A gateway that found a new leader
-/// was told how many had found it so far: the first was told that it is alone, and took the whole for itself when that
-/// leader was lost again. Evidence: in the logs of a night of short elections, a leader of seventy gateways told counts of
-/// 59, 1 and 20 to one of them within four seconds.
+/// Without a leader, gateways share the overage by their number. An update of a new leader that
+/// does not know the number must not make a gateway take the whole overage.
 #[test]
-fn a_leader_that_does_not_know_how_many_gateways_there_are_leaves_the_known_number_in_force() {
+fn unknown_gateway_count_keeps_previous_count() {
     const UNITS: u64 = 200;
     let limited = TenantAccess {
         units_per_second: 100,
@@ -219,7 +221,8 @@
         quota: QuotaTerms {
             window: Duration::from_secs(10),
             overage: 0.0,
-            // Half of it is shared without a leader: one request for each of ten gateways, or ten for a lone one.
+            // Half of it is shared without a leader: one request for each of ten gateways, or ten
+            // for a lone one.
             slack_units: 20 * UNITS,
         },
         ..settings(None)
@@ -257,10 +260,10 @@
 }
 
 #[test]
-fn the_rank_of_a_tenant_counts_before_that_of_a_route() {
+fn tenant_rank_precedes_route_rank() {
     let mut dispatcher = dispatcher(None);
     let tenants = vec![tenant("first", b"k-1", 0), tenant("last", b"k-2", 7)];
-    leader_says(&mut dispatcher, Timestamp::ZERO, Some(document(1, tenants)));
+    receive_leader_update(&mut dispatcher, Timestamp::ZERO, Some(document(1, tenants)));
     let mut rank = |path: &str, name: Option<&[u8]>| {
         let route = dispatcher.route(Timestamp::ZERO, "h", path).expect("route");
         let presented = name.map_or(PresentedKey::Missing, key);
--- a/crates/millpass-limits/src/ledger.rs
+++ b/crates/millpass-limits/src/ledger.rs
@@ -1,145 +1,146 @@
-//! The leader's book: what it lends of each limit.
+//! The leader's ledger of permits granted under each limit.
 //!
-//! A permit is lent out of one bucket for each instance and lapses a second after the gateway asked for it, so that
-//! what all gateways send in a window stays within what flows in during the window and one second more. A new leader
-//! begins with empty buckets: what the one before it lent lapses while they fill.
+//! Permits are drawn from one token bucket per instance and expire one second after the gateway
+//! requested them. All gateways together therefore send at most what flows into the bucket during a
+//! window and one further second. A new leader starts with empty buckets: permits granted by its
+//! predecessor expire while they fill.
 
+use crate::observed::{LimitChange, ObservedLimit, ObservedLimits};
 use crate::rate::RequestRate;
-use crate::word::{LimitChange, ObservedLimit, Words};
 use millpass_proto::{
     Duration, InstanceId, InstancePermitRequest, LimitObservation, LimitUpdate, PermitGrant,
     PermitRequest, PermitResponse, Timestamp,
 };
 use std::collections::BTreeMap;
 
-/// What a bucket holds: what flows into it in this time, and one request at least.
-const BUCKET_SECONDS: f64 = 0.25;
-/// Longest time for which a caller is told to stay away: the limit may have ended by then.
-pub(crate) const LONGEST_WAIT: Duration = Duration::from_secs(10);
+/// Seconds of flow that a bucket holds; its capacity is at least one request.
+const CAPACITY_SECONDS: f64 = 0.25;
+/// Longest time until a caller is invited to retry; the limit may have ended by then.
+pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 /// Shortest time between two events of one instance.
 const EVENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests found no permit for an instance.
+/// Requests for permits of an instance were denied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitsExhausted {
     /// Instance.
     pub instance: InstanceId,
-    /// Its limit.
+    /// Limit of the instance.
     pub rate: RequestRate,
-    /// Requests that found none since the last event.
+    /// Requests denied since the last event.
     pub denied: u64,
 }
 
 #[derive(Debug)]
-struct Account {
-    /// Requests that may go now.
+struct Bucket {
+    /// Requests that may be sent now.
     level: f64,
     filled_at: Timestamp,
-    /// Until when permits to come are awaited by callers that were told to come back.
-    promised_until: Timestamp,
+    /// Time up to which future permits are reserved for callers that were asked to retry.
+    reserved_until: Timestamp,
     denied: u64,
     event_at: Option<Timestamp>,
 }
 
-impl Account {
+impl Bucket {
     fn new(now: Timestamp) -> Self {
-        Account {
+        Bucket {
             level: 0.0,
             filled_at: now,
-            promised_until: now,
+            reserved_until: now,
             denied: 0,
             event_at: None,
         }
     }
 
     fn fill(&mut self, now: Timestamp, rate: RequestRate) {
-        let gone_by = now.since(self.filled_at).as_secs_f64();
+        let elapsed = now.since(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
-        let filled = self.level + gone_by * rate.per_second();
+        let filled = self.level + elapsed * rate.per_second();
         self.level = filled.min(capacity(rate));
     }
 
-    /// Takes up to this many whole requests.
+    /// Takes up to `requests` whole permits.
     fn take(&mut self, requests: u32) -> u32 {
         let taken = (self.level.max(0.0) as u32).min(requests);
         self.level -= f64::from(taken);
         taken
     }
 
-    /// Callers were told to come back, one after the other at the limit's pace.
-    fn promise(&mut self, now: Timestamp, rate: RequestRate, callers: u32) {
-        let promised = self.promised_until.max(now) + rate.interval().saturating_mul(callers);
-        self.promised_until = promised.min(now + LONGEST_WAIT);
+    /// Reserves future permits for refused callers, which retry one interval apart.
+    fn reserve(&mut self, now: Timestamp, rate: RequestRate, callers: u32) {
+        let reserved = self.reserved_until.max(now) + rate.interval().saturating_mul(callers);
+        self.reserved_until = reserved.min(now + MAX_RETRY_AFTER);
     }
 
-    /// Time until a request that comes now may go.
-    fn wait(&self, now: Timestamp, rate: RequestRate) -> Duration {
-        let lacking = (1.0 - self.level).max(0.0) / rate.per_second();
-        let next = now + Duration::from_secs_f64(lacking);
-        next.max(self.promised_until).since(now)
+    /// Time until a request that arrives now may be sent.
+    fn time_to_permit(&self, now: Timestamp, rate: RequestRate) -> Duration {
+        let missing = (1.0 - self.level).max(0.0) / rate.per_second();
+        let next = now + Duration::from_secs_f64(missing);
+        next.max(self.reserved_until).since(now)
     }
 }
 
 fn capacity(rate: RequestRate) -> f64 {
-    (rate.per_second() * BUCKET_SECONDS).max(1.0)
+    (rate.per_second() * CAPACITY_SECONDS).max(1.0)
 }
 
-/// The leader's book of limits.
+/// The leader's ledger of limits and permits.
 #[derive(Debug, Default)]
 pub struct PermitLedger {
-    words: Words,
-    accounts: BTreeMap<InstanceId, Account>,
+    observed: ObservedLimits,
+    buckets: BTreeMap<InstanceId, Bucket>,
     revision: u64,
 }
 
 impl PermitLedger {
-    /// Grows when a limit in force changes.
+    /// Returns a number that increases whenever a limit in force changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether a limit of the instance is in force.
+    /// Returns true if a limit of the instance is in force.
     pub fn is_limited(&self, instance: &InstanceId) -> bool {
-        self.words.rate(instance).is_some()
+        self.observed.rate(instance).is_some()
     }
 
-    /// Limits in force.
+    /// Number of limits in force.
     pub fn limited_count(&self) -> usize {
-        self.words.limited()
+        self.observed.limited_count()
     }
 
-    /// Takes what gateways heard; gives the limits in force that changed by it.
+    /// Records limits that gateways observed, and returns the changes to limits in force.
     pub fn record_limits(
         &mut self,
         now: Timestamp,
-        words: &[LimitObservation],
+        observations: &[LimitObservation],
     ) -> Vec<LimitChange> {
         let mut changes = Vec::new();
-        for word in words {
-            let heard = ObservedLimit::received(now, word);
-            let before = self.words.rate(&word.instance);
-            let Some(change) = self.words.take(now, &word.instance, heard) else {
+        for observation in observations {
+            let observed = ObservedLimit::from_report(now, observation);
+            let before = self.observed.rate(&observation.instance);
+            let Some(change) = self.observed.record(now, &observation.instance, observed) else {
                 continue;
             };
             self.revision += 1;
-            self.put_in_force(now, &change, before);
+            self.apply_change(now, &change, before);
             changes.push(change);
         }
         changes
     }
 
-    fn put_in_force(&mut self, now: Timestamp, change: &LimitChange, before: Option<RequestRate>) {
+    fn apply_change(&mut self, now: Timestamp, change: &LimitChange, before: Option<RequestRate>) {
         let Some(rate) = change.rate else {
-            self.accounts.remove(&change.instance);
+            self.buckets.remove(&change.instance);
             return;
         };
-        let account = self.accounts.entry(change.instance.clone());
-        let account = account.or_insert_with(|| Account::new(now));
-        account.fill(now, before.unwrap_or(rate));
-        account.level = account.level.min(capacity(rate));
+        let bucket = self.buckets.entry(change.instance.clone());
+        let bucket = bucket.or_insert_with(|| Bucket::new(now));
+        bucket.fill(now, before.unwrap_or(rate));
+        bucket.level = bucket.level.min(capacity(rate));
     }
 
-    /// Answers a gateway whose words were taken.
+    /// Responds to a gateway whose observations have been recorded.
     pub fn respond(
         &mut self,
         now: Timestamp,
@@ -147,63 +148,63 @@
         request: &PermitRequest,
     ) -> (PermitResponse, Vec<PermitsExhausted>) {
         let mut events = Vec::new();
-        let asks = request.instances.iter();
-        let grants = asks.map(|ask| self.grant(now, ask, &mut events));
-        let answer = PermitResponse {
+        let requests = request.instances.iter();
+        let grants = requests.map(|wanted| self.grant(now, wanted, &mut events));
+        let response = PermitResponse {
             term,
             sequence: request.sequence,
             grants: grants.collect(),
         };
-        (answer, events)
+        (response, events)
     }
 
     fn grant(
         &mut self,
         now: Timestamp,
-        ask: &InstancePermitRequest,
+        wanted: &InstancePermitRequest,
         events: &mut Vec<PermitsExhausted>,
     ) -> PermitGrant {
         let mut grant = PermitGrant {
-            instance: ask.instance.clone(),
-            permits: ask.waiting,
+            instance: wanted.instance.clone(),
+            permits: wanted.waiting,
             wait_millis: 0,
         };
-        let Some(rate) = self.words.rate(&ask.instance) else {
+        let Some(rate) = self.observed.rate(&wanted.instance) else {
             return grant;
         };
-        let account = self.accounts.entry(ask.instance.clone());
-        let account = account.or_insert_with(|| Account::new(now));
-        account.fill(now, rate);
-        account.promise(now, rate, ask.refused);
-        grant.permits = account.take(ask.waiting);
-        let lacking = ask.waiting - grant.permits;
-        if lacking == 0 {
-            let plenty = (account.level - capacity(rate) / 2.0).max(0.0) as u32;
-            grant.permits += account.take(ask.prefetch.min(plenty));
+        let bucket = self.buckets.entry(wanted.instance.clone());
+        let bucket = bucket.or_insert_with(|| Bucket::new(now));
+        bucket.fill(now, rate);
+        bucket.reserve(now, rate, wanted.refused);
+        grant.permits = bucket.take(wanted.waiting);
+        let missing = wanted.waiting - grant.permits;
+        if missing == 0 {
+            let surplus = (bucket.level - capacity(rate) / 2.0).max(0.0) as u32;
+            grant.permits += bucket.take(wanted.prefetch.min(surplus));
             return grant;
         }
-        let wait = account.wait(now, rate);
+        let wait = bucket.time_to_permit(now, rate);
         grant.wait_millis = (wait.as_millis() as u64).max(1);
-        account.denied += u64::from(lacking);
-        let is_due = |at: Timestamp| now.since(at) >= EVENT_INTERVAL;
-        if account.event_at.is_none_or(is_due) {
-            account.event_at = Some(now);
+        bucket.denied += u64::from(missing);
+        let is_event_due = |at: Timestamp| now.since(at) >= EVENT_INTERVAL;
+        if bucket.event_at.is_none_or(is_event_due) {
+            bucket.event_at = Some(now);
             events.push(PermitsExhausted {
-                instance: ask.instance.clone(),
+                instance: wanted.instance.clone(),
                 rate,
-                denied: std::mem::take(&mut account.denied),
+                denied: std::mem::take(&mut bucket.denied),
             });
         }
         grant
     }
 
-    /// What gateways are told.
+    /// Builds the update of all limits for the gateways.
     pub fn update(&self, now: Timestamp, term: u64) -> LimitUpdate {
-        let words = self.words.iter();
+        let limits = self.observed.iter();
         LimitUpdate {
             term,
-            limits: words
-                .map(|(instance, word)| word.message(now, instance))
+            limits: limits
+                .map(|(instance, limit)| limit.to_report(now, instance))
                 .collect(),
         }
     }
--- a/crates/millpass-limits/src/lib.rs
+++ b/crates/millpass-limits/src/lib.rs
@@ -1,21 +1,21 @@
-//! Limits that instances state on the requests they take from all gateways together: without input/output, clock or
-//! threads.
+//! Limits that instances state on the requests they accept from all gateways together. No I/O,
+//! clock or threads.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
-//! | `rate` | a limit |
-//! | `word` | what an instance was last heard to state, and which of two words holds |
-//! | `ledger` | the leader's book: what it lends of each limit |
-//! | `pool` | a gateway's permits, and the requests that look for one |
-//! | `slots` | when a gateway may send while no leader answers |
+//! | `rate` | request rate of a limit |
+//! | `observed` | last observed limit of each instance, and which of two observations wins |
+//! | `ledger` | the leader's ledger of granted permits |
+//! | `pool` | a gateway's permits, and the requests waiting for one |
+//! | `slots` | when a gateway may send while the leader is unreachable |
 
 mod ledger;
+mod observed;
 mod pool;
 mod rate;
 mod slots;
-mod word;
 
 pub use ledger::{PermitLedger, PermitsExhausted};
+pub use observed::{LimitChange, ObservedLimit};
 pub use pool::{Availability, PermitPool};
 pub use rate::RequestRate;
-pub use word::{LimitChange, ObservedLimit};
--- a/crates/millpass-limits/src/pool.rs
+++ b/crates/millpass-limits/src/pool.rs
@@ -1,44 +1,44 @@
-//! A gateway's permits, and the requests that look for one.
+//! A gateway's permits, and the requests waiting for one.
 
-use crate::ledger::LONGEST_WAIT;
+use crate::ledger::MAX_RETRY_AFTER;
+use crate::observed::{LimitChange, ObservedLimit, ObservedLimits};
 use crate::rate::RequestRate;
 use crate::slots::Slots;
-use crate::word::{LimitChange, ObservedLimit, Words};
 use millpass_proto::{
     Duration, InstanceId, InstancePermitRequest, LimitObservation, LimitUpdate, PermitGrant,
     PermitRequest, PermitResponse, Timestamp,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Time for which a permit holds, from when the gateway asked for it.
+/// Lifetime of a permit, counted from when the gateway requested it.
 const PERMIT_LIFETIME: Duration = Duration::from_millis(1_000);
-/// Time for which a request counts as looking for a permit.
-const WANT_LIFETIME: Duration = Duration::from_millis(400);
-/// Time for which requests wait for an answer.
-const ANSWER_TIME: Duration = Duration::from_millis(250);
-/// Time without an answer after which the leader counts as silent, and a message as lost.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// Time for whose requests permits are wished for ahead.
-const AHEAD: Duration = Duration::from_millis(500);
-/// Shortest time for which the leader is not asked anew after it said that it has none.
-const SHORTEST_DENIAL: Duration = Duration::from_millis(100);
-/// Longest such time.
-const LONGEST_DENIAL: Duration = Duration::from_millis(1_000);
-/// Part of the time for which the leader expects to have none after which it is asked anew, as its inverse: permits that
-/// others leave over are found.
-const DENIAL_PARTS: u32 = 8;
+/// Time for which a request counts as waiting for a permit.
+const WAITER_LIFETIME: Duration = Duration::from_millis(400);
+/// Time for which requests wait for the leader's response.
+const RESPONSE_WAIT: Duration = Duration::from_millis(250);
+/// Time after which an unanswered message counts as lost and the leader as unreachable.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Permits are requested ahead for as many requests as were sent in this time.
+const PREFETCH_WINDOW: Duration = Duration::from_millis(500);
+/// Shortest time before permits are requested again after a denial.
+const MIN_DENIAL: Duration = Duration::from_millis(100);
+/// Longest time before permits are requested again after a denial.
+const MAX_DENIAL: Duration = Duration::from_millis(1_000);
+/// After a denial, permits are requested again after this fraction (as its inverse) of the time the
+/// leader estimated, as permits that others did not use may become available.
+const DENIAL_DIVISOR: u32 = 8;
 
-/// When a request may go to a limited instance that has no permit now.
+/// When a request may be sent to a limited instance that has no permit now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// The leader is asked; it answers by then, or is silent.
+    /// The leader has been asked for a permit; its response is awaited until this time.
     AwaitingResponse(Timestamp),
-    /// Not before.
+    /// Not before this time.
     At(Timestamp),
 }
 
 impl Availability {
-    /// The time by which it is known whether a request may go.
+    /// Returns the time by which it is known whether a request may be sent.
     pub fn known_by(&self) -> Timestamp {
         match self {
             Availability::AwaitingResponse(until) | Availability::At(until) => *until,
@@ -46,316 +46,321 @@
     }
 }
 
-/// One limited instance, as this gateway uses it.
+/// This gateway's permits of one limited instance.
 #[derive(Debug, Default)]
-struct Account {
-    /// When each permit lapses.
+struct InstancePermits {
+    /// Expiry of each permit.
     permits: VecDeque<Timestamp>,
-    /// When each request that looks for a permit was last heard of.
-    wants: VecDeque<Timestamp>,
-    /// Whether the leader was not asked since one of them came.
-    is_asked_for: bool,
-    /// The leader expects to have none before.
-    none_until: Timestamp,
-    /// Until when that is taken as true without asking anew.
+    /// When each waiting request was last registered.
+    waiters: VecDeque<Timestamp>,
+    /// Set once permits have been requested for all current waiters.
+    is_requested: bool,
+    /// Time before which the leader expects to have no permits.
+    depleted_until: Timestamp,
+    /// Time before which permits are not requested again.
     denied_until: Timestamp,
-    /// Requests refused since the leader was last told.
+    /// Requests refused since the last message to the leader.
     refused: u32,
-    /// Since when an ask goes unanswered.
-    unanswered_since: Option<Timestamp>,
-    /// Requests sent lately.
-    sent: VecDeque<Timestamp>,
-    /// The last slot that was used.
-    slot_used: Option<u64>,
+    /// Since when a request for permits has been pending.
+    pending_since: Option<Timestamp>,
+    /// Requests sent within `PREFETCH_WINDOW`.
+    recent_sends: VecDeque<Timestamp>,
+    last_used_slot: Option<u64>,
 }
 
-impl Account {
+impl InstancePermits {
     fn expire(&mut self, now: Timestamp) {
         while self.permits.pop_front_if(|until| *until <= now).is_some() {}
-        let lapsed = |at: &mut Timestamp| now.since(*at) >= WANT_LIFETIME;
-        while self.wants.pop_front_if(lapsed).is_some() {}
-        let old = |at: &mut Timestamp| now.since(*at) >= AHEAD;
-        while self.sent.pop_front_if(old).is_some() {}
+        let expired = |at: &mut Timestamp| now.since(*at) >= WAITER_LIFETIME;
+        while self.waiters.pop_front_if(expired).is_some() {}
+        let old = |at: &mut Timestamp| now.since(*at) >= PREFETCH_WINDOW;
+        while self.recent_sends.pop_front_if(old).is_some() {}
     }
 
-    fn is_leader_silent(&self, now: Timestamp) -> bool {
-        self.unanswered_since
-            .is_some_and(|since| now.since(since) >= SILENCE)
+    fn is_leader_unreachable(&self, now: Timestamp) -> bool {
+        self.pending_since
+            .is_some_and(|since| now.since(since) >= RESPONSE_TIMEOUT)
     }
 
-    /// The slot that is open and not used yet.
+    /// Returns the slot that is open and unused.
     fn free_slot(&self, now: Timestamp, slots: &Slots) -> Option<u64> {
-        let open = slots.open(now).filter(|_| self.is_leader_silent(now));
-        open.filter(|slot| self.slot_used != Some(*slot))
+        let open = slots.open(now).filter(|_| self.is_leader_unreachable(now));
+        open.filter(|slot| self.last_used_slot != Some(*slot))
     }
 
-    fn has_permit(&self, now: Timestamp) -> bool {
+    fn has_valid_permit(&self, now: Timestamp) -> bool {
         self.permits.iter().any(|until| now < *until)
     }
 
-    fn is_due(&self, now: Timestamp) -> bool {
-        let lives = |at: &Timestamp| now.since(*at) < WANT_LIFETIME;
-        !self.is_asked_for && now >= self.denied_until && self.wants.iter().any(lives)
+    fn is_request_due(&self, now: Timestamp) -> bool {
+        let is_alive = |at: &Timestamp| now.since(*at) < WAITER_LIFETIME;
+        !self.is_requested && now >= self.denied_until && self.waiters.iter().any(is_alive)
     }
 }
 
-/// A message that is not answered yet.
+/// A message to which the leader has not responded.
 #[derive(Debug)]
-struct Asked {
+struct PendingRequest {
     sequence: u64,
     at: Timestamp,
 }
 
-/// One gateway's permits.
+/// A gateway's permits for limited instances.
 #[derive(Debug)]
 pub struct PermitPool {
     gateway: String,
-    words: Words,
-    /// Instances of which the leader has not been told the last word heard here.
-    untold: BTreeSet<InstanceId>,
-    /// Instances of which the leader told another limit than the one that holds here.
-    disputed: BTreeSet<InstanceId>,
-    accounts: BTreeMap<InstanceId, Account>,
+    observed: ObservedLimits,
+    /// Instances whose last observed limit has not been reported to the leader.
+    unreported: BTreeSet<InstanceId>,
+    /// Instances for which the leader's limit differs from the one in force here.
+    inconsistent: BTreeSet<InstanceId>,
+    instances: BTreeMap<InstanceId, InstancePermits>,
     sequence: u64,
-    asked: Option<Asked>,
+    pending: Option<PendingRequest>,
 }
 
 impl PermitPool {
-    /// A pool of a gateway that knows no limit.
+    /// Creates a pool without limits.
     pub fn new(gateway: &str) -> Self {
         PermitPool {
             gateway: gateway.to_owned(),
-            words: Words::default(),
-            untold: BTreeSet::new(),
-            disputed: BTreeSet::new(),
-            accounts: BTreeMap::new(),
+            observed: ObservedLimits::default(),
+            unreported: BTreeSet::new(),
+            inconsistent: BTreeSet::new(),
+            instances: BTreeMap::new(),
             sequence: 0,
-            asked: None,
+            pending: None,
         }
     }
 
-    /// Takes what an answer stated; gives the limit in force if that changed.
+    /// Records what a response stated, and returns the change to the limit in force, if any.
     pub fn record_statement(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        word: ObservedLimit,
+        observed: ObservedLimit,
     ) -> Option<LimitChange> {
-        let change = self.words.take(now, instance, word);
-        if change.is_some() || self.disputed.contains(instance) {
-            self.untold.insert(instance.clone());
+        let change = self.observed.record(now, instance, observed);
+        if change.is_some() || self.inconsistent.contains(instance) {
+            self.unreported.insert(instance.clone());
         }
-        self.put_in_force(change.as_ref()?);
+        self.apply_change(change.as_ref()?);
         change
     }
 
-    /// Takes what the leader tells; gives the limits in force that changed by it.
+    /// Applies the leader's limits, and returns the changes to limits in force.
     pub fn apply_update(&mut self, now: Timestamp, update: &LimitUpdate) -> Vec<LimitChange> {
         let mut changes = Vec::new();
-        for word in &update.limits {
-            let heard = ObservedLimit::received(now, word);
-            changes.extend(self.words.take(now, &word.instance, heard));
-            match self.words.rate(&word.instance) == heard.rate {
-                true => self.disputed.remove(&word.instance),
-                false => self.dispute(&word.instance),
+        for report in &update.limits {
+            let observed = ObservedLimit::from_report(now, report);
+            changes.extend(self.observed.record(now, &report.instance, observed));
+            match self.observed.rate(&report.instance) == observed.rate {
+                true => self.inconsistent.remove(&report.instance),
+                false => self.mark_inconsistent(&report.instance),
             };
         }
         for change in &changes {
-            self.put_in_force(change);
+            self.apply_change(change);
         }
         changes
     }
 
-    /// What was heard here may be newer than what the leader knows.
-    fn dispute(&mut self, instance: &InstanceId) -> bool {
-        self.untold.insert(instance.clone());
-        self.disputed.insert(instance.clone())
+    /// Reports the local observation again: it may be newer than the leader's.
+    fn mark_inconsistent(&mut self, instance: &InstanceId) -> bool {
+        self.unreported.insert(instance.clone());
+        self.inconsistent.insert(instance.clone())
     }
 
-    fn put_in_force(&mut self, change: &LimitChange) {
+    fn apply_change(&mut self, change: &LimitChange) {
         if change.rate.is_none() {
-            self.accounts.remove(&change.instance);
+            self.instances.remove(&change.instance);
         }
     }
 
-    /// The limit in force of an instance.
+    /// Returns the limit in force of an instance.
     pub fn rate(&self, instance: &InstanceId) -> Option<RequestRate> {
-        self.words.rate(instance)
+        self.observed.rate(instance)
     }
 
-    /// How many limits are in force.
+    /// Number of limits in force.
     pub fn limited_count(&self) -> usize {
-        self.words.limited()
+        self.observed.limited_count()
     }
 
-    /// Whether a request may go to an instance now. `gateways` share what may be used without a leader; 0 while their
-    /// number is not known.
+    /// Returns true if a request may be sent to an instance now. `gateways` is the number of
+    /// gateways that share the limit while no leader is reachable; 0 if unknown.
     pub fn may_send(&self, now: Timestamp, instance: &InstanceId, gateways: u32) -> bool {
-        let Some(rate) = self.words.rate(instance) else {
+        let Some(rate) = self.observed.rate(instance) else {
             return true;
         };
-        let Some(account) = self.accounts.get(instance) else {
+        let Some(state) = self.instances.get(instance) else {
             return false;
         };
         let slots = Slots::new(&self.gateway, instance, rate, gateways);
-        account.has_permit(now) || account.free_slot(now, &slots).is_some()
+        state.has_valid_permit(now) || state.free_slot(now, &slots).is_some()
     }
 
-    /// A request goes to an instance that [`PermitPool::may_send`] allows.
+    /// Records a request sent to an instance that [`PermitPool::may_send`] allowed.
     pub fn record_send(&mut self, now: Timestamp, instance: &InstanceId, gateways: u32) {
-        let Some(rate) = self.words.rate(instance) else {
+        let Some(rate) = self.observed.rate(instance) else {
             return;
         };
         let slots = Slots::new(&self.gateway, instance, rate, gateways);
-        let account = self.accounts.entry(instance.clone()).or_default();
-        account.expire(now);
-        account.sent.push_back(now);
-        if account.permits.pop_front().is_none() {
-            account.slot_used = account.free_slot(now, &slots);
+        let state = self.instances.entry(instance.clone()).or_default();
+        state.expire(now);
+        state.recent_sends.push_back(now);
+        if state.permits.pop_front().is_none() {
+            state.last_used_slot = state.free_slot(now, &slots);
         }
     }
 
-    /// A request looks for a permit; at an instance without a limit it needs none.
+    /// Registers a request that waits for a permit. Does nothing at an instance without a limit.
     pub fn add_waiter(&mut self, now: Timestamp, instance: &InstanceId) {
-        if self.words.rate(instance).is_none() {
+        if self.observed.rate(instance).is_none() {
             return;
         }
-        let account = self.accounts.entry(instance.clone()).or_default();
-        account.expire(now);
-        account.wants.push_back(now);
-        account.is_asked_for = false;
-        account.unanswered_since.get_or_insert(now);
+        let state = self.instances.entry(instance.clone()).or_default();
+        state.expire(now);
+        state.waiters.push_back(now);
+        state.is_requested = false;
+        state.pending_since.get_or_insert(now);
     }
 
-    /// A request that looked for a permit looks no more: a permit lent for it would lapse.
+    /// Removes a waiting request, so that no permit is requested for it.
     pub fn remove_waiter(&mut self, instance: &InstanceId) {
-        if let Some(account) = self.accounts.get_mut(instance) {
-            account.wants.pop_front();
+        if let Some(state) = self.instances.get_mut(instance) {
+            state.waiters.pop_front();
         }
     }
 
-    /// When a request may go to a limited instance that it may not go to now.
+    /// Returns when a request may be sent to a limited instance to which none may be sent now.
     pub fn availability(
         &self,
         now: Timestamp,
         instance: &InstanceId,
         gateways: u32,
     ) -> Availability {
-        let Some(rate) = self.words.rate(instance) else {
+        let Some(rate) = self.observed.rate(instance) else {
             return Availability::At(now);
         };
-        let Some(account) = self.accounts.get(instance) else {
-            return Availability::AwaitingResponse(now + ANSWER_TIME);
+        let Some(state) = self.instances.get(instance) else {
+            return Availability::AwaitingResponse(now + RESPONSE_WAIT);
         };
-        if now < account.denied_until {
-            let refused = rate.interval() * account.refused;
-            let opens = account.none_until.max(account.denied_until);
-            let at = (opens + refused).min(now + LONGEST_WAIT);
+        if now < state.denied_until {
+            let refused = rate.interval() * state.refused;
+            let opens = state.depleted_until.max(state.denied_until);
+            let at = (opens + refused).min(now + MAX_RETRY_AFTER);
             return Availability::At(at);
         }
-        let since = account.unanswered_since.unwrap_or(now);
-        let answered_by = since + ANSWER_TIME;
-        if now < answered_by {
-            return Availability::AwaitingResponse(answered_by);
+        let since = state.pending_since.unwrap_or(now);
+        let response_by = since + RESPONSE_WAIT;
+        if now < response_by {
+            return Availability::AwaitingResponse(response_by);
         }
         let next = Slots::new(&self.gateway, instance, rate, gateways).next(now);
-        Availability::At(next.max(since + SILENCE).min(now + LONGEST_WAIT))
+        Availability::At(
+            next.max(since + RESPONSE_TIMEOUT)
+                .min(now + MAX_RETRY_AFTER),
+        )
     }
 
-    /// A request is refused by what [`PermitPool::availability`] said: the next one is told a later time.
+    /// Records a request refused by [`PermitPool::availability`], so that the next one is given a
+    /// later time.
     pub fn record_refusal(&mut self, instance: &InstanceId) {
-        if let Some(account) = self.accounts.get_mut(instance) {
-            account.refused = account.refused.saturating_add(1);
+        if let Some(state) = self.instances.get_mut(instance) {
+            state.refused = state.refused.saturating_add(1);
         }
     }
 
-    /// Whether the leader should be asked, or told something, now.
+    /// Returns true if a message to the leader is due.
     pub fn is_request_due(&self, now: Timestamp) -> bool {
-        let lost = |asked: &Asked| now.since(asked.at) >= SILENCE;
-        let open = self.asked.as_ref().is_none_or(lost);
-        let due = |account: &Account| account.is_due(now);
-        open && (!self.untold.is_empty() || self.accounts.values().any(due))
+        let lost = |pending: &PendingRequest| now.since(pending.at) >= RESPONSE_TIMEOUT;
+        let open = self.pending.as_ref().is_none_or(lost);
+        let due = |state: &InstancePermits| state.is_request_due(now);
+        open && (!self.unreported.is_empty() || self.instances.values().any(due))
     }
 
-    /// The next message to the leader, if one is due.
+    /// Returns the next message to the leader, if one is due.
     pub fn next_request(&mut self, now: Timestamp) -> Option<PermitRequest> {
         if !self.is_request_due(now) {
             return None;
         }
-        let untold = std::mem::take(&mut self.untold);
-        let words = untold.iter().filter_map(|instance| {
-            let word = self.words.get(instance)?;
-            Some(word.message(now, instance))
+        let unreported = std::mem::take(&mut self.unreported);
+        let reports = unreported.iter().filter_map(|instance| {
+            let observed = self.observed.get(instance)?;
+            Some(observed.to_report(now, instance))
         });
-        let words: Vec<LimitObservation> = words.collect();
-        let mut asks = Vec::new();
-        for (instance, account) in &mut self.accounts {
-            if !account.is_due(now) {
+        let reports: Vec<LimitObservation> = reports.collect();
+        let mut requests = Vec::new();
+        for (instance, state) in &mut self.instances {
+            if !state.is_request_due(now) {
                 continue;
             }
-            account.expire(now);
-            account.is_asked_for = true;
-            account.unanswered_since.get_or_insert(now);
-            asks.push(InstancePermitRequest {
+            state.expire(now);
+            state.is_requested = true;
+            state.pending_since.get_or_insert(now);
+            requests.push(InstancePermitRequest {
                 instance: instance.clone(),
-                waiting: u32::try_from(account.wants.len()).unwrap_or(u32::MAX),
-                prefetch: u32::try_from(account.sent.len()).unwrap_or(u32::MAX),
-                refused: std::mem::take(&mut account.refused),
+                waiting: u32::try_from(state.waiters.len()).unwrap_or(u32::MAX),
+                prefetch: u32::try_from(state.recent_sends.len()).unwrap_or(u32::MAX),
+                refused: std::mem::take(&mut state.refused),
             });
         }
         self.sequence += 1;
-        self.asked = Some(Asked {
+        self.pending = Some(PendingRequest {
             sequence: self.sequence,
             at: now,
         });
         Some(PermitRequest {
             gateway: self.gateway.clone(),
             sequence: self.sequence,
-            observations: words,
-            instances: asks,
+            observations: reports,
+            instances: requests,
         })
     }
 
-    /// Takes the leader's answer. One to an earlier message is too late: its permits count as lost.
-    pub fn apply_response(&mut self, now: Timestamp, answer: &PermitResponse) {
-        let asked = self
-            .asked
-            .take_if(|asked| asked.sequence == answer.sequence);
-        let Some(asked) = asked else {
+    /// Applies the leader's response. A response to an earlier message is ignored: its permits
+    /// count as lost.
+    pub fn apply_response(&mut self, now: Timestamp, response: &PermitResponse) {
+        let pending = self
+            .pending
+            .take_if(|pending| pending.sequence == response.sequence);
+        let Some(pending) = pending else {
             return;
         };
-        for grant in &answer.grants {
-            self.take_grant(now, asked.at, grant);
+        for grant in &response.grants {
+            self.apply_grant(now, pending.at, grant);
         }
     }
 
-    fn take_grant(&mut self, now: Timestamp, asked_at: Timestamp, grant: &PermitGrant) {
-        if self.words.rate(&grant.instance).is_none() {
+    fn apply_grant(&mut self, now: Timestamp, requested_at: Timestamp, grant: &PermitGrant) {
+        if self.observed.rate(&grant.instance).is_none() {
             return;
         }
-        let account = self.accounts.entry(grant.instance.clone()).or_default();
-        let until = asked_at + PERMIT_LIFETIME;
+        let state = self.instances.entry(grant.instance.clone()).or_default();
+        let until = requested_at + PERMIT_LIFETIME;
         let permits = std::iter::repeat_n(until, grant.permits as usize);
-        account.permits.extend(permits);
-        account.unanswered_since = None;
-        account.denied_until = Timestamp::ZERO;
+        state.permits.extend(permits);
+        state.pending_since = None;
+        state.denied_until = Timestamp::ZERO;
         if grant.wait_millis > 0 {
-            account.none_until = now + Duration::from_millis(grant.wait_millis);
-            let denial = account.none_until.since(now) / DENIAL_PARTS;
-            account.denied_until = now + denial.clamp(SHORTEST_DENIAL, LONGEST_DENIAL);
-            // Those that still wait then ask anew.
-            account.is_asked_for = false;
+            state.depleted_until = now + Duration::from_millis(grant.wait_millis);
+            let denial = state.depleted_until.since(now) / DENIAL_DIVISOR;
+            state.denied_until = now + denial.clamp(MIN_DENIAL, MAX_DENIAL);
+            // Waiters left by then request permits again.
+            state.is_requested = false;
         }
     }
 
-    /// The connection to the leader ended: the next leader is told everything anew.
+    /// Handles the end of the connection to the leader: all observations are reported again to the
+    /// next one.
     pub fn disconnected(&mut self) {
-        let words = self.words.iter();
-        self.untold = words.map(|(instance, _)| instance.clone()).collect();
-        self.disputed.clear();
-        self.asked = None;
-        for account in self.accounts.values_mut() {
-            account.is_asked_for = false;
+        let observed = self.observed.iter();
+        self.unreported = observed.map(|(instance, _)| instance.clone()).collect();
+        self.inconsistent.clear();
+        self.pending = None;
+        for state in self.instances.values_mut() {
+            state.is_requested = false;
         }
     }
 }
--- a/crates/millpass-limits/src/rate.rs
+++ b/crates/millpass-limits/src/rate.rs
@@ -1,26 +1,26 @@
-//! A limit.
+//! Request rate of a limit.
 
 use millpass_proto::Duration;
 
-/// Rate at which requests go to an instance whose limit is lower: only an answer can tell that the limit has ended.
+/// Rate used for limits below it: only a response can show that a limit has ended.
 const PROBE_RATE: RequestRate = RequestRate {
     milli_per_second: 100,
 };
 
-/// Requests that an instance takes in a second, from all gateways together.
+/// Requests per second that an instance accepts from all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestRate {
-    /// Thousandths of a request a second.
+    /// Rate in thousandths of a request per second.
     pub milli_per_second: u64,
 }
 
 impl RequestRate {
-    /// Requests a second that may go there.
+    /// Returns the requests per second that may be sent; at least `PROBE_RATE`.
     pub(crate) fn per_second(self) -> f64 {
         self.max(PROBE_RATE).milli_per_second as f64 / 1_000.0
     }
 
-    /// Time between two requests at this rate.
+    /// Returns the time between two requests at this rate.
     pub(crate) fn interval(self) -> Duration {
         Duration::from_secs_f64(1.0 / self.per_second())
     }
