--- a/crates/millpass-dispatch/src/freshness.rs
+++ b/crates/millpass-dispatch/src/freshness.rs
@@ -76,7 +76,7 @@
 pub enum Freshness {
     /// Everything acknowledged longer ago than the staleness limit has been applied.
     Confirmed,
-    /// No majority of the members is reachable, and nothing newer is known of: known routes are
+    /// No majority of the members is reachable, and no newer entry is known: known routes are
     /// served, and nothing is reported as missing.
     Isolated,
     /// The state may be stale or was never confirmed: nothing is served from it.
--- a/crates/millpass-dispatch/src/table.rs
+++ b/crates/millpass-dispatch/src/table.rs
@@ -80,7 +80,7 @@
             .services
             .iter()
             .enumerate()
-            .map(|(place, service)| (service.name.clone(), place))
+            .map(|(index, service)| (service.name.clone(), index))
             .collect();
         let mut keys = KeyDirectory::default();
         let mut tenants = HashMap::new();
@@ -127,9 +127,9 @@
         let Some(tenant) = tenant else {
             return route.priority;
         };
-        let place = |ranks: &[u32], rank: u32| ranks.partition_point(|other| *other < rank);
-        let rank = place(&self.tenant_ranks, tenant.priority) * self.route_ranks.len()
-            + place(&self.route_ranks, route.priority);
+        let position = |ranks: &[u32], rank: u32| ranks.partition_point(|other| *other < rank);
+        let rank = position(&self.tenant_ranks, tenant.priority) * self.route_ranks.len()
+            + position(&self.route_ranks, route.priority);
         u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
@@ -157,8 +157,8 @@
 
     /// Returns the service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
-        let place = *self.services.get(name)?;
-        self.document.services.get(place)
+        let index = *self.services.get(name)?;
+        self.document.services.get(index)
     }
 }
 
--- a/crates/millpass-dispatch/tests/dispatch.rs
+++ b/crates/millpass-dispatch/tests/dispatch.rs
@@ -650,27 +650,21 @@
 fn instances_missing_from_complete_list_of_new_leader_are_removed() {
     let known = vec![record("i-1", "web", &[]), record("i-2", "web", &[])];
     let mut dispatcher = dispatcher(known);
-    let received = |first, complete, instances| GatewayUpdate {
+    let listing = |first, complete, instances| GatewayUpdate {
         first,
         complete,
         ..update(2, None, instances)
     };
-    dispatcher.update(
-        at(1),
-        received(true, false, vec![record("i-1", "web", &[])]),
-    );
+    dispatcher.update(at(1), listing(true, false, vec![record("i-1", "web", &[])]));
     assert_eq!(dispatcher.instance_count(), 2, "the list is not complete");
     dispatcher.update(
         at(2),
-        received(false, false, vec![record("i-3", "web", &[])]),
+        listing(false, false, vec![record("i-3", "web", &[])]),
     );
-    let outcome = dispatcher.update(at(3), received(false, true, Vec::new()));
+    let outcome = dispatcher.update(at(3), listing(false, true, Vec::new()));
     assert_eq!(outcome.removed, 1);
     assert_eq!(dispatcher.instance_count(), 2);
-    dispatcher.update(
-        at(4),
-        received(false, true, vec![record("i-4", "web", &[])]),
-    );
+    dispatcher.update(at(4), listing(false, true, vec![record("i-4", "web", &[])]));
     assert_eq!(
         dispatcher.instance_count(),
         3,
--- a/crates/millpass-dispatch/tests/freshness.rs
+++ b/crates/millpass-dispatch/tests/freshness.rs
@@ -431,8 +431,8 @@
     }
 
     /// Returns the newest index acknowledged at this time or before.
-    fn acknowledged_by(&self, moment: u64) -> u64 {
-        let before = self.acknowledged.iter().filter(|(_, at)| *at <= moment);
+    fn acknowledged_by(&self, time: u64) -> u64 {
+        let before = self.acknowledged.iter().filter(|(_, at)| *at <= time);
         before.map(|(index, _)| *index).max().unwrap_or(0)
     }
 }
--- a/crates/millpass-limits/src/ledger.rs
+++ b/crates/millpass-limits/src/ledger.rs
@@ -204,7 +204,7 @@
         LimitUpdate {
             term,
             limits: limits
-                .map(|(instance, limit)| limit.to_report(now, instance))
+                .map(|(instance, limit)| limit.report(now, instance))
                 .collect(),
         }
     }
--- a/crates/millpass-limits/src/observed.rs
+++ b/crates/millpass-limits/src/observed.rs
@@ -43,7 +43,7 @@
     }
 
     /// Converts to a report, with ages instead of times.
-    pub(crate) fn to_report(&self, now: Timestamp, instance: &InstanceId) -> LimitObservation {
+    pub(crate) fn report(&self, now: Timestamp, instance: &InstanceId) -> LimitObservation {
         LimitObservation {
             instance: instance.clone(),
             milli_per_second: self.rate.map(|rate| rate.milli_per_second),
--- a/crates/millpass-limits/src/pool.rs
+++ b/crates/millpass-limits/src/pool.rs
@@ -288,7 +288,7 @@
         let unreported = std::mem::take(&mut self.unreported);
         let reports = unreported.iter().filter_map(|instance| {
             let observed = self.observed.get(instance)?;
-            Some(observed.to_report(now, instance))
+            Some(observed.report(now, instance))
         });
         let reports: Vec<LimitObservation> = reports.collect();
         let mut requests = Vec::new();
