--- a/crates/millpass-control-plane/src/administration.rs
+++ b/crates/millpass-control-plane/src/administration.rs
@@ -1,7 +1,7 @@
 //! Calls of the administration API. Reads are answered only under the leader lease; changes are
 //! answered once they are committed.
 
-use crate::interface::{AdministrationAnswer, AdministrationRequest, DeploymentStatus};
+use crate::interface::{AdministrationRequest, AdministrationResponse, DeploymentStatus};
 use crate::outputs::Outputs;
 use crate::plane::ControlPlane;
 use crate::proposals::Waiter;
@@ -22,10 +22,10 @@
         // What an instance says of itself is soft, and each member keeps what it hears. Its leaving waits for the log.
         let is_soft =
             matches!(&request, AdministrationRequest::Announce(record) if !record.draining);
-        let may_take = self.in_charge(now) || (is_soft && self.fleet.is_some());
+        let may_take = self.is_leading(now) || (is_soft && self.fleet.is_some());
         if !may_take {
             let leader_address = self.leader_administration_address();
-            out.answer(call, AdministrationAnswer::NotLeader { leader_address });
+            out.answer(call, AdministrationResponse::NotLeader { leader_address });
             return;
         }
         match request {
@@ -41,7 +41,7 @@
             AdministrationRequest::PutDocument(put) => self.put_document(now, call, *put, out),
             AdministrationRequest::Announce(record) => self.announce(now, call, record, out),
             AdministrationRequest::Depart(departure) => self.depart(now, call, departure, out),
-            AdministrationRequest::LiftRequest(request) => {
+            AdministrationRequest::LiftQuarantine(request) => {
                 self.lift_request(now, call, request, out);
             }
             read => out.answer(call, self.read(now, read)),
@@ -79,7 +79,7 @@
         let Some(backend) = self.state.backend(name) else {
             let reason =
                 format!("back end {name} is not registered; `status` lists those that are");
-            out.answer(call, AdministrationAnswer::Refused(reason));
+            out.answer(call, AdministrationResponse::Refused(reason));
             return;
         };
         let mark = BackendMark {
@@ -96,44 +96,44 @@
     pub(crate) fn admit_change(&mut self, call: u64, out: &mut Outputs) -> bool {
         if self.drain.is_some() {
             let leader_address = None;
-            out.answer(call, AdministrationAnswer::NotLeader { leader_address });
+            out.answer(call, AdministrationResponse::NotLeader { leader_address });
             return false;
         }
         if !self.proposals.has_room() {
-            out.answer(call, AdministrationAnswer::Busy);
+            out.answer(call, AdministrationResponse::Busy);
             return false;
         }
         true
     }
 
-    fn read(&self, now: Timestamp, request: AdministrationRequest) -> AdministrationAnswer {
+    fn read(&self, now: Timestamp, request: AdministrationRequest) -> AdministrationResponse {
         match request {
             AdministrationRequest::Get(key) => {
-                AdministrationAnswer::Object(self.state.object(&key).cloned())
+                AdministrationResponse::Object(self.state.object(&key).cloned())
             }
             AdministrationRequest::List(kind) => {
                 let objects = self.state.objects(kind).into_iter().cloned().collect();
-                AdministrationAnswer::Objects(objects)
+                AdministrationResponse::Objects(objects)
             }
             AdministrationRequest::Audit(after) => {
                 let records = self.state.audit_since(after);
-                AdministrationAnswer::Audit(records.into_iter().cloned().collect())
+                AdministrationResponse::Audit(records.into_iter().cloned().collect())
             }
             AdministrationRequest::Status => {
-                AdministrationAnswer::Status(Box::new(self.deployment_status(now)))
+                AdministrationResponse::Status(Box::new(self.deployment_status(now)))
             }
             AdministrationRequest::GetDocument => {
                 let source = self.state.document_source();
-                AdministrationAnswer::DocumentSource(source.map(<[u8]>::to_vec))
+                AdministrationResponse::DocumentSource(source.map(<[u8]>::to_vec))
             }
-            AdministrationRequest::HeldRequests => self.held_requests(now),
+            AdministrationRequest::QuarantinedRequests => self.held_requests(now),
             AdministrationRequest::Change(_)
             | AdministrationRequest::PutDocument(_)
             | AdministrationRequest::Announce(_)
             | AdministrationRequest::Depart(_)
-            | AdministrationRequest::LiftRequest(_)
+            | AdministrationRequest::LiftQuarantine(_)
             | AdministrationRequest::MarkBackend(..)
-            | AdministrationRequest::ChangeMembership(_) => AdministrationAnswer::Done,
+            | AdministrationRequest::ChangeMembership(_) => AdministrationResponse::Done,
         }
     }
 
@@ -154,12 +154,12 @@
 }
 
 /// The answer to a change, from what applying it did.
-pub(crate) fn answer(outcome: CommandOutcome) -> AdministrationAnswer {
+pub(crate) fn answer(outcome: CommandOutcome) -> AdministrationResponse {
     match outcome {
-        CommandOutcome::Object(outcome) => AdministrationAnswer::Change(outcome),
-        CommandOutcome::Ignored(reason) => AdministrationAnswer::Refused(reason),
+        CommandOutcome::Object(outcome) => AdministrationResponse::Change(outcome),
+        CommandOutcome::Ignored(reason) => AdministrationResponse::Refused(reason),
         CommandOutcome::Done | CommandOutcome::Placed(_) | CommandOutcome::Claim(_) => {
-            AdministrationAnswer::Done
+            AdministrationResponse::Done
         }
     }
 }
--- a/crates/millpass-control-plane/src/claims.rs
+++ b/crates/millpass-control-plane/src/claims.rs
@@ -2,7 +2,7 @@
 //!
 //! An open claim of a router run that is no more stays open until its end is known. It is
 //! abandoned (concluded as may-have-run, so it never runs again) when the router comes back under
-//! a new run, or when the run has been silent for [`ABANDON_SILENCE`] under one leader. The open
+//! a new run, or when the run has been silent for [`CLAIM_ABANDON_TIMEOUT`] under one leader. The open
 //! claims are in the replicated state, so a new leader knows them too; it counts the silence anew.
 
 use millpass_proto::{Duration, Incarnation, RouterName, Timestamp};
@@ -10,7 +10,7 @@
 
 /// Silence after which a router's open claims are abandoned. Far longer than a freeze or a cut
 /// from which a router may wake and still finish its requests.
-pub const ABANDON_SILENCE: Duration = Duration::from_secs(600);
+pub const CLAIM_ABANDON_TIMEOUT: Duration = Duration::from_secs(600);
 /// Time between two proposals to forget old claims.
 pub(crate) const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
 /// Time between two looks for silent runs.
@@ -27,13 +27,13 @@
 
 impl SilentRuns {
     /// Takes the runs that hold open claims without reporting; gives those that have been silent
-    /// for [`ABANDON_SILENCE`].
+    /// for [`CLAIM_ABANDON_TIMEOUT`].
     pub(crate) fn refresh(&mut self, now: Timestamp, silent: Vec<RouterRun>) -> Vec<RouterRun> {
         let mut since = BTreeMap::new();
         let mut dead = Vec::new();
         for run in silent {
             let start = self.since.get(&run).copied().unwrap_or(now);
-            if now.since(start) >= ABANDON_SILENCE {
+            if now.since(start) >= CLAIM_ABANDON_TIMEOUT {
                 dead.push(run.clone());
             }
             since.insert(run, start);
--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -2,7 +2,7 @@
 //! of the document, announcements, departures, and the reports of gateways. Decisions about engines
 //! are `millpass-fleet`'s.
 
-use crate::interface::{AdministrationAnswer, ConnectionId, ControlOutput};
+use crate::interface::{AdministrationResponse, ConnectionId, ControlOutput};
 use crate::outputs::Outputs;
 use crate::plane::ControlPlane;
 use crate::proposals::{InternalKey, Waiter};
@@ -54,7 +54,7 @@
         if version <= held {
             pairs.push(("outcome", "not-above".to_owned()));
             out.event("document-put", pairs);
-            return out.answer(call, AdministrationAnswer::Done);
+            return out.answer(call, AdministrationResponse::Done);
         }
         pairs.push(("outcome", "proposed".to_owned()));
         out.event("document-put", pairs);
@@ -73,7 +73,7 @@
         out: &mut Outputs,
     ) {
         let Some(fleet) = &mut self.fleet else {
-            return out.answer(call, AdministrationAnswer::Refused(NO_FLEET.to_owned()));
+            return out.answer(call, AdministrationResponse::Refused(NO_FLEET.to_owned()));
         };
         let departed = self.state.departed(&record.instance);
         let draining = record.draining;
@@ -87,7 +87,7 @@
             };
             return self.depart(now, call, departure, out);
         }
-        out.answer(call, AdministrationAnswer::Done);
+        out.answer(call, AdministrationResponse::Done);
     }
 
     /// The run that is meant: where none is stated and runs of the instance have stated theirs, the latest.
@@ -115,7 +115,7 @@
         };
         let departed = self.state.departed(&departure.instance);
         if departed == Some(true) || (departed.is_some() && !departure.ended) {
-            return out.answer(call, AdministrationAnswer::Done);
+            return out.answer(call, AdministrationResponse::Done);
         }
         if self.admit_change(call, out) {
             let command = Command::DepartInstance(departure);
@@ -150,7 +150,7 @@
         report: &GatewayReport,
         out: &mut Outputs,
     ) {
-        if !self.in_charge(now) {
+        if !self.is_leading(now) {
             if self.fleet.is_some() {
                 self.pass_on(connection, report, out);
             }
@@ -187,10 +187,10 @@
     }
 
     /// Requests that are held back.
-    pub(crate) fn held_requests(&self, now: Timestamp) -> AdministrationAnswer {
+    pub(crate) fn held_requests(&self, now: Timestamp) -> AdministrationResponse {
         let fleet = self.fleet.as_ref();
         let held = fleet.map_or_else(Vec::new, |fleet| fleet.held_requests(now));
-        AdministrationAnswer::HeldRequests(held)
+        AdministrationResponse::QuarantinedRequests(held)
     }
 
     /// Lets a request go; done once the log says so.
@@ -340,19 +340,19 @@
         instructions: Vec<EngineInstruction>,
         out: &mut Outputs,
     ) {
-        if !self.in_charge(now) {
+        if !self.is_leading(now) {
             let pairs = vec![("instructions", instructions.len().to_string())];
             return out.event("instructions-dropped", pairs);
         }
         let lifetime = self.settings.fleet.as_ref();
         let lifetime = lifetime.map_or(Duration::ZERO, |settings| settings.order_lifetime);
-        let ends_by = now + lifetime;
+        let deadline = now + lifetime;
         for instruction in instructions {
             let fleet = self.fleet.as_ref();
             if fleet.is_some_and(|fleet| fleet.awaits(&instruction.instance, instruction.call)) {
                 out.push(ControlOutput::Instruct {
                     instruction,
-                    ends_by,
+                    deadline,
                 });
                 continue;
             }
--- a/crates/millpass-control-plane/src/freshness.rs
+++ b/crates/millpass-control-plane/src/freshness.rs
@@ -52,32 +52,32 @@
 
 /// Where a member stands; an answer to gateways follows from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FreshnessMark {
+pub struct FreshnessState {
     binding: u64,
     applied: u64,
     membership_index: u64,
     term: u64,
     leader: Option<MemberId>,
-    in_charge: bool,
+    is_leading: bool,
 }
 
 impl ControlPlane {
     /// Where this member stands now.
-    pub fn freshness_mark(&self, now: Timestamp) -> FreshnessMark {
-        FreshnessMark {
+    pub fn freshness_state(&self, now: Timestamp) -> FreshnessState {
+        FreshnessState {
             binding: self.binding.highest,
             applied: self.applied.last.index,
             membership_index: self.consensus.membership_index(),
             term: self.term,
             leader: self.consensus.leader(),
-            in_charge: self.in_charge(now),
+            is_leading: self.is_leading(now),
         }
     }
 
     /// The answer to a gateway's question, but for the number of its round.
-    pub fn freshness(&self, mark: &FreshnessMark) -> FreshnessResponse {
+    pub fn freshness_response(&self, mark: &FreshnessState) -> FreshnessResponse {
         let membership = self.consensus.status().membership;
-        let leader = match mark.in_charge {
+        let leader = match mark.is_leading {
             true => Some(self.settings.address.peer_address.clone()),
             false => self.leader_peer_address(),
         };
--- a/crates/millpass-control-plane/src/interface.rs
+++ b/crates/millpass-control-plane/src/interface.rs
@@ -33,7 +33,7 @@
     /// Peer addresses of other members to find the group through.
     pub seeds: Vec<String>,
     /// Voters up to which caught-up learners are promoted; 0 to keep their number.
-    pub wanted_voters: usize,
+    pub target_voters: usize,
     /// Time a machine must be missing from the platform's list before it counts as gone.
     pub machine_gone_delay: Duration,
     /// Instances that announce themselves, and the engines among them; none where the platform
@@ -53,7 +53,7 @@
     /// A message from a member.
     Peer(PeerEnvelope),
     /// A process introduced itself on its connection, before its messages as a member.
-    PeerGreeting(MemberAddress),
+    MemberHello(MemberAddress),
     /// A process asks to become a member.
     Join(MemberAddress),
     /// A message from a router.
@@ -70,7 +70,7 @@
         /// Connection.
         connection: ConnectionId,
         /// Whether one waits.
-        waits: bool,
+        backlogged: bool,
     },
     /// What became of a delivery attempt of an order.
     OrderDelivered {
@@ -79,7 +79,7 @@
         /// Fence of the order.
         fence: LogPosition,
         /// The engine's answer; none when there was none (it may have arrived all the same).
-        answer: Option<OrderResponse>,
+        response: Option<OrderResponse>,
     },
     /// The platform's list was read.
     PlatformListed(PlatformList),
@@ -98,7 +98,7 @@
     /// Stop: hand leadership over, then report [`ControlOutput::Stopped`].
     Drain,
     /// What became of an instruction to an engine, or of reading its state.
-    InstructionAnswered(CallAnswer),
+    EngineCallCompleted(CallAnswer),
     /// Another member says what it hears of instances.
     Share(ShareReport),
     /// Answer to this member's own report.
@@ -131,14 +131,14 @@
     /// An instance leaves or has left.
     Depart(InstanceDeparture),
     /// List the requests that are held back.
-    HeldRequests,
+    QuarantinedRequests,
     /// Let a request go that is held back.
-    LiftRequest(RequestFingerprint),
+    LiftQuarantine(RequestFingerprint),
 }
 
 /// Answer to a call of the administration API.
 #[derive(Clone, Debug)]
-pub enum AdministrationAnswer {
+pub enum AdministrationResponse {
     /// Outcome of a change; committed before it is given.
     Change(ObjectChangeOutcome),
     /// The object, or none.
@@ -152,7 +152,7 @@
     /// Done.
     Done,
     /// Requests that are held back: how many ends count against each, and how much longer it is refused.
-    HeldRequests(Vec<(RequestFingerprint, u32, Duration)>),
+    QuarantinedRequests(Vec<(RequestFingerprint, u32, Duration)>),
     /// The deployment document as it was sent; none before the first.
     DocumentSource(Option<Vec<u8>>),
     /// This member does not lead or cannot prove that it does; nothing was done here.
@@ -195,7 +195,7 @@
     /// Catalog revision it applied.
     pub configuration: ConfigurationRevision,
     /// Milliseconds since its last report.
-    pub silent_millis: u64,
+    pub millis_since_report: u64,
     /// Whether it is draining.
     pub draining: bool,
 }
@@ -239,21 +239,21 @@
         report: ShareReport,
     },
     /// Answer another member's report of its instances.
-    AnswerShare {
+    SendShareResponse {
         /// Where the member listens.
         address: String,
         /// Answer.
-        answer: ShareResponse,
+        response: ShareResponse,
     },
-    /// Give an engine an instruction and answer [`ControlInput::InstructionAnswered`]; the leader
+    /// Give an engine an instruction and answer [`ControlInput::EngineCallCompleted`]; the leader
     /// lease was checked just before.
     Instruct {
         /// Instruction.
         instruction: EngineInstruction,
         /// Its last byte leaves before then, or it does not leave: the next leader waits for that long.
-        ends_by: Timestamp,
+        deadline: Timestamp,
     },
-    /// Read an engine's state and answer [`ControlInput::InstructionAnswered`].
+    /// Read an engine's state and answer [`ControlInput::EngineCallCompleted`].
     ReadEngine {
         /// Run.
         instance: InstanceId,
@@ -269,11 +269,11 @@
     /// Read the platform's list and answer [`ControlInput::PlatformListed`].
     ReadPlatform,
     /// Answer an administration call.
-    Answer {
+    AdministrationResponse {
         /// Host's number of the call.
         call: u64,
         /// Answer.
-        answer: AdministrationAnswer,
+        response: AdministrationResponse,
     },
     /// For metrics: a gateway reported the newest document, this long after it was committed.
     DocumentReached(Duration),
--- a/crates/millpass-control-plane/src/lib.rs
+++ b/crates/millpass-control-plane/src/lib.rs
@@ -52,8 +52,8 @@
 mod snapshots;
 mod watch;
 
-pub use claims::ABANDON_SILENCE;
-pub use freshness::FreshnessMark;
+pub use claims::CLAIM_ABANDON_TIMEOUT;
+pub use freshness::FreshnessState;
 pub use interface::*;
 pub use millpass_fleet::{CallAnswer, FleetSettings, FleetSizes};
 pub use plane::ControlPlane;
--- a/crates/millpass-control-plane/src/outputs.rs
+++ b/crates/millpass-control-plane/src/outputs.rs
@@ -1,6 +1,6 @@
 //! Outputs of one step, collected in order.
 
-use crate::interface::{AdministrationAnswer, ConnectionId, ControlEvent, ControlOutput};
+use crate::interface::{AdministrationResponse, ConnectionId, ControlEvent, ControlOutput};
 use millpass_proto::{ControlToRouter, NotLeader};
 
 /// Collects the outputs of one step.
@@ -22,8 +22,11 @@
     }
 
     /// Answers an administration call.
-    pub(crate) fn answer(&mut self, call: u64, answer: AdministrationAnswer) {
-        self.push(ControlOutput::Answer { call, answer });
+    pub(crate) fn answer(&mut self, call: u64, answer: AdministrationResponse) {
+        self.push(ControlOutput::AdministrationResponse {
+            call,
+            response: answer,
+        });
     }
 
     /// Sends to a router.
--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -5,7 +5,7 @@
 use crate::drain::{Drain, DrainStep};
 use crate::freshness::BindingMark;
 use crate::interface::{
-    AdministrationAnswer, ControlInput, ControlOutput, ControlPlaneSettings, FinalState,
+    AdministrationResponse, ControlInput, ControlOutput, ControlPlaneSettings, FinalState,
 };
 use crate::missing_voters::{self, MissingVoters};
 use crate::news::{self, Told};
@@ -190,7 +190,7 @@
 
     /// Whether this member may act as the leader now: it holds the lease, and it has applied an
     /// entry of its own term, so that its state lacks nothing that was committed before.
-    pub fn in_charge(&self, now: Timestamp) -> bool {
+    pub fn is_leading(&self, now: Timestamp) -> bool {
         self.role == Role::Leader
             && self.applied.last.term == self.term
             && self.consensus.holds_lease(now)
@@ -213,7 +213,7 @@
             ControlInput::Persisted { write } => {
                 self.consensus_step(now, ConsensusInput::Persisted { write }, out);
             }
-            ControlInput::PeerGreeting(address) => self.addresses.greet(address),
+            ControlInput::MemberHello(address) => self.addresses.greet(address),
             ControlInput::Join(address) => self.take_join(now, address, out),
             ControlInput::Router {
                 connection,
@@ -225,21 +225,24 @@
                     fleet.disconnected(now, connection.0);
                 }
             }
-            ControlInput::RouterBacklog { connection, waits } => {
+            ControlInput::RouterBacklog {
+                connection,
+                backlogged,
+            } => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.backlog(now, connection.0, waits);
+                    fleet.backlog(now, connection.0, backlogged);
                 }
             }
             ControlInput::OrderDelivered {
                 backend,
                 fence,
-                answer,
+                response: answer,
             } => self.take_order_answer(now, &backend, fence, answer, out),
             ControlInput::PlatformListed(list) => self.take_platform_list(now, list, out),
             ControlInput::Administration { call, request } => {
                 self.take_administration(now, call, request, out);
             }
-            ControlInput::InstructionAnswered(answer) => {
+            ControlInput::EngineCallCompleted(answer) => {
                 self.instruction_answered(now, &answer);
             }
             ControlInput::Share(report) => self.take_share(now, &report, out),
@@ -271,7 +274,7 @@
         address: millpass_proto::MemberAddress,
         out: &mut Outputs,
     ) {
-        if !self.in_charge(now) {
+        if !self.is_leading(now) {
             if let Some(leader) = self.leader_peer_address()
                 && leader != address.peer_address
             {
@@ -328,7 +331,7 @@
         self.snapshot_if_due(now, out);
         self.run_drain(now, out);
         for call in self.overdue_calls(now) {
-            out.answer(call, AdministrationAnswer::Unknown);
+            out.answer(call, AdministrationResponse::Unknown);
         }
         self.run_share(now, unix_millis, out);
         if self.role == Role::Leader {
@@ -337,7 +340,7 @@
         } else {
             self.missing_voters.clear();
         }
-        if !self.in_charge(now) {
+        if !self.is_leading(now) {
             return;
         }
         self.begin_credit(now);
@@ -425,7 +428,7 @@
             let pairs = vec![("sequence", sequence.to_string())];
             return out.event("platform-list-stale", pairs);
         }
-        if self.in_charge(now) {
+        if self.is_leading(now) {
             self.mark_back_ends(now, out);
         }
     }
@@ -491,7 +494,7 @@
         RepairSettings {
             replacement_delay: self.settings.member_replacement_delay,
             answer_timeout: self.settings.consensus.election_timeout,
-            wanted_voters: self.settings.wanted_voters,
+            target_voters: self.settings.target_voters,
         }
     }
 
@@ -507,13 +510,13 @@
     }
 
     /// How many voters this member misses, where it leads.
-    pub fn missing_voters(&self) -> usize {
+    pub fn missing_voter_count(&self) -> usize {
         self.missing_voters.count()
     }
 
     /// The host asks for a snapshot at the next step, as the log on its disk is long.
-    pub fn want_snapshot(&mut self) {
-        self.applied.want_snapshot();
+    pub fn request_snapshot(&mut self) {
+        self.applied.request_snapshot();
     }
 
     fn deliver_orders(&mut self, now: Timestamp, out: &mut Outputs) {
--- a/crates/millpass-control-plane/src/repair.rs
+++ b/crates/millpass-control-plane/src/repair.rs
@@ -29,7 +29,7 @@
     /// Silence after which a member does not count as answering.
     pub(crate) answer_timeout: Duration,
     /// Voters up to which learners are promoted.
-    pub(crate) wanted_voters: usize,
+    pub(crate) target_voters: usize,
 }
 
 /// Processes that ask to join and are in no membership. One that was taken on is forgotten: when it is replaced later,
@@ -179,7 +179,7 @@
     /// A caught-up learner as one more voter, one of a zone without a voter first.
     fn growth(&self) -> Option<MembershipChange> {
         let membership = &self.status.membership;
-        if membership.voters.len() >= self.settings.wanted_voters {
+        if membership.voters.len() >= self.settings.target_voters {
             return None;
         }
         let has_voter = |zone| membership.voters.iter().any(|voter| voter.zone == zone);
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -1,7 +1,7 @@
 //! Carries out the consensus core's outputs and applies committed commands.
 
 use crate::administration;
-use crate::interface::{AdministrationAnswer, ConnectionId, ControlOutput, FinalState};
+use crate::interface::{AdministrationResponse, ConnectionId, ControlOutput, FinalState};
 use crate::outputs::Outputs;
 use crate::plane::{ControlPlane, INSTRUCTION_MEMORY};
 use crate::proposals::{InternalKey, Waiter};
@@ -222,7 +222,7 @@
         let leader_address = self.leader_administration_address();
         match waiter {
             Waiter::Call(call) => {
-                out.answer(call, AdministrationAnswer::NotLeader { leader_address });
+                out.answer(call, AdministrationResponse::NotLeader { leader_address });
             }
             other => self.give_up(other, out),
         }
@@ -234,7 +234,7 @@
         };
         match (&waiter, &reason) {
             (Waiter::Call(call), ProposalRejection::MembershipRefused(_)) => {
-                let refusal = AdministrationAnswer::Refused(reason.to_string());
+                let refusal = AdministrationResponse::Refused(reason.to_string());
                 out.answer(*call, refusal);
             }
             (Waiter::Repair, _) => {
@@ -250,7 +250,7 @@
     /// The fate of a proposal is not known here and will not be.
     fn give_up(&mut self, waiter: Waiter, out: &mut Outputs) {
         match waiter {
-            Waiter::Call(call) => out.answer(call, AdministrationAnswer::Unknown),
+            Waiter::Call(call) => out.answer(call, AdministrationResponse::Unknown),
             // The router asks the leader again for the same attempt and gets the same answer.
             Waiter::Claim { connection, .. } | Waiter::ClaimFinish { connection, .. } => {
                 let leader_address = self.leader_peer_address();
--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -36,7 +36,7 @@
             self.take_gateway_report(now, connection, &report, out);
             return;
         }
-        if !self.in_charge(now) {
+        if !self.is_leading(now) {
             self.take_without_charge(now, connection, &message, out);
             return;
         }
@@ -122,7 +122,7 @@
             out.send_not_leader(connection, None);
             return;
         }
-        if !self.in_charge(now) {
+        if !self.is_leading(now) {
             out.send_not_leader(connection, self.leader_peer_address());
             return;
         }
--- a/crates/millpass-control-plane/src/sessions.rs
+++ b/crates/millpass-control-plane/src/sessions.rs
@@ -272,7 +272,7 @@
                 router: router.clone(),
                 zone: session.zone.clone(),
                 configuration: session.configuration,
-                silent_millis: now.since(session.reported_at).as_millis() as u64,
+                millis_since_report: now.since(session.reported_at).as_millis() as u64,
                 draining: session.draining,
             })
             .collect()
--- a/crates/millpass-control-plane/src/shares.rs
+++ b/crates/millpass-control-plane/src/shares.rs
@@ -67,13 +67,16 @@
 
     /// Takes another member's report. A leader whose lease has run out takes it, too: it is no promise.
     pub(crate) fn take_share(&mut self, now: Timestamp, report: &ShareReport, out: &mut Outputs) {
-        let answer = match self.in_charge(now) || self.is_late_leader() {
+        let answer = match self.is_leading(now) || self.is_late_leader() {
             true => self.take_share_as_leader(now, report),
             false => Some(self.name_leader(report)),
         };
         if let Some(answer) = answer {
             let address = report.from.peer_address.clone();
-            out.push(ControlOutput::AnswerShare { address, answer });
+            out.push(ControlOutput::SendShareResponse {
+                address,
+                response: answer,
+            });
         }
     }
 
--- a/crates/millpass-control-plane/src/snapshots.rs
+++ b/crates/millpass-control-plane/src/snapshots.rs
@@ -31,7 +31,7 @@
     }
 
     /// The host asks for a snapshot.
-    pub(crate) fn want_snapshot(&mut self) {
+    pub(crate) fn request_snapshot(&mut self) {
         self.is_wanted = true;
     }
 
--- a/crates/millpass-control-plane/tests/administration.rs
+++ b/crates/millpass-control-plane/tests/administration.rs
@@ -3,13 +3,13 @@
 mod harness;
 
 use harness::{World, change, tenant};
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest, ControlInput};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse, ControlInput};
 use millpass_proto::*;
 use rstest::rstest;
 
-fn accepted(answer: Option<AdministrationAnswer>) -> ChangeAccepted {
+fn accepted(answer: Option<AdministrationResponse>) -> ChangeAccepted {
     match answer {
-        Some(AdministrationAnswer::Change(ObjectChangeOutcome::Accepted(accepted))) => accepted,
+        Some(AdministrationResponse::Change(ObjectChangeOutcome::Accepted(accepted))) => accepted,
         other => panic!("not accepted: {other:?}"),
     }
 }
@@ -40,7 +40,7 @@
     assert!(
         matches!(
             other,
-            Some(AdministrationAnswer::Change(
+            Some(AdministrationResponse::Change(
                 ObjectChangeOutcome::VersionConflict(VersionConflict { current_version: 1 })
             ))
         ),
@@ -75,7 +75,7 @@
     let read = AdministrationRequest::Get(tenant_key("news"));
     let answer = world.call(leader, read);
     assert!(
-        matches!(answer, Some(AdministrationAnswer::NotLeader { .. })),
+        matches!(answer, Some(AdministrationResponse::NotLeader { .. })),
         "{answer:?}"
     );
 }
@@ -86,7 +86,7 @@
     let leader = world.elect();
     let follower = *world.members.keys().find(|id| **id != leader).unwrap();
     let answer = world.call(follower, AdministrationRequest::Status);
-    let Some(AdministrationAnswer::NotLeader { leader_address }) = answer else {
+    let Some(AdministrationResponse::NotLeader { leader_address }) = answer else {
         panic!("{answer:?}");
     };
     let expected = harness::address(leader.0).administration_address;
@@ -105,7 +105,7 @@
     assert!(
         matches!(
             answer,
-            Some(AdministrationAnswer::Unknown | AdministrationAnswer::NotLeader { .. })
+            Some(AdministrationResponse::Unknown | AdministrationResponse::NotLeader { .. })
         ),
         "{answer:?}"
     );
--- a/crates/millpass-control-plane/tests/claims.rs
+++ b/crates/millpass-control-plane/tests/claims.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::{TestRouter, World, seconds};
-use millpass_control_plane::ABANDON_SILENCE;
+use millpass_control_plane::CLAIM_ABANDON_TIMEOUT;
 use millpass_proto::*;
 use rstest::rstest;
 
@@ -185,7 +185,7 @@
         }
         Death::StaysSilent => {
             world.step = Duration::from_millis(50);
-            world.run(ABANDON_SILENCE - seconds(5));
+            world.run(CLAIM_ABANDON_TIMEOUT - seconds(5));
             let running = begin(&mut world, &mut second, "key", 2);
             assert_eq!(running, Some(ClaimDecision::InProgress));
             world.run(seconds(20));
@@ -206,7 +206,7 @@
     let (mut world, leader, [mut first, mut second]) = setup(3);
     begin(&mut world, &mut first, "key", 1);
     world.step = Duration::from_millis(50);
-    world.run(ABANDON_SILENCE - seconds(10));
+    world.run(CLAIM_ABANDON_TIMEOUT - seconds(10));
     world.halt(leader);
     let next = world.elect();
     world.run(seconds(60));
--- a/crates/millpass-control-plane/tests/deployment.rs
+++ b/crates/millpass-control-plane/tests/deployment.rs
@@ -5,7 +5,7 @@
 use harness::announced::{gateway_report, instance_record};
 use harness::{World, address, seconds};
 use millpass_control_plane::{
-    AdministrationAnswer, AdministrationRequest, ConnectionId, ControlInput, FleetSettings,
+    AdministrationRequest, AdministrationResponse, ConnectionId, ControlInput, FleetSettings,
 };
 use millpass_proto::*;
 use rstest::rstest;
@@ -48,7 +48,7 @@
 
 fn source(world: &mut World, member: MemberId) -> Option<String> {
     match world.call(member, AdministrationRequest::GetDocument) {
-        Some(AdministrationAnswer::DocumentSource(Some(source))) => {
+        Some(AdministrationResponse::DocumentSource(Some(source))) => {
             Some(String::from_utf8(source).expect("text"))
         }
         _ => None,
@@ -87,7 +87,7 @@
     for version in [7, 3, 7, 9] {
         let answer = world.call(leader, put(version));
         assert!(
-            matches!(answer, Some(AdministrationAnswer::Done)),
+            matches!(answer, Some(AdministrationResponse::Done)),
             "{answer:?}"
         );
     }
@@ -122,7 +122,7 @@
     world.call(leader, announce("i-1", 1, false));
     let answer = world.call(leader, announce("i-1", 2, true));
     assert!(
-        matches!(answer, Some(AdministrationAnswer::Done)),
+        matches!(answer, Some(AdministrationResponse::Done)),
         "{answer:?}"
     );
     world.halt(leader);
@@ -151,7 +151,7 @@
     world.members.get_mut(&leader).unwrap().cut = true;
     let answer = world.call(leader, announce("i-1", 1, true));
     assert!(
-        !matches!(answer, Some(AdministrationAnswer::Done)),
+        !matches!(answer, Some(AdministrationResponse::Done)),
         "{answer:?}"
     );
 }
@@ -564,7 +564,7 @@
 ) {
     let mut world = World::new(0);
     world.fleet = Some(FleetSettings::default());
-    world.wanted_voters = wanted;
+    world.target_voters = wanted;
     world.boot_voters(3);
     let leader = world.elect();
     for joiner in [4, 5, 6] {
@@ -625,7 +625,7 @@
         world.members.get_mut(&behind).unwrap().cut = version % 2 == 0;
         let answer = world.call(leader, put(version));
         assert!(
-            matches!(answer, Some(AdministrationAnswer::Done)),
+            matches!(answer, Some(AdministrationResponse::Done)),
             "{answer:?}"
         );
         let acknowledged = binding(&world, leader);
@@ -641,6 +641,6 @@
 /// What a member answers a gateway that asks.
 fn binding(world: &World, member: MemberId) -> u64 {
     let core = &world.members[&member].plane;
-    core.freshness(&core.freshness_mark(world.now))
+    core.freshness_response(&core.freshness_state(world.now))
         .required_index
 }
--- a/crates/millpass-control-plane/tests/harness/mod.rs
+++ b/crates/millpass-control-plane/tests/harness/mod.rs
@@ -18,7 +18,7 @@
 
 use millpass_consensus::{ConsensusSettings, RestoredLog};
 use millpass_control_plane::{
-    AdministrationAnswer, AdministrationRequest, CallAnswer, ConnectionId, ControlInput,
+    AdministrationRequest, AdministrationResponse, CallAnswer, ConnectionId, ControlInput,
     ControlOutput, ControlPlane, ControlPlaneSettings, FleetSettings,
 };
 use millpass_proto::*;
@@ -77,7 +77,7 @@
 pub struct World {
     pub now: Timestamp,
     pub members: BTreeMap<MemberId, Member>,
-    pub answers: BTreeMap<u64, AdministrationAnswer>,
+    pub answers: BTreeMap<u64, AdministrationResponse>,
     pub to_routers: BTreeMap<ConnectionId, VecDeque<ControlToRouter>>,
     pub deliveries: Vec<(MemberId, EngineOrder)>,
     pub instructions: Vec<(MemberId, EngineInstruction)>,
@@ -103,7 +103,7 @@
     /// Instances announce themselves.
     pub fleet: Option<FleetSettings>,
     /// Voters up to which learners are promoted.
-    pub wanted_voters: usize,
+    pub target_voters: usize,
     pub timing: Timing,
     /// Silence after which a member is replaced.
     pub replacement_delay: Duration,
@@ -160,7 +160,7 @@
             corrupt_snapshots: false,
             step: STEP,
             fleet: None,
-            wanted_voters: 0,
+            target_voters: 0,
             timing: Timing::default(),
             replacement_delay: Duration::from_secs(5),
             seed: 0,
@@ -194,7 +194,7 @@
             claim_retention: Duration::from_secs(3_600),
             member_replacement_delay: self.replacement_delay,
             machine_gone_delay: Duration::from_secs(10),
-            wanted_voters: self.wanted_voters,
+            target_voters: self.target_voters,
             fleet: self.fleet.clone(),
             seeds: vec![self::address(1).peer_address, self::address(2).peer_address],
         }
@@ -411,7 +411,7 @@
             waited: std::time::Duration::ZERO,
             took: std::time::Duration::ZERO,
         };
-        self.give(member, ControlInput::InstructionAnswered(answer));
+        self.give(member, ControlInput::EngineCallCompleted(answer));
     }
 
     fn settle(&mut self) {
@@ -481,7 +481,10 @@
                     self.inputs.push_back((id, input));
                 }
             }
-            ControlOutput::Answer { call, answer } => {
+            ControlOutput::AdministrationResponse {
+                call,
+                response: answer,
+            } => {
                 self.answers.insert(call, answer);
             }
             ControlOutput::Event(event) => {
@@ -494,14 +497,17 @@
             ControlOutput::SendShare { address, report } => {
                 self.send_share(id, &address, ControlInput::Share(report));
             }
-            ControlOutput::AnswerShare { address, answer } => {
+            ControlOutput::SendShareResponse {
+                address,
+                response: answer,
+            } => {
                 self.send_share(id, &address, ControlInput::ShareResponse(answer));
             }
             ControlOutput::Instruct {
                 instruction,
-                ends_by,
+                deadline,
             } => {
-                assert!(ends_by >= self.now);
+                assert!(deadline >= self.now);
                 self.instructions.push((id, instruction));
             }
             ControlOutput::ReadEngine { instance, call, .. } => {
@@ -550,7 +556,7 @@
         let to = envelope.to;
         if self.greetings {
             let greeting = self.members[&from].address.clone();
-            let greeting = ControlInput::PeerGreeting(greeting);
+            let greeting = ControlInput::MemberHello(greeting);
             self.inputs.push_back((to, greeting));
         }
         for delay in self.network.copies() {
@@ -609,8 +615,8 @@
     }
 
     fn deliver(&mut self, id: MemberId, order: EngineOrder) {
-        let in_charge = self.members[&id].plane.in_charge(self.now);
-        assert!(in_charge, "{id} sent an order without the lease");
+        let is_leading = self.members[&id].plane.is_leading(self.now);
+        assert!(is_leading, "{id} sent an order without the lease");
         self.deliveries.push((id, order.clone()));
         let backend = order.backend.clone();
         let fence = order.fence;
@@ -620,7 +626,7 @@
         let input = ControlInput::OrderDelivered {
             backend,
             fence,
-            answer,
+            response: answer,
         };
         self.inputs.push_back((id, input));
     }
@@ -630,7 +636,7 @@
         self.members
             .iter()
             .filter(|(_, member)| member.up && !member.cut && !member.frozen)
-            .find(|(_, member)| member.plane.in_charge(self.now))
+            .find(|(_, member)| member.plane.is_leading(self.now))
             .map(|(id, _)| *id)
     }
 
@@ -650,7 +656,7 @@
         &mut self,
         member: MemberId,
         request: AdministrationRequest,
-    ) -> Option<AdministrationAnswer> {
+    ) -> Option<AdministrationResponse> {
         self.calls += 1;
         let call = self.calls;
         self.give(member, ControlInput::Administration { call, request });
@@ -658,7 +664,7 @@
     }
 
     /// The answer of the latest call.
-    pub fn last_answer(&self) -> Option<&AdministrationAnswer> {
+    pub fn last_answer(&self) -> Option<&AdministrationResponse> {
         self.answers.get(&self.calls)
     }
 
@@ -782,9 +788,9 @@
         assert!(
             matches!(
                 answer,
-                Some(AdministrationAnswer::Change(ObjectChangeOutcome::Accepted(
-                    _
-                )))
+                Some(AdministrationResponse::Change(
+                    ObjectChangeOutcome::Accepted(_)
+                ))
             ),
             "{answer:?}"
         );
--- a/crates/millpass-control-plane/tests/late_heartbeat.rs
+++ b/crates/millpass-control-plane/tests/late_heartbeat.rs
@@ -11,7 +11,7 @@
 use harness::announced::{announcing_world, gateway_report, instance_record};
 use harness::network::Network;
 use millpass_consensus::Role;
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 use millpass_proto::*;
 use rstest::rstest;
 use std::time::Duration as Time;
@@ -40,7 +40,7 @@
     world.call(leader, AdministrationRequest::Depart(departure));
     let acknowledged = (0..400).any(|_| {
         world.run(Time::from_millis(1));
-        matches!(world.last_answer(), Some(AdministrationAnswer::Done))
+        matches!(world.last_answer(), Some(AdministrationResponse::Done))
     });
     assert!(acknowledged, "the departure is acknowledged");
     world.halt(leader);
--- a/crates/millpass-control-plane/tests/leadership.rs
+++ b/crates/millpass-control-plane/tests/leadership.rs
@@ -3,7 +3,9 @@
 mod harness;
 
 use harness::{Fleet, TestRouter, World, change, network::Network, seconds, tenant};
-use millpass_control_plane::{ABANDON_SILENCE, AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{
+    AdministrationRequest, AdministrationResponse, CLAIM_ABANDON_TIMEOUT,
+};
 use millpass_proto::*;
 use rstest::rstest;
 
@@ -15,7 +17,7 @@
 
 fn routers_known(world: &mut World, leader: MemberId) -> usize {
     match world.call(leader, AdministrationRequest::Status) {
-        Some(AdministrationAnswer::Status(status)) => status.routers.len(),
+        Some(AdministrationResponse::Status(status)) => status.routers.len(),
         other => panic!("{other:?}"),
     }
 }
@@ -47,16 +49,16 @@
     world.halt(leader);
     world.network = slow();
     world.restart(behind.0);
-    let mut in_charge = 0;
+    let mut leading_checks = 0;
     for _ in 0..3_000 {
         world.run(Duration::from_millis(5));
         if let Some(next) = world.leader() {
-            in_charge += 1;
+            leading_checks += 1;
             let revision = world.state(next).configuration_revision();
             assert_eq!(revision, ConfigurationRevision(301));
         }
     }
-    assert!(in_charge > 0);
+    assert!(leading_checks > 0);
 }
 
 #[rstest]
@@ -107,7 +109,7 @@
     let Fleet { world, routers, .. } = &mut fleet;
     routers[0].begin(world, claim);
     world.step = Duration::from_millis(50);
-    world.run(ABANDON_SILENCE - seconds(10));
+    world.run(CLAIM_ABANDON_TIMEOUT - seconds(10));
     fleet.fail_over();
     fleet.rounds(40);
     // The router finds the leader late.
@@ -133,7 +135,7 @@
     let answer = &world.answers[&call];
     let unknown = matches!(
         answer,
-        AdministrationAnswer::Unknown | AdministrationAnswer::NotLeader { .. }
+        AdministrationResponse::Unknown | AdministrationResponse::NotLeader { .. }
     );
     assert!(unknown, "{answer:?}");
 }
--- a/crates/millpass-control-plane/tests/losses.rs
+++ b/crates/millpass-control-plane/tests/losses.rs
@@ -18,7 +18,7 @@
 
 use harness::{Timing, World, address};
 use millpass_control_plane::{
-    AdministrationAnswer, AdministrationRequest, ControlInput, FleetSettings,
+    AdministrationRequest, AdministrationResponse, ControlInput, FleetSettings,
 };
 use millpass_proto::*;
 use rstest::rstest;
@@ -75,7 +75,7 @@
         let mut world = World::new(0);
         world.fleet = Some(FleetSettings::default());
         world.snapshot_entries = 3;
-        world.wanted_voters = members as usize;
+        world.target_voters = members as usize;
         world.seed = seed * 1_000_003;
         world.timing = Timing {
             election_timeout: deployed_millis("election_timeout_ms"),
@@ -168,7 +168,7 @@
                 }
                 self.run(LOOK);
             }
-            if let Some(AdministrationAnswer::Done) = self.world.last_answer() {
+            if let Some(AdministrationResponse::Done) = self.world.last_answer() {
                 return leader;
             }
             assert!(self.world.now.since(start) <= longest, "no acknowledgement");
@@ -198,7 +198,7 @@
 
     fn read(&mut self, member: MemberId) -> Option<String> {
         match self.world.call(member, AdministrationRequest::GetDocument) {
-            Some(AdministrationAnswer::DocumentSource(Some(source))) => {
+            Some(AdministrationResponse::DocumentSource(Some(source))) => {
                 Some(String::from_utf8(source).expect("text"))
             }
             _ => None,
--- a/crates/millpass-control-plane/tests/membership.rs
+++ b/crates/millpass-control-plane/tests/membership.rs
@@ -5,7 +5,7 @@
 use harness::{TestRouter, World, address, change, seconds, tenant};
 use millpass_consensus::MembershipChange;
 use millpass_control_plane::{
-    AdministrationAnswer, AdministrationRequest, ControlInput, FinalState,
+    AdministrationRequest, AdministrationResponse, ControlInput, FinalState,
 };
 use millpass_proto::*;
 use rstest::rstest;
@@ -24,7 +24,7 @@
 fn put_all(world: &mut World, leader: MemberId, versions: std::ops::Range<u64>) {
     for version in versions {
         let answer = world.call(leader, put(version, version));
-        let Some(AdministrationAnswer::Change(ObjectChangeOutcome::Accepted(_))) = answer else {
+        let Some(AdministrationResponse::Change(ObjectChangeOutcome::Accepted(_))) = answer else {
             panic!("{answer:?}");
         };
     }
@@ -194,7 +194,7 @@
     world.members.get_mut(&leader).unwrap().cut = true;
     assert!(world.call(leader, request(8)).is_none());
     let answer = world.call(leader, request(9));
-    let Some(AdministrationAnswer::Refused(reason)) = answer else {
+    let Some(AdministrationResponse::Refused(reason)) = answer else {
         panic!("{answer:?}");
     };
     assert!(reason.contains("under way"), "{reason}");
@@ -219,7 +219,7 @@
     let refused = world.call(leader, put(1, 1));
     if let Some(answer) = refused {
         assert!(
-            matches!(answer, AdministrationAnswer::NotLeader { .. }),
+            matches!(answer, AdministrationResponse::NotLeader { .. }),
             "{answer:?}"
         );
     }
@@ -251,7 +251,7 @@
     world.run(seconds(if drained { 2 } else { 6 }));
     let answer = world.last_answer();
     assert!(
-        matches!(answer, Some(AdministrationAnswer::Unknown)),
+        matches!(answer, Some(AdministrationResponse::Unknown)),
         "{answer:?}"
     );
     assert_eq!(world.members[&leader].stopped, drained);
--- a/crates/millpass-control-plane/tests/missing_voters.rs
+++ b/crates/millpass-control-plane/tests/missing_voters.rs
@@ -36,13 +36,13 @@
     ] {
         assert!(first.contains(&part), "{part} in {first}");
     }
-    assert_eq!(world.members[&leader].plane.missing_voters(), 1);
+    assert_eq!(world.members[&leader].plane.missing_voter_count(), 1);
     world.restart(lost.0);
     world.run(seconds(2));
     let back = said(&world, "voter-missing-no-more");
     assert_eq!(back.len(), 1, "{back:?}");
     assert!(back[0].contains("\"back\""), "{back:?}");
-    assert_eq!(world.members[&leader].plane.missing_voters(), 0);
+    assert_eq!(world.members[&leader].plane.missing_voter_count(), 0);
 }
 
 #[test]
--- a/crates/millpass-control-plane/tests/properties.rs
+++ b/crates/millpass-control-plane/tests/properties.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::{TestRouter, World, change, create_model, seconds, tenant};
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 use millpass_proto::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -159,7 +159,7 @@
         calls
             .flat_map(|(which, (_, calls))| calls.iter().map(move |call| (which, call)))
             .filter_map(|(which, call)| match self.world.answers.get(call) {
-                Some(AdministrationAnswer::Change(outcome)) => Some((which, outcome)),
+                Some(AdministrationResponse::Change(outcome)) => Some((which, outcome)),
                 _ => None,
             })
             .collect()
@@ -201,9 +201,9 @@
     fn check_leaders(&mut self) {
         let now = self.world.now;
         let members = self.world.members.values();
-        let in_charge =
-            members.filter(|member| member.up && !member.frozen && member.plane.in_charge(now));
-        let revisions: Vec<ConfigurationRevision> = in_charge
+        let is_leading =
+            members.filter(|member| member.up && !member.frozen && member.plane.is_leading(now));
+        let revisions: Vec<ConfigurationRevision> = is_leading
             .map(|member| member.plane.state().configuration_revision())
             .collect();
         assert!(revisions.len() <= 1, "two members in charge");
--- a/crates/millpass-control-plane/tests/sessions.rs
+++ b/crates/millpass-control-plane/tests/sessions.rs
@@ -4,7 +4,7 @@
 
 use harness::{Fleet, TestRouter, World, change, seconds, tenant};
 use millpass_control_plane::{
-    AdministrationAnswer, AdministrationRequest, ConnectionId, ControlInput,
+    AdministrationRequest, AdministrationResponse, ConnectionId, ControlInput,
 };
 use millpass_proto::*;
 use millpass_state::MAXIMUM_TOMBSTONES;
@@ -23,7 +23,7 @@
     let leader = world.leader().unwrap();
     let answer = world.call(leader, AdministrationRequest::Change(change));
     match answer {
-        Some(AdministrationAnswer::Change(ObjectChangeOutcome::Accepted(done))) => done.version,
+        Some(AdministrationResponse::Change(ObjectChangeOutcome::Accepted(done))) => done.version,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/millpass-control-plane/tests/shares.rs
+++ b/crates/millpass-control-plane/tests/shares.rs
@@ -4,7 +4,7 @@
 
 use harness::World;
 use harness::announced::{announcing_world, gateway_report, instance_record};
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 use millpass_proto::*;
 use std::collections::BTreeSet;
 use std::time::Duration as Time;
@@ -41,7 +41,7 @@
         world.call(member, announce(&format!("i-{place}"), 1, false));
         assert!(matches!(
             world.last_answer(),
-            Some(AdministrationAnswer::Done)
+            Some(AdministrationResponse::Done)
         ));
     }
     world.run(Time::from_millis(300));
@@ -57,7 +57,7 @@
     world.call(member, announce("i-1", 1, false));
     world.call(member, announce("i-1", 2, true));
     let answer = world.last_answer();
-    let Some(AdministrationAnswer::NotLeader { leader_address }) = answer else {
+    let Some(AdministrationResponse::NotLeader { leader_address }) = answer else {
         panic!("{answer:?}");
     };
     assert!(leader_address.is_some());
@@ -123,13 +123,13 @@
     world.call(outside, announce("i-1", 1, false));
     assert!(matches!(
         world.last_answer(),
-        Some(AdministrationAnswer::Done)
+        Some(AdministrationResponse::Done)
     ));
     world.run(Time::from_millis(1_200));
     assert_eq!(told(&mut world, leader), BTreeSet::from(["i-1".to_owned()]));
     world.call(outside, announce("i-1", 2, true));
     let answer = world.last_answer();
-    let Some(AdministrationAnswer::NotLeader { leader_address }) = answer else {
+    let Some(AdministrationResponse::NotLeader { leader_address }) = answer else {
         panic!("{answer:?}");
     };
     assert!(leader_address.is_some());
@@ -148,6 +148,6 @@
     world.call(members[1], announce("i-1", 1, false));
     assert!(matches!(
         world.last_answer(),
-        Some(AdministrationAnswer::Done)
+        Some(AdministrationResponse::Done)
     ));
 }
--- a/crates/millpass-control/src/administration/authentication.rs
+++ b/crates/millpass-control/src/administration/authentication.rs
@@ -6,7 +6,7 @@
 use blake3::Hash;
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 use millpass_proto::{ObjectKind, ObjectSpec, OperatorName, OperatorRole, StoredObject};
 
 /// Name under which changes with the bootstrap key are audited.
@@ -56,7 +56,7 @@
 ) -> Result<Asker, Failure> {
     let key_hash = blake3::hash(key(headers)?);
     let operators = match calls.call(AdministrationRequest::List(ObjectKind::Operator)) {
-        AdministrationAnswer::Objects(operators) => operators,
+        AdministrationResponse::Objects(operators) => operators,
         other => return Err(not_answered(other)),
     };
     let account = account_of(&operators, key_hash);
--- a/crates/millpass-control/src/administration/mod.rs
+++ b/crates/millpass-control/src/administration/mod.rs
@@ -20,12 +20,12 @@
     AdministrationError, AdministrationLimits, AdministrationServer, start, start_extended,
 };
 
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 
 /// What the administration API needs of the process around the core.
 pub trait AdministrationCalls: Send + Sync + 'static {
     /// Takes one call to the core and waits for its answer; bounded by the core's own deadline.
-    fn call(&self, request: AdministrationRequest) -> AdministrationAnswer;
+    fn call(&self, request: AdministrationRequest) -> AdministrationResponse;
 
     /// Takes note of an announcement that names no instance to use.
     fn announcement_refused(&self, reason: RefusedAnnouncement, error: &dyn std::fmt::Display);
--- a/crates/millpass-control/src/administration/operations.rs
+++ b/crates/millpass-control/src/administration/operations.rs
@@ -10,7 +10,7 @@
     MembershipBody, ObjectBody, ObjectsBody, StatusBody,
 };
 use http::StatusCode;
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest, DeploymentStatus};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse, DeploymentStatus};
 use millpass_http::Response;
 use millpass_proto::{
     BackendName, ChangeId, ConfigurationRevision, ObjectChange, ObjectChangeOutcome, ObjectKey,
@@ -108,10 +108,10 @@
         spec: change.spec,
     };
     match calls.call(AdministrationRequest::Change(change)) {
-        AdministrationAnswer::Change(outcome) => change_answer(outcome),
-        AdministrationAnswer::Unknown => Err(Failure::outcome_unknown(RESEND_CHANGE)),
+        AdministrationResponse::Change(outcome) => change_answer(outcome),
+        AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CHANGE)),
         // The core rejects the content of a change in its outcome; it refuses only for load.
-        AdministrationAnswer::Refused(reason) => Err(Failure::busy(reason)),
+        AdministrationResponse::Refused(reason) => Err(Failure::busy(reason)),
         other => Err(not_answered(other)),
     }
 }
@@ -121,7 +121,7 @@
 fn check_bootstrap_resend(calls: &dyn AdministrationCalls, change: &Change) -> Result<(), Failure> {
     let request = AdministrationRequest::Audit(ConfigurationRevision(0));
     let records = match calls.call(request) {
-        AdministrationAnswer::Audit(records) => records,
+        AdministrationResponse::Audit(records) => records,
         other => return Err(not_answered(other)),
     };
     let newest = records.iter().rev().take(BOOTSTRAP_RESEND_RECORDS);
@@ -150,8 +150,8 @@
 
 fn get(calls: &dyn AdministrationCalls, key: ObjectKey) -> Result<Response, Failure> {
     match calls.call(AdministrationRequest::Get(key)) {
-        AdministrationAnswer::Object(Some(object)) => ok(&object_body(&object)?),
-        AdministrationAnswer::Object(None) => Err(Failure::new(
+        AdministrationResponse::Object(Some(object)) => ok(&object_body(&object)?),
+        AdministrationResponse::Object(None) => Err(Failure::new(
             StatusCode::NOT_FOUND,
             "not_found",
             "the object does not exist",
@@ -166,7 +166,7 @@
     kind: millpass_proto::ObjectKind,
 ) -> Result<Response, Failure> {
     match calls.call(AdministrationRequest::List(kind)) {
-        AdministrationAnswer::Objects(objects) => {
+        AdministrationResponse::Objects(objects) => {
             let objects: Result<_, _> = objects.iter().map(object_body).collect();
             ok(&ObjectsBody { objects: objects? })
         }
@@ -184,14 +184,14 @@
 
 fn read_status(calls: &dyn AdministrationCalls) -> Result<Box<DeploymentStatus>, Failure> {
     match calls.call(AdministrationRequest::Status) {
-        AdministrationAnswer::Status(status) => Ok(status),
+        AdministrationResponse::Status(status) => Ok(status),
         other => Err(not_answered(other)),
     }
 }
 
 fn audit(calls: &dyn AdministrationCalls, after: u64) -> Result<Response, Failure> {
     match calls.call(AdministrationRequest::Audit(ConfigurationRevision(after))) {
-        AdministrationAnswer::Audit(records) => ok(&AuditBody {
+        AdministrationResponse::Audit(records) => ok(&AuditBody {
             records: records.iter().map(AuditRecordBody::from).collect(),
         }),
         other => Err(not_answered(other)),
@@ -213,9 +213,9 @@
     let backend = BackendName::from(name);
     let request = AdministrationRequest::MarkBackend(backend.clone(), state);
     match calls.call(request) {
-        AdministrationAnswer::Done => ok(&json!({})),
-        AdministrationAnswer::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
-        AdministrationAnswer::Refused(reason) => {
+        AdministrationResponse::Done => ok(&json!({})),
+        AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
+        AdministrationResponse::Refused(reason) => {
             let status = read_status(calls)?;
             unless_done(reason, status.backends.contains(&(backend, state)))
         }
@@ -227,9 +227,9 @@
     let body: MembershipBody = read_body(body)?;
     let request = AdministrationRequest::ChangeMembership((&body).into());
     match calls.call(request) {
-        AdministrationAnswer::Done => ok(&json!({})),
-        AdministrationAnswer::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
-        AdministrationAnswer::Refused(reason) => {
+        AdministrationResponse::Done => ok(&json!({})),
+        AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
+        AdministrationResponse::Refused(reason) => {
             let status = read_status(calls)?;
             unless_done(reason, body.holds(&status.consensus.membership))
         }
@@ -238,8 +238,8 @@
 }
 
 fn held_requests(calls: &dyn AdministrationCalls) -> Result<Response, Failure> {
-    match calls.call(AdministrationRequest::HeldRequests) {
-        AdministrationAnswer::HeldRequests(held) => ok(&HeldRequestsBody::from(held)),
+    match calls.call(AdministrationRequest::QuarantinedRequests) {
+        AdministrationResponse::QuarantinedRequests(held) => ok(&HeldRequestsBody::from(held)),
         other => Err(not_answered(other)),
     }
 }
@@ -248,9 +248,9 @@
     calls: &dyn AdministrationCalls,
     request: RequestFingerprint,
 ) -> Result<Response, Failure> {
-    match calls.call(AdministrationRequest::LiftRequest(request)) {
-        AdministrationAnswer::Done => ok(&json!({})),
-        AdministrationAnswer::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
+    match calls.call(AdministrationRequest::LiftQuarantine(request)) {
+        AdministrationResponse::Done => ok(&json!({})),
+        AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
         other => Err(not_answered(other)),
     }
 }
@@ -265,14 +265,14 @@
 }
 
 /// Failure for an answer that says nothing of what was asked.
-pub(crate) fn not_answered(answer: AdministrationAnswer) -> Failure {
+pub(crate) fn not_answered(answer: AdministrationResponse) -> Failure {
     match answer {
-        AdministrationAnswer::NotLeader { leader_address } => Failure::not_leader(leader_address),
-        AdministrationAnswer::Unknown => Failure::outcome_unknown(RESEND_CALL),
-        AdministrationAnswer::Busy => {
+        AdministrationResponse::NotLeader { leader_address } => Failure::not_leader(leader_address),
+        AdministrationResponse::Unknown => Failure::outcome_unknown(RESEND_CALL),
+        AdministrationResponse::Busy => {
             Failure::busy("too many changes are under way; none was done")
         }
-        AdministrationAnswer::Refused(reason) => Failure::busy(reason),
+        AdministrationResponse::Refused(reason) => Failure::busy(reason),
         _ => Failure::internal("the core gave an answer to another question"),
     }
 }
--- a/crates/millpass-control/src/administration/server.rs
+++ b/crates/millpass-control/src/administration/server.rs
@@ -9,7 +9,7 @@
 use crate::interface::ApiExtension;
 use blake3::Hash;
 use http::StatusCode;
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 use millpass_http::{
     Request, Responder, Response, Server, ServerError, ServerHandle, ServerSettings,
 };
@@ -190,8 +190,8 @@
             name: String::new(),
         });
         match self.calls.call(probe) {
-            AdministrationAnswer::Object(_) => Response::text(StatusCode::OK, "leads\n"),
-            AdministrationAnswer::NotLeader {
+            AdministrationResponse::Object(_) => Response::text(StatusCode::OK, "leads\n"),
+            AdministrationResponse::NotLeader {
                 leader_address: Some(address),
             } => Response::text(StatusCode::OK, format!("follows {address}\n")),
             _ => Response::text(StatusCode::SERVICE_UNAVAILABLE, "knows no leader\n"),
--- a/crates/millpass-control/src/api/status.rs
+++ b/crates/millpass-control/src/api/status.rs
@@ -184,7 +184,7 @@
             router: status.router.0.clone(),
             zone: status.zone.0.clone(),
             configuration: status.configuration.0,
-            silent_millis: status.silent_millis,
+            silent_millis: status.millis_since_report,
             draining: status.draining,
         }
     }
--- a/crates/millpass-control/src/calls.rs
+++ b/crates/millpass-control/src/calls.rs
@@ -6,7 +6,7 @@
 use crate::throttle::Throttle;
 use crate::urgency::Urgency;
 use crossbeam::channel::{Sender, bounded};
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest, ControlInput};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse, ControlInput};
 use millpass_telemetry::event_line;
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -30,7 +30,7 @@
 /// A call under way.
 struct WaitingCall {
     class: Urgency,
-    answer: Sender<AdministrationAnswer>,
+    answer: Sender<AdministrationResponse>,
 }
 
 /// The calls under way. Its lock is held alone, never together with another.
@@ -42,7 +42,7 @@
 
 impl CallTable {
     /// Adds a call and gives it a number; none if too many of its class wait.
-    fn admit(&self, class: Urgency, answer: Sender<AdministrationAnswer>) -> Option<u64> {
+    fn admit(&self, class: Urgency, answer: Sender<AdministrationResponse>) -> Option<u64> {
         let mut waiting = self.lock();
         let alike = waiting.values().filter(|call| call.class == class).count();
         if alike >= maximum(class) {
@@ -54,7 +54,7 @@
     }
 
     /// Answers a call; nothing happens if nobody waits any more.
-    pub(crate) fn answer(&self, call: u64, answer: AdministrationAnswer) {
+    pub(crate) fn answer(&self, call: u64, answer: AdministrationResponse) {
         if let Some(waiting) = self.forget(call) {
             let _ = waiting.answer.send(answer);
         }
@@ -68,7 +68,7 @@
     pub(crate) fn give_up(&self) {
         let waiting = std::mem::take(&mut *self.lock());
         for call in waiting.into_values() {
-            let _ = call.answer.send(AdministrationAnswer::Unknown);
+            let _ = call.answer.send(AdministrationResponse::Unknown);
         }
     }
 
@@ -103,12 +103,12 @@
 }
 
 impl AdministrationCalls for CoreCalls {
-    fn call(&self, request: AdministrationRequest) -> AdministrationAnswer {
+    fn call(&self, request: AdministrationRequest) -> AdministrationResponse {
         let (sender, answer) = bounded(1);
         let class = Urgency::of_call(&request);
         let Some(call) = self.table.admit(class, sender) else {
             self.metrics.refused_calls.inc();
-            return AdministrationAnswer::Busy;
+            return AdministrationResponse::Busy;
         };
         let input = ControlInput::Administration { call, request };
         if let Err(reason) = self.inputs.offer(input) {
@@ -117,7 +117,7 @@
         }
         let answered = answer.recv_timeout(CALL_TIMEOUT);
         self.table.forget(call);
-        answered.unwrap_or(AdministrationAnswer::Unknown)
+        answered.unwrap_or(AdministrationResponse::Unknown)
     }
 
     fn announcement_refused(&self, reason: RefusedAnnouncement, error: &dyn Display) {
@@ -140,10 +140,10 @@
 }
 
 /// Nothing was done in either case.
-fn not_taken(reason: NotTaken) -> AdministrationAnswer {
+fn not_taken(reason: NotTaken) -> AdministrationResponse {
     match reason {
-        NotTaken::Full => AdministrationAnswer::Busy,
-        NotTaken::Ended => AdministrationAnswer::NotLeader {
+        NotTaken::Full => AdministrationResponse::Busy,
+        NotTaken::Ended => AdministrationResponse::NotLeader {
             leader_address: None,
         },
     }
--- a/crates/millpass-control/src/connections.rs
+++ b/crates/millpass-control/src/connections.rs
@@ -282,8 +282,11 @@
             }
             if is_update(&message) && backlog.written() {
                 let waits = false;
-                self.take(ControlInput::RouterBacklog { connection, waits })
-                    .await;
+                self.take(ControlInput::RouterBacklog {
+                    connection,
+                    backlogged: waits,
+                })
+                .await;
             }
         }
     }
@@ -300,7 +303,7 @@
             connection,
             message,
         },
-        LinkMessage::MemberHello(address) => ControlInput::PeerGreeting(address),
+        LinkMessage::MemberHello(address) => ControlInput::MemberHello(address),
         LinkMessage::Join(address) => ControlInput::Join(address),
         LinkMessage::Share(report) => ControlInput::Share(report),
         LinkMessage::ShareResponse(answer) => ControlInput::ShareResponse(answer),
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -66,7 +66,7 @@
                 return Some(ControlInput::OrderDelivered {
                     backend: order.backend,
                     fence: order.fence,
-                    answer: None,
+                    response: None,
                 });
             }
             // It is read again at the next interval.
@@ -74,7 +74,7 @@
             Delivery::Instruct(instruction, _) => (instruction.instance, instruction.call),
             Delivery::ReadEngine(read) => (read.instance, read.call),
         };
-        Some(ControlInput::InstructionAnswered(CallAnswer {
+        Some(ControlInput::EngineCallCompleted(CallAnswer {
             instance,
             call,
             answer: InstructionResult::NotSent,
@@ -370,7 +370,7 @@
             waited,
             took: self.shared.clock.now().since(left_at),
         };
-        self.inputs.send(ControlInput::InstructionAnswered(answer));
+        self.inputs.send(ControlInput::EngineCallCompleted(answer));
         end
     }
 
@@ -391,7 +391,7 @@
         self.inputs.send(ControlInput::OrderDelivered {
             backend,
             fence,
-            answer,
+            response: answer,
         });
         end
     }
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -17,8 +17,8 @@
 use crate::urgency::Urgency;
 use crossbeam::channel::Sender;
 use millpass_control_plane::{
-    AdministrationAnswer, AdministrationRequest, ConnectionId, ControlEvent, ControlInput,
-    ControlOutput, ControlPlane, FinalState, FreshnessMark,
+    AdministrationRequest, AdministrationResponse, ConnectionId, ControlEvent, ControlInput,
+    ControlOutput, ControlPlane, FinalState, FreshnessState,
 };
 use millpass_proto::{LinkMessage, MemberAddress, Membership, Timestamp};
 use millpass_telemetry::{Heartbeat, ProcessClock, SuspensionWatch, event_line, unix_millis};
@@ -53,7 +53,7 @@
     /// None where the port was not free for datagrams.
     pub(crate) freshness: Option<Arc<FreshnessPort>>,
     /// What was last published there.
-    pub(crate) published: Option<FreshnessMark>,
+    pub(crate) published: Option<FreshnessState>,
     pub(crate) deliveries: Deliveries,
     pub(crate) platform: Option<String>,
     pub(crate) calls: Arc<CallTable>,
@@ -116,7 +116,7 @@
                     has_stopped
                 }
                 HostInput::WantSnapshot => {
-                    self.core.want_snapshot();
+                    self.core.request_snapshot();
                     false
                 }
                 HostInput::DiskFailed(error) => return End::Failed(error.into()),
@@ -140,7 +140,7 @@
         self.show_lateness(Some(waiting.class), waiting.since);
         if let Some(call) = outdated_announcement(&waiting) {
             self.metrics.outdated_announcements.inc();
-            self.calls.answer(call, AdministrationAnswer::Busy);
+            self.calls.answer(call, AdministrationResponse::Busy);
             self.core.announcements_refused(self.clock.now());
             return false;
         }
@@ -179,7 +179,10 @@
         // Before any other input: the word that a connection has caught up may be in the queue already.
         while let Some(connection) = self.behind.pop() {
             let waits = true;
-            stopped |= self.step(ControlInput::RouterBacklog { connection, waits });
+            stopped |= self.step(ControlInput::RouterBacklog {
+                connection,
+                backlogged: waits,
+            });
         }
         stopped
     }
@@ -189,9 +192,9 @@
         let Some(port) = &self.freshness else {
             return;
         };
-        let mark = self.core.freshness_mark(now);
+        let mark = self.core.freshness_state(now);
         if self.published.as_ref() != Some(&mark) {
-            port.publish(self.core.freshness(&mark));
+            port.publish(self.core.freshness_response(&mark));
             self.published = Some(mark);
         }
     }
@@ -218,13 +221,16 @@
             ControlOutput::SendShare { address, report } => {
                 self.peers.send(&address, LinkMessage::Share(report));
             }
-            ControlOutput::AnswerShare { address, answer } => {
+            ControlOutput::SendShareResponse {
+                address,
+                response: answer,
+            } => {
                 self.peers
                     .send(&address, LinkMessage::ShareResponse(answer));
             }
             ControlOutput::Instruct {
                 instruction,
-                ends_by,
+                deadline: ends_by,
             } => {
                 let delivery = Delivery::Instruct(instruction, ends_by);
                 self.deliveries.submit(delivery);
@@ -244,7 +250,10 @@
             ControlOutput::Persist(request) => self.write(DiskWork::Persist(request)),
             ControlOutput::SaveSnapshot(snapshot) => self.write(DiskWork::Snapshot(snapshot)),
             ControlOutput::ReadPlatform => self.read_platform(),
-            ControlOutput::Answer { call, answer } => self.calls.answer(call, answer),
+            ControlOutput::AdministrationResponse {
+                call,
+                response: answer,
+            } => self.calls.answer(call, answer),
             ControlOutput::DocumentReached(after) => self.metrics.document_reached(after),
             ControlOutput::DepartureReached(after) => self.metrics.departure_reached(after),
             ControlOutput::Event(event) => self.note(&event),
@@ -279,7 +288,7 @@
         self.metrics.show_disk_wait(self.disk_watch.look());
         let status = self.core.consensus_status();
         self.metrics.show_consensus(&status);
-        self.metrics.show_missing(self.core.missing_voters());
+        self.metrics.show_missing(self.core.missing_voter_count());
         if let Some(sizes) = self.core.fleet_sizes() {
             self.metrics.show_instances(&sizes);
         }
--- a/crates/millpass-control/src/startup.rs
+++ b/crates/millpass-control/src/startup.rs
@@ -268,6 +268,6 @@
         machine_gone_delay: settings.machine_gone_delay,
         fleet: settings.fleet.clone(),
         seeds: others(settings),
-        wanted_voters: settings.wanted_voters,
+        target_voters: settings.wanted_voters,
     }
 }
--- a/crates/millpass-control/src/urgency.rs
+++ b/crates/millpass-control/src/urgency.rs
@@ -50,7 +50,7 @@
             // A greeting names the sender of the messages that follow it on its connection.
             ControlInput::Tick
             | ControlInput::Peer(_)
-            | ControlInput::PeerGreeting(_)
+            | ControlInput::MemberHello(_)
             | ControlInput::Persisted { .. } => Urgency::Consensus,
             ControlInput::Join(_) | ControlInput::Drain => Urgency::Promised,
             ControlInput::Administration { request, .. } => Urgency::of_call(request),
@@ -64,7 +64,7 @@
             ControlInput::Share(_)
             | ControlInput::ShareResponse(_)
             | ControlInput::OrderDelivered { .. }
-            | ControlInput::InstructionAnswered { .. } => Urgency::Credit,
+            | ControlInput::EngineCallCompleted { .. } => Urgency::Credit,
         }
     }
 
@@ -77,7 +77,7 @@
             | AdministrationRequest::PutDocument(_)
             | AdministrationRequest::GetDocument
             | AdministrationRequest::Depart(_)
-            | AdministrationRequest::LiftRequest(_) => Urgency::Promised,
+            | AdministrationRequest::LiftQuarantine(_) => Urgency::Promised,
             // An instance leaves by its announcement.
             AdministrationRequest::Announce(record) if record.draining => Urgency::Promised,
             // Every call of an operator first reads the operators, to know whose key it brings.
@@ -87,7 +87,7 @@
             | AdministrationRequest::Status
             | AdministrationRequest::Audit(_)
             | AdministrationRequest::Announce(_)
-            | AdministrationRequest::HeldRequests => Urgency::Announcements,
+            | AdministrationRequest::QuarantinedRequests => Urgency::Announcements,
         }
     }
 }
--- a/crates/millpass-control/tests/administration_support/mod.rs
+++ b/crates/millpass-control/tests/administration_support/mod.rs
@@ -5,7 +5,7 @@
     AdministrationCalls, AdministrationLimits, AdministrationServer, start,
 };
 use millpass_control::client::AdministrationClient;
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 use millpass_proto::{
     Command, CommandOutcome, Duration, LogPosition, ObjectChange, ObjectKey, ObjectKind,
     ObjectSpec, OperatorRole, OperatorSpec,
@@ -87,14 +87,14 @@
 }
 
 impl Inner {
-    fn change(&mut self, change: ObjectChange) -> AdministrationAnswer {
+    fn change(&mut self, change: ObjectChange) -> AdministrationResponse {
         self.index += 1;
         let at = LogPosition {
             term: 1,
             index: self.index,
         };
         match self.state.apply(at, &Command::ChangeObject(change)) {
-            CommandOutcome::Object(outcome) => AdministrationAnswer::Change(outcome),
+            CommandOutcome::Object(outcome) => AdministrationResponse::Change(outcome),
             other => panic!("{other:?}"),
         }
     }
@@ -108,10 +108,10 @@
     ) {
     }
 
-    fn call(&self, request: AdministrationRequest) -> AdministrationAnswer {
+    fn call(&self, request: AdministrationRequest) -> AdministrationResponse {
         let mut inner = self.inner.lock().unwrap();
         if let Some(leader_address) = inner.not_leader.clone() {
-            return AdministrationAnswer::NotLeader { leader_address };
+            return AdministrationResponse::NotLeader { leader_address };
         }
         let changes = matches!(
             request,
@@ -120,27 +120,27 @@
         let trouble = changes.then(|| inner.troubles.pop_front()).flatten();
         match (trouble, request) {
             (Some(Trouble::NotLeader(leader_address)), _) => {
-                AdministrationAnswer::NotLeader { leader_address }
+                AdministrationResponse::NotLeader { leader_address }
             }
-            (Some(Trouble::Busy), _) => AdministrationAnswer::Busy,
-            (Some(Trouble::Refused(reason)), _) => AdministrationAnswer::Refused(reason),
+            (Some(Trouble::Busy), _) => AdministrationResponse::Busy,
+            (Some(Trouble::Refused(reason)), _) => AdministrationResponse::Refused(reason),
             (Some(Trouble::DoneUnknown), AdministrationRequest::Change(change)) => {
                 inner.change(change);
-                AdministrationAnswer::Unknown
+                AdministrationResponse::Unknown
             }
             (_, AdministrationRequest::Change(change)) => inner.change(change),
             (_, AdministrationRequest::Get(key)) => {
-                AdministrationAnswer::Object(inner.state.object(&key).cloned())
+                AdministrationResponse::Object(inner.state.object(&key).cloned())
             }
             (_, AdministrationRequest::List(kind)) => {
                 let objects = inner.state.objects(kind);
-                AdministrationAnswer::Objects(objects.into_iter().cloned().collect())
+                AdministrationResponse::Objects(objects.into_iter().cloned().collect())
             }
             (_, AdministrationRequest::Audit(after)) => {
                 let records = inner.state.audit_since(after);
-                AdministrationAnswer::Audit(records.into_iter().cloned().collect())
+                AdministrationResponse::Audit(records.into_iter().cloned().collect())
             }
-            _ => AdministrationAnswer::Done,
+            _ => AdministrationResponse::Done,
         }
     }
 
--- a/crates/millpass-control/tests/slow_gateway.rs
+++ b/crates/millpass-control/tests/slow_gateway.rs
@@ -9,7 +9,7 @@
 use common::wait_for;
 use millpass_control::administration::AdministrationCalls;
 use millpass_control::{ApiExtension, ControlProcessSettings, Extensions, start_extended};
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest, FleetSettings};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse, FleetSettings};
 use millpass_http::{Request, Response};
 use millpass_proto::codec::{read_frame, write_frame};
 use millpass_proto::*;
@@ -24,7 +24,7 @@
 const MOST_WAITING: usize = 4;
 
 /// Keeps the way to the core for the test.
-struct Calls(Arc<Mutex<Vec<AdministrationAnswer>>>);
+struct Calls(Arc<Mutex<Vec<AdministrationResponse>>>);
 
 impl ApiExtension for Calls {
     fn answer(&self, request: &Request, calls: &dyn AdministrationCalls) -> Option<Response> {
@@ -35,7 +35,7 @@
             source: Default::default(),
         }));
         let answer = calls.call(put);
-        let done = matches!(answer, AdministrationAnswer::Done);
+        let done = matches!(answer, AdministrationResponse::Done);
         self.0.lock().expect("answers").push(answer);
         let status = if done { 200 } else { 503 };
         let status = http::StatusCode::from_u16(status).expect("a status");
--- a/crates/millpass-dispatch/src/crashes.rs
+++ b/crates/millpass-dispatch/src/crashes.rs
@@ -119,7 +119,7 @@
                 ended.requests.push(request.clone());
             }
         }
-        self.seen.ended(now, instance, &requests);
+        self.seen.record_crash(now, instance, &requests);
     }
 
     fn forget_old(&mut self, now: Timestamp) {
@@ -136,7 +136,7 @@
 
     /// A request was answered whole: it does not end what runs it.
     pub(crate) fn served(&mut self, request: &RequestFingerprint) {
-        let known = self.told.contains_key(request) || self.seen.knows(request);
+        let known = self.told.contains_key(request) || self.seen.has_evidence(request);
         if !known {
             return;
         }
@@ -228,7 +228,7 @@
         if self.connected {
             return None;
         }
-        self.seen.held_for(now, request)
+        self.seen.quarantined_for(now, request)
     }
 
     /// Whether a request is to be sent apart from others.
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -10,7 +10,7 @@
     CrashReport, CrashUpdate, Duration, HeldModel, InstanceId, InstructionOperation,
     QuarantineRecord, QuarantinedRequest, RequestFingerprint, ServiceName, Timestamp,
 };
-use millpass_quarantine::{HeldItem, Quarantine};
+use millpass_quarantine::{Quarantine, QuarantinedItem};
 
 /// Time from which an announcement shows that a run said to have ended is there. One that was under way when
 /// the run ended arrives before.
@@ -32,12 +32,15 @@
 
     /// Whether loads of this are held back.
     pub(crate) fn holds_load(&self, now: Timestamp, key: &ModelKey) -> bool {
-        self.loads.held_for(now, key).is_some()
+        self.loads.quarantined_for(now, key).is_some()
     }
 
     /// What gateways are told.
     fn update(&self, now: Timestamp, term: u64) -> CrashUpdate {
-        let held = self.requests.held().filter(|(_, held)| !held.lapsed);
+        let held = self
+            .requests
+            .quarantined()
+            .filter(|(_, held)| !held.expired);
         let held = held.map(|(request, held)| QuarantinedRequest {
             request: request.clone(),
             remaining_millis: held.until.since(now).as_millis().max(1) as u64,
@@ -79,7 +82,7 @@
             if leaves.is_some_and(|record| record.draining) {
                 continue;
             }
-            if self.crashes.requests.ended_at(&ended.instance).is_none() {
+            if self.crashes.requests.crashed_at(&ended.instance).is_none() {
                 let pairs = vec![
                     ("instance", ended.instance.0.clone()),
                     ("requests", ended.requests.len().to_string()),
@@ -88,22 +91,22 @@
                 self.load_ended(now, &ended.instance);
             }
             let requests = &mut self.crashes.requests;
-            requests.ended(now, &ended.instance, &ended.requests);
+            requests.record_crash(now, &ended.instance, &ended.requests);
             self.log_held(now, &ended.requests);
         }
     }
 
     /// An instance announces itself: it has not ended, whatever gateways took a refused connection for.
     pub(crate) fn survived(&mut self, now: Timestamp, instance: &InstanceId) {
-        let ended_at = self.crashes.requests.ended_at(instance);
+        let ended_at = self.crashes.requests.crashed_at(instance);
         if ended_at.is_none_or(|at| now.since(at) < SURVIVAL_TIME) {
             return;
         }
-        if self.crashes.requests.survived(now, instance) {
+        if self.crashes.requests.retract_crash(now, instance) {
             let pairs = vec![("instance", instance.0.clone())];
             self.event("instance-still-there", pairs);
         }
-        self.crashes.loads.survived(now, instance);
+        self.crashes.loads.retract_crash(now, instance);
     }
 
     /// An engine has ended: what it was loading may be the cause.
@@ -126,7 +129,7 @@
         };
         let held = self.crashes.holds_load(now, &key);
         let loads = &mut self.crashes.loads;
-        loads.ended(now, instance, std::slice::from_ref(&key));
+        loads.record_crash(now, instance, std::slice::from_ref(&key));
         if !held && self.crashes.holds_load(now, &key) {
             let adapter = key.adapter.as_ref().map_or("none", |name| name.as_str());
             let pairs = vec![
@@ -168,30 +171,30 @@
 
     /// Requests that are held back, and how much longer.
     pub fn held_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
-        let held = self.crashes.requests.held();
-        held.map(|(request, held)| (request.clone(), held.ends, held.until.since(now)))
+        let held = self.crashes.requests.quarantined();
+        held.map(|(request, held)| (request.clone(), held.crashes, held.until.since(now)))
             .collect()
     }
 
     /// What is due by time: what became certain goes to the log, what has had its time is let go.
     pub(crate) fn sweep_crashes(&mut self, now: Timestamp) {
         let certain = self.settings.announce_interval * 3 / 2;
-        for (request, held) in self.crashes.requests.settle(now, certain) {
+        for (request, held) in self.crashes.requests.confirm(now, certain) {
             self.note_held(request, &held);
         }
-        for (request, held) in self.crashes.requests.lapse(now) {
+        for (request, held) in self.crashes.requests.expire(now) {
             self.log_lifted(&request, "time");
             self.note_held(request, &held);
         }
-        self.crashes.loads.lapse(now);
+        self.crashes.loads.expire(now);
     }
 
-    fn note_held(&mut self, request: RequestFingerprint, held: &HeldItem) {
+    fn note_held(&mut self, request: RequestFingerprint, held: &QuarantinedItem) {
         self.out
             .push(FleetOutput::NoteHeldRequest(QuarantineRecord {
                 request,
-                crashes: held.ends,
-                expired: held.lapsed,
+                crashes: held.crashes,
+                expired: held.expired,
             }));
     }
 
@@ -205,7 +208,7 @@
 
     fn log_held(&mut self, now: Timestamp, requests: &[RequestFingerprint]) {
         for request in requests {
-            let Some(left) = self.crashes.requests.held_for(now, request) else {
+            let Some(left) = self.crashes.requests.quarantined_for(now, request) else {
                 continue;
             };
             let pairs = vec![
--- a/crates/millpass-quarantine/src/lib.rs
+++ b/crates/millpass-quarantine/src/lib.rs
@@ -7,8 +7,8 @@
 //! | `ends` | which runs of instances ended, and what was in flight there |
 //! | `quarantine` | what is held back, and for how long |
 
-mod ends;
+mod crashes;
 mod quarantine;
 
-pub use ends::{EndLedger, MAXIMUM_ENDS, MAXIMUM_ITEMS};
-pub use quarantine::{ENDS_TO_HOLD, HeldItem, Quarantine, hold_time};
+pub use crashes::{CrashLedger, MAXIMUM_CRASHES, MAXIMUM_ITEMS};
+pub use quarantine::{QUARANTINE_THRESHOLD, Quarantine, QuarantinedItem, quarantine_duration};
--- a/crates/millpass-quarantine/tests/quarantine.rs
+++ b/crates/millpass-quarantine/tests/quarantine.rs
@@ -1,7 +1,9 @@
 //! What counts against an item, what does not, and for how long it is held back.
 
 use millpass_proto::{Duration, InstanceId, Timestamp};
-use millpass_quarantine::{EndLedger, MAXIMUM_ENDS, MAXIMUM_ITEMS, Quarantine, hold_time};
+use millpass_quarantine::{
+    CrashLedger, MAXIMUM_CRASHES, MAXIMUM_ITEMS, Quarantine, quarantine_duration,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -25,7 +27,7 @@
     let mut quarantine = Quarantine::default();
     for end in 0..ends {
         let items = [DEADLY, 100 + end, 200 + end];
-        quarantine.ended(at(end * APART), &run(end), &items);
+        quarantine.record_crash(at(end * APART), &run(end), &items);
     }
     quarantine
 }
@@ -33,14 +35,17 @@
 #[test]
 fn three_ends_hold_an_item_back_and_spare_what_ran_beside_it() {
     let two = with_ends(2);
-    assert_eq!(two.held_for(at(APART), &DEADLY), None);
+    assert_eq!(two.quarantined_for(at(APART), &DEADLY), None);
     assert!(two.is_suspect(&DEADLY));
     let three = with_ends(3);
     let now = at(2 * APART);
-    assert_eq!(three.held_for(now, &DEADLY), Some(hold_time(3)));
+    assert_eq!(
+        three.quarantined_for(now, &DEADLY),
+        Some(quarantine_duration(3))
+    );
     for end in 0..3 {
         assert!(!three.is_suspect(&(100 + end)));
-        assert_eq!(three.held_for(now, &(100 + end)), None);
+        assert_eq!(three.quarantined_for(now, &(100 + end)), None);
     }
 }
 
@@ -48,7 +53,7 @@
 fn several_words_of_one_end_count_once() {
     let mut quarantine = Quarantine::default();
     for word in 0..10 {
-        quarantine.ended(at(word), &run(1), &[DEADLY, word + 10]);
+        quarantine.record_crash(at(word), &run(1), &[DEADLY, word + 10]);
     }
     assert!(!quarantine.is_suspect(&DEADLY));
 }
@@ -64,10 +69,10 @@
                 vec![event * 10 + instance + 100]
             };
             let now = at(event * APART + instance * 20);
-            quarantine.ended(now, &run(event * 10 + instance), &items);
+            quarantine.record_crash(now, &run(event * 10 + instance), &items);
         }
     }
-    assert_eq!(quarantine.held_for(at(5 * APART), &DEADLY), None);
+    assert_eq!(quarantine.quarantined_for(at(5 * APART), &DEADLY), None);
 }
 
 /// Copies of one request at several runs end them together: that is no chance.
@@ -75,9 +80,9 @@
 fn runs_that_end_together_under_the_same_item_count() {
     let mut quarantine = Quarantine::default();
     for instance in 0..3 {
-        quarantine.ended(at(instance), &run(instance), &[DEADLY, 50 + instance]);
+        quarantine.record_crash(at(instance), &run(instance), &[DEADLY, 50 + instance]);
     }
-    assert!(quarantine.held_for(at(10), &DEADLY).is_some());
+    assert!(quarantine.quarantined_for(at(10), &DEADLY).is_some());
 }
 
 /// The word of the other ends comes a moment later.
@@ -85,79 +90,85 @@
 fn an_item_is_let_go_when_others_turn_out_to_have_ended_with_it() {
     let mut quarantine = with_ends(2);
     let third = 2 * APART;
-    quarantine.ended(at(third), &run(2), &[DEADLY]);
-    assert!(quarantine.held_for(at(third), &DEADLY).is_some());
-    quarantine.ended(at(third + 40), &run(20), &[700]);
-    quarantine.ended(at(third + 60), &run(21), &[701]);
-    assert_eq!(quarantine.held_for(at(third + 60), &DEADLY), None);
+    quarantine.record_crash(at(third), &run(2), &[DEADLY]);
+    assert!(quarantine.quarantined_for(at(third), &DEADLY).is_some());
+    quarantine.record_crash(at(third + 40), &run(20), &[700]);
+    quarantine.record_crash(at(third + 60), &run(21), &[701]);
+    assert_eq!(quarantine.quarantined_for(at(third + 60), &DEADLY), None);
 }
 
 #[test]
 fn ends_that_a_known_item_explains_do_not_count_against_others() {
     let mut quarantine = with_ends(3);
-    let settled = quarantine.settle(at(2 * APART) + CERTAIN, CERTAIN);
+    let settled = quarantine.confirm(at(2 * APART) + CERTAIN, CERTAIN);
     assert_eq!(settled.len(), 1);
     for end in 3..9 {
-        quarantine.ended(at(end * APART), &run(end), &[DEADLY, 42]);
+        quarantine.record_crash(at(end * APART), &run(end), &[DEADLY, 42]);
     }
     assert!(!quarantine.is_suspect(&42));
-    assert_eq!(quarantine.held_for(at(9 * APART), &42), None);
+    assert_eq!(quarantine.quarantined_for(at(9 * APART), &42), None);
 }
 
 #[test]
 fn a_whole_answer_takes_away_what_was_held_against_an_item() {
     let mut quarantine = with_ends(2);
     assert!(quarantine.release(&DEADLY));
-    quarantine.ended(at(3 * APART), &run(7), &[DEADLY]);
+    quarantine.record_crash(at(3 * APART), &run(7), &[DEADLY]);
     assert!(!quarantine.is_suspect(&DEADLY));
     let mut held = with_ends(3);
     assert!(held.release(&DEADLY));
-    assert_eq!(held.held_for(at(3 * APART), &DEADLY), None);
+    assert_eq!(held.quarantined_for(at(3 * APART), &DEADLY), None);
 }
 
 #[test]
 fn a_run_that_is_there_after_all_did_not_end() {
     let mut quarantine = with_ends(3);
-    assert!(quarantine.survived(at(2 * APART + 500), &run(1)));
-    assert_eq!(quarantine.held_for(at(2 * APART + 500), &DEADLY), None);
-    assert!(!quarantine.survived(at(2 * APART + 500), &run(77)));
+    assert!(quarantine.retract_crash(at(2 * APART + 500), &run(1)));
+    assert_eq!(
+        quarantine.quarantined_for(at(2 * APART + 500), &DEADLY),
+        None
+    );
+    assert!(!quarantine.retract_crash(at(2 * APART + 500), &run(77)));
 }
 
 #[test]
 fn time_lets_an_item_go_and_one_more_end_holds_it_twice_as_long() {
     let mut quarantine = with_ends(3);
     let certain = at(2 * APART) + CERTAIN;
-    quarantine.settle(certain, CERTAIN);
-    let over = at(2 * APART) + hold_time(3);
-    assert_eq!(quarantine.lapse(over).len(), 1);
-    assert_eq!(quarantine.held_for(over, &DEADLY), None);
+    quarantine.confirm(certain, CERTAIN);
+    let over = at(2 * APART) + quarantine_duration(3);
+    assert_eq!(quarantine.expire(over).len(), 1);
+    assert_eq!(quarantine.quarantined_for(over, &DEADLY), None);
     assert!(quarantine.is_suspect(&DEADLY));
-    quarantine.ended(over, &run(9), &[DEADLY]);
-    assert_eq!(quarantine.held_for(over, &DEADLY), Some(hold_time(3) * 2));
-    let noted = quarantine.settle(over, CERTAIN);
+    quarantine.record_crash(over, &run(9), &[DEADLY]);
+    assert_eq!(
+        quarantine.quarantined_for(over, &DEADLY),
+        Some(quarantine_duration(3) * 2)
+    );
+    let noted = quarantine.confirm(over, CERTAIN);
     assert_eq!(noted.len(), 1, "the next leader must know it, too");
-    assert_eq!((noted[0].1.ends, noted[0].1.lapsed), (4, false));
-    assert!(hold_time(u32::MAX) <= Duration::from_secs(24 * 3_600));
+    assert_eq!((noted[0].1.crashes, noted[0].1.expired), (4, false));
+    assert!(quarantine_duration(u32::MAX) <= Duration::from_secs(24 * 3_600));
 }
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut ledger: EndLedger<u64> = EndLedger::default();
+    let mut ledger: CrashLedger<u64> = CrashLedger::default();
     let items: Vec<u64> = (0..2 * MAXIMUM_ITEMS as u64).collect();
-    for end in 0..2 * MAXIMUM_ENDS as u64 {
-        ledger.ended(at(end * APART), &run(end), &items);
+    for end in 0..2 * MAXIMUM_CRASHES as u64 {
+        ledger.record_crash(at(end * APART), &run(end), &items);
     }
-    assert_eq!(ledger.ended_at(&run(0)), None);
-    let last = run(2 * MAXIMUM_ENDS as u64 - 1);
-    assert_eq!(ledger.survived(&last).len(), MAXIMUM_ITEMS);
+    assert_eq!(ledger.crashed_at(&run(0)), None);
+    let last = run(2 * MAXIMUM_CRASHES as u64 - 1);
+    assert_eq!(ledger.retract_crash(&last).len(), MAXIMUM_ITEMS);
     let mut quarantine: Quarantine<u64> = Quarantine::default();
     for item in 0..2_000 {
         for end in 0..3 {
             let now = at((item * 3 + end) * APART);
-            quarantine.ended(now, &run(item * 3 + end), &[item]);
+            quarantine.record_crash(now, &run(item * 3 + end), &[item]);
         }
     }
-    assert!(quarantine.held().count() <= 256);
+    assert!(quarantine.quarantined().count() <= 256);
 }
 
 /// Items in flight at runs that end for reasons of their own, again and again, each sent again elsewhere.
@@ -187,15 +198,15 @@
             number += 1;
             let here = places.iter().filter(|(_, place)| **place == instance);
             let here: Vec<u64> = here.map(|(item, _)| *item).collect();
-            quarantine.ended(at(now + draw(150)), &run(number), &here);
+            quarantine.record_crash(at(now + draw(150)), &run(number), &here);
             for item in here {
                 places.insert(item, draw(instances));
             }
         }
-        quarantine.settle(at(now) + CERTAIN, CERTAIN);
+        quarantine.confirm(at(now) + CERTAIN, CERTAIN);
     }
     let now = at(events * APART);
-    let held = (0..items).filter(|item| quarantine.held_for(now, item).is_some());
+    let held = (0..items).filter(|item| quarantine.quarantined_for(now, item).is_some());
     (held.count(), items as usize)
 }
 
@@ -228,12 +239,12 @@
         let mut now = 0;
         for (instance, item, pause) in words {
             now += pause;
-            quarantine.ended(at(now), &run(instance), &[item]);
+            quarantine.record_crash(at(now), &run(instance), &[item]);
             ends.entry(item).or_default().insert(instance);
         }
         for (item, ends) in ends {
             if ends.len() < 3 {
-                prop_assert_eq!(quarantine.held_for(at(now), &item), None);
+                prop_assert_eq!(quarantine.quarantined_for(at(now), &item), None);
             }
         }
     }
--- a/crates/millpass-sim/src/control_host.rs
+++ b/crates/millpass-sim/src/control_host.rs
@@ -173,7 +173,10 @@
                 let input = ControlInput::PlatformListed(list);
                 self.control_later(place, delay, ControlEvent::Input(Box::new(input)));
             }
-            ControlOutput::Answer { call, answer } => self.answer_operator(place, call, answer),
+            ControlOutput::AdministrationResponse {
+                call,
+                response: answer,
+            } => self.answer_operator(place, call, answer),
             ControlOutput::Stopped => self.control_stopped(place),
             ControlOutput::ForwardJoin { address, joiner } => {
                 if let Some(target) = self.place_of_peer(&address) {
@@ -184,7 +187,7 @@
             }
             // No instances announce themselves here.
             ControlOutput::SendShare { .. }
-            | ControlOutput::AnswerShare { .. }
+            | ControlOutput::SendShareResponse { .. }
             | ControlOutput::Instruct { .. }
             | ControlOutput::ReadEngine { .. }
             | ControlOutput::DocumentReached(_)
@@ -309,7 +312,7 @@
         let input = ControlInput::OrderDelivered {
             backend,
             fence,
-            answer,
+            response: answer,
         };
         self.control_step(place, input);
     }
--- a/crates/millpass-sim/src/control_node.rs
+++ b/crates/millpass-sim/src/control_node.rs
@@ -126,6 +126,6 @@
         machine_gone_delay: Duration::from_millis(2_000),
         fleet: None,
         seeds: Vec::new(),
-        wanted_voters: 0,
+        target_voters: 0,
     }
 }
--- a/crates/millpass-sim/src/event.rs
+++ b/crates/millpass-sim/src/event.rs
@@ -5,7 +5,7 @@
 use crate::faults::Fault;
 use crate::operators::Pending;
 use millpass_checkers::{AnswerOutcome, RequestId, ScopedKey};
-use millpass_control_plane::{AdministrationAnswer, ConnectionId, ControlInput, ControlOutput};
+use millpass_control_plane::{AdministrationResponse, ConnectionId, ControlInput, ControlOutput};
 use millpass_proto::{
     AdapterName, ControlToRouter, EngineOrder, LogPosition, OrderResponse, RouterToControl, SlotId,
     Snapshot,
@@ -267,7 +267,7 @@
     /// It reads an object and changes it.
     Begin,
     /// The answer to its call of this number.
-    Answered(u64, Box<AdministrationAnswer>),
+    Answered(u64, Box<AdministrationResponse>),
     /// It asks, or asks again after a pause.
     Ask(Box<Pending>),
     /// No answer to its call of this number.
--- a/crates/millpass-sim/src/operators.rs
+++ b/crates/millpass-sim/src/operators.rs
@@ -5,7 +5,7 @@
 use crate::settings::MILLIS;
 use crate::world::World;
 use millpass_checkers::Event;
-use millpass_control_plane::{AdministrationAnswer, AdministrationRequest};
+use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 use millpass_proto::{
     ChangeId, ConfigurationRevision, ObjectChange, ObjectChangeOutcome, ObjectKey, ObjectKind,
     TenantName,
@@ -135,7 +135,7 @@
         &mut self,
         place: usize,
         call: u64,
-        answer: AdministrationAnswer,
+        answer: AdministrationResponse,
     ) {
         match self.calls.get(&call) {
             Some(Asker::Operator(operator)) => {
@@ -159,20 +159,20 @@
         pending.take().map(|(_, pending)| pending)
     }
 
-    fn operator_gets(&mut self, operator: usize, call: u64, answer: AdministrationAnswer) {
+    fn operator_gets(&mut self, operator: usize, call: u64, answer: AdministrationResponse) {
         let Some(pending) = self.take_pending(operator, call) else {
             return;
         };
         match (pending, answer) {
-            (Pending::Read(object), AdministrationAnswer::Object(stored)) => {
+            (Pending::Read(object), AdministrationResponse::Object(stored)) => {
                 let version = stored.as_ref().map_or(0, |stored| stored.version);
                 self.record(Event::ReadReturned { call, version });
                 self.change_object(operator, object, version);
             }
-            (Pending::Change { change, sends }, AdministrationAnswer::Change(outcome)) => {
+            (Pending::Change { change, sends }, AdministrationResponse::Change(outcome)) => {
                 self.change_answered(operator, call, change, sends, outcome);
             }
-            (pending, AdministrationAnswer::NotLeader { leader_address }) => {
+            (pending, AdministrationResponse::NotLeader { leader_address }) => {
                 let leader = leader_address.and_then(|address| self.place_of_peer(&address));
                 self.ask_again(operator, pending, leader);
             }
@@ -271,8 +271,8 @@
         self.administration_call(place, MILLIS, call, request);
     }
 
-    fn audit_answered(&mut self, answer: AdministrationAnswer) {
-        let AdministrationAnswer::Audit(records) = answer else {
+    fn audit_answered(&mut self, answer: AdministrationResponse) {
+        let AdministrationResponse::Audit(records) = answer else {
             return;
         };
         if std::mem::replace(&mut self.audit_is_read, true) {
