--- a/crates/millpass-dispatch/src/crashes.rs
+++ b/crates/millpass-dispatch/src/crashes.rs
@@ -124,7 +124,7 @@
                 ended.requests.push(request.clone());
             }
         }
-        self.local.ended(now, instance, &requests);
+        self.local.record_crash(now, instance, &requests);
     }
 
     fn evict_old(&mut self, now: Timestamp) {
@@ -141,7 +141,7 @@
 
     /// Records a complete response: the request does not crash instances.
     pub(crate) fn record_served(&mut self, request: &RequestFingerprint) {
-        let is_suspect = self.by_leader.contains_key(request) || self.local.knows(request);
+        let is_suspect = self.by_leader.contains_key(request) || self.local.has_evidence(request);
         if !is_suspect {
             return;
         }
@@ -233,7 +233,7 @@
         if self.connected {
             return None;
         }
-        self.local.held_for(now, request)
+        self.local.quarantined_for(now, request)
     }
 
     /// Returns true if a request is to be separated from other suspects.
