--- a/crates/millpass-cli/src/commands/offline.rs
+++ b/crates/millpass-cli/src/commands/offline.rs
@@ -3,7 +3,7 @@
 use crate::objects::{self, DeclaredObject};
 use crate::options::PolicyCommand;
 use anyhow::{Context, Result, bail};
-use millpass_policy::admit;
+use millpass_policy::validate;
 use millpass_proto::{ObjectSpec, PolicyName};
 use std::path::Path;
 use std::process::ExitCode;
@@ -42,7 +42,7 @@
 pub fn check_policies(file: &str, declared: &[DeclaredObject]) -> Result<()> {
     for object in declared {
         if let ObjectSpec::Policy(spec) = &object.spec {
-            admit(&PolicyName::from(object.key.name.as_str()), spec)
+            validate(&PolicyName::from(object.key.name.as_str()), spec)
                 .map_err(|error| anyhow::anyhow!("{file}: {error}; nothing was submitted"))?;
         }
     }
@@ -85,7 +85,7 @@
         let ObjectSpec::Policy(spec) = &object.spec else {
             continue;
         };
-        match admit(&PolicyName::from(object.key.name.as_str()), spec) {
+        match validate(&PolicyName::from(object.key.name.as_str()), spec) {
             Ok(()) => println!("{}: {} examples hold", object.key.name, spec.examples.len()),
             Err(error) => {
                 failed += 1;
--- a/crates/millpass-cli/src/commands/programs.rs
+++ b/crates/millpass-cli/src/commands/programs.rs
@@ -16,7 +16,7 @@
 use millpass_scheduler::{KeepAlive, SchedulerSettings};
 use millpass_storage::StorageOptions;
 use millpass_telemetry::{LogSettings, ProcessClock, event_line, log_panics, start_logging};
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
@@ -213,8 +213,8 @@
     }
 }
 
-fn quota(window_ms: u64, overage: &str, slack_units: u64) -> Result<QuotaTerms> {
-    Ok(QuotaTerms {
+fn quota(window_ms: u64, overage: &str, slack_units: u64) -> Result<QuotaTolerance> {
+    Ok(QuotaTolerance {
         window: millis(window_ms),
         overage: overage.parse().context("quota.overage")?,
         slack_units,
--- a/crates/millpass-control-plane/src/credit.rs
+++ b/crates/millpass-control-plane/src/credit.rs
@@ -28,8 +28,8 @@
         let (Some(document), Some(ledger)) = (self.state.document(), &mut self.credit) else {
             return;
         };
-        ledger.put_in_force(now, document);
-        let (answer, exhausted) = ledger.answer(now, self.term, request);
+        ledger.apply_document(now, document);
+        let (answer, exhausted) = ledger.handle_request(now, self.term, request);
         out.send_router(connection, ControlToRouter::Credit(answer));
         for event in exhausted {
             log_exhausted(&event, &request.gateway, out);
--- a/crates/millpass-control/src/administration/admission.rs
+++ b/crates/millpass-control/src/administration/admission.rs
@@ -35,7 +35,7 @@
 fn check_policy(name: &PolicyName, policy: &PolicySpec) -> Result<(), Failure> {
     let judged = std::thread::scope(|scope| {
         let builder = Builder::new().name("policy-check".to_owned());
-        let judge = || millpass_policy::admit(name, policy);
+        let judge = || millpass_policy::validate(name, policy);
         let thread = builder
             .stack_size(POLICY_STACK_BYTES)
             .spawn_scoped(scope, judge);
--- a/crates/millpass-dispatch/src/credit.rs
+++ b/crates/millpass-dispatch/src/credit.rs
@@ -43,28 +43,28 @@
 
     /// Whether requests wait for units that the leader was not asked for.
     pub fn is_credit_urgent(&self) -> bool {
-        self.credit.is_urgent()
+        self.credit.has_queued_claims()
     }
 
     /// The next message about credit, if there is something to say.
     pub fn credit_request(&mut self, now: Timestamp, periodic: bool) -> Option<CreditRequest> {
-        self.credit.message(now, &self.settings.name, periodic)
+        self.credit.next_request(now, &self.settings.name, periodic)
     }
 
     /// Takes the leader's answer.
     pub fn take_credit(&mut self, now: Timestamp, answer: &CreditResponse) {
-        self.credit.answer(now, answer);
+        self.credit.handle_response(now, answer);
     }
 
     /// Whether the leader owes an answer about credit for longer than one takes; `heard_at` is when it was last
     /// heard.
     pub fn is_leader_silent(&self, now: Timestamp, heard_at: Timestamp) -> bool {
-        self.credit.is_leader_silent(now, heard_at)
+        self.credit.is_leader_unresponsive(now, heard_at)
     }
 
     /// The connection to the leader is gone.
     pub fn credit_disconnected(&mut self, now: Timestamp) {
-        self.credit.disconnected(now);
+        self.credit.handle_disconnect(now);
     }
 }
 
--- a/crates/millpass-dispatch/src/dispatcher.rs
+++ b/crates/millpass-dispatch/src/dispatcher.rs
@@ -14,7 +14,7 @@
     InstanceLoad, ModelName, ModelReadyEstimate, RouteSpec, ServiceName, TenantAccess, Timestamp,
     ZoneName,
 };
-use millpass_tenancy::{CreditPool, PresentedKey, QuotaTerms};
+use millpass_tenancy::{CreditPool, PresentedKey, QuotaTolerance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
     /// How long a caller without a stated deadline waits.
     pub default_patience: Duration,
     /// What the contract bears above a tenant's limit.
-    pub quota: QuotaTerms,
+    pub quota: QuotaTolerance,
     /// Time without confirmation of what is known after which keys count as unchecked; none to go on with them.
     pub key_lifetime: Option<Duration>,
     /// Bounds of what is answered by knowledge of some age.
--- a/crates/millpass-dispatch/tests/crashes.rs
+++ b/crates/millpass-dispatch/tests/crashes.rs
@@ -5,7 +5,7 @@
     RequestIdentity, SendEnd, Ticket,
 };
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -58,7 +58,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_patience: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
             in_force: Duration::from_secs(3_600),
--- a/crates/millpass-dispatch/tests/dispatch.rs
+++ b/crates/millpass-dispatch/tests/dispatch.rs
@@ -5,7 +5,7 @@
     RefusalReason, RetryBudget, RouteError, SendEnd, Ticket,
 };
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_patience: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
             in_force: Duration::from_secs(3_600),
--- a/crates/millpass-dispatch/tests/freshness.rs
+++ b/crates/millpass-dispatch/tests/freshness.rs
@@ -10,7 +10,7 @@
     RefusalReason, RouteError,
 };
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -117,7 +117,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_patience: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
             in_force: Duration::from_millis(IN_FORCE),
--- a/crates/millpass-dispatch/tests/harness/mod.rs
+++ b/crates/millpass-dispatch/tests/harness/mod.rs
@@ -2,7 +2,7 @@
 
 use millpass_dispatch::*;
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 
 pub fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -18,7 +18,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_patience: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
             in_force: day,
--- a/crates/millpass-dispatch/tests/tenants.rs
+++ b/crates/millpass-dispatch/tests/tenants.rs
@@ -4,7 +4,7 @@
     Description, DispatchSettings, Dispatcher, FreshnessSettings, IdentityError,
 };
 use millpass_proto::*;
-use millpass_tenancy::{CreditOutcome, KeyHash, PresentedKey, QuotaTerms};
+use millpass_tenancy::{CreditOutcome, KeyHash, PresentedKey, QuotaTolerance};
 use rstest::rstest;
 
 const LIFETIME: Duration = Duration::from_secs(5);
@@ -91,7 +91,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_patience: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime,
         freshness: FreshnessSettings {
             in_force: Duration::from_secs(3_600),
@@ -216,7 +216,7 @@
         ..tenant("one", b"k-1", 1)
     };
     let mut dispatcher = Dispatcher::new(DispatchSettings {
-        quota: QuotaTerms {
+        quota: QuotaTolerance {
             window: Duration::from_secs(10),
             overage: 0.0,
             // Half of it is shared without a leader: one request for each of ten gateways, or ten for a lone one.
--- a/crates/millpass-fleet/src/interface.rs
+++ b/crates/millpass-fleet/src/interface.rs
@@ -4,7 +4,7 @@
     CallId, CrashUpdate, Duration, EngineInstruction, GatewayUpdate, InstanceChanges, InstanceId,
     InstructionResult, LimitUpdate, QuarantineRecord, RequestFingerprint,
 };
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 
 /// Settings of the core.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     /// than `order_handover`, which counts from the last byte.
     pub order_lifetime: Duration,
     /// What the contract bears above tenants' limits.
-    pub quota: QuotaTerms,
+    pub quota: QuotaTolerance,
 }
 
 impl Default for FleetSettings {
@@ -32,7 +32,7 @@
             instance_silence: Duration::from_millis(6_000),
             order_handover: Duration::from_millis(3_500),
             order_lifetime: Duration::from_millis(200),
-            quota: QuotaTerms::default(),
+            quota: QuotaTolerance::default(),
         }
     }
 }
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -13,7 +13,7 @@
     DocumentHistory, Fleet, FleetOutput, FleetSettings, GatewayContext, InstructionHistory,
 };
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 
 /// Routes of the first document.
 pub const ROUTES: u64 = 100;
@@ -247,7 +247,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_patience: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings::default(),
     })
--- a/crates/millpass-policy/src/facts.rs
+++ b/crates/millpass-policy/src/attributes.rs
@@ -6,7 +6,7 @@
 /// The facts of one request. Only facts that give every router the same verdict are offered:
 /// no clock, no load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RequestFacts<'a> {
+pub struct RequestAttributes<'a> {
     /// Tenant.
     pub tenant: &'a str,
     /// Model; empty for a web request.
@@ -19,7 +19,7 @@
     pub path: &'a str,
 }
 
-impl<'a> RequestFacts<'a> {
+impl<'a> RequestAttributes<'a> {
     /// The facts as variables, in the order of [`VARIABLES`].
     pub(crate) fn variables(&self) -> [(&'static str, &'a str); 5] {
         let [tenant, model, adapter, kind, path] = VARIABLES;
--- a/crates/millpass-policy/src/cache.rs
+++ b/crates/millpass-policy/src/cache.rs
@@ -1,7 +1,7 @@
 //! Verdicts already reached, until the catalog changes.
 
+use crate::attributes::RequestAttributes;
 use crate::evaluate::{CompiledPolicies, Verdict};
-use crate::facts::RequestFacts;
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
     pub fn verdict(
         &mut self,
         policies: &CompiledPolicies,
-        facts: &RequestFacts<'_>,
+        facts: &RequestAttributes<'_>,
     ) -> Arc<Verdict> {
         self.write_key(facts);
         if let Some(verdict) = self.younger.get(&self.key) {
@@ -67,7 +67,7 @@
         verdict
     }
 
-    fn write_key(&mut self, facts: &RequestFacts<'_>) {
+    fn write_key(&mut self, facts: &RequestAttributes<'_>) {
         self.key.clear();
         for (_, value) in facts.variables() {
             self.key.push_str(value);
--- a/crates/millpass-policy/src/cost.rs
+++ b/crates/millpass-policy/src/cost.rs
@@ -3,7 +3,7 @@
 //! Programs have no loops but the macros (`all`, `exists`, `map`, ..). A macro may only range over
 //! a list or map that is written out in the program, so the number of its rounds is known here.
 
-use crate::facts::VARIABLES;
+use crate::attributes::VARIABLES;
 use cel::common::ast::{CallExpr, ComprehensionExpr, EntryExpr, Expr, IdedExpr};
 
 /// Deepest syntax tree accepted.
--- a/crates/millpass-policy/src/evaluate.rs
+++ b/crates/millpass-policy/src/evaluate.rs
@@ -1,7 +1,7 @@
 //! The policies in force, and the verdict on one request.
 
+use crate::attributes::RequestAttributes;
 use crate::error::{PolicyError, PolicyProgram};
-use crate::facts::RequestFacts;
 use crate::program::BoundedProgram;
 use cel::{Context, Value};
 use millpass_proto::{PolicyExample, PolicyName, PolicySpec, Urgency};
@@ -114,7 +114,7 @@
     }
 
     /// Judges a request. Any failing program denies, and names its policy.
-    pub fn evaluate(&self, facts: &RequestFacts<'_>) -> Verdict {
+    pub fn evaluate(&self, facts: &RequestAttributes<'_>) -> Verdict {
         let context = context_of(&self.functions, facts);
         for policy in &self.policies {
             match denies(policy, &context) {
@@ -136,7 +136,7 @@
 }
 
 /// Compiles a policy as submitted and runs its examples, alone and with default deny.
-pub fn admit(name: &PolicyName, spec: &PolicySpec) -> Result<(), PolicyError> {
+pub fn validate(name: &PolicyName, spec: &PolicySpec) -> Result<(), PolicyError> {
     let policies = CompiledPolicies::compile(&[(name.clone(), spec.clone())])?;
     for (index, example) in spec.examples.iter().enumerate() {
         let verdict = policies.evaluate(&facts_of(example));
@@ -162,7 +162,7 @@
 /// The variables of one request, in a scope within the functions.
 fn context_of<'a>(
     functions: &'a Context<'static, 'static>,
-    facts: &RequestFacts<'_>,
+    facts: &RequestAttributes<'_>,
 ) -> Context<'a, 'static> {
     let mut context = functions.new_inner_scope();
     for (name, value) in facts.variables() {
@@ -243,10 +243,10 @@
 }
 
 /// Facts of an example. A web example carries its path where a model example has its model.
-fn facts_of(example: &PolicyExample) -> RequestFacts<'_> {
+fn facts_of(example: &PolicyExample) -> RequestAttributes<'_> {
     let is_web = example.kind == "web";
     let asked = example.model.as_str();
-    RequestFacts {
+    RequestAttributes {
         tenant: example.tenant.as_str(),
         model: if is_web { "" } else { asked },
         adapter: example.adapter.as_ref().map_or("", |name| name.as_str()),
--- a/crates/millpass-policy/tests/policy.rs
+++ b/crates/millpass-policy/tests/policy.rs
@@ -1,12 +1,12 @@
 //! Table and property tests of policies.
 
-use millpass_policy::{CompiledPolicies, PolicyError, RequestFacts, VerdictCache, admit};
+use millpass_policy::{CompiledPolicies, PolicyError, RequestAttributes, VerdictCache, validate};
 use millpass_proto::{PolicyExample, PolicyName, PolicySpec, Urgency};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
 
-const FACTS: RequestFacts<'static> = RequestFacts {
+const FACTS: RequestAttributes<'static> = RequestAttributes {
     tenant: "harbour",
     model: "writer",
     adapter: "",
@@ -146,7 +146,7 @@
         kind: "chat".to_owned(),
         allowed: expected,
     });
-    let outcome = admit(&"mine".into(), &spec).map_err(|error| error.to_string());
+    let outcome = validate(&"mine".into(), &spec).map_err(|error| error.to_string());
     match words {
         None => assert_eq!(outcome, Ok(())),
         Some(words) => assert!(outcome.unwrap_err().contains(words)),
@@ -159,7 +159,7 @@
     let mut cache = VerdictCache::new(10);
     for number in 0..500 {
         let tenant = format!("t{}", number % 30);
-        let facts = RequestFacts {
+        let facts = RequestAttributes {
             tenant: &tenant,
             ..FACTS
         };
--- a/crates/millpass-router/src/caller.rs
+++ b/crates/millpass-router/src/caller.rs
@@ -218,7 +218,7 @@
         return Err(ErrorAnswer::malformed("idempotency_key_malformed", message));
     }
     Ok(Some(IdempotencyKey {
-        born_unix_millis: key_birth(key, &request.headers)?,
+        created_unix_millis: key_birth(key, &request.headers)?,
         digest: digest(request),
         key: key.into(),
     }))
--- a/crates/millpass-router/src/driver.rs
+++ b/crates/millpass-router/src/driver.rs
@@ -85,7 +85,7 @@
 
     /// Time left of the lease; zero without one.
     pub(crate) fn lease_left(&self) -> Duration {
-        self.snapshot().lease_left
+        self.snapshot().lease_remaining
     }
 
     /// Counters and sizes of the core.
--- a/crates/millpass-router/src/explain.rs
+++ b/crates/millpass-router/src/explain.rs
@@ -19,7 +19,7 @@
         "urgency": explanation.urgency,
         "policy": explanation.policy,
         "outcome": outcome_word(explanation.outcome),
-        "waiting_for": explanation.waiting_for.map(wait_sentence),
+        "waiting_for": explanation.wait_reason.map(wait_sentence),
         "refusal": refusal.map(|refusal| refusal.details(request_id)),
         "attempts": attempts,
         "waited_ms": millis(explanation.waited),
@@ -82,10 +82,10 @@
             "no replica can be placed as things stand; capacity is used up".to_owned()
         }
         WaitReason::NoBackend => "its group has no back end".to_owned(),
-        WaitReason::VersionGone => {
+        WaitReason::VersionUnavailable => {
             "no replica is left of the version that its stream began with".to_owned()
         }
-        WaitReason::DemandReported => {
+        WaitReason::AwaitingEstimate => {
             "no replica is loaded; the control group was told of the demand and has not said when \
              one will be ready"
                 .to_owned()
--- a/crates/millpass-router/src/link.rs
+++ b/crates/millpass-router/src/link.rs
@@ -159,7 +159,7 @@
                     return LinkEnd::NotLeader(leader.and_then(|text| text.parse().ok()));
                 }
                 Ok(ControlToRouter::Update(update)) => RoutingInput::Update(update),
-                Ok(ControlToRouter::ChangesAvailable) => RoutingInput::News,
+                Ok(ControlToRouter::ChangesAvailable) => RoutingInput::ChangesAvailable,
                 // For gateways only.
                 Ok(
                     ControlToRouter::Gateway(_)
@@ -168,7 +168,7 @@
                     | ControlToRouter::Permits(_)
                     | ControlToRouter::Limits(_),
                 ) => continue,
-                Ok(ControlToRouter::Claim(answer)) => RoutingInput::ClaimAnswered {
+                Ok(ControlToRouter::Claim(answer)) => RoutingInput::ClaimDecided {
                     attempt: answer.attempt,
                     decision: answer.decision,
                 },
--- a/crates/millpass-router/src/metrics.rs
+++ b/crates/millpass-router/src/metrics.rs
@@ -81,7 +81,10 @@
             ("claims", snapshot.claims as i64),
             ("open_circuits", snapshot.open_circuits as i64),
             ("retries", snapshot.retries as i64),
-            ("lease_left_millis", snapshot.lease_left.as_millis() as i64),
+            (
+                "lease_left_millis",
+                snapshot.lease_remaining.as_millis() as i64,
+            ),
             ("term", snapshot.term as i64),
             ("configuration_revision", snapshot.configuration as i64),
             ("placement_revision", snapshot.placement as i64),
--- a/crates/millpass-router/src/models.rs
+++ b/crates/millpass-router/src/models.rs
@@ -3,7 +3,7 @@
 //! The decision core keeps the catalog that decides on requests; this view holds only what the
 //! list needs, from the same changes.
 
-use millpass_policy::{CompiledPolicies, RequestFacts};
+use millpass_policy::{CompiledPolicies, RequestAttributes};
 use millpass_proto::{
     ConfigurationDelta, ConfigurationRevision, ObjectKey, ObjectSpec, PolicyName, PolicySpec,
     StoredObject, TenantName,
@@ -149,7 +149,7 @@
             return false;
         };
         KINDS.iter().any(|kind| {
-            let facts = RequestFacts {
+            let facts = RequestAttributes {
                 tenant: tenant.as_str(),
                 model,
                 adapter,
--- a/crates/millpass-routing/src/admission.rs
+++ b/crates/millpass-routing/src/admission.rs
@@ -7,7 +7,7 @@
 use crate::refusals::Refused;
 use crate::request::{Request, Stage};
 use crate::{Routing, Step};
-use millpass_policy::{RequestFacts, Verdict};
+use millpass_policy::{RequestAttributes, Verdict};
 use millpass_proto::{Duration, PolicyName, TenantName, Timestamp, Urgency};
 use std::sync::Arc;
 
@@ -78,7 +78,7 @@
             urgency: None,
             policy: known.policy,
             outcome: Outcome::Refused(refusal.reason),
-            waiting_for: None,
+            wait_reason: None,
             refusal: Some(refusal.clone()),
             attempts: Vec::new(),
             waited: Duration::ZERO,
@@ -115,7 +115,7 @@
             return Err(Refused::new(RefusalReason::KeyRequired));
         }
         if let Some(key) = &arrival.idempotency {
-            self.check_key_age(key.born_unix_millis)?;
+            self.check_key_age(key.created_unix_millis)?;
         }
         Ok(Request {
             number: arrival.request,
@@ -140,8 +140,8 @@
         })
     }
 
-    fn check_key_age(&self, born_unix_millis: u64) -> Result<(), Refused> {
-        if born_unix_millis < self.claims_born_after {
+    fn check_key_age(&self, created_unix_millis: u64) -> Result<(), Refused> {
+        if created_unix_millis < self.claims_born_after {
             return Err(Refused::new(RefusalReason::KeyExpired));
         }
         Ok(())
@@ -207,7 +207,7 @@
             ),
             QueueKey::Web(_) => ("", ""),
         };
-        let facts = RequestFacts {
+        let facts = RequestAttributes {
             tenant: tenant.as_str(),
             model,
             adapter,
--- a/crates/millpass-routing/src/catalog.rs
+++ b/crates/millpass-routing/src/catalog.rs
@@ -1,6 +1,6 @@
 //! This router's copy of the catalog: applied in order of revision, never going back.
 
-use millpass_policy::{CompiledPolicies, PolicyError, RequestFacts, Verdict, VerdictCache};
+use millpass_policy::{CompiledPolicies, PolicyError, RequestAttributes, Verdict, VerdictCache};
 use millpass_proto::{
     AdapterName, AdapterSpec, BackendGroupSpec, ConfigurationDelta, ConfigurationRevision,
     GroupName, ModelName, ModelSpec, ObjectKey, ObjectKind, ObjectSpec, PolicyName, PolicySpec,
@@ -199,7 +199,7 @@
 
     /// The policies' verdict. A policy that does not compile here (it did where it was
     /// submitted) might be one that denies, so everything is denied until it is replaced.
-    pub fn verdict(&mut self, facts: &RequestFacts<'_>) -> Result<Arc<Verdict>, &PolicyError> {
+    pub fn verdict(&mut self, facts: &RequestAttributes<'_>) -> Result<Arc<Verdict>, &PolicyError> {
         match &self.compiled {
             Ok(policies) => Ok(self.verdicts.verdict(policies, facts)),
             Err(error) => Err(error),
--- a/crates/millpass-routing/src/claim_flow.rs
+++ b/crates/millpass-routing/src/claim_flow.rs
@@ -27,7 +27,7 @@
             tenant: request.tenant.clone(),
             key: key.key.clone(),
             digest: key.digest.clone(),
-            created_unix_millis: key.born_unix_millis,
+            created_unix_millis: key.created_unix_millis,
             router: self.settings.router.clone(),
             router_incarnation: self.settings.incarnation,
             attempt: request.number.0,
--- a/crates/millpass-routing/src/decisions.rs
+++ b/crates/millpass-routing/src/decisions.rs
@@ -8,7 +8,7 @@
 
 /// Requests that were given up and can still be explained; and as many others. They are kept
 /// apart, so that many answered requests don't push out the few that were refused.
-pub const EXPLANATIONS_KEPT: usize = 4_096;
+pub const EXPLANATION_CAPACITY: usize = 4_096;
 
 /// Counters since the start, and present sizes, for metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// Circuits open now.
     pub open_circuits: usize,
     /// Time until the lease ends; zero without one.
-    pub lease_left: Duration,
+    pub lease_remaining: Duration,
     /// Highest term seen.
     pub term: u64,
     /// Catalog revision held.
@@ -60,7 +60,7 @@
     /// Records the end of a request.
     pub fn record(&mut self, explanation: Explanation) {
         self.count(explanation.outcome);
-        if explanation.outcome.is_given_up() {
+        if explanation.outcome.is_failure() {
             self.given_up.push(explanation);
         } else {
             self.others.push(explanation);
@@ -96,7 +96,7 @@
 
 impl Ring {
     fn push(&mut self, explanation: Explanation) {
-        if self.0.len() >= EXPLANATIONS_KEPT {
+        if self.0.len() >= EXPLANATION_CAPACITY {
             self.0.pop_front();
         }
         self.0.push_back(explanation);
@@ -119,7 +119,7 @@
             in_flight: self.load.total(),
             claims: self.claims.len(),
             open_circuits: self.circuits.open_count(now),
-            lease_left: if fresh {
+            lease_remaining: if fresh {
                 self.lease.end().since(now)
             } else {
                 Duration::ZERO
--- a/crates/millpass-routing/src/explain.rs
+++ b/crates/millpass-routing/src/explain.rs
@@ -30,7 +30,7 @@
 
 impl Outcome {
     /// Whether the request was given up.
-    pub fn is_given_up(&self) -> bool {
+    pub fn is_failure(&self) -> bool {
         matches!(self, Outcome::Refused(_) | Outcome::BrokenOff(_))
     }
 }
@@ -47,9 +47,9 @@
     /// Its web group has no back end.
     NoBackend,
     /// No replica is left of the version that its stream must go on with.
-    VersionGone,
+    VersionUnavailable,
     /// The control group has not said yet when a replica will be ready.
-    DemandReported,
+    AwaitingEstimate,
 }
 
 /// How an attempt ended.
@@ -94,7 +94,7 @@
     /// How it stands or ended.
     pub outcome: Outcome,
     /// Why it waits, if it does.
-    pub waiting_for: Option<WaitReason>,
+    pub wait_reason: Option<WaitReason>,
     /// The refusal, if it was given up.
     pub refusal: Option<Refusal>,
     /// Attempts, oldest first.
@@ -117,7 +117,7 @@
         urgency: Some(request.urgency),
         policy: request.policy.clone(),
         outcome,
-        waiting_for: None,
+        wait_reason: None,
         refusal: None,
         attempts: request.attempts.clone(),
         waited: first.map_or(total, |attempt| attempt.started),
@@ -165,7 +165,7 @@
         };
         let is_waiting = outcome == Outcome::Waiting;
         Explanation {
-            waiting_for: is_waiting.then(|| self.wait_reason(&request.queue, now)),
+            wait_reason: is_waiting.then(|| self.wait_reason(&request.queue, now)),
             ..explain_request(request, outcome, now)
         }
     }
@@ -176,8 +176,8 @@
             Readiness::ReadyAt(ready) => WaitReason::ReadyIn(ready.since(now)),
             Readiness::Unplaceable { .. } => WaitReason::Unplaceable,
             Readiness::NoBackend => WaitReason::NoBackend,
-            Readiness::VersionGone => WaitReason::VersionGone,
-            Readiness::Unknown => WaitReason::DemandReported,
+            Readiness::VersionGone => WaitReason::VersionUnavailable,
+            Readiness::Unknown => WaitReason::AwaitingEstimate,
         }
     }
 
--- a/crates/millpass-routing/src/interface.rs
+++ b/crates/millpass-routing/src/interface.rs
@@ -72,7 +72,7 @@
     /// Key.
     pub key: ClaimKey,
     /// Birth, from the key (UUID version 7) or the `Idempotency-Key-Born` header.
-    pub born_unix_millis: u64,
+    pub created_unix_millis: u64,
     /// BLAKE3 hash (hex) of method, path and body.
     pub digest: String,
 }
@@ -142,7 +142,7 @@
     /// The link was lost. Leases go on until they end.
     LinkDown,
     /// A claim was answered.
-    ClaimAnswered {
+    ClaimDecided {
         /// Attempt: the request's number.
         attempt: u64,
         /// Decision.
@@ -156,7 +156,7 @@
     /// A watched back end was read, or did not answer.
     Observed(BackendObservation),
     /// The leader has something newer than the last report knew.
-    News,
+    ChangesAvailable,
     /// Stop: refuse new requests, finish those in flight, then report `Drained`.
     Drain,
 }
--- a/crates/millpass-routing/src/lib.rs
+++ b/crates/millpass-routing/src/lib.rs
@@ -28,7 +28,7 @@
 mod routes;
 mod table;
 
-pub use decisions::{EXPLANATIONS_KEPT, RoutingSnapshot};
+pub use decisions::{EXPLANATION_CAPACITY, RoutingSnapshot};
 pub use explain::{AttemptEnd, AttemptRecord, Explanation, Outcome, WaitReason};
 pub use interface::*;
 
@@ -148,7 +148,7 @@
             RoutingInput::Update(update) => self.take_update(update, step),
             RoutingInput::LinkUp => self.link_up(step),
             RoutingInput::LinkDown => self.link_down(),
-            RoutingInput::ClaimAnswered { attempt, decision } => {
+            RoutingInput::ClaimDecided { attempt, decision } => {
                 self.claim_answered(RequestNumber(attempt), decision, step);
             }
             RoutingInput::ClaimFinished { attempt } => {
@@ -160,7 +160,7 @@
                     self.reporting.hurry();
                 }
             }
-            RoutingInput::News => self.reporting.hurry(),
+            RoutingInput::ChangesAvailable => self.reporting.hurry(),
             RoutingInput::Drain => self.start_drain(step),
         }
     }
--- a/crates/millpass-routing/tests/common/mod.rs
+++ b/crates/millpass-routing/tests/common/mod.rs
@@ -322,7 +322,7 @@
     }
 
     pub fn claim(&mut self, request: RequestNumber, decision: ClaimDecision) -> Vec<RoutingOutput> {
-        self.step(RoutingInput::ClaimAnswered {
+        self.step(RoutingInput::ClaimDecided {
             attempt: request.0,
             decision,
         })
@@ -348,7 +348,7 @@
 pub fn key(name: &str) -> Option<IdempotencyKey> {
     Some(IdempotencyKey {
         key: name.into(),
-        born_unix_millis: UNIX_MILLIS,
+        created_unix_millis: UNIX_MILLIS,
         digest: "00".to_owned(),
     })
 }
--- a/crates/millpass-routing/tests/explain.rs
+++ b/crates/millpass-routing/tests/explain.rs
@@ -59,8 +59,8 @@
 fn what_a_request_waits_for_follows_what_is_known() {
     let mut driver = Driver::ready(vec![], vec![]);
     let (number, _) = driver.ask("t1", "m1");
-    let waiting_for = |driver: &Driver| explain(driver, number).waiting_for;
-    assert_eq!(waiting_for(&driver), Some(WaitReason::DemandReported));
+    let waiting_for = |driver: &Driver| explain(driver, number).wait_reason;
+    assert_eq!(waiting_for(&driver), Some(WaitReason::AwaitingEstimate));
     driver.outlook(800, true);
     let ready = WaitReason::ReadyIn(Duration::from_millis(800));
     assert_eq!(waiting_for(&driver), Some(ready));
@@ -99,13 +99,13 @@
     let (refused, _) = driver.ask("t1", "none");
     let (first, _) = driver.ask("t1", "m1");
     driver.complete(first);
-    for _ in 0..EXPLANATIONS_KEPT {
+    for _ in 0..EXPLANATION_CAPACITY {
         let (number, _) = driver.ask("t1", "m1");
         driver.complete(number);
     }
     assert_eq!(driver.routing.explain(first, driver.now), None);
     assert!(driver.routing.explain(refused, driver.now).is_some());
-    for _ in 0..EXPLANATIONS_KEPT {
+    for _ in 0..EXPLANATION_CAPACITY {
         driver.ask("t1", "none");
     }
     assert_eq!(driver.routing.explain(refused, driver.now), None);
--- a/crates/millpass-routing/tests/lease.rs
+++ b/crates/millpass-routing/tests/lease.rs
@@ -257,5 +257,5 @@
     let mut driver = Driver::ready(vec![], vec![]);
     driver.tick(1_000);
     driver.tick(100);
-    assert!(reports(&driver.step(RoutingInput::News)));
+    assert!(reports(&driver.step(RoutingInput::ChangesAvailable)));
 }
--- a/crates/millpass-routing/tests/properties.rs
+++ b/crates/millpass-routing/tests/properties.rs
@@ -344,7 +344,7 @@
         let decision = story.decision.get_or_insert(drawn).clone();
         story.granted |= decision == ClaimDecision::Granted;
         let attempt = number.0;
-        self.feed(RoutingInput::ClaimAnswered { attempt, decision });
+        self.feed(RoutingInput::ClaimDecided { attempt, decision });
     }
 
     fn leader_answers(
--- a/crates/millpass-sim/src/router_claims.rs
+++ b/crates/millpass-sim/src/router_claims.rs
@@ -74,7 +74,7 @@
             });
         }
         // The input is queued, so that the core is not entered twice.
-        let input = RoutingInput::ClaimAnswered { attempt, decision };
+        let input = RoutingInput::ClaimDecided { attempt, decision };
         self.router_later(router, 0, RouterEvent::Input(Box::new(input)));
     }
 
--- a/crates/millpass-sim/src/router_host.rs
+++ b/crates/millpass-sim/src/router_host.rs
@@ -179,7 +179,7 @@
             deadline: node.clock.local(now) + Duration::from_micros(request.allowed_micros),
             idempotency: request.key.as_ref().map(|key| IdempotencyKey {
                 key: key.key.clone(),
-                born_unix_millis: request.born_unix_millis,
+                created_unix_millis: request.born_unix_millis,
                 digest: format!("digest-of-{}", key.key),
             }),
         };
--- a/crates/millpass-sim/src/router_link.rs
+++ b/crates/millpass-sim/src/router_link.rs
@@ -141,7 +141,9 @@
             ControlToRouter::Update(update) => {
                 self.router_step(router, RoutingInput::Update(update));
             }
-            ControlToRouter::ChangesAvailable => self.router_step(router, RoutingInput::News),
+            ControlToRouter::ChangesAvailable => {
+                self.router_step(router, RoutingInput::ChangesAvailable)
+            }
             // For gateways only.
             ControlToRouter::Gateway(_)
             | ControlToRouter::Credit(_)
--- a/crates/millpass-tenancy/src/account.rs
+++ b/crates/millpass-tenancy/src/account.rs
@@ -30,7 +30,7 @@
 
 /// What the operators' contract bears above a tenant's limit.
 #[derive(Clone, Copy, Debug)]
-pub struct QuotaTerms {
+pub struct QuotaTolerance {
     /// Length of the window in which use is summed.
     pub window: Duration,
     /// Part of the limit that is borne above it.
@@ -39,10 +39,10 @@
     pub slack_units: u64,
 }
 
-impl Default for QuotaTerms {
+impl Default for QuotaTolerance {
     /// Nothing is borne above a limit.
     fn default() -> Self {
-        QuotaTerms {
+        QuotaTolerance {
             window: Duration::from_secs(10),
             overage: 0.0,
             slack_units: 0,
@@ -50,7 +50,7 @@
     }
 }
 
-impl QuotaTerms {
+impl QuotaTolerance {
     /// Units that are borne above a limit in a window.
     pub(crate) fn borne_above(&self, limit: TenantLimit) -> f64 {
         let flow = limit.units_per_second as f64 * self.window.as_secs_f64();
@@ -206,7 +206,7 @@
         now: Timestamp,
         units: u64,
         limit: TenantLimit,
-        terms: &QuotaTerms,
+        terms: &QuotaTolerance,
         gateways: u32,
     ) -> bool {
         self.take_standing(now, units) || self.take_borne(now, units, limit, terms, gateways)
@@ -217,7 +217,7 @@
         now: Timestamp,
         units: u64,
         limit: TenantLimit,
-        terms: &QuotaTerms,
+        terms: &QuotaTolerance,
         gateways: u32,
     ) -> bool {
         let gateways = match gateways {
--- a/crates/millpass-tenancy/src/keys.rs
+++ b/crates/millpass-tenancy/src/keys.rs
@@ -43,7 +43,7 @@
 
 impl PresentedKey {
     /// The key among the values of a request's header for keys: exactly one of them, not empty.
-    pub fn among<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
+    pub fn from_header_values<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         let Some(first) = values.next() else {
             return PresentedKey::Missing;
         };
--- a/crates/millpass-tenancy/src/ledger.rs
+++ b/crates/millpass-tenancy/src/ledger.rs
@@ -5,7 +5,7 @@
 //! with empty buckets but for a part of what the contract bears above a limit, which is safe since the other lent no
 //! more than the limit until its lease ended.
 
-use crate::account::QuotaTerms;
+use crate::account::QuotaTolerance;
 use crate::limit::{TenantLimit, UnitBucket};
 use millpass_proto::{
     CreditGrant, CreditRequest, CreditResponse, DeploymentDocument, Duration, TenantCreditRequest,
@@ -21,7 +21,7 @@
 /// Wait that is told for a tenant that the document lacks.
 const UNKNOWN_WAIT_MILLIS: u64 = 1_000;
 /// Most waiting requests that one ask may name; a gateway sends the rest with its next.
-pub const MAXIMUM_NEEDED: usize = 256;
+pub const MAXIMUM_CLAIMS_PER_REQUEST: usize = 256;
 
 /// A tenant used up its quota.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct CreditLedger {
     began: Timestamp,
-    terms: QuotaTerms,
+    terms: QuotaTolerance,
     version: Option<u64>,
     limits: HashMap<TenantName, Option<TenantLimit>>,
     accounts: HashMap<TenantName, Account>,
@@ -55,7 +55,7 @@
 
 impl CreditLedger {
     /// A book without any account; `terms` say what the operators' contract bears above a limit.
-    pub fn new(now: Timestamp, terms: QuotaTerms) -> Self {
+    pub fn new(now: Timestamp, terms: QuotaTolerance) -> Self {
         CreditLedger {
             began: now,
             terms,
@@ -66,7 +66,7 @@
     }
 
     /// Goes by this document's limits from now on.
-    pub fn put_in_force(&mut self, now: Timestamp, document: &DeploymentDocument) {
+    pub fn apply_document(&mut self, now: Timestamp, document: &DeploymentDocument) {
         if self.version == Some(document.version) {
             return;
         }
@@ -77,7 +77,7 @@
             .collect();
         for (tenant, account) in &mut self.accounts {
             if let Some(Some(limit)) = self.limits.get(tenant) {
-                account.bucket.fill(now, *limit);
+                account.bucket.refill(now, *limit);
             }
         }
         let limits = &self.limits;
@@ -86,7 +86,7 @@
     }
 
     /// Answers a gateway.
-    pub fn answer(
+    pub fn handle_request(
         &mut self,
         now: Timestamp,
         term: u64,
@@ -141,8 +141,8 @@
                 event_at: None,
             });
         let bucket = &mut account.bucket;
-        bucket.fill(now, limit);
-        bucket.put_back(ask.returned);
+        bucket.refill(now, limit);
+        bucket.refund(ask.returned);
         if lent_here {
             // What was used while another led came out of that one's bucket, which this one began without.
             bucket.charge(ask.overdrawn);
@@ -150,11 +150,11 @@
         let covered = ask
             .queued_units
             .iter()
-            .take_while(|units| bucket.take(**units));
+            .take_while(|units| bucket.try_take(**units));
         grant.granted_requests = u32::try_from(covered.count()).unwrap_or(u32::MAX);
-        grant.over_half_available = bucket.has_plenty();
+        grant.over_half_available = bucket.has_surplus();
         if grant.granted_requests == waiting {
-            grant.prefetched_units = bucket.take_plenty(ask.prefetch_units);
+            grant.prefetched_units = bucket.take_surplus(ask.prefetch_units);
             return grant;
         }
         grant.wait_millis = bucket.wait_millis().max(1);
--- a/crates/millpass-tenancy/src/lib.rs
+++ b/crates/millpass-tenancy/src/lib.rs
@@ -14,8 +14,8 @@
 mod limit;
 mod pool;
 
-pub use account::QuotaTerms;
+pub use account::QuotaTolerance;
 pub use keys::{KeyDirectory, KeyHash, PresentedKey};
-pub use ledger::{CreditLedger, MAXIMUM_NEEDED, QuotaExhausted};
+pub use ledger::{CreditLedger, MAXIMUM_CLAIMS_PER_REQUEST, QuotaExhausted};
 pub use limit::{TenantLimit, UnitBucket};
 pub use pool::{CreditClaim, CreditOutcome, CreditPool};
--- a/crates/millpass-tenancy/src/limit.rs
+++ b/crates/millpass-tenancy/src/limit.rs
@@ -51,7 +51,7 @@
     }
 
     /// Fills it for the time gone by, and goes on under this limit.
-    pub fn fill(&mut self, now: Timestamp, limit: TenantLimit) {
+    pub fn refill(&mut self, now: Timestamp, limit: TenantLimit) {
         let gone_by = now.since(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
         self.level += gone_by * self.limit.rate();
@@ -60,7 +60,7 @@
     }
 
     /// Takes a request's cost, if anything is there.
-    pub fn take(&mut self, units: u64) -> bool {
+    pub fn try_take(&mut self, units: u64) -> bool {
         let open = self.level >= 1.0;
         if open {
             self.level -= units as f64;
@@ -69,12 +69,12 @@
     }
 
     /// Whether more than half of the capacity is there.
-    pub fn has_plenty(&self) -> bool {
+    pub fn has_surplus(&self) -> bool {
         self.level > self.limit.capacity() / 2.0
     }
 
     /// Takes up to this many units of what is above half of the capacity; gives how many.
-    pub fn take_plenty(&mut self, units: u64) -> u64 {
+    pub fn take_surplus(&mut self, units: u64) -> u64 {
         let plenty = (self.level - self.limit.capacity() / 2.0).max(0.0);
         let taken = (plenty as u64).min(units);
         self.level -= taken as f64;
@@ -82,7 +82,7 @@
     }
 
     /// Puts back units that were not used.
-    pub fn put_back(&mut self, units: u64) {
+    pub fn refund(&mut self, units: u64) {
         self.level = (self.level + units as f64).min(self.limit.capacity());
     }
 
--- a/crates/millpass-tenancy/src/pool.rs
+++ b/crates/millpass-tenancy/src/pool.rs
@@ -1,7 +1,7 @@
 //! A gateway's credit of tenants' quotas: what the leader lent it, and the requests that wait for more.
 
-use crate::account::{Account, QuotaTerms};
-use crate::ledger::MAXIMUM_NEEDED;
+use crate::account::{Account, QuotaTolerance};
+use crate::ledger::MAXIMUM_CLAIMS_PER_REQUEST;
 use crate::limit::TenantLimit;
 use millpass_proto::{
     CreditGrant, CreditRequest, CreditResponse, Duration, TenantCreditRequest, TenantName,
@@ -81,7 +81,7 @@
 /// One gateway's credit.
 #[derive(Debug, Default)]
 pub struct CreditPool {
-    terms: QuotaTerms,
+    terms: QuotaTolerance,
     accounts: BTreeMap<TenantName, Account>,
     claims: HashMap<CreditClaim, Claim>,
     last_claim: u64,
@@ -96,7 +96,7 @@
 
 impl CreditPool {
     /// A pool without any credit.
-    pub fn new(terms: QuotaTerms) -> Self {
+    pub fn new(terms: QuotaTolerance) -> Self {
         CreditPool {
             terms,
             ..CreditPool::default()
@@ -201,7 +201,7 @@
     }
 
     /// Whether a request waits that the leader was not asked for.
-    pub fn is_urgent(&self) -> bool {
+    pub fn has_queued_claims(&self) -> bool {
         self.accounts
             .values()
             .any(|account| !account.queue.is_empty())
@@ -209,7 +209,7 @@
 
     /// The next message to the leader, if there is something to say. Reserves alone are spoken of only with
     /// the `periodic` message.
-    pub fn message(
+    pub fn next_request(
         &mut self,
         now: Timestamp,
         gateway: &str,
@@ -225,7 +225,7 @@
             if account.queue.is_empty() && !(periodic && settles) {
                 continue;
             }
-            let count = account.queue.len().min(MAXIMUM_NEEDED);
+            let count = account.queue.len().min(MAXIMUM_CLAIMS_PER_REQUEST);
             let mut claims = Vec::new();
             for claim in account.queue.drain(..count) {
                 if let Some(found) = self.claims.get_mut(&claim) {
@@ -261,7 +261,7 @@
     }
 
     /// Takes the leader's answer.
-    pub fn answer(&mut self, now: Timestamp, answer: &CreditResponse) {
+    pub fn handle_response(&mut self, now: Timestamp, answer: &CreditResponse) {
         self.lent_in = answer.term;
         let Some(asked) = self.asked.remove(&answer.sequence) else {
             return;
@@ -302,7 +302,7 @@
     }
 
     /// Whether the leader owes an answer for longer than one takes, and nothing was heard of it since.
-    pub fn is_leader_silent(&self, now: Timestamp, heard_at: Timestamp) -> bool {
+    pub fn is_leader_unresponsive(&self, now: Timestamp, heard_at: Timestamp) -> bool {
         let longest = LEAST_SILENCE.max(self.answer_time * SILENCE_ANSWERS);
         let asked = self.asked.values().next();
         asked.is_some_and(|asked| now.since(asked.at.max(heard_at)) > longest)
@@ -324,7 +324,7 @@
     }
 
     /// The connection to the leader is gone: what it was asked for is asked of the next.
-    pub fn disconnected(&mut self, now: Timestamp) {
+    pub fn handle_disconnect(&mut self, now: Timestamp) {
         self.note_unanswered(now);
         let asked = std::mem::take(&mut self.asked).into_values();
         for asked in asked.flat_map(|asked| asked.tenants) {
--- a/crates/millpass-tenancy/tests/keys.rs
+++ b/crates/millpass-tenancy/tests/keys.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 fn presented(values: &[&[u8]]) -> PresentedKey {
-    PresentedKey::among(values.iter().copied())
+    PresentedKey::from_header_values(values.iter().copied())
 }
 
 #[rstest]
--- a/crates/millpass-tenancy/tests/quota.rs
+++ b/crates/millpass-tenancy/tests/quota.rs
@@ -3,12 +3,12 @@
 
 use millpass_proto::codec;
 use millpass_proto::*;
-use millpass_tenancy::{CreditLedger, CreditOutcome, CreditPool, QuotaTerms, TenantLimit};
+use millpass_tenancy::{CreditLedger, CreditOutcome, CreditPool, QuotaTolerance, TenantLimit};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-const TERMS: QuotaTerms = QuotaTerms {
+const TERMS: QuotaTolerance = QuotaTolerance {
     window: Duration::from_secs(8),
     overage: 0.1,
     slack_units: 110_000,
@@ -167,10 +167,10 @@
     fn talk(&mut self) {
         for gateway in 0..self.pools.len() {
             let periodic = (self.now + gateway as u64 * 7).is_multiple_of(REPORT_INTERVAL);
-            if self.cut[gateway] || !(periodic || self.pools[gateway].is_urgent()) {
+            if self.cut[gateway] || !(periodic || self.pools[gateway].has_queued_claims()) {
                 continue;
             }
-            let message = self.pools[gateway].message(at(self.now), "g", periodic);
+            let message = self.pools[gateway].next_request(at(self.now), "g", periodic);
             if let Some(request) = message {
                 self.credit_messages += 1;
                 self.post(Message::ToLeader(gateway, request));
@@ -185,7 +185,7 @@
             match entry.remove() {
                 Message::ToLeader(gateway, request) => self.lend(gateway, &request),
                 Message::ToGateway(gateway, answer) if !self.cut[gateway] => {
-                    self.pools[gateway].answer(at(self.now), &answer);
+                    self.pools[gateway].handle_response(at(self.now), &answer);
                 }
                 Message::ToGateway(..) => {}
             }
@@ -197,8 +197,8 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        leader.put_in_force(at(self.now), &document);
-        let (answer, _) = leader.answer(at(self.now), self.term, request);
+        leader.apply_document(at(self.now), &document);
+        let (answer, _) = leader.handle_request(at(self.now), self.term, request);
         self.post(Message::ToGateway(gateway, answer));
     }
 
@@ -207,7 +207,7 @@
         self.leader = None;
         self.messages.clear();
         for pool in &mut self.pools {
-            pool.disconnected(at(self.now));
+            pool.handle_disconnect(at(self.now));
         }
     }
 
@@ -218,7 +218,7 @@
 
     fn cut_off(&mut self, gateway: usize) {
         self.cut[gateway] = true;
-        self.pools[gateway].disconnected(at(self.now));
+        self.pools[gateway].handle_disconnect(at(self.now));
     }
 
     /// A gateway starts anew and knows nothing.
@@ -355,13 +355,14 @@
     let mut pool = CreditPool::new(TERMS);
     let ask = |pool: &mut CreditPool, now: u64| {
         pool.open(at(now), &tenant, LARGE_TENANT, 9_800, PATIENCE);
-        pool.message(at(now), "g", false).expect("something to ask")
+        pool.next_request(at(now), "g", false)
+            .expect("something to ask")
     };
     let first = ask(&mut pool, 0);
-    assert!(!pool.is_leader_silent(at(400), at(0)));
-    assert!(pool.is_leader_silent(at(600), at(0)));
+    assert!(!pool.is_leader_unresponsive(at(400), at(0)));
+    assert!(pool.is_leader_unresponsive(at(600), at(0)));
     // Something else of it was heard.
-    assert!(!pool.is_leader_silent(at(600), at(500)));
+    assert!(!pool.is_leader_unresponsive(at(600), at(500)));
     // Answers that take 200 ms make it a slow one.
     let mut answered = first;
     for turn in 1..20 {
@@ -370,11 +371,11 @@
             sequence: answered.sequence,
             grants: Vec::new(),
         };
-        pool.answer(at(turn * 300 - 100), &answer);
+        pool.handle_response(at(turn * 300 - 100), &answer);
         answered = ask(&mut pool, turn * 300);
     }
-    assert!(!pool.is_leader_silent(at(19 * 300 + 1_000), at(0)));
-    assert!(pool.is_leader_silent(at(19 * 300 + 2_000), at(0)));
+    assert!(!pool.is_leader_unresponsive(at(19 * 300 + 1_000), at(0)));
+    assert!(pool.is_leader_unresponsive(at(19 * 300 + 2_000), at(0)));
 }
 
 /// Gateways left a busy leader, found the same one again half a second later and were told everything anew, which made
@@ -389,12 +390,13 @@
     for turn in 0..4 {
         let begun = turn * 10_000;
         pool.open(at(begun), &tenant, LARGE_TENANT, 9_800, PATIENCE);
-        pool.message(at(begun), "g", false)
+        pool.next_request(at(begun), "g", false)
             .expect("something to ask");
-        let silent = (begun..begun + 10_000).find(|now| pool.is_leader_silent(at(*now), at(begun)));
+        let silent =
+            (begun..begun + 10_000).find(|now| pool.is_leader_unresponsive(at(*now), at(begun)));
         let silent = silent.expect("a leader that says nothing counts as silent");
         patience.push(silent - begun);
-        pool.disconnected(at(silent));
+        pool.handle_disconnect(at(silent));
     }
     assert!(
         patience.is_sorted_by(|one, next| one < next),
@@ -404,17 +406,17 @@
     for turn in 0..40 {
         let asked = 50_000 + turn * 100;
         pool.open(at(asked), &tenant, LARGE_TENANT, 9_800, PATIENCE);
-        let message = pool.message(at(asked), "g", false);
+        let message = pool.next_request(at(asked), "g", false);
         let answer = CreditResponse {
             term: 1,
             sequence: message.expect("something to ask").sequence,
             grants: Vec::new(),
         };
-        pool.answer(at(asked + 4), &answer);
+        pool.handle_response(at(asked + 4), &answer);
     }
     pool.open(at(60_000), &tenant, LARGE_TENANT, 9_800, PATIENCE);
-    pool.message(at(60_000), "g", false);
-    assert!(pool.is_leader_silent(at(60_600), at(60_000)));
+    pool.next_request(at(60_000), "g", false);
+    assert!(pool.is_leader_unresponsive(at(60_600), at(60_000)));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -502,7 +504,7 @@
     let tenant = TenantName::from("tenant-0001");
     pool.open(at(0), &tenant, LARGE_TENANT, 9_800, PATIENCE);
     let request = pool
-        .message(at(0), "front-zone-a-12", false)
+        .next_request(at(0), "front-zone-a-12", false)
         .expect("something to ask");
     let message = LinkMessage::Router(RouterToControl::Credit(request));
     let mut frame = Vec::new();
