--- a/crates/millpass-policy/src/attributes.rs
+++ b/crates/millpass-policy/src/attributes.rs
@@ -1,26 +1,26 @@
-//! What a policy program can see of a request.
+//! Request attributes available to policy programs.
 
-/// Names of the variables that programs may use.
+/// Names of the variables, in the order of [`RequestAttributes::variables`].
 pub(crate) const VARIABLES: [&str; 5] = ["tenant", "model", "adapter", "kind", "path"];
 
-/// The facts of one request. Only facts that give every router the same verdict are offered:
-/// no clock, no load.
+/// Attributes of a request. They exclude time and load, so that every router reaches the same
+/// verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestAttributes<'a> {
     /// Tenant.
     pub tenant: &'a str,
-    /// Model; empty for a web request.
+    /// Model; empty for web requests.
     pub model: &'a str,
-    /// Adapter; empty when none is asked for.
+    /// Adapter; empty if none is requested.
     pub adapter: &'a str,
     /// `completion`, `chat` or `web`.
     pub kind: &'a str,
-    /// Path of a web request, without its query; empty for a model request.
+    /// Path without query; empty for model requests.
     pub path: &'a str,
 }
 
 impl<'a> RequestAttributes<'a> {
-    /// The facts as variables, in the order of [`VARIABLES`].
+    /// Returns the attributes as variables, in the order of [`VARIABLES`].
     pub(crate) fn variables(&self) -> [(&'static str, &'a str); 5] {
         let [tenant, model, adapter, kind, path] = VARIABLES;
         [
--- a/crates/millpass-policy/src/cache.rs
+++ b/crates/millpass-policy/src/cache.rs
@@ -1,16 +1,16 @@
-//! Verdicts already reached, until the catalog changes.
+//! Cache of verdicts, cleared when the catalog changes.
 
 use crate::attributes::RequestAttributes;
 use crate::evaluate::{CompiledPolicies, Verdict};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Separates the parts of a key; no name may hold it.
+/// Separates the parts of a key; names cannot contain it.
 const SEPARATOR: char = '\u{0}';
 
-/// A bounded cache of verdicts in two generations: when the younger one is full it becomes the
-/// older one and that one is dropped. Entries in use move back to the younger generation. Only
-/// looked up by key, so its unordered map cannot leak an order into decisions.
+/// Bounded verdict cache with two generations: when the newer one is full it replaces the older
+/// one. A hit in the older generation moves the entry to the newer one. The maps are only accessed
+/// by key, so their iteration order cannot influence decisions.
 #[derive(Debug)]
 pub struct VerdictCache {
     half_capacity: usize,
@@ -20,7 +20,7 @@
 }
 
 impl VerdictCache {
-    /// A cache of at most this many verdicts.
+    /// Returns a cache of at most `capacity` verdicts.
     pub fn new(capacity: usize) -> Self {
         VerdictCache {
             half_capacity: (capacity / 2).max(1),
@@ -30,23 +30,23 @@
         }
     }
 
-    /// Forgets everything; called with each revision of the catalog.
+    /// Drops all verdicts; must be called for each catalog revision.
     pub fn clear(&mut self) {
         self.younger.clear();
         self.older.clear();
     }
 
-    /// Number of verdicts held.
+    /// Number of cached verdicts.
     pub fn len(&self) -> usize {
         self.younger.len() + self.older.len()
     }
 
-    /// Whether none is held.
+    /// Returns true if no verdict is cached.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The verdict on a request, evaluated when not held.
+    /// Returns the verdict on a request, evaluating the policies on a miss.
     pub fn verdict(
         &mut self,
         policies: &CompiledPolicies,
--- a/crates/millpass-policy/src/cost.rs
+++ b/crates/millpass-policy/src/cost.rs
@@ -1,22 +1,22 @@
-//! Bounds a program from its syntax tree: depth, names, functions, and a worst-case cost.
+//! Static bounds of a program: depth of its syntax tree, names, functions and worst-case cost.
 //!
-//! Programs have no loops but the macros (`all`, `exists`, `map`, ..). A macro may only range over
-//! a list or map that is written out in the program, so the number of its rounds is known here.
+//! Macros (`all`, `exists`, `map`, ..) are the only loops in programs. Their range must be a list
+//! or map literal, so the number of iterations is known statically.
 
 use crate::attributes::VARIABLES;
 use cel::common::ast::{CallExpr, ComprehensionExpr, EntryExpr, Expr, IdedExpr};
 
-/// Deepest syntax tree accepted.
+/// Maximum depth of the syntax tree.
 pub const MAXIMUM_DEPTH: usize = 64;
-/// Greatest worst-case cost accepted, in evaluated nodes (well under a millisecond).
+/// Maximum worst-case cost, in evaluated nodes.
 pub const MAXIMUM_COST: u64 = 5_000;
-/// Macros inside macros accepted: one in another.
+/// Maximum nesting of macros.
 pub const MAXIMUM_MACRO_NESTING: usize = 2;
 
 /// Cost of a call that reads whole strings, in nodes.
 const STRING_CALL_COST: u64 = 4;
-/// Functions offered beside operators and macros. Regular expressions are left out: compiling one
-/// has a cost that the syntax tree does not show.
+/// Supported functions besides operators and macros. Regular expressions are excluded because their
+/// cost is not visible in the syntax tree.
 const FUNCTIONS: [&str; 8] = [
     "size",
     "contains",
@@ -28,17 +28,17 @@
     "double",
 ];
 
-/// A broken bound: the node it is at, why, and what to do.
+/// A violated bound.
 pub(crate) struct Finding {
-    /// Identity of the node in the source map.
+    /// Id of the node in the source map.
     pub node: u64,
     /// What is wrong.
     pub reason: String,
-    /// What to do about it.
+    /// How to fix it.
     pub remedy: &'static str,
 }
 
-/// Checks a whole program; returns its worst-case cost.
+/// Checks a whole program and returns its worst-case cost.
 pub(crate) fn check(root: &IdedExpr) -> Result<u64, Finding> {
     let mut walk = Walk { scope: Vec::new() };
     let cost = walk.cost(root, 1)?;
@@ -52,9 +52,9 @@
     Ok(cost)
 }
 
-/// One walk over a tree.
+/// Traversal of a syntax tree.
 struct Walk {
-    /// Variables bound by the macros around the current node.
+    /// Variables bound by the enclosing macros.
     scope: Vec<String>,
 }
 
@@ -154,7 +154,7 @@
         let range = self.cost(&call.iter_range, depth + 1)?;
         let start = self.cost(&call.accu_init, depth + 1)?;
         let outer = self.scope.len();
-        // The empty name marks one level of nesting; no source can write it.
+        // An empty name, which no source can contain, marks each level of nesting.
         self.scope.push(String::new());
         self.scope.push(call.iter_var.clone());
         self.scope.extend(call.iter_var2.clone());
@@ -169,12 +169,12 @@
     }
 }
 
-/// Operators carry names that no source can write, such as `_&&_`, `!_` or `@in`.
+/// Operators have names that no source can contain, such as `_&&_`, `!_` or `@in`.
 fn is_operator(name: &str) -> bool {
     name.contains(['_', '@']) && !name.starts_with(char::is_alphabetic)
 }
 
-/// Most elements that a macro's range can have.
+/// Returns the maximum number of elements in a macro's range.
 fn length_bound(range: &IdedExpr) -> Result<u64, Finding> {
     match &range.expr {
         Expr::List(list) => Ok(list.elements.len() as u64),
--- a/crates/millpass-policy/src/error.rs
+++ b/crates/millpass-policy/src/error.rs
@@ -1,19 +1,19 @@
-//! Why a policy was not accepted.
+//! Errors of policy compilation and validation.
 
 use millpass_proto::PolicyName;
 use std::fmt;
 use thiserror::Error;
 
-/// Which program of a policy.
+/// Program of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyProgram {
-    /// Whether the request is allowed.
+    /// Allows the request.
     Allow,
-    /// Whether it is refused whatever else allows it.
+    /// Denies the request, overriding every `allow`.
     Deny,
-    /// Its urgency.
+    /// Urgency of the request.
     Urgency,
-    /// Accelerator bytes of the tenant.
+    /// Accelerator bytes available to the tenant.
     CapacityBytes,
 }
 
@@ -28,15 +28,15 @@
     }
 }
 
-/// A policy that is not accepted: where, why, and what to do.
+/// Why a policy was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PolicyError {
-    /// A program does not compile or breaks a bound.
+    /// A program does not compile or violates a bound.
     #[error("policy {policy}: {program}:{line}:{column}: {reason}; {remedy}")]
     Program {
         /// Policy.
         policy: PolicyName,
-        /// Which of its programs.
+        /// Program of the policy.
         program: PolicyProgram,
         /// Line, from 1.
         line: usize,
@@ -44,21 +44,21 @@
         column: usize,
         /// What is wrong.
         reason: String,
-        /// What to do about it.
+        /// How to fix it.
         remedy: &'static str,
     },
-    /// An example of the policy does not come out as stated.
+    /// An example of the policy did not get the expected verdict.
     #[error("policy {policy}: example {number} ({example}): {reason}; {remedy}")]
     Example {
         /// Policy.
         policy: PolicyName,
         /// Number of the example, from 1.
         number: usize,
-        /// The request of the example, for people.
+        /// Readable form of the example's request.
         example: String,
-        /// What came out.
+        /// What is wrong.
         reason: String,
-        /// What to do about it.
+        /// How to fix it.
         remedy: &'static str,
     },
 }
--- a/crates/millpass-policy/src/evaluate.rs
+++ b/crates/millpass-policy/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! The policies in force, and the verdict on one request.
+//! Compilation and evaluation of policies.
 
 use crate::attributes::RequestAttributes;
 use crate::error::{PolicyError, PolicyProgram};
@@ -6,27 +6,27 @@
 use cel::{Context, Value};
 use millpass_proto::{PolicyExample, PolicyName, PolicySpec, Urgency};
 
-/// Remedy of a program that fails on an example.
 const EXAMPLE_REMEDY: &str = "correct the policy or the example";
 
-/// What the policies say of a request.
+/// Combined result of all policies for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Whether it may be served.
+    /// The request may be served.
     pub allowed: bool,
-    /// Policy that decided: the one that denies or failed, else the first by name that allows;
-    /// none when no policy allows it.
+    /// The policy that denied or failed; otherwise the first allowing policy by name. `None` if no
+    /// policy allows the request.
     pub deciding_policy: Option<PolicyName>,
-    /// Urgency; `Normal` when no allowing policy states one.
+    /// Urgency; `Normal` if no allowing policy sets one.
     pub urgency: Urgency,
-    /// Accelerator bytes the tenant may hold: the smallest over the allowing policies.
+    /// Accelerator bytes the tenant may use: the minimum over the allowing policies. `None` if none
+    /// sets a limit.
     pub capacity_bytes: Option<u64>,
-    /// Why an evaluation failed, if one did; the request is then denied.
+    /// Error of a failed evaluation; the request is then denied.
     pub failure: Option<String>,
 }
 
 impl Verdict {
-    /// The verdict when no policy allows.
+    /// Verdict if no policy allows the request.
     fn default_deny() -> Self {
         Verdict {
             allowed: false,
@@ -46,7 +46,6 @@
     }
 }
 
-/// One policy, compiled.
 #[derive(Debug)]
 struct CompiledPolicy {
     name: PolicyName,
@@ -74,11 +73,11 @@
     }
 }
 
-/// The policies of one catalog revision, ordered by name.
+/// Compiled policies of one catalog revision, ordered by name.
 #[derive(Default)]
 pub struct CompiledPolicies {
     policies: Vec<CompiledPolicy>,
-    /// Functions of the language; building them costs more than a program, so it is done once.
+    /// Built-in functions, shared because building them is expensive.
     functions: Context<'static, 'static>,
 }
 
@@ -90,7 +89,7 @@
 }
 
 impl CompiledPolicies {
-    /// Compiles all policies; the first that breaks a rule is the error.
+    /// Compiles all policies; returns the error of the first one that is invalid.
     pub fn compile(policies: &[(PolicyName, PolicySpec)]) -> Result<Self, PolicyError> {
         let mut compiled = policies
             .iter()
@@ -108,12 +107,12 @@
         self.policies.len()
     }
 
-    /// Whether there is none: then nothing is allowed.
+    /// Returns true if there are no policies, so that every request is denied.
     pub fn is_empty(&self) -> bool {
         self.policies.is_empty()
     }
 
-    /// Judges a request. Any failing program denies, and names its policy.
+    /// Evaluates all policies for a request. A program that fails denies the request.
     pub fn evaluate(&self, facts: &RequestAttributes<'_>) -> Verdict {
         let context = context_of(&self.functions, facts);
         for policy in &self.policies {
@@ -135,7 +134,7 @@
     }
 }
 
-/// Compiles a policy as submitted and runs its examples, alone and with default deny.
+/// Compiles a submitted policy and runs its examples against it alone, with default deny.
 pub fn validate(name: &PolicyName, spec: &PolicySpec) -> Result<(), PolicyError> {
     let policies = CompiledPolicies::compile(&[(name.clone(), spec.clone())])?;
     for (index, example) in spec.examples.iter().enumerate() {
@@ -159,7 +158,7 @@
     Ok(())
 }
 
-/// The variables of one request, in a scope within the functions.
+/// Inner scope with the variables of a request.
 fn context_of<'a>(
     functions: &'a Context<'static, 'static>,
     facts: &RequestAttributes<'_>,
@@ -171,7 +170,7 @@
     context
 }
 
-/// Whether the policy's `deny` program holds.
+/// Evaluates the policy's `deny` program.
 fn denies(policy: &CompiledPolicy, context: &Context<'_, '_>) -> Result<bool, String> {
     match &policy.deny {
         Some(program) => boolean(program, PolicyProgram::Deny, context),
@@ -179,7 +178,7 @@
     }
 }
 
-/// Adds what an allowing policy says to the verdict.
+/// Merges an allowing policy into the verdict.
 fn apply_allow(
     policy: &CompiledPolicy,
     context: &Context<'_, '_>,
@@ -242,7 +241,7 @@
     }
 }
 
-/// Facts of an example. A web example carries its path where a model example has its model.
+/// Attributes of an example; for web examples the `model` field contains the path.
 fn facts_of(example: &PolicyExample) -> RequestAttributes<'_> {
     let is_web = example.kind == "web";
     let asked = example.model.as_str();
--- a/crates/millpass-policy/src/lib.rs
+++ b/crates/millpass-policy/src/lib.rs
@@ -1,12 +1,12 @@
-//! Policies in Common Expression Language: compile, check cost, evaluate.
+//! Policies in Common Expression Language (CEL): compilation, cost bounds and evaluation.
 //!
-//! A policy is up to four short programs over the facts of one request. They are total and have
-//! no side effects; what they may cost is bounded from their syntax tree before they are accepted,
-//! so that no submitted policy can stall a router. Nothing is allowed unless some policy allows it.
+//! A policy consists of up to four programs over the attributes of a request. Programs are total
+//! and free of side effects, and their cost is bounded statically before they are accepted, so that
+//! no submitted policy can stall a router. Requests are denied unless a policy allows them.
 //!
-//! * [`validate`] judges a policy when an operator submits it.
-//! * [`CompiledPolicies`] holds the policies in force and judges requests.
-//! * [`VerdictCache`] remembers verdicts until the catalog changes.
+//! * [`validate`] checks a policy when it is submitted.
+//! * [`CompiledPolicies`] evaluates requests against the current policies.
+//! * [`VerdictCache`] caches verdicts until the catalog changes.
 
 mod attributes;
 mod cache;
--- a/crates/millpass-policy/src/program.rs
+++ b/crates/millpass-policy/src/program.rs
@@ -1,27 +1,27 @@
-//! One compiled, bounded program.
+//! A compiled program within static bounds.
 
 use crate::cost::{self, Finding};
 use crate::error::{PolicyError, PolicyProgram};
 use cel::{Context, Program, Value};
 use millpass_proto::PolicyName;
 
-/// Longest source accepted, in bytes.
+/// Maximum length of the source in bytes.
 pub const MAXIMUM_SOURCE_BYTES: usize = 4_096;
-/// Deepest nesting of brackets accepted, checked before parsing: the parser is recursive.
+/// Maximum nesting of brackets. Checked before parsing because the parser is recursive.
 pub const MAXIMUM_BRACKET_DEPTH: usize = 24;
-/// Longest run of prefix operators accepted, such as `!!`.
+/// Maximum number of consecutive prefix operators, such as `!!`.
 const MAXIMUM_PREFIX_RUN: usize = 8;
-/// Most conditional operators accepted; they nest to the right.
+/// Maximum number of conditional operators, which nest to the right.
 const MAXIMUM_CONDITIONALS: usize = 24;
 
-/// A program within its bounds.
+/// A compiled program within its bounds.
 #[derive(Debug)]
 pub(crate) struct BoundedProgram {
     program: Program,
 }
 
 impl BoundedProgram {
-    /// Compiles a source; refuses what breaks a bound.
+    /// Compiles a source; rejects sources that violate a bound.
     pub fn compile(
         policy: &PolicyName,
         kind: PolicyProgram,
@@ -61,7 +61,7 @@
         Ok(BoundedProgram { program })
     }
 
-    /// Runs the program; an error is told in words.
+    /// Runs the program; returns the evaluation error as text.
     pub fn run(&self, context: &Context<'_, '_>) -> Result<Value, String> {
         self.program
             .execute(context)
@@ -69,7 +69,7 @@
     }
 }
 
-/// A source that is not even parsed.
+/// Error found before parsing.
 struct SourceProblem {
     line: usize,
     column: usize,
@@ -77,8 +77,8 @@
     remedy: &'static str,
 }
 
-/// Bounds what the recursive parser is given. Text inside string literals counts too: a string
-/// with 25 open brackets is refused as well, which no real policy needs.
+/// Bounds the recursion of the parser. Brackets and operators in string literals count as well,
+/// which only rejects more sources.
 fn check_source(source: &str) -> Result<(), SourceProblem> {
     let problem = |offset: usize, reason: String, remedy| {
         let (line, column) = line_and_column(source, offset);
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// Line and column, from 1, of the character at this offset in bytes.
+/// Returns line and column, both from 1, of a byte offset.
 fn line_and_column(source: &str, offset: usize) -> (usize, usize) {
     let mut line = 1;
     let mut column = 1;
@@ -138,7 +138,7 @@
     (line, column)
 }
 
-/// Place and words of the first syntax error.
+/// Returns line, column and message of the first syntax error.
 fn first_error(errors: &cel::ParseErrors) -> (usize, usize, String) {
     match errors.errors.first() {
         Some(error) => (
@@ -150,7 +150,7 @@
     }
 }
 
-/// A line or column, from 1.
+/// Converts a line or column to a number from 1.
 fn position(number: impl TryInto<usize>) -> usize {
     number.try_into().unwrap_or(1).max(1)
 }
--- a/crates/millpass-policy/tests/policy.rs
+++ b/crates/millpass-policy/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Table and property tests of policies.
+//! Tests of policy compilation, evaluation and validation.
 
 use millpass_policy::{CompiledPolicies, PolicyError, RequestAttributes, VerdictCache, validate};
 use millpass_proto::{PolicyExample, PolicyName, PolicySpec, Urgency};
@@ -170,7 +170,7 @@
     assert!(cache.is_empty());
 }
 
-/// The programs shown to operators in `docs/POLICIES.md`.
+/// Guards against documented programs that do not compile or that fail (`docs/POLICIES.md`).
 #[test]
 fn documented_programs_compile() {
     let page = include_str!("../../../docs/POLICIES.md");
@@ -205,7 +205,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &seed))
 }
 
-/// Sources made of pieces of the language, mostly broken, some whole.
+/// Mostly invalid sources composed of language fragments.
 fn source_strategy() -> impl Strategy<Value = String> {
     let pieces = prop::sample::select(vec![
         "tenant",
--- a/crates/millpass-routing/examples/steps.rs
+++ b/crates/millpass-routing/examples/steps.rs
@@ -1,5 +1,5 @@
-//! Steps per second of one core on one thread, and its memory with many waiting requests:
-//! `cargo run --release -p millpass-routing --example steps`.
+//! Measures steps per second on one thread and memory use with many waiting requests: `cargo run
+//! --release -p millpass-routing --example steps`.
 
 use millpass_proto::*;
 use millpass_routing::*;
@@ -20,7 +20,7 @@
     let sequence = sequence_of(&report);
     routing.step(now, 0, RoutingInput::Update(update(sequence)));
     let mut latencies = Vec::with_capacity(REQUESTS as usize);
-    // The first round fills the caches; the second is measured.
+    // The first round warms the caches; the second one is the measurement.
     for round in 0..2u64 {
         let started = Instant::now();
         let mut steps = 0u64;
@@ -57,7 +57,7 @@
     measure_waiting(&mut routing, now);
 }
 
-/// Fills the queues of models that have no replica.
+/// Measures queueing of requests for models without a replica.
 fn measure_waiting(routing: &mut Routing, now: Timestamp) {
     let before = resident_bytes();
     let started = Instant::now();
@@ -80,7 +80,7 @@
     );
 }
 
-/// Resident memory of this process, where the system tells it.
+/// Resident memory of this process in bytes; 0 if the system does not report it.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -186,7 +186,7 @@
         });
         object(ObjectKind::Tenant, format!("tenant-{tenant}"), spec)
     });
-    // Twice as many models as have replicas: the others are cold.
+    // Half of the models have no replica.
     let models = (0..2 * MODELS).map(|model| {
         let spec = ObjectSpec::Model(ModelSpec {
             current_version: "v1".into(),
--- a/crates/millpass-routing/src/admission.rs
+++ b/crates/millpass-routing/src/admission.rs
@@ -1,40 +1,42 @@
-//! Admission: who asks, for what, whether it is allowed, and whether it can be met in time.
+//! Admission of arriving requests: authentication, target lookup, policies, queue limits and
+//! deadline checks.
 
 use crate::explain::{Explanation, Outcome, target_text};
 use crate::interface::{Arrival, Executed, RefusalReason, RequestNumber, RoutingOutput, Target};
 use crate::queues::QueueKey;
 use crate::readiness::{NO_BACKEND_GRACE, Readiness};
-use crate::refusals::Refused;
+use crate::refusals::Rejection;
 use crate::request::{Request, Stage};
 use crate::{Routing, Step};
 use millpass_policy::{RequestAttributes, Verdict};
 use millpass_proto::{Duration, PolicyName, TenantName, Timestamp, Urgency};
 use std::sync::Arc;
 
-/// What is known of an arrival that is refused, for its explanation.
+/// Fields recorded so far for the explanation of a cause arrival.
 #[derive(Default)]
-struct Known {
+struct ArrivalContext {
     request_id: String,
     tenant: Option<TenantName>,
     target: String,
     policy: Option<PolicyName>,
 }
 
-/// Where an arrival goes.
+/// Queue and attributes of the model or web group that a request addresses.
 struct ResolvedTarget {
     queue: QueueKey,
     kind: &'static str,
     path: String,
     prefix_hash: u64,
-    /// Whether the path's requests run at most once.
+    /// The path requires an idempotency key: its requests run at most once.
     at_most_once: bool,
-    /// Whether it may run again after it may have run, if it has no key.
+    /// A request without a key may be retried even if an earlier attempt may have run.
     repeatable: bool,
 }
 
 impl Routing {
-    /// Takes an arrival: dispatches it, queues it, asks for its claim, or refuses it at once.
-    pub(crate) fn arrive(&mut self, arrival: Arrival, step: &mut Step) {
+    /// Admits an arrival and then dispatches it, queues it or requests its claim; refuses it
+    /// otherwise.
+    pub(crate) fn handle_arrival(&mut self, arrival: Arrival, step: &mut Step) {
         self.decisions.counters.arrivals += 1;
         let number = arrival.request;
         if self.table.get(number).is_some() {
@@ -44,39 +46,39 @@
             );
             return;
         }
-        let mut known = Known {
+        let mut context = ArrivalContext {
             request_id: arrival.request_id.clone(),
-            ..Known::default()
+            ..ArrivalContext::default()
         };
         let outcome = self
-            .admit(arrival, &mut known, step)
-            .and_then(|request| self.place(request, step));
-        if let Err(refused) = outcome {
-            self.refuse_arrival(number, refused, known, step);
+            .admit(arrival, &mut context, step)
+            .and_then(|request| self.dispatch_or_enqueue(request, step));
+        if let Err(rejection) = outcome {
+            self.refuse_arrival(number, rejection, context, step);
         }
     }
 
-    /// Refuses an arrival that never entered the table.
+    /// Refuses an arrival that was never added to the table.
     fn refuse_arrival(
         &mut self,
         number: RequestNumber,
-        refused: Refused,
-        known: Known,
+        rejection: Rejection,
+        context: ArrivalContext,
         step: &mut Step,
     ) {
-        // Of an expired key the control group no longer knows whether its request ran.
-        let executed = match refused.reason {
+        // Records of expired keys are deleted, so an earlier request with the key may have run.
+        let executed = match rejection.reason {
             RefusalReason::KeyExpired => Executed::Unknown,
             _ => Executed::No,
         };
-        let refusal = refused.into_refusal(executed);
+        let refusal = rejection.into_refusal(executed);
         self.decisions.record(Explanation {
             request: number,
-            request_id: known.request_id,
-            tenant: known.tenant,
-            target: known.target,
+            request_id: context.request_id,
+            tenant: context.tenant,
+            target: context.target,
             urgency: None,
-            policy: known.policy,
+            policy: context.policy,
             outcome: Outcome::Refused(refusal.reason),
             wait_reason: None,
             refusal: Some(refusal.clone()),
@@ -87,32 +89,32 @@
         step.outputs.push(RoutingOutput::Refuse(number, refusal));
     }
 
-    /// Everything that can be judged before a place is sought.
+    /// Runs all checks that do not depend on backend capacity.
     fn admit(
         &mut self,
         arrival: Arrival,
-        known: &mut Known,
+        context: &mut ArrivalContext,
         step: &Step,
-    ) -> Result<Request, Refused> {
+    ) -> Result<Request, Rejection> {
         if self.drain.is_some() {
-            return Err(Refused::new(RefusalReason::Draining));
+            return Err(Rejection::new(RefusalReason::Draining));
         }
-        if !self.lease.is_fresh(step.now) {
-            return Err(Refused::new(RefusalReason::NoLease));
+        if !self.lease.is_valid(step.now) {
+            return Err(Rejection::new(RefusalReason::NoLease));
         }
         let tenant = self.catalog.tenant_of_key(&arrival.api_key).cloned();
-        let tenant = tenant.ok_or_else(|| Refused::new(RefusalReason::UnknownKey))?;
-        known.tenant = Some(tenant.clone());
+        let tenant = tenant.ok_or_else(|| Rejection::new(RefusalReason::UnknownKey))?;
+        context.tenant = Some(tenant.clone());
         let target = self.resolve(arrival.target)?;
-        known.target = target_text(&target.queue);
-        let verdict = self.judge_policies(&tenant, &target.queue, target.kind, &target.path)?;
-        known.policy = verdict.deciding_policy.clone();
+        context.target = target_text(&target.queue);
+        let verdict = self.evaluate_policies(&tenant, &target.queue, target.kind, &target.path)?;
+        context.policy = verdict.deciding_policy.clone();
         check_verdict(&verdict)?;
         if arrival.deadline <= step.now {
-            return Err(Refused::new(RefusalReason::DeadlinePassed));
+            return Err(Rejection::new(RefusalReason::DeadlinePassed));
         }
         if target.at_most_once && arrival.idempotency.is_none() {
-            return Err(Refused::new(RefusalReason::KeyRequired));
+            return Err(Rejection::new(RefusalReason::KeyRequired));
         }
         if let Some(key) = &arrival.idempotency {
             self.check_key_age(key.created_unix_millis)?;
@@ -134,21 +136,21 @@
             stage: Stage::Waiting,
             attempts: Vec::new(),
             may_have_run: false,
-            answer_started: false,
+            response_started: false,
             tokens: 0,
             detached: false,
         })
     }
 
-    fn check_key_age(&self, created_unix_millis: u64) -> Result<(), Refused> {
-        if created_unix_millis < self.claims_born_after {
-            return Err(Refused::new(RefusalReason::KeyExpired));
+    fn check_key_age(&self, created_unix_millis: u64) -> Result<(), Rejection> {
+        if created_unix_millis < self.claims_created_after {
+            return Err(Rejection::new(RefusalReason::KeyExpired));
         }
         Ok(())
     }
 
-    /// Finds the model or web group.
-    fn resolve(&self, target: Target) -> Result<ResolvedTarget, Refused> {
+    /// Looks up the addressed model or web group.
+    fn resolve(&self, target: Target) -> Result<ResolvedTarget, Rejection> {
         match target {
             Target::Model {
                 model,
@@ -157,7 +159,7 @@
                 prefix_hash,
             } => {
                 if !self.catalog.has_model(&model, adapter.as_ref()) {
-                    return Err(Refused::with_detail(RefusalReason::NotFound, model.0));
+                    return Err(Rejection::with_detail(RefusalReason::NotFound, model.0));
                 }
                 Ok(ResolvedTarget {
                     queue: QueueKey::Model {
@@ -178,7 +180,7 @@
                     None => path,
                 };
                 let Some((group, at_most_once)) = self.catalog.group_of_path(&path) else {
-                    return Err(Refused::with_detail(RefusalReason::NotFound, path));
+                    return Err(Rejection::with_detail(RefusalReason::NotFound, path));
                 };
                 Ok(ResolvedTarget {
                     queue: QueueKey::Web(group.clone()),
@@ -192,14 +194,14 @@
         }
     }
 
-    /// The policies' verdict on a request.
-    fn judge_policies(
+    /// Evaluates the policies for a request.
+    fn evaluate_policies(
         &mut self,
         tenant: &TenantName,
         queue: &QueueKey,
         kind: &str,
         path: &str,
-    ) -> Result<Arc<Verdict>, Refused> {
+    ) -> Result<Arc<Verdict>, Rejection> {
         let (model, adapter) = match queue {
             QueueKey::Model { model, adapter, .. } => (
                 model.as_str(),
@@ -216,61 +218,66 @@
         };
         self.catalog
             .verdict(&facts)
-            .map_err(|error| Refused::with_detail(RefusalReason::PolicyDenied, error.to_string()))
+            .map_err(|error| Rejection::with_detail(RefusalReason::PolicyDenied, error.to_string()))
     }
 
-    /// Finds a place for an admitted request, or refuses it.
-    fn place(&mut self, request: Request, step: &mut Step) -> Result<(), Refused> {
-        self.demand.arrived(&request.queue);
-        if let Some(refused) = self.hopeless(&request, step.now) {
-            return Err(refused);
+    /// Dispatches an admitted request, requests its claim or queues it; refuses it if its deadline
+    /// cannot be met.
+    fn dispatch_or_enqueue(&mut self, request: Request, step: &mut Step) -> Result<(), Rejection> {
+        self.demand.record_arrival(&request.queue);
+        if let Some(rejection) = self.check_deadline(&request, step.now) {
+            return Err(rejection);
         }
         if request.claim.is_some() {
-            return self.ask_for_claim(request, step);
+            return self.request_claim(request, step);
         }
         if self.queues.is_empty(&request.queue)
-            && let Some(seat) = self.find_seat(&request, step.now)
+            && let Some(selected) = self.select_backend_for(&request, step.now)
         {
             let number = request.number;
             self.table.insert(request);
-            self.dispatch(number, seat, step);
+            self.dispatch(number, selected, step);
             return Ok(());
         }
-        self.make_room(&request, step)?;
+        self.enforce_queue_limits(&request, step)?;
         self.enqueue(request);
         Ok(())
     }
 
-    /// Checks the bounds on waiting requests; a more urgent arrival displaces the newest batch
-    /// request when the table is full.
-    pub(crate) fn make_room(&mut self, request: &Request, step: &mut Step) -> Result<(), Refused> {
+    /// Enforces the limits on waiting requests. When the table is full, a more urgent arrival
+    /// displaces the newest batch request.
+    pub(crate) fn enforce_queue_limits(
+        &mut self,
+        request: &Request,
+        step: &mut Step,
+    ) -> Result<(), Rejection> {
         let tenant = self.catalog.tenant(&request.tenant);
         let limit = tenant.map_or(0, |spec| spec.maximum_waiting);
         if self.table.waiting_of(&request.tenant) >= limit {
-            return Err(Refused::new(RefusalReason::TenantLimit));
+            return Err(Rejection::new(RefusalReason::TenantLimit));
         }
         if self.table.waiting() < self.settings.maximum_waiting {
             return Ok(());
         }
         if request.urgency == Urgency::Batch {
-            return Err(Refused::new(RefusalReason::QueueFull));
+            return Err(Rejection::new(RefusalReason::QueueFull));
         }
         let Some(displaced) = self.table.newest_batch() else {
-            return Err(Refused::new(RefusalReason::QueueFull));
+            return Err(Rejection::new(RefusalReason::QueueFull));
         };
-        self.give_up(displaced, Refused::new(RefusalReason::QueueFull), step);
+        self.end_request(displaced, Rejection::new(RefusalReason::QueueFull), step);
         Ok(())
     }
 
-    /// Puts a request into the table and its queue.
+    /// Adds a request to the table and to its queue.
     fn enqueue(&mut self, request: Request) {
         let number = request.number;
         self.table.insert(request);
         self.push_to_queue(number);
     }
 
-    /// Puts a request of the table into its queue. The first one that waits for a model which
-    /// is not being served makes the next report go out at once.
+    /// Adds a request that is already in the table to its queue. The first request in a queue
+    /// triggers a report, since the leader may have to load the model.
     pub(crate) fn push_to_queue(&mut self, number: RequestNumber) {
         let Some(request) = self.table.get(number) else {
             return;
@@ -280,25 +287,25 @@
         let weight = tenant.map_or(1, |spec| spec.share_weight);
         self.queues.push(request, weight);
         if first {
-            self.reporting.hurry();
+            self.reporting.expedite();
         }
     }
 
-    /// Judges again, after a change of the catalog, every request that waits.
-    pub(crate) fn judge_waiting_by_catalog(&mut self, step: &mut Step) {
+    /// Repeats the catalog and policy checks for every waiting request after a catalog change.
+    pub(crate) fn recheck_waiting(&mut self, step: &mut Step) {
         for number in self.table.all_waiting() {
-            if let Err(refused) = self.still_admitted(number) {
-                self.give_up(number, refused, step);
+            if let Err(rejection) = self.recheck_admission(number) {
+                self.end_request(number, rejection, step);
             }
         }
     }
 
-    fn still_admitted(&mut self, number: RequestNumber) -> Result<(), Refused> {
+    fn recheck_admission(&mut self, number: RequestNumber) -> Result<(), Rejection> {
         let Some(request) = self.table.get(number) else {
             return Ok(());
         };
         if self.catalog.tenant(&request.tenant).is_none() {
-            return Err(Refused::new(RefusalReason::UnknownKey));
+            return Err(Rejection::new(RefusalReason::UnknownKey));
         }
         let exists = match &request.queue {
             QueueKey::Model { model, adapter, .. } => {
@@ -307,35 +314,37 @@
             QueueKey::Web(group) => self.catalog.has_group(group),
         };
         if !exists {
-            return Err(Refused::new(RefusalReason::NotFound));
+            return Err(Rejection::new(RefusalReason::NotFound));
         }
         let (tenant, queue) = (request.tenant.clone(), request.queue.clone());
         let (kind, path) = (request.kind, request.path.clone());
-        let verdict = self.judge_policies(&tenant, &queue, kind, &path)?;
+        let verdict = self.evaluate_policies(&tenant, &queue, kind, &path)?;
         check_verdict(&verdict)
     }
 
-    /// Whether a request cannot be met in time as things stand.
-    pub(crate) fn hopeless(&self, request: &Request, now: Timestamp) -> Option<Refused> {
+    /// Returns a refusal if the request cannot be served before its deadline.
+    pub(crate) fn check_deadline(&self, request: &Request, now: Timestamp) -> Option<Rejection> {
         match self.readiness(&request.queue, now) {
             Readiness::Serving | Readiness::Unknown => None,
             Readiness::ReadyAt(ready) => {
-                (request.deadline < ready).then(|| Refused::hopeless(ready, now))
-            }
-            Readiness::Unplaceable { given_up, ready } => {
-                (given_up || request.deadline < ready).then(|| Refused::unplaceable(ready, now))
+                (request.deadline < ready).then(|| Rejection::deadline_unreachable(ready, now))
             }
+            Readiness::Unplaceable {
+                grace_elapsed,
+                ready,
+            } => (grace_elapsed || request.deadline < ready)
+                .then(|| Rejection::unplaceable(ready, now)),
             Readiness::NoBackend => {
-                let given_up = request.arrived + NO_BACKEND_GRACE <= now;
-                given_up.then(|| Refused::new(RefusalReason::Hopeless))
+                let grace_elapsed = request.arrived + NO_BACKEND_GRACE <= now;
+                grace_elapsed.then(|| Rejection::new(RefusalReason::Hopeless))
             }
-            Readiness::VersionGone => Some(Refused::new(RefusalReason::BackendFailed)),
+            Readiness::VersionUnavailable => Some(Rejection::new(RefusalReason::BackendFailed)),
         }
     }
 }
 
-/// Turns a denying verdict into a refusal that names the policy.
-fn check_verdict(verdict: &Verdict) -> Result<(), Refused> {
+/// Converts a denying verdict into a refusal that names the policy.
+fn check_verdict(verdict: &Verdict) -> Result<(), Rejection> {
     if verdict.allowed {
         return Ok(());
     }
@@ -344,5 +353,5 @@
         (Some(policy), None) => format!("denied by policy {policy}"),
         (None, _) => "no policy allows it".to_owned(),
     };
-    Err(Refused::with_detail(RefusalReason::PolicyDenied, detail))
+    Err(Rejection::with_detail(RefusalReason::PolicyDenied, detail))
 }
--- a/crates/millpass-routing/src/catalog.rs
+++ b/crates/millpass-routing/src/catalog.rs
@@ -1,4 +1,4 @@
-//! This router's copy of the catalog: applied in order of revision, never going back.
+//! Local copy of the catalog. Deltas are applied in revision order; the revision never decreases.
 
 use millpass_policy::{CompiledPolicies, PolicyError, RequestAttributes, Verdict, VerdictCache};
 use millpass_proto::{
@@ -10,21 +10,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most verdicts remembered.
+/// Maximum number of cached verdicts.
 const VERDICT_CAPACITY: usize = 65_536;
 
-/// What became of a delta.
+/// Result of applying a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeltaOutcome {
-    /// Applied; the copy changed.
+    /// The delta was applied.
     Applied,
-    /// The copy already holds it or something newer.
+    /// The copy is already at the delta's revision or newer.
     AlreadyHeld,
-    /// It starts from a revision that is not held; the copy is too old to be used further.
+    /// The delta starts at a revision that the copy does not have; the copy must not be used beyond
+    /// the current lease.
     Gap,
 }
 
-/// The copy.
+/// Catalog objects with indexes for keys and compiled policies.
 pub(crate) struct Catalog {
     revision: ConfigurationRevision,
     tenants: BTreeMap<TenantName, TenantSpec>,
@@ -38,7 +39,7 @@
 }
 
 impl Catalog {
-    /// An empty catalog at revision 0: no key is known.
+    /// Returns an empty catalog at revision 0, in which every API key is unknown.
     pub fn new() -> Self {
         Catalog {
             revision: ConfigurationRevision(0),
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Revision held.
+    /// Current revision.
     pub fn revision(&self) -> ConfigurationRevision {
         self.revision
     }
 
-    /// Applies a delta if it fits what is held.
+    /// Applies a delta that starts at the current revision or replaces the whole catalog.
     pub fn apply(&mut self, delta: &ConfigurationDelta) -> DeltaOutcome {
         if delta.to <= self.revision {
             return DeltaOutcome::AlreadyHeld;
@@ -105,7 +106,8 @@
             ObjectSpec::Policy(spec) => {
                 self.policies.insert(name.into(), spec.clone());
             }
-            // A router needs neither: replicas name their version, operators never call it.
+            // Not used for routing: replicas carry their version, and operators do not call
+            // routers.
             ObjectSpec::Version(_) | ObjectSpec::Operator(_) => {}
         }
     }
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Compiles the policies anew and forgets the verdicts of the old ones.
+    /// Recompiles all policies and drops the cached verdicts.
     fn recompile(&mut self) {
         let named: Vec<_> = self
             .policies
@@ -154,17 +156,17 @@
         self.verdicts.clear();
     }
 
-    /// Tenant of an API key.
+    /// Returns the tenant that owns an API key.
     pub fn tenant_of_key(&self, api_key: &str) -> Option<&TenantName> {
         self.keys.tenant(&KeyHash::of(api_key.as_bytes()))
     }
 
-    /// What the operators state of a tenant.
+    /// Returns the specification of a tenant.
     pub fn tenant(&self, tenant: &TenantName) -> Option<&TenantSpec> {
         self.tenants.get(tenant)
     }
 
-    /// Whether the model exists, and the adapter belongs to it.
+    /// Returns true if the model exists and the adapter, if given, belongs to it.
     pub fn has_model(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
         if !self.models.contains_key(model) {
             return false;
@@ -178,12 +180,13 @@
         }
     }
 
-    /// Whether the group exists.
+    /// Returns true if the web group exists.
     pub fn has_group(&self, group: &GroupName) -> bool {
         self.groups.contains_key(group)
     }
 
-    /// Group with the longest path prefix that fits, and whether the path may not be repeated.
+    /// Returns the group with the longest matching path prefix, and whether the path's requests run
+    /// at most once.
     pub fn group_of_path(&self, path: &str) -> Option<(&GroupName, bool)> {
         let fitting = self
             .groups
@@ -197,8 +200,8 @@
         Some((group, at_most_once))
     }
 
-    /// The policies' verdict. A policy that does not compile here (it did where it was
-    /// submitted) might be one that denies, so everything is denied until it is replaced.
+    /// Evaluates the policies. If a policy does not compile here, all requests are denied until it
+    /// is replaced, since it could be a policy that denies.
     pub fn verdict(&mut self, facts: &RequestAttributes<'_>) -> Result<Arc<Verdict>, &PolicyError> {
         match &self.compiled {
             Ok(policies) => Ok(self.verdicts.verdict(policies, facts)),
--- a/crates/millpass-routing/src/circuit.rs
+++ b/crates/millpass-routing/src/circuit.rs
@@ -1,30 +1,30 @@
-//! Circuit breaking: a back end that fails several times in a row is left out for a while, then
-//! tried with one request at a time.
+//! Circuit breakers: after several consecutive failures a backend is ejected for a while, then
+//! probed with a single request.
 
 use millpass_proto::{BackendName, Duration, Incarnation, Timestamp};
 use std::collections::BTreeMap;
 
-/// Most back ends with failures remembered.
+/// Maximum number of tracked circuits.
 const MAXIMUM_TRACKED: usize = 4_096;
 
-/// Failures of one run of a back end since its last success.
+/// Consecutive failures of one incarnation of a backend.
 #[derive(Clone, Copy, Debug, Default)]
 struct Circuit {
     failures: u32,
     open_until: Option<Timestamp>,
-    trial_running: bool,
+    probe_in_flight: bool,
 }
 
-/// Whether a back end may be tried.
+/// Whether requests may be sent to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CircuitState {
-    /// Yes.
+    /// Requests may be sent.
     Closed,
-    /// Not before this time.
+    /// No requests before this time.
     OpenUntil(Timestamp),
 }
 
-/// All circuits. Only back ends that failed since their last success have one.
+/// All circuits. Only backends that failed since their last success have one.
 #[derive(Debug)]
 pub(crate) struct Circuits {
     threshold: u32,
@@ -33,7 +33,7 @@
 }
 
 impl Circuits {
-    /// Opens after this many failures in a row, for this long.
+    /// A circuit opens for `open_time` after `threshold` consecutive failures.
     pub fn new(threshold: u32, open_time: Duration) -> Self {
         Circuits {
             threshold: threshold.max(1),
@@ -42,20 +42,25 @@
         }
     }
 
-    /// Whether this run of a back end may be tried.
-    pub fn state(&self, backend: &BackendName, run: Incarnation, now: Timestamp) -> CircuitState {
+    /// Returns the state of the circuit of one incarnation of a backend.
+    pub fn state(
+        &self,
+        backend: &BackendName,
+        incarnation: Incarnation,
+        now: Timestamp,
+    ) -> CircuitState {
         if self.circuits.is_empty() {
             return CircuitState::Closed;
         }
-        match self.circuits.get(&(backend.clone(), run)) {
+        match self.circuits.get(&(backend.clone(), incarnation)) {
             Some(Circuit {
                 open_until: Some(until),
-                trial_running,
+                probe_in_flight,
                 ..
             }) => {
                 if now < *until {
                     CircuitState::OpenUntil(*until)
-                } else if *trial_running {
+                } else if *probe_in_flight {
                     CircuitState::OpenUntil(now + self.open_time)
                 } else {
                     CircuitState::Closed
@@ -65,42 +70,48 @@
         }
     }
 
-    /// An attempt was dispatched: after an open time it is the one trial.
-    pub fn dispatched(&mut self, backend: &BackendName, run: Incarnation) {
-        self.set_trial(backend, run, true);
+    /// Records a dispatched attempt; the first one after the open time is the probe.
+    pub fn record_dispatch(&mut self, backend: &BackendName, incarnation: Incarnation) {
+        self.set_probe(backend, incarnation, true);
     }
 
-    /// An attempt was given up without a verdict on the back end.
-    pub fn abandoned(&mut self, backend: &BackendName, run: Incarnation) {
-        self.set_trial(backend, run, false);
+    /// Records an attempt that was cancelled without a result.
+    pub fn record_cancelled(&mut self, backend: &BackendName, incarnation: Incarnation) {
+        self.set_probe(backend, incarnation, false);
     }
 
-    fn set_trial(&mut self, backend: &BackendName, run: Incarnation, running: bool) {
+    fn set_probe(&mut self, backend: &BackendName, incarnation: Incarnation, in_flight: bool) {
         if self.circuits.is_empty() {
             return;
         }
-        if let Some(circuit) = self.circuits.get_mut(&(backend.clone(), run)) {
-            circuit.trial_running = running && circuit.open_until.is_some();
+        if let Some(circuit) = self.circuits.get_mut(&(backend.clone(), incarnation)) {
+            circuit.probe_in_flight = in_flight && circuit.open_until.is_some();
         }
     }
 
-    /// An attempt succeeded.
-    pub fn succeeded(&mut self, backend: &BackendName, run: Incarnation) {
+    /// Records a successful attempt and closes the circuit.
+    pub fn record_success(&mut self, backend: &BackendName, incarnation: Incarnation) {
         if !self.circuits.is_empty() {
-            self.circuits.remove(&(backend.clone(), run));
+            self.circuits.remove(&(backend.clone(), incarnation));
         }
     }
 
-    /// An attempt failed. True if this opened the circuit.
-    pub fn failed(&mut self, backend: &BackendName, run: Incarnation, now: Timestamp) -> bool {
-        let key = (backend.clone(), run);
+    /// Records a failed attempt. Returns true if it opened the circuit.
+    pub fn record_failure(
+        &mut self,
+        backend: &BackendName,
+        incarnation: Incarnation,
+        now: Timestamp,
+    ) -> bool {
+        let key = (backend.clone(), incarnation);
         if self.circuits.len() >= MAXIMUM_TRACKED && !self.circuits.contains_key(&key) {
-            // Runs that ended leave their circuits behind; start over rather than grow.
+            // Circuits of ended incarnations are never removed one by one; clear all to stay
+            // bounded.
             self.circuits.clear();
         }
         let circuit = self.circuits.entry(key).or_default();
         circuit.failures = circuit.failures.saturating_add(1);
-        circuit.trial_running = false;
+        circuit.probe_in_flight = false;
         if circuit.failures < self.threshold {
             return false;
         }
@@ -108,7 +119,7 @@
         true
     }
 
-    /// Number of circuits open now.
+    /// Number of open circuits.
     pub fn open_count(&self, now: Timestamp) -> usize {
         let circuits = self.circuits.values();
         circuits
--- a/crates/millpass-routing/src/claim_flow.rs
+++ b/crates/millpass-routing/src/claim_flow.rs
@@ -1,25 +1,25 @@
-//! What claims mean for requests: nothing is dispatched before the grant, and whatever happens
-//! to the request, the claim ends honestly.
+//! Claims in the request lifecycle: no dispatch before the grant, and every claim is concluded with
+//! what happened to its request.
 
-use crate::claims::{GrantOutcome, conclusion_without_answer};
+use crate::claims::{GrantOutcome, conclusion_without_response};
 use crate::explain::Outcome;
 use crate::interface::{RefusalReason, RequestNumber, RoutingOutput};
-use crate::refusals::Refused;
+use crate::refusals::Rejection;
 use crate::request::{Request, Stage};
 use crate::{Routing, Step};
 use millpass_proto::{ClaimBegin, ClaimConclusion, ClaimDecision, RecordedAnswer};
 
 impl Routing {
-    /// Asks for the claim of an admitted request; it waits for the answer.
-    pub(crate) fn ask_for_claim(
+    /// Requests the claim of an admitted request, which waits for the decision.
+    pub(crate) fn request_claim(
         &mut self,
         mut request: Request,
         step: &mut Step,
-    ) -> Result<(), Refused> {
-        if !self.claims.has_room() {
-            return Err(Refused::new(RefusalReason::ClaimUnavailable));
+    ) -> Result<(), Rejection> {
+        if !self.claims.has_capacity() {
+            return Err(Rejection::new(RefusalReason::ClaimUnavailable));
         }
-        self.make_room(&request, step)?;
+        self.enforce_queue_limits(&request, step)?;
         let Some(key) = &request.claim else {
             return Ok(());
         };
@@ -37,78 +37,78 @@
         request.stage = Stage::AwaitingClaim;
         self.table.insert(request);
         let message = self.claims.begin(number, begin, step.now);
-        self.send_if_linked(message, step);
+        self.send_if_link_up(message, step);
         Ok(())
     }
 
-    /// A claim was answered.
-    pub(crate) fn claim_answered(
+    /// Handles the control group's decision on a claim.
+    pub(crate) fn handle_claim_decision(
         &mut self,
         number: RequestNumber,
         decision: ClaimDecision,
         step: &mut Step,
     ) {
         let reason = match decision {
-            ClaimDecision::Granted => return self.claim_granted(number, step),
+            ClaimDecision::Granted => return self.handle_claim_granted(number, step),
             ClaimDecision::Answered(answer) => return self.replay(number, answer, step),
             ClaimDecision::InProgress => RefusalReason::InProgress,
             ClaimDecision::MayHaveRun => RefusalReason::MayHaveRun,
             ClaimDecision::DigestMismatch => RefusalReason::KeyReused,
             ClaimDecision::Expired => RefusalReason::KeyExpired,
             ClaimDecision::BornInFuture => {
-                return self.deny_unrecorded(number, RefusalReason::KeyExpired, step);
+                return self.refuse_unrecorded(number, RefusalReason::KeyExpired, step);
             }
             ClaimDecision::Overloaded => {
-                return self.deny_unrecorded(number, RefusalReason::ClaimUnavailable, step);
+                return self.refuse_unrecorded(number, RefusalReason::ClaimUnavailable, step);
             }
         };
-        if !self.claims.denied(number) {
+        if !self.claims.record_denial(number) {
             return;
         }
         if reason != RefusalReason::KeyReused {
-            // This attempt dispatched nothing, but the request that the key stands for may be
-            // running, may have run, or is no longer known: `no` could make a caller repeat it.
+            // This attempt dispatched nothing, but an earlier request with the key may be running
+            // or may have run. Reporting `executed: no` could make the caller run it a second time.
             self.table
                 .update(number, |request| request.may_have_run = true);
         }
-        self.give_up(number, Refused::new(reason), step);
+        self.end_request(number, Rejection::new(reason), step);
     }
 
-    /// The key was never recorded, so nothing can have run under it.
-    fn deny_unrecorded(&mut self, number: RequestNumber, reason: RefusalReason, step: &mut Step) {
-        if self.claims.denied(number) {
-            self.give_up(number, Refused::new(reason), step);
+    /// Refuses a request whose key was never recorded, so that nothing can have run under it.
+    fn refuse_unrecorded(&mut self, number: RequestNumber, reason: RefusalReason, step: &mut Step) {
+        if self.claims.record_denial(number) {
+            self.end_request(number, Rejection::new(reason), step);
         }
     }
 
-    fn claim_granted(&mut self, number: RequestNumber, step: &mut Step) {
-        match self.claims.granted(number) {
+    fn handle_claim_granted(&mut self, number: RequestNumber, step: &mut Step) {
+        match self.claims.record_grant(number) {
             GrantOutcome::Ignore => {}
             GrantOutcome::ReleaseClaim => {
                 self.conclude_claim(number, ClaimConclusion::NotRun, step);
             }
-            GrantOutcome::Dispatch => self.queue_granted(number, step),
+            GrantOutcome::Dispatch => self.enqueue_granted(number, step),
         }
     }
 
-    /// A granted request waits for its place like any other.
-    fn queue_granted(&mut self, number: RequestNumber, step: &mut Step) {
+    /// Queues a request whose claim was granted.
+    fn enqueue_granted(&mut self, number: RequestNumber, step: &mut Step) {
         self.table
             .update(number, |request| request.stage = Stage::Waiting);
         let Some(request) = self.table.get(number) else {
             return;
         };
-        if let Some(refused) = self.hopeless(request, step.now) {
-            self.give_up(number, refused, step);
+        if let Some(rejection) = self.check_deadline(request, step.now) {
+            self.end_request(number, rejection, step);
             return;
         }
         step.freed.push(request.queue.clone());
         self.push_to_queue(number);
     }
 
-    /// Answers with the recorded answer of an earlier run.
+    /// Responds with the recorded response of an earlier request with the key.
     fn replay(&mut self, number: RequestNumber, answer: RecordedAnswer, step: &mut Step) {
-        if !self.claims.denied(number) {
+        if !self.claims.record_denial(number) {
             return;
         }
         let Some(request) = self.table.remove(number) else {
@@ -118,7 +118,7 @@
         step.outputs.push(RoutingOutput::Replay(number, answer));
     }
 
-    /// Ends the claim of a request that ended, if it has one.
+    /// Concludes the claim of an ended request, if it has one.
     pub(crate) fn conclude_claim(
         &mut self,
         number: RequestNumber,
@@ -126,24 +126,24 @@
         step: &mut Step,
     ) {
         if let Some(message) = self.claims.conclude(number, conclusion, step.now) {
-            self.send_if_linked(message, step);
+            self.send_if_link_up(message, step);
         }
     }
 
-    /// Refuses requests whose claim is not answered in time, and sends again what is due.
-    pub(crate) fn tend_claims(&mut self, step: &mut Step) {
+    /// Refuses requests whose claim was not decided in time and resends unanswered claim messages.
+    pub(crate) fn poll_claims(&mut self, step: &mut Step) {
         for number in self.claims.timed_out(step.now) {
-            let refused = Refused::new(RefusalReason::ClaimUnavailable);
-            self.give_up(number, refused, step);
+            let rejection = Rejection::new(RefusalReason::ClaimUnavailable);
+            self.end_request(number, rejection, step);
         }
         for message in self.claims.resend_due(step.now) {
-            self.send_if_linked(message, step);
+            self.send_if_link_up(message, step);
         }
     }
 
-    /// The caller hung up. A claimed attempt goes on without it, so that its answer is recorded
-    /// for the repeat that is likely to come; any other attempt is cancelled.
-    pub(crate) fn caller_gone(&mut self, number: RequestNumber, step: &mut Step) {
+    /// Handles a caller that disconnected. A claimed attempt continues, so that its response is
+    /// recorded for a retry with the same key; any other attempt is cancelled.
+    pub(crate) fn handle_caller_gone(&mut self, number: RequestNumber, step: &mut Step) {
         let Some(request) = self.table.get(number) else {
             return;
         };
@@ -155,13 +155,13 @@
             return;
         };
         let executed = request.executed();
-        let conclusion = conclusion_without_answer(executed);
+        let conclusion = conclusion_without_response(executed);
         self.conclude_claim(number, conclusion, step);
         self.record(&request, Outcome::CallerGone, step.now);
     }
 
-    /// Sends a claim message if there is a link; else it goes out when there is one again.
-    fn send_if_linked(&mut self, message: RoutingOutput, step: &mut Step) {
+    /// Sends a claim message if the link is up; otherwise it is resent on the next link.
+    fn send_if_link_up(&mut self, message: RoutingOutput, step: &mut Step) {
         if self.reporting.link_up() {
             step.outputs.push(message);
         }
--- a/crates/millpass-routing/src/claims.rs
+++ b/crates/millpass-routing/src/claims.rs
@@ -1,52 +1,51 @@
-//! Claims of requests that run at most once: the table, its deadlines and resends.
+//! Claims of requests that run at most once, with their timeouts and resends.
 //!
-//! A claim outlives its request: it stays until its end is committed, or until the answer shows
-//! that this run never held it. Each message is sent again until it is answered, always with the
+//! A claim outlives its request: it is kept until its conclusion is committed or until the decision
+//! shows that it was not granted. Every message is resent until it is answered, always with the
 //! same attempt number, so that the control group can tell a resend from a second attempt.
 
 use crate::interface::{Executed, RequestNumber, RoutingOutput};
 use millpass_proto::{ClaimBegin, ClaimConclusion, ClaimFinish, Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most claims not ended.
+/// Maximum number of open claims.
 pub(crate) const MAXIMUM_CLAIMS: usize = 16_384;
-/// Time after which an unanswered message is sent again.
+/// Interval between resends of an unanswered message.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How far a claim is.
+/// Phase of a claim.
 #[derive(Clone, Debug)]
 enum ClaimPhase {
-    /// Asked for; the request waits for the answer.
-    Asked,
-    /// Asked for, but the request is given up: if it is granted, it ends as not run.
+    /// The claim was requested; the request waits for the decision.
+    Requested,
+    /// The request ended before the decision; a grant is concluded as not run.
     Abandoned,
-    /// Granted; the request may be dispatched.
+    /// The claim was granted; the request may be dispatched.
     Granted,
-    /// Its end is sent and not committed yet.
+    /// The conclusion was sent and is not committed yet.
     Finishing(ClaimConclusion),
 }
 
-/// One claim.
 #[derive(Clone, Debug)]
 struct Claim {
     begin: ClaimBegin,
     phase: ClaimPhase,
-    asked: Timestamp,
-    due: Option<Timestamp>,
+    requested_at: Timestamp,
+    resend_at: Option<Timestamp>,
 }
 
-/// What a grant means for the request.
+/// Effect of a grant on the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantOutcome {
-    /// It may be dispatched.
+    /// The request may be dispatched.
     Dispatch,
-    /// It was given up before; the claim now ends as not run.
+    /// The request already ended; conclude the claim as not run.
     ReleaseClaim,
-    /// Nothing: a repeated or unknown answer.
+    /// Duplicate or unknown decision; nothing to do.
     Ignore,
 }
 
-/// All claims that are not ended.
+/// All open claims.
 #[derive(Debug)]
 pub(crate) struct Claims {
     timeout: Duration,
@@ -55,7 +54,7 @@
 }
 
 impl Claims {
-    /// No claims; requests wait this long for the answer to theirs.
+    /// Requests wait up to `timeout` for the decision on their claim.
     pub fn new(timeout: Duration) -> Self {
         Claims {
             timeout,
@@ -64,17 +63,17 @@
         }
     }
 
-    /// Number of claims.
+    /// Number of open claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether there is room for one more.
-    pub fn has_room(&self) -> bool {
+    /// Returns true if another claim can be opened.
+    pub fn has_capacity(&self) -> bool {
         self.claims.len() < MAXIMUM_CLAIMS
     }
 
-    /// Starts a claim; returns the message to send.
+    /// Opens a claim and returns the message that requests it.
     pub fn begin(
         &mut self,
         number: RequestNumber,
@@ -83,22 +82,22 @@
     ) -> RoutingOutput {
         let claim = Claim {
             begin: begin.clone(),
-            phase: ClaimPhase::Asked,
-            asked: now,
-            due: None,
+            phase: ClaimPhase::Requested,
+            requested_at: now,
+            resend_at: None,
         };
         self.claims.insert(number, claim);
         self.set_due(number, Some(now + RESEND_INTERVAL.min(self.timeout)));
         RoutingOutput::SendClaim(begin)
     }
 
-    /// The claim was granted.
-    pub fn granted(&mut self, number: RequestNumber) -> GrantOutcome {
+    /// Records that a claim was granted.
+    pub fn record_grant(&mut self, number: RequestNumber) -> GrantOutcome {
         let Some(claim) = self.claims.get_mut(&number) else {
             return GrantOutcome::Ignore;
         };
         match claim.phase {
-            ClaimPhase::Asked => {
+            ClaimPhase::Requested => {
                 claim.phase = ClaimPhase::Granted;
                 self.set_due(number, None);
                 GrantOutcome::Dispatch
@@ -108,13 +107,13 @@
         }
     }
 
-    /// The claim was not granted: nothing is held. True if the request still waited for it.
-    pub fn denied(&mut self, number: RequestNumber) -> bool {
+    /// Records that a claim was not granted. Returns true if the request still waited for it.
+    pub fn record_denial(&mut self, number: RequestNumber) -> bool {
         let Some(claim) = self.claims.get(&number) else {
             return false;
         };
         match claim.phase {
-            ClaimPhase::Asked => {
+            ClaimPhase::Requested => {
                 self.remove(number);
                 true
             }
@@ -122,12 +121,13 @@
                 self.remove(number);
                 false
             }
-            // A late answer to a resend; this run holds the claim.
+            // Late response to a resend; this router holds the claim.
             ClaimPhase::Granted | ClaimPhase::Finishing(_) => false,
         }
     }
 
-    /// The request of this claim ended. Returns the message to send, if the claim is held.
+    /// Concludes the claim of an ended request. Returns the message to send if the claim may be
+    /// held.
     pub fn conclude(
         &mut self,
         number: RequestNumber,
@@ -136,7 +136,7 @@
     ) -> Option<RoutingOutput> {
         let claim = self.claims.get_mut(&number)?;
         match claim.phase {
-            ClaimPhase::Asked => {
+            ClaimPhase::Requested => {
                 claim.phase = ClaimPhase::Abandoned;
                 None
             }
@@ -150,8 +150,8 @@
         }
     }
 
-    /// The end of a claim is committed.
-    pub fn finished(&mut self, number: RequestNumber) {
+    /// Records that the conclusion of a claim was committed.
+    pub fn record_finished(&mut self, number: RequestNumber) {
         if let Some(Claim {
             phase: ClaimPhase::Finishing(_),
             ..
@@ -161,13 +161,13 @@
         }
     }
 
-    /// Every message that is not answered, on a new link.
+    /// Returns all unanswered messages, for resending on a new link.
     pub fn resend_all(&mut self, now: Timestamp) -> Vec<RoutingOutput> {
         let numbers: Vec<_> = self.due.iter().map(|(_, number)| *number).collect();
         self.resend(&numbers, now)
     }
 
-    /// Messages that have gone unanswered for a while.
+    /// Returns the messages whose resend interval has elapsed.
     pub fn resend_due(&mut self, now: Timestamp) -> Vec<RoutingOutput> {
         let due = self.due.iter().take_while(|(due, _)| *due <= now);
         let numbers: Vec<_> = due.map(|(_, number)| *number).collect();
@@ -182,14 +182,14 @@
         claims.filter_map(Claim::message).collect()
     }
 
-    /// Requests whose claim has gone unanswered for too long. Looks only at claims that are due
-    /// a resend, so a timeout is noticed at the next resend at the latest.
+    /// Returns the requests whose claim timed out. Only claims due for a resend are checked, so a
+    /// timeout is detected at the next resend.
     pub fn timed_out(&self, now: Timestamp) -> Vec<RequestNumber> {
         let due = self.due.iter().take_while(|(due, _)| *due <= now);
         let claims = due.filter_map(|(_, number)| Some((number, self.claims.get(number)?)));
         claims
-            .filter(|(_, claim)| matches!(claim.phase, ClaimPhase::Asked))
-            .filter(|(_, claim)| claim.asked + self.timeout <= now)
+            .filter(|(_, claim)| matches!(claim.phase, ClaimPhase::Requested))
+            .filter(|(_, claim)| claim.requested_at + self.timeout <= now)
             .map(|(number, _)| *number)
             .collect()
     }
@@ -198,10 +198,10 @@
         let Some(claim) = self.claims.get_mut(&number) else {
             return;
         };
-        if let Some(old) = claim.due.take() {
-            self.due.remove(&(old, number));
+        if let Some(previous) = claim.resend_at.take() {
+            self.due.remove(&(previous, number));
         }
-        claim.due = due;
+        claim.resend_at = due;
         if let Some(due) = due {
             self.due.insert((due, number));
         }
@@ -214,10 +214,10 @@
 }
 
 impl Claim {
-    /// The message that is not answered yet.
+    /// Returns the message that is not answered yet.
     fn message(&self) -> Option<RoutingOutput> {
         match &self.phase {
-            ClaimPhase::Asked | ClaimPhase::Abandoned => {
+            ClaimPhase::Requested | ClaimPhase::Abandoned => {
                 Some(RoutingOutput::SendClaim(self.begin.clone()))
             }
             ClaimPhase::Granted => None,
@@ -235,8 +235,8 @@
     }
 }
 
-/// How a claim ends when its request gets no answer.
-pub(crate) fn conclusion_without_answer(executed: Executed) -> ClaimConclusion {
+/// Conclusion of a claim whose request got no response.
+pub(crate) fn conclusion_without_response(executed: Executed) -> ClaimConclusion {
     match executed {
         Executed::No => ClaimConclusion::NotRun,
         Executed::Unknown => ClaimConclusion::Unknown,
--- a/crates/millpass-routing/src/decisions.rs
+++ b/crates/millpass-routing/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Explanations of ended requests, in bounded number, and counters.
+//! Bounded history of ended requests, and counters.
 
 use crate::Routing;
 use crate::explain::{Explanation, Outcome};
@@ -6,53 +6,53 @@
 use millpass_proto::{ConfigurationRevision, Duration, PlacementRevision, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests that were given up and can still be explained; and as many others. They are kept
-/// apart, so that many answered requests don't push out the few that were refused.
+/// Number of failed requests whose explanations are kept, and of other requests. They are kept
+/// separately so that successful requests do not evict failed ones.
 pub const EXPLANATION_CAPACITY: usize = 4_096;
 
-/// Counters since the start, and present sizes, for metrics.
+/// Counters since the start, and current sizes, for metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RoutingSnapshot {
     /// Requests that arrived.
     pub arrivals: u64,
     /// Attempts dispatched.
     pub dispatches: u64,
-    /// Attempts beyond the first of a request.
+    /// Attempts after the first of a request.
     pub retries: u64,
-    /// Requests answered by a back end.
+    /// Requests completed by a backend.
     pub completed: u64,
-    /// Requests answered from a recorded answer.
+    /// Requests that got a recorded response.
     pub replayed: u64,
-    /// Answers broken off.
+    /// Responses that broke off.
     pub broken_off: u64,
-    /// Callers that hung up.
+    /// Callers that disconnected.
     pub callers_gone: u64,
     /// Refusals by reason.
     pub refused: BTreeMap<RefusalReason, u64>,
-    /// Requests waiting now.
+    /// Requests waiting.
     pub waiting: usize,
-    /// Attempts in flight now.
+    /// Attempts in flight.
     pub in_flight: usize,
-    /// Claims not ended yet.
+    /// Open claims.
     pub claims: usize,
-    /// Circuits open now.
+    /// Open circuits.
     pub open_circuits: usize,
-    /// Time until the lease ends; zero without one.
+    /// Time until the lease expires; zero without a valid lease.
     pub lease_remaining: Duration,
     /// Highest term seen.
     pub term: u64,
-    /// Catalog revision held.
+    /// Catalog revision.
     pub configuration: u64,
-    /// Route revision held.
+    /// Route revision.
     pub placement: u64,
 }
 
 /// Ended requests and counters.
 #[derive(Debug, Default)]
 pub(crate) struct Decisions {
-    given_up: Ring,
+    failed: Ring,
     others: Ring,
-    /// Counters; the present sizes in it stay zero.
+    /// Counters; the current sizes in it stay zero.
     pub counters: RoutingSnapshot,
 }
 
@@ -61,7 +61,7 @@
     pub fn record(&mut self, explanation: Explanation) {
         self.count(explanation.outcome);
         if explanation.outcome.is_failure() {
-            self.given_up.push(explanation);
+            self.failed.push(explanation);
         } else {
             self.others.push(explanation);
         }
@@ -79,10 +79,10 @@
         }
     }
 
-    /// The newest ended request that is wanted.
-    pub fn find(&self, is_wanted: impl Fn(&Explanation) -> bool) -> Option<Explanation> {
-        let found = [&self.given_up, &self.others].map(|ring| ring.find(&is_wanted));
-        let newest = found
+    /// Returns the newest ended request that matches.
+    pub fn find(&self, matches: impl Fn(&Explanation) -> bool) -> Option<Explanation> {
+        let newest_of_each = [&self.failed, &self.others].map(|ring| ring.find(&matches));
+        let newest = newest_of_each
             .into_iter()
             .flatten()
             .max_by_key(|ended| ended.request);
@@ -102,25 +102,25 @@
         self.0.push_back(explanation);
     }
 
-    fn find(&self, is_wanted: impl Fn(&Explanation) -> bool) -> Option<&Explanation> {
+    fn find(&self, matches: impl Fn(&Explanation) -> bool) -> Option<&Explanation> {
         let mut newest_first = self.0.iter().rev();
-        newest_first.find(|explanation| is_wanted(explanation))
+        newest_first.find(|explanation| matches(explanation))
     }
 }
 
 impl Routing {
-    /// Counters and present sizes.
+    /// Returns the counters and current sizes.
     pub fn snapshot(&self, now: Timestamp) -> RoutingSnapshot {
         let ConfigurationRevision(configuration) = self.catalog.revision();
         let PlacementRevision(placement) = self.routes.revision();
-        let fresh = self.lease.is_fresh(now);
+        let is_valid = self.lease.is_valid(now);
         RoutingSnapshot {
             waiting: self.table.waiting(),
             in_flight: self.load.total(),
             claims: self.claims.len(),
             open_circuits: self.circuits.open_count(now),
-            lease_remaining: if fresh {
-                self.lease.end().since(now)
+            lease_remaining: if is_valid {
+                self.lease.expires_at().since(now)
             } else {
                 Duration::ZERO
             },
--- a/crates/millpass-routing/src/dispatch.rs
+++ b/crates/millpass-routing/src/dispatch.rs
@@ -1,52 +1,53 @@
-//! Which back end an attempt goes to, and sending it there.
+//! Backend selection and dispatch of attempts.
 //!
-//! Order of choice: back ends not tried yet by this request, then this router's zone, then prefix
-//! locality, then the least load. Locality is rendezvous hashing of the prompt's start over the
-//! replicas whose load is within [`LOCALITY_SLACK`] of the least, so that a popular prefix stays
-//! where its cache is but never piles up on one replica.
+//! Backends are ranked by: not tried yet by this request, same zone, prefix locality, least_load load.
+//! Prefix locality is rendezvous hashing of the prompt's start over the replicas whose load is
+//! within [`LOCALITY_SLACK`] of the least_load loaded one, so that a popular prefix uses a warm cache
+//! without overloading one replica.
 
 use crate::circuit::CircuitState;
 use crate::explain::AttemptRecord;
 use crate::interface::{Dispatch, RequestNumber, RoutingOutput};
 use crate::queues::QueueKey;
-use crate::request::{Attempt, Place, Request};
+use crate::request::{Attempt, Endpoint, Request};
 use crate::{Routing, Step};
 use millpass_proto::{
     BackendName, EngineRole, GroupName, Incarnation, ReplicaPhase, ReplicaRoute, SlotId, Timestamp,
     VersionLabel, WebRoute, ZoneName,
 };
 
-/// How much busier than the least busy replica one may be and still be chosen for locality.
+/// Requests by which a replica's load may exceed the least_load load and still be selected for locality.
 const LOCALITY_SLACK: u32 = 2;
-/// Attempts at once that one router sends to one web back end; web routes state no concurrency.
+/// Maximum concurrent attempts from this router to one web backend; web routes state no
+/// concurrency.
 const WEB_CONCURRENCY: u32 = 256;
 
-/// A back end that can take an attempt now.
+/// A backend selected for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Seat {
-    place: Place,
+pub(crate) struct SelectedBackend {
+    endpoint: Endpoint,
     backend: BackendName,
     incarnation: Incarnation,
     address: String,
     slot: Option<(SlotId, VersionLabel)>,
 }
 
-/// What there is for a queue.
+/// Result of backend selection for a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Choice {
-    /// A place.
-    Found(Seat),
-    /// All back ends are busy.
+pub(crate) enum Selection {
+    /// A backend with free capacity.
+    Backend(SelectedBackend),
+    /// All backends are at capacity.
     Busy,
-    /// All back ends are left out until then at the earliest.
+    /// All backends are ejected, at least_load until this time.
     OpenUntil(Timestamp),
-    /// There is no back end.
-    Absent,
+    /// No backend serves the queue.
+    NoBackend,
 }
 
-/// One back end that serves a queue, as the choice sees it.
+/// A backend that serves the queue.
 struct Candidate<'a> {
-    place: Place,
+    endpoint: Endpoint,
     backend: &'a BackendName,
     incarnation: Incarnation,
     zone: &'a ZoneName,
@@ -55,41 +56,44 @@
     route: Route<'a>,
 }
 
-/// The route behind a candidate.
 enum Route<'a> {
     Replica(&'a ReplicaRoute),
     Web(&'a WebRoute),
 }
 
-/// A candidate with room, and what it is ranked by.
+/// A candidate with free capacity and its rank.
 struct Ranked<'a> {
     candidate: Candidate<'a>,
-    /// Tried before, then other zone; smaller is better.
+    /// Already tried, then other zone; smaller is better.
     class: (bool, bool),
     load: u32,
 }
 
 impl Routing {
-    /// The best place for a request, if one has room now.
-    pub(crate) fn find_seat(&self, request: &Request, now: Timestamp) -> Option<Seat> {
+    /// Selects the best backend with free capacity for a request.
+    pub(crate) fn select_backend_for(
+        &self,
+        request: &Request,
+        now: Timestamp,
+    ) -> Option<SelectedBackend> {
         let affinity = match request.queue {
             QueueKey::Model { .. } => request.prefix_hash,
             QueueKey::Web(_) => request.number.0,
         };
-        match self.choose(&request.queue, affinity, &request.attempts, now) {
-            Choice::Found(seat) => Some(seat),
+        match self.select_backend(&request.queue, affinity, &request.attempts, now) {
+            Selection::Backend(selected) => Some(selected),
             _ => None,
         }
     }
 
-    /// What there is for a queue. `affinity` draws equal requests to the same place.
-    pub(crate) fn choose(
+    /// Selects a backend for a queue. Requests with equal `affinity` prefer the same backend.
+    pub(crate) fn select_backend(
         &self,
         queue: &QueueKey,
         affinity: u64,
-        earlier: &[AttemptRecord],
+        previous_attempts: &[AttemptRecord],
         now: Timestamp,
-    ) -> Choice {
+    ) -> Selection {
         let mut open_until: Option<Timestamp> = None;
         let mut busy = false;
         let mut ranked: Vec<Ranked<'_>> = Vec::new();
@@ -101,13 +105,13 @@
                 open_until = Some(open_until.map_or(until, |earliest| earliest.min(until)));
                 continue;
             }
-            let load = self.load.at(&candidate.place, now);
+            let load = self.load.at(&candidate.endpoint, now);
             if load >= candidate.concurrency.max(1) {
                 busy = true;
                 continue;
             }
             let class = (
-                has_tried(earlier, candidate.backend),
+                was_tried(previous_attempts, candidate.backend),
                 *candidate.zone != self.settings.zone,
             );
             ranked.push(Ranked {
@@ -116,15 +120,15 @@
                 load,
             });
         }
-        match (best(ranked, affinity), busy, open_until) {
-            (Some(candidate), _, _) => Choice::Found(seat(candidate)),
-            (None, true, _) => Choice::Busy,
-            (None, false, Some(until)) => Choice::OpenUntil(until),
-            (None, false, None) => Choice::Absent,
+        match (best_candidate(ranked, affinity), busy, open_until) {
+            (Some(candidate), _, _) => Selection::Backend(select(candidate)),
+            (None, true, _) => Selection::Busy,
+            (None, false, Some(until)) => Selection::OpenUntil(until),
+            (None, false, None) => Selection::NoBackend,
         }
     }
 
-    /// Back ends that may serve a queue, whatever their load.
+    /// Returns the backends that serve a queue, regardless of load.
     fn candidates<'a>(
         &'a self,
         queue: &'a QueueKey,
@@ -144,9 +148,9 @@
         &'a self,
         group: &'a GroupName,
     ) -> impl Iterator<Item = Candidate<'a>> + 'a {
-        let staying = self.routes.web_of(group).filter(|web| !web.leaving);
-        staying.enumerate().map(|(index, web)| Candidate {
-            place: Place::Web(web.backend.clone()),
+        let remaining = self.routes.web_of(group).filter(|web| !web.leaving);
+        remaining.enumerate().map(|(index, web)| Candidate {
+            endpoint: Endpoint::Web(web.backend.clone()),
             backend: &web.backend,
             incarnation: web.incarnation,
             zone: &web.zone,
@@ -156,55 +160,62 @@
         })
     }
 
-    /// Serves the queues of a model or group until its places or its waiting requests run out.
-    pub(crate) fn serve(&mut self, queue: &QueueKey, step: &mut Step) {
-        if !self.lease.is_fresh(step.now) {
+    /// Dispatches the waiting requests of a model or group until no backend is free or no request
+    /// is left.
+    pub(crate) fn dispatch_waiting(&mut self, queue: &QueueKey, step: &mut Step) {
+        if !self.lease.is_valid(step.now) {
             return;
         }
-        let mut blocked = Vec::new();
-        while let Some((key, number)) = self.queues.next_of_service(queue, &blocked) {
-            if !self.serve_one(number, step) {
-                blocked.push(key);
+        let mut exhausted = Vec::new();
+        while let Some((key, number)) = self.queues.next_of_service(queue, &exhausted) {
+            if !self.try_dispatch(number, step) {
+                exhausted.push(key);
             }
         }
     }
 
-    /// Dispatches a waiting request if there is a place. False if there is none.
-    fn serve_one(&mut self, number: RequestNumber, step: &mut Step) -> bool {
+    /// Dispatches a waiting request. Returns false if no backend is free.
+    fn try_dispatch(&mut self, number: RequestNumber, step: &mut Step) -> bool {
         let Some(request) = self.table.get(number) else {
             return false;
         };
-        let Some(seat) = self.find_seat(request, step.now) else {
+        let Some(selected) = self.select_backend_for(request, step.now) else {
             return false;
         };
         self.queues.remove(request, true);
-        self.dispatch(number, seat, step);
+        self.dispatch(number, selected, step);
         true
     }
 
-    /// Sends an attempt of a request that is in no queue. The caller checked lease and deadline
-    /// in this step; the host checks `send_before` once more before it writes.
-    pub(crate) fn dispatch(&mut self, number: RequestNumber, seat: Seat, step: &mut Step) {
+    /// Dispatches an attempt of a request that is not queued. The caller has checked lease and
+    /// deadline in this step; the host checks `send_before` again right before it writes.
+    pub(crate) fn dispatch(
+        &mut self,
+        number: RequestNumber,
+        selected: SelectedBackend,
+        step: &mut Step,
+    ) {
         let attempt = Attempt {
-            place: seat.place.clone(),
-            backend: seat.backend.clone(),
-            incarnation: seat.incarnation,
-            version: seat.slot.as_ref().map(|(_, version)| version.clone()),
+            endpoint: selected.endpoint.clone(),
+            backend: selected.backend.clone(),
+            incarnation: selected.incarnation,
+            version: selected.slot.as_ref().map(|(_, version)| version.clone()),
             first_byte: false,
         };
-        self.load.started(&seat.place);
-        self.circuits.dispatched(&seat.backend, seat.incarnation);
+        self.load.record_start(&selected.endpoint);
+        self.circuits
+            .record_dispatch(&selected.backend, selected.incarnation);
         self.table.update(number, |request| {
-            request.attempt_started(attempt, step.now);
+            request.record_attempt_start(attempt, step.now);
         });
         let Some(request) = self.table.get(number) else {
             return;
         };
-        self.demand.dispatched(&request.queue);
+        self.demand.record_dispatch(&request.queue);
         self.decisions.counters.dispatches += 1;
         let attempt = request.attempts.len() as u32;
         if attempt == 1 {
-            self.budget.first_attempt();
+            self.budget.record_first_attempt();
         } else {
             self.decisions.counters.retries += 1;
         }
@@ -214,25 +225,25 @@
                 attempt,
                 tenant: request.tenant.clone(),
                 urgency: request.urgency,
-                backend: seat.backend,
-                incarnation: seat.incarnation,
-                address: seat.address,
-                slot: seat.slot,
+                backend: selected.backend,
+                incarnation: selected.incarnation,
+                address: selected.address,
+                slot: selected.slot,
                 resume_from: request.tokens,
-                send_before: self.lease.end().min(request.deadline),
+                send_before: self.lease.expires_at().min(request.deadline),
                 deadline: request.deadline,
                 record: request.claim.is_some(),
             })));
     }
 
-    /// An attempt no longer holds its place.
+    /// Releases the capacity that an attempt used.
     pub(crate) fn release(&mut self, queue: &QueueKey, attempt: &Attempt) {
-        self.load.ended(&attempt.place);
-        self.demand.ended(queue);
+        self.load.record_end(&attempt.endpoint);
+        self.demand.record_end(queue);
     }
 }
 
-/// Whether a replica may serve a queue.
+/// Returns true if the replica serves the queue.
 fn serves(replica: &ReplicaRoute, queue: &QueueKey) -> bool {
     let QueueKey::Model {
         adapter, version, ..
@@ -242,7 +253,7 @@
     };
     replica.phase == ReplicaPhase::Loaded
         && !replica.leaving
-        // A prefill engine only fills caches for others; it gives no answers.
+        // Prefill engines only fill caches for other engines.
         && replica.role != EngineRole::Prefill
         && adapter.as_ref().is_none_or(|adapter| replica.adapters.contains(adapter))
         && version.as_ref().is_none_or(|version| replica.version == *version)
@@ -250,7 +261,7 @@
 
 fn replica_candidate(replica: &ReplicaRoute) -> Candidate<'_> {
     Candidate {
-        place: Place::Slot(replica.slot),
+        endpoint: Endpoint::Slot(replica.slot),
         backend: &replica.backend,
         incarnation: replica.incarnation,
         zone: &replica.zone,
@@ -260,27 +271,29 @@
     }
 }
 
-fn has_tried(earlier: &[AttemptRecord], backend: &BackendName) -> bool {
-    earlier.iter().any(|attempt| attempt.backend == *backend)
+fn was_tried(previous_attempts: &[AttemptRecord], backend: &BackendName) -> bool {
+    previous_attempts
+        .iter()
+        .any(|attempt| attempt.backend == *backend)
 }
 
-/// The best of the candidates with room.
-fn best(ranked: Vec<Ranked<'_>>, affinity: u64) -> Option<Candidate<'_>> {
+/// Returns the best-ranked candidate.
+fn best_candidate(ranked: Vec<Ranked<'_>>, affinity: u64) -> Option<Candidate<'_>> {
     let class = ranked.iter().map(|entry| entry.class).min()?;
     let in_class = || ranked.iter().filter(|entry| entry.class == class);
-    let least = in_class().map(|entry| entry.load).min()?;
+    let least_load = in_class().map(|entry| entry.load).min()?;
     let slack = match in_class().next()?.candidate.route {
         Route::Replica(_) => LOCALITY_SLACK,
         Route::Web(_) => 0,
     };
     ranked
         .into_iter()
-        .filter(|entry| entry.class == class && entry.load <= least.saturating_add(slack))
+        .filter(|entry| entry.class == class && entry.load <= least_load.saturating_add(slack))
         .map(|entry| entry.candidate)
         .max_by_key(|candidate| rendezvous(affinity, candidate.identity))
 }
 
-/// Weight of a place for an affinity: the finalizer of the SplitMix64 generator.
+/// Rendezvous hash of an affinity and a backend: the SplitMix64 finalizer.
 fn rendezvous(affinity: u64, identity: u64) -> u64 {
     let mut mixed = affinity ^ identity.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -288,7 +301,7 @@
     mixed ^ (mixed >> 31)
 }
 
-fn seat(candidate: Candidate<'_>) -> Seat {
+fn select(candidate: Candidate<'_>) -> SelectedBackend {
     let (address, slot) = match candidate.route {
         Route::Replica(replica) => (
             replica.address.clone(),
@@ -296,8 +309,8 @@
         ),
         Route::Web(web) => (web.address.clone(), None),
     };
-    Seat {
-        place: candidate.place,
+    SelectedBackend {
+        endpoint: candidate.endpoint,
         backend: candidate.backend.clone(),
         incarnation: candidate.incarnation,
         address,
--- a/crates/millpass-routing/src/explain.rs
+++ b/crates/millpass-routing/src/explain.rs
@@ -1,4 +1,4 @@
-//! What became of each request and why, for operators.
+//! Explanations of individual requests, for operators.
 
 use crate::Routing;
 use crate::interface::{AttemptFailure, Refusal, RefusalReason, RequestNumber};
@@ -7,105 +7,106 @@
 use crate::request::{Request, Stage};
 use millpass_proto::{BackendName, Duration, PolicyName, TenantName, Timestamp, Urgency};
 
-/// How a request stands or ended.
+/// State or final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its claim is not answered yet.
+    /// Waiting for the decision on its claim.
     AwaitingClaim,
-    /// It waits for a place.
+    /// Waiting for a backend.
     Waiting,
     /// An attempt is in flight.
     InFlight,
-    /// It was answered.
+    /// Completed by a backend.
     Completed,
-    /// It got the recorded answer of an earlier run.
+    /// Got the recorded response of an earlier request with the same key.
     Replayed,
-    /// It was refused.
+    /// Rejection.
     Refused(RefusalReason),
-    /// Its answer broke off.
+    /// The response broke off.
     BrokenOff(RefusalReason),
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerGone,
 }
 
 impl Outcome {
-    /// Whether the request was given up.
+    /// Returns true for refused and broken-off requests.
     pub fn is_failure(&self) -> bool {
         matches!(self, Outcome::Refused(_) | Outcome::BrokenOff(_))
     }
 }
 
-/// Why a request waits in its queue.
+/// Why a request is still in its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// Every back end that serves it is busy.
+    /// Every backend that serves it is at capacity.
     BackendsBusy,
-    /// A replica is being loaded, or failing back ends are left out, until about then.
+    /// A replica is being loaded, or failing backends are ejected, for about this long.
     ReadyIn(Duration),
-    /// No replica can be placed as things stand.
+    /// No replica can be placed at present.
     Unplaceable,
-    /// Its web group has no back end.
+    /// The web group has no backend.
     NoBackend,
-    /// No replica is left of the version that its stream must go on with.
+    /// The stream must resume on a version of which no replica is left.
     VersionUnavailable,
-    /// The control group has not said yet when a replica will be ready.
+    /// The control group has not sent a ready estimate yet.
     AwaitingEstimate,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With the whole answer.
+    /// With a complete response.
     Completed,
     /// With a failure.
     Failed(AttemptFailure),
-    /// It was cancelled: the request ended first.
+    /// Cancelled because the request ended first.
     Cancelled,
 }
 
-/// One attempt at a back end.
+/// One attempt at a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptRecord {
-    /// Back end.
+    /// Backend.
     pub backend: BackendName,
-    /// Token position that it went on from; 0 for a fresh attempt.
+    /// Token position from which it resumed; 0 for a first attempt.
     pub resume_from: u64,
-    /// Time from the request's arrival to its dispatch.
+    /// Time from the request's arrival to the dispatch.
     pub started: Duration,
-    /// How it ended, and the time from the request's arrival to that; none while it is in flight.
+    /// Time from the request's arrival to the end of the attempt, and how it ended; `None` while it
+    /// is in flight.
     pub ended: Option<(Duration, AttemptEnd)>,
 }
 
 /// What was decided on one request, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
-    /// Number within this run of the router.
+    /// Number of the request in this incarnation of the router.
     pub request: RequestNumber,
-    /// Identity that its caller knows.
+    /// Request id as sent to the caller.
     pub request_id: String,
-    /// Tenant; none when the key was unknown.
+    /// Tenant; `None` if the API key is unknown.
     pub tenant: Option<TenantName>,
-    /// Model with adapter, or web group; empty when neither was found.
+    /// Model and adapter, or web group; empty if the target does not exist.
     pub target: String,
-    /// Urgency the policies gave it.
+    /// Urgency set by the policies.
     pub urgency: Option<Urgency>,
     /// Policy that decided.
     pub policy: Option<PolicyName>,
-    /// How it stands or ended.
+    /// State or final outcome.
     pub outcome: Outcome,
-    /// Why it waits, if it does.
+    /// Why it waits; `None` if it does not wait.
     pub wait_reason: Option<WaitReason>,
-    /// The refusal, if it was given up.
+    /// The refusal, if the request failed.
     pub refusal: Option<Refusal>,
     /// Attempts, oldest first.
     pub attempts: Vec<AttemptRecord>,
-    /// Time from arrival to the first dispatch, or to the end without one.
+    /// Time from arrival to the first dispatch, or to the end if nothing was dispatched.
     pub waited: Duration,
     /// Time from arrival to the end, or until now.
     pub total: Duration,
 }
 
-/// A request's explanation at a moment.
+/// Builds the explanation of an admitted request.
 fn explain_request(request: &Request, outcome: Outcome, now: Timestamp) -> Explanation {
     let total = now.since(request.arrived);
     let first = request.attempts.first();
@@ -125,7 +126,7 @@
     }
 }
 
-/// A queue's target in words.
+/// Formats a queue's target.
 pub(crate) fn target_text(queue: &QueueKey) -> String {
     match queue {
         QueueKey::Model {
@@ -139,7 +140,8 @@
 }
 
 impl Routing {
-    /// Why a request stands as it does, or ended as it did; none once it is forgotten.
+    /// Explains the current state or the outcome of a request; `None` if it is no longer in the
+    /// history.
     pub fn explain(&self, request: RequestNumber, now: Timestamp) -> Option<Explanation> {
         match self.table.get(request) {
             Some(live) => Some(self.explain_live(live, now)),
@@ -147,11 +149,11 @@
         }
     }
 
-    /// The same for the newest request with this identity.
+    /// Explains the newest request with this request id.
     pub fn explain_by_id(&self, request_id: &str, now: Timestamp) -> Option<Explanation> {
-        let is_wanted = |request: &&Request| request.request_id == request_id;
+        let matches = |request: &&Request| request.request_id == request_id;
         let mut newest_first = self.table.iter().rev();
-        match newest_first.find(is_wanted) {
+        match newest_first.find(matches) {
             Some(live) => Some(self.explain_live(live, now)),
             None => self.decisions.find(|ended| ended.request_id == request_id),
         }
@@ -176,19 +178,19 @@
             Readiness::ReadyAt(ready) => WaitReason::ReadyIn(ready.since(now)),
             Readiness::Unplaceable { .. } => WaitReason::Unplaceable,
             Readiness::NoBackend => WaitReason::NoBackend,
-            Readiness::VersionGone => WaitReason::VersionUnavailable,
+            Readiness::VersionUnavailable => WaitReason::VersionUnavailable,
             Readiness::Unknown => WaitReason::AwaitingEstimate,
         }
     }
 
-    /// Records the end of a request that had been admitted.
+    /// Records the end of an admitted request.
     pub(crate) fn record(&mut self, request: &Request, outcome: Outcome, now: Timestamp) {
         let explanation = explain_request(request, outcome, now);
         self.decisions.record(explanation);
     }
 
-    /// Records that a request which had been admitted was given up.
-    pub(crate) fn record_given_up(
+    /// Records an admitted request that was refused or broken off.
+    pub(crate) fn record_failure(
         &mut self,
         request: &Request,
         outcome: Outcome,
--- a/crates/millpass-routing/src/interface.rs
+++ b/crates/millpass-routing/src/interface.rs
@@ -1,4 +1,4 @@
-//! Inputs, outputs and settings of a router's decision core.
+//! Inputs, outputs and settings of the routing core.
 
 use millpass_proto::{
     AdapterName, BackendName, BackendObservation, ClaimBegin, ClaimDecision, ClaimFinish, ClaimKey,
@@ -7,46 +7,46 @@
     WatchedBackend, ZoneName,
 };
 
-/// Settings of the decision core.
+/// Settings of the routing core.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Group.
+    /// Control group.
     pub group: GroupId,
-    /// This router.
+    /// Name of this router.
     pub router: RouterName,
-    /// This run of it.
+    /// Incarnation of this router process.
     pub incarnation: Incarnation,
-    /// Its zone; back ends of the same zone are preferred.
+    /// Zone of this router; backends in the same zone are preferred.
     pub zone: ZoneName,
-    /// IP address and port of its caller API.
+    /// IP address and port of the caller API.
     pub address: String,
-    /// Time between reports when idle; with waiting requests the next report goes out at once,
-    /// but no more often than `minimum_report_interval`.
+    /// Interval between reports. A report that must not wait goes out at once, but no sooner than
+    /// `minimum_report_interval` after the last.
     pub report_interval: Duration,
-    /// Shortest time between two reports.
+    /// Minimum interval between two reports.
     pub minimum_report_interval: Duration,
-    /// Most requests waiting in all.
+    /// Maximum number of waiting requests.
     pub maximum_waiting: usize,
-    /// Most attempts of one request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub maximum_attempts: u32,
     /// Retries allowed per hundred first attempts.
     pub retry_budget_percent: u32,
-    /// Consecutive failures after which a back end is left out for a while.
+    /// Consecutive failures after which a backend is ejected.
     pub circuit_failures: u32,
-    /// How long it is left out.
+    /// How long an ejected backend gets no requests.
     pub circuit_open: Duration,
-    /// How long a claim is waited for before the request is refused.
+    /// How long a request waits for the decision on its claim before it is refused.
     pub claim_timeout: Duration,
 }
 
-/// Number of a request within one run of a router.
+/// Number of a request, unique within one incarnation of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// What a request asks for.
+/// What a request addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A model, with an adapter or without.
+    /// A model, optionally with an adapter.
     Model {
         /// Model.
         model: ModelName,
@@ -57,111 +57,111 @@
         /// BLAKE3 hash of the start of the prompt, for prefix locality.
         prefix_hash: u64,
     },
-    /// A path of a group of web back ends.
+    /// A path served by a group of web backends.
     Web {
         /// Path with query.
         path: String,
-        /// Whether the method may be repeated (GET, HEAD).
+        /// The method is safe to repeat (GET, HEAD).
         safe_method: bool,
     },
 }
 
-/// Idempotency key and birth of a request that may not be repeated.
+/// Idempotency key of a request that runs at most once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey {
     /// Key.
     pub key: ClaimKey,
-    /// Birth, from the key (UUID version 7) or the `Idempotency-Key-Born` header.
+    /// Creation time, from the key (UUID version 7) or the `Idempotency-Key-Born` header.
     pub created_unix_millis: u64,
     /// BLAKE3 hash (hex) of method, path and body.
     pub digest: String,
 }
 
-/// A request as it arrived.
+/// An arriving request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// Number.
     pub request: RequestNumber,
-    /// Identity that the caller knows, for explanations; may be empty or stand twice.
+    /// Request id as sent to the caller, for explanations; may be empty and need not be unique.
     pub request_id: String,
-    /// API key as sent; the core looks up its hash.
+    /// API key as sent; only its hash is looked up.
     pub api_key: String,
-    /// What it asks for.
+    /// Addressed model or path.
     pub target: Target,
-    /// When it must be answered or refused.
+    /// When the request must have been completed or refused.
     pub deadline: Timestamp,
-    /// Idempotency key, if any. With one, the request runs at most once.
+    /// Idempotency key; a request with one runs at most once.
     pub idempotency: Option<IdempotencyKey>,
 }
 
 /// How a dispatched attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No byte of the request can have reached the back end.
+    /// No byte of the request reached the backend.
     NotSent,
-    /// The back end refused without running it (its documented `executed: no` answer).
+    /// The backend refused it with `executed: no`.
     RefusedByBackend,
-    /// The back end may have run it, and nothing of the answer went to the caller.
+    /// The backend may have run it; no part of a response was sent to the caller.
     MayHaveRun,
-    /// The answer broke off after some of it went to the caller.
+    /// The response broke off after part of it was sent to the caller.
     BrokenOff {
-        /// Tokens passed on so far; a resumable stream goes on from here.
+        /// Tokens forwarded so far; a resumable stream continues from here.
         tokens: u64,
     },
 }
 
-/// An input of the core.
+/// Input of the routing core.
 #[derive(Clone, Debug)]
 pub enum RoutingInput {
     /// Time passed; sent every few milliseconds.
     Tick,
     /// A request arrived.
     Arrived(Arrival),
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerGone(RequestNumber),
-    /// The attempt got its first byte of answer.
+    /// The first byte of a response arrived.
     FirstByte(RequestNumber),
-    /// The attempt ended with a whole answer. `answer` is given for claimed requests.
+    /// The attempt ended with a complete response.
     Completed {
         /// Request.
         request: RequestNumber,
-        /// Answer to record.
+        /// Response to record; only for claimed requests.
         answer: Option<RecordedAnswer>,
     },
     /// The attempt failed.
     Failed {
         /// Request.
         request: RequestNumber,
-        /// How.
+        /// How it failed.
         failure: AttemptFailure,
     },
-    /// The leader answered a report.
+    /// The leader responded to a report.
     Update(RouterUpdate),
-    /// The link to the leader was made anew: say hello and report.
+    /// A link to the leader was established; hello and report are sent on it.
     LinkUp,
-    /// The link was lost. Leases go on until they end.
+    /// The link was lost. The lease stays valid until it expires.
     LinkDown,
-    /// A claim was answered.
+    /// The control group decided on a claim.
     ClaimDecided {
-        /// Attempt: the request's number.
+        /// Attempt: the number of the request.
         attempt: u64,
         /// Decision.
         decision: ClaimDecision,
     },
-    /// The end of a claim is committed.
+    /// The conclusion of a claim was committed.
     ClaimFinished {
-        /// Attempt: the request's number.
+        /// Attempt: the number of the request.
         attempt: u64,
     },
-    /// A watched back end was read, or did not answer.
+    /// A watched backend sent its state or did not respond.
     Observed(BackendObservation),
-    /// The leader has something newer than the last report knew.
+    /// The leader has an update that the last report did not acknowledge.
     ChangesAvailable,
-    /// Stop: refuse new requests, finish those in flight, then report `Drained`.
+    /// Refuse new requests, finish those in flight, then output `Drained`.
     Drain,
 }
 
-/// Whether a refused request can have run.
+/// Whether a refused request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Executed {
     /// It did not run and will not.
@@ -170,22 +170,22 @@
     Unknown,
 }
 
-/// Why a request was refused.
+/// Why a request was refused, with the status sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalReason {
-    /// No or unknown API key (401).
+    /// Missing or unknown API key (401).
     UnknownKey,
-    /// No such model, adapter or path (404).
+    /// Unknown model, adapter or path (404).
     NotFound,
-    /// A policy denies it, or none allows it (403).
+    /// Denied by a policy, or not allowed by any (403).
     PolicyDenied,
-    /// The path needs an idempotency key and none was given (400).
+    /// The path requires an idempotency key (400).
     KeyRequired,
     /// The idempotency key is too old (400).
     KeyExpired,
-    /// The idempotency key was used for another request (422).
+    /// The idempotency key was used for a different request (422).
     KeyReused,
-    /// Another attempt with this key is running (409).
+    /// Another attempt with this key is in progress (409).
     InProgress,
     /// An earlier attempt with this key may have run (409).
     MayHaveRun,
@@ -193,34 +193,34 @@
     Hopeless,
     /// The deadline passed (504).
     DeadlinePassed,
-    /// Too many requests wait (429).
+    /// Too many waiting requests (429).
     QueueFull,
-    /// The tenant has too many requests waiting (429).
+    /// Too many waiting requests of this tenant (429).
     TenantLimit,
-    /// This router has no fresh lease (503).
+    /// The router has no valid lease (503).
     NoLease,
-    /// The router is stopping (503).
+    /// The router is draining (503).
     Draining,
     /// Every allowed attempt failed (502).
     BackendFailed,
-    /// The control group did not answer the claim in time (503).
+    /// The claim was not decided in time (503).
     ClaimUnavailable,
 }
 
-/// A refusal: final, and given at once.
+/// Final response to a request that is not served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason.
     pub reason: RefusalReason,
-    /// Whether it can have run.
+    /// Whether it may have run.
     pub executed: Executed,
-    /// When to come back, if that can help.
+    /// When to retry; `None` if a retry cannot succeed.
     pub retry_after: Option<Duration>,
-    /// One sentence for the caller, with the remedy.
+    /// Message for the caller: what is wrong and what to do.
     pub message: String,
 }
 
-/// Where to send an attempt.
+/// An attempt to send to a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispatch {
     /// Request.
@@ -231,59 +231,59 @@
     pub tenant: TenantName,
     /// Urgency, for the priority header.
     pub urgency: Urgency,
-    /// Back end.
+    /// Backend.
     pub backend: BackendName,
-    /// Run of the back end.
+    /// Incarnation of the backend.
     pub incarnation: Incarnation,
     /// IP address and port.
     pub address: String,
-    /// Replica and version, for a model.
+    /// Replica and version; `None` for web backends.
     pub slot: Option<(SlotId, VersionLabel)>,
-    /// Token position to go on from; 0 for a fresh attempt.
+    /// Token position from which to resume; 0 for a first attempt.
     pub resume_from: u64,
-    /// The attempt must be sent no later than this (lease and deadline); the host checks its
-    /// clock right before writing.
+    /// Latest time at which the attempt may be sent, bounded by lease and deadline. The host checks
+    /// its clock right before it writes.
     pub send_before: Timestamp,
     /// Deadline of the request.
     pub deadline: Timestamp,
-    /// Whether the answer is to be recorded (claimed request).
+    /// The response must be recorded (claimed requests).
     pub record: bool,
 }
 
-/// What the host must do.
+/// Action that the host must execute.
 #[derive(Clone, Debug)]
 pub enum RoutingOutput {
     /// Send an attempt.
     Dispatch(Box<Dispatch>),
     /// Refuse a request.
     Refuse(RequestNumber, Refusal),
-    /// Answer with a recorded answer of an earlier run.
+    /// Respond with the recorded response of an earlier request with the same key.
     Replay(RequestNumber, RecordedAnswer),
-    /// Cancel the attempt at the back end.
+    /// Cancel the attempt at the backend.
     Cancel(RequestNumber),
-    /// End the answer with an explicit error: it broke off and cannot go on.
+    /// End a partly sent response with an explicit error.
     BreakOff(RequestNumber, Refusal),
-    /// Say hello on a new link.
+    /// Send the hello on a new link.
     SendHello(RouterHello),
     /// Send a report.
     SendReport(RouterReport),
-    /// Ask for a claim.
+    /// Request a claim.
     SendClaim(ClaimBegin),
-    /// End a claim.
+    /// Conclude a claim.
     SendClaimFinish(ClaimFinish),
-    /// Watch these back ends, and no others.
+    /// Watch exactly these backends.
     Watch(Vec<WatchedBackend>),
-    /// One event for the log.
+    /// Log an event.
     Event(RoutingEvent),
-    /// Every request ended after `Drain`.
+    /// All requests ended after `Drain`.
     Drained,
 }
 
-/// An event worth a log line: a name and key=value pairs.
+/// A log event with key-value pairs.
 #[derive(Clone, Debug)]
 pub struct RoutingEvent {
     /// Name of the event.
     pub name: &'static str,
-    /// Pairs, in order.
+    /// Key-value pairs, in order.
     pub pairs: Vec<(&'static str, String)>,
 }
--- a/crates/millpass-routing/src/lease.rs
+++ b/crates/millpass-routing/src/lease.rs
@@ -1,39 +1,37 @@
-//! The lease on catalog and routes.
+//! Lease on catalog and routes.
 //!
-//! A lease counts from when the report that it answers was sent, by this router's own clock, so
-//! that it ends here no later than the leader believes. Only an update that answers a report of
-//! this run, from a leader of the highest term seen, is used.
+//! The lease counts from the time at which the acknowledged report was sent, on this router's
+//! clock, so that it never expires later here than at the leader. Updates are accepted only if they
+//! respond to a report of this incarnation and come from the highest term seen.
 
 use millpass_proto::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Most reports remembered as sent and not answered.
+/// Maximum number of reports awaiting a response.
 const MAXIMUM_OUTSTANDING: usize = 128;
 
-/// The lease.
 #[derive(Debug)]
 pub(crate) struct Lease {
     term: u64,
     next_sequence: u64,
     sent: BTreeMap<u64, Timestamp>,
-    end: Timestamp,
-    held: bool,
+    expires_at: Timestamp,
+    is_held: bool,
 }
 
 impl Lease {
-    /// No lease.
     pub fn new() -> Self {
         Lease {
             term: 0,
             next_sequence: 1,
             sent: BTreeMap::new(),
-            end: Timestamp::ZERO,
-            held: false,
+            expires_at: Timestamp::ZERO,
+            is_held: false,
         }
     }
 
-    /// Draws the number of a report sent now.
-    pub fn report_sent(&mut self, now: Timestamp) -> u64 {
+    /// Allocates the sequence number of a report that is sent now.
+    pub fn record_report_sent(&mut self, now: Timestamp) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.sent.insert(sequence, now);
@@ -43,15 +41,15 @@
         sequence
     }
 
-    /// Whether an update may be used: its term is not below the highest seen and it answers a
-    /// report of this run. Returns when that report was sent.
+    /// Accepts an update if its term is not below the highest seen and it responds to an
+    /// outstanding report of this incarnation. Returns when that report was sent.
     pub fn accept(&mut self, term: u64, sequence: u64) -> Option<Timestamp> {
         if term < self.term {
             return None;
         }
         let sent = self.sent.get(&sequence).copied()?;
         self.term = term;
-        // Answers to older reports carry nothing that this one lacks.
+        // Responses to older reports contain nothing newer.
         self.sent.retain(|outstanding, _| *outstanding > sequence);
         Some(sent)
     }
@@ -61,30 +59,30 @@
         self.term
     }
 
-    /// Extends the lease; a lease never gets shorter. True if there was none before.
+    /// Extends the lease; it is never shortened. Returns true if there was no valid lease before.
     pub fn extend(&mut self, sent: Timestamp, length: Duration, now: Timestamp) -> bool {
-        self.end = self.end.max(sent + length);
-        let gained = !self.held && now < self.end;
-        self.held = self.held || gained;
+        self.expires_at = self.expires_at.max(sent + length);
+        let gained = !self.is_held && now < self.expires_at;
+        self.is_held = self.is_held || gained;
         gained
     }
 
-    /// Notices the end of the lease. True once, at the first step after the end.
-    pub fn lapse(&mut self, now: Timestamp) -> bool {
-        let lapsed = self.held && now >= self.end;
-        if lapsed {
-            self.held = false;
+    /// Returns true once, in the first step after the lease expired.
+    pub fn check_expiry(&mut self, now: Timestamp) -> bool {
+        let expired = self.is_held && now >= self.expires_at;
+        if expired {
+            self.is_held = false;
         }
-        lapsed
+        expired
     }
 
-    /// Whether catalog and routes may be used now.
-    pub fn is_fresh(&self, now: Timestamp) -> bool {
-        self.held && now < self.end
+    /// Returns true if catalog and routes may be used.
+    pub fn is_valid(&self, now: Timestamp) -> bool {
+        self.is_held && now < self.expires_at
     }
 
-    /// When the lease ends.
-    pub fn end(&self) -> Timestamp {
-        self.end
+    /// When the lease expires.
+    pub fn expires_at(&self) -> Timestamp {
+        self.expires_at
     }
 }
--- a/crates/millpass-routing/src/load.rs
+++ b/crates/millpass-routing/src/load.rs
@@ -1,88 +1,88 @@
-//! Requests running at each replica and web back end, as far as this router knows.
+//! Load of each replica and web backend, as observed by this router.
 //!
-//! How many routers share a replica is not known here, so its concurrency cannot be split. A
-//! router counts its own attempts; of a back end that it happens to watch it also knows what
-//! others run: the reported count less its own count when the report came. That estimate lags
-//! like the reports do and is dropped after [`OBSERVATION_VALIDITY`]. Engines queue what comes
-//! beyond their batch, so a wrong estimate costs waiting time, never correctness.
+//! The number of routers that share a replica is unknown, so its concurrency cannot be divided
+//! among them. A router counts its own attempts and, for backends it watches, adds the requests of
+//! others: the reported count minus its own. That estimate lags and is ignored after
+//! [`OBSERVATION_VALIDITY`]. Engines queue requests beyond their batch size, so a wrong estimate
+//! costs waiting time, not correctness.
 
-use crate::request::Place;
+use crate::request::Endpoint;
 use millpass_proto::{BackendObservation, Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// How long a reported count is used.
 pub(crate) const OBSERVATION_VALIDITY: Duration = Duration::from_secs(2);
 
-/// Most places with a count of others.
+/// Maximum number of endpoints with a reported count.
 const MAXIMUM_OBSERVED: usize = 4_096;
 
-/// Counts.
+/// Attempts in flight per endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct BackendLoad {
-    own: BTreeMap<Place, u32>,
-    others: BTreeMap<Place, (u32, Timestamp)>,
+    own: BTreeMap<Endpoint, u32>,
+    others: BTreeMap<Endpoint, (u32, Timestamp)>,
     total: usize,
 }
 
 impl BackendLoad {
-    /// An attempt starts at a place.
-    pub fn started(&mut self, place: &Place) {
-        *self.own.entry(place.clone()).or_insert(0) += 1;
+    /// Records the start of an attempt.
+    pub fn record_start(&mut self, endpoint: &Endpoint) {
+        *self.own.entry(endpoint.clone()).or_insert(0) += 1;
         self.total += 1;
     }
 
-    /// An attempt ended at a place.
-    pub fn ended(&mut self, place: &Place) {
-        let Some(count) = self.own.get_mut(place) else {
+    /// Records the end of an attempt.
+    pub fn record_end(&mut self, endpoint: &Endpoint) {
+        let Some(count) = self.own.get_mut(endpoint) else {
             return;
         };
         *count -= 1;
         self.total -= 1;
         if *count == 0 {
-            self.own.remove(place);
+            self.own.remove(endpoint);
         }
     }
 
-    /// Attempts of this router in flight, everywhere.
+    /// Total attempts of this router in flight.
     pub fn total(&self) -> usize {
         self.total
     }
 
-    /// Requests believed to run at a place.
-    pub fn at(&self, place: &Place, now: Timestamp) -> u32 {
-        let own = self.own.get(place).copied().unwrap_or(0);
-        let others = match self.others.get(place) {
-            Some((count, seen)) if now.since(*seen) < OBSERVATION_VALIDITY => *count,
+    /// Estimated number of requests at an endpoint.
+    pub fn at(&self, endpoint: &Endpoint, now: Timestamp) -> u32 {
+        let own = self.own.get(endpoint).copied().unwrap_or(0);
+        let others = match self.others.get(endpoint) {
+            Some((count, observed_at)) if now.since(*observed_at) < OBSERVATION_VALIDITY => *count,
             _ => 0,
         };
         own.saturating_add(others)
     }
 
-    /// Takes in what a watched back end reported.
-    pub fn observe(&mut self, observation: &BackendObservation, now: Timestamp) {
+    /// Records the load reported by a watched backend.
+    pub fn record_observation(&mut self, observation: &BackendObservation, now: Timestamp) {
         if self.others.len() >= MAXIMUM_OBSERVED {
             self.others
-                .retain(|_, (_, seen)| now.since(*seen) < OBSERVATION_VALIDITY);
+                .retain(|_, (_, observed_at)| now.since(*observed_at) < OBSERVATION_VALIDITY);
         }
         match observation {
             BackendObservation::Engine(report) => {
                 for slot in &report.slots {
                     let running = slot.running.saturating_add(slot.waiting);
-                    self.note_others(Place::Slot(slot.slot), running, now);
+                    self.record_others(Endpoint::Slot(slot.slot), running, now);
                 }
             }
             BackendObservation::Web(report) => {
-                self.note_others(Place::Web(report.backend.clone()), report.running, now);
+                self.record_others(Endpoint::Web(report.backend.clone()), report.running, now);
             }
             BackendObservation::Unreachable(_) => {}
         }
     }
 
-    fn note_others(&mut self, place: Place, running: u32, now: Timestamp) {
-        let own = self.own.get(&place).copied().unwrap_or(0);
-        if self.others.len() < MAXIMUM_OBSERVED || self.others.contains_key(&place) {
+    fn record_others(&mut self, endpoint: Endpoint, running: u32, now: Timestamp) {
+        let own = self.own.get(&endpoint).copied().unwrap_or(0);
+        if self.others.len() < MAXIMUM_OBSERVED || self.others.contains_key(&endpoint) {
             self.others
-                .insert(place, (running.saturating_sub(own), now));
+                .insert(endpoint, (running.saturating_sub(own), now));
         }
     }
 }
--- a/crates/millpass-routing/src/observations.rs
+++ b/crates/millpass-routing/src/observations.rs
@@ -1,4 +1,4 @@
-//! What watched back ends reported, until the leader has it.
+//! Observations of watched backends that the leader has not acknowledged yet.
 
 use millpass_proto::{
     BackendName, BackendObservation, EngineAdapterReport, EngineSlotPhase, EngineSlotReport,
@@ -6,10 +6,10 @@
 };
 use std::collections::BTreeMap;
 
-/// Most back ends watched by one router.
+/// Maximum number of backends that one router watches.
 pub(crate) const MAXIMUM_WATCHED: usize = 1_024;
 
-/// The newest observation of one back end.
+/// Latest observation of a backend.
 #[derive(Debug)]
 struct Observed {
     observation: BackendObservation,
@@ -17,36 +17,36 @@
     acknowledged: bool,
 }
 
-/// The newest observation of each watched back end.
+/// Latest observation of each watched backend.
 #[derive(Debug, Default)]
 pub(crate) struct ObservationTable {
-    /// Watched back ends, with what was last seen of them.
+    /// Watched backends with their latest observation.
     watched: BTreeMap<BackendName, Option<Observed>>,
 }
 
 impl ObservationTable {
-    /// Sets the share to watch; returns it, cut to the bound.
+    /// Replaces the watch list and returns it, truncated to [`MAXIMUM_WATCHED`].
     pub fn watch(&mut self, backends: &[WatchedBackend]) -> Vec<WatchedBackend> {
-        let share: Vec<_> = backends.iter().take(MAXIMUM_WATCHED).cloned().collect();
+        let watch_list: Vec<_> = backends.iter().take(MAXIMUM_WATCHED).cloned().collect();
         let mut watched = BTreeMap::new();
-        for entry in &share {
-            let kept = self.watched.remove(&entry.backend).flatten();
-            watched.insert(entry.backend.clone(), kept);
+        for entry in &watch_list {
+            let observed = self.watched.remove(&entry.backend).flatten();
+            watched.insert(entry.backend.clone(), observed);
         }
         self.watched = watched;
-        share
+        watch_list
     }
 
-    /// Takes an observation of a watched back end; true if the leader should have it at once.
-    pub fn observe(&mut self, observation: BackendObservation) -> bool {
+    /// Records an observation of a watched backend. Returns true if it must be reported at once.
+    pub fn record(&mut self, observation: BackendObservation) -> bool {
         let Some(entry) = self.watched.get_mut(name_of(&observation)) else {
             return false;
         };
-        let held = entry.as_ref().map(|held| &held.observation);
-        if held == Some(&observation) {
+        let previous = entry.as_ref().map(|previous| &previous.observation);
+        if previous == Some(&observation) {
             return false;
         }
-        let is_urgent = held.is_none_or(|held| !shows_same_placement(held, &observation));
+        let is_urgent = previous.is_none_or(|previous| !has_same_placement(previous, &observation));
         *entry = Some(Observed {
             observation,
             sent: None,
@@ -55,30 +55,30 @@
         is_urgent
     }
 
-    /// Observations that the leader is not known to have, at most `most`, for a report.
-    pub fn take_for_report(&mut self, sequence: u64, most: usize) -> Vec<BackendObservation> {
+    /// Returns up to `most` unacknowledged observations for a report.
+    pub fn collect_for_report(&mut self, sequence: u64, most: usize) -> Vec<BackendObservation> {
         let entries = self.watched.values_mut().flatten();
         let unacknowledged = entries.filter(|entry| !entry.acknowledged);
-        let mut oldest_sent: Vec<_> = unacknowledged.collect();
-        // What was not sent at all goes first, then what was sent longest ago.
-        oldest_sent.sort_by_key(|entry| entry.sent);
-        let mut taken = Vec::new();
-        for entry in oldest_sent.into_iter().take(most) {
+        let mut pending: Vec<_> = unacknowledged.collect();
+        // Never sent first, then least recently sent.
+        pending.sort_by_key(|entry| entry.sent);
+        let mut collected = Vec::new();
+        for entry in pending.into_iter().take(most) {
             entry.sent = Some(sequence);
-            taken.push(entry.observation.clone());
+            collected.push(entry.observation.clone());
         }
-        taken
+        collected
     }
 
-    /// The leader has the report with this number.
+    /// Records that the leader acknowledged a report.
     pub fn acknowledge(&mut self, sequence: u64) {
         for entry in self.watched.values_mut().flatten() {
             entry.acknowledged |= entry.sent == Some(sequence);
         }
     }
 
-    /// A new leader knows nothing yet.
-    pub fn forget_acknowledged(&mut self) {
+    /// Resets the acknowledged state; a new leader has received nothing yet.
+    pub fn reset_acknowledged(&mut self) {
         for entry in self.watched.values_mut().flatten() {
             entry.acknowledged = false;
             entry.sent = None;
@@ -86,9 +86,9 @@
     }
 }
 
-/// Whether two observations of a back end differ in its load only. Requests wait for what differs
-/// otherwise: a load or unload that ended, a new run.
-fn shows_same_placement(one: &BackendObservation, other: &BackendObservation) -> bool {
+/// Returns true if two observations of a backend differ in load only. Other differences, such as a
+/// finished load or a new incarnation, may unblock waiting requests.
+fn has_same_placement(one: &BackendObservation, other: &BackendObservation) -> bool {
     match (one, other) {
         (BackendObservation::Engine(one), BackendObservation::Engine(other)) => {
             one.incarnation == other.incarnation
@@ -106,7 +106,7 @@
     }
 }
 
-/// What a slot holds, without how much runs in it.
+/// The content of a slot without its load.
 fn placement(slot: &EngineSlotReport) -> (SlotId, &EngineSlotPhase, &[EngineAdapterReport]) {
     (slot.slot, &slot.phase, &slot.adapters)
 }
--- a/crates/millpass-routing/src/queues.rs
+++ b/crates/millpass-routing/src/queues.rs
@@ -1,9 +1,9 @@
-//! Requests that wait for a place: a queue for each model (with adapter) and web group, by
-//! urgency, and within an urgency fair by tenant weight.
+//! Queues of waiting requests: one per model, adapter and version, or per web group. Within a queue
+//! requests are ordered by urgency, then fairly by tenant weight.
 //!
-//! Fairness is start-time fair queueing: each tenant has a virtual start time, the smallest goes
-//! first, and a dispatch moves it on by the inverse of the tenant's weight. A tenant that comes
-//! back after a pause starts at the current virtual time: it cannot save up.
+//! Fairness is start-time fair queueing: each tenant has a virtual start time, the smallest is
+//! served first, and each dispatch advances it by the inverse of the tenant's weight. A tenant that
+//! was idle restarts at the current virtual time, so it cannot accumulate credit.
 
 use crate::interface::RequestNumber;
 use crate::request::Request;
@@ -12,31 +12,31 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Virtual time that one dispatch costs a tenant of weight 1.
+/// Virtual time per dispatch of a tenant with weight 1.
 const DISPATCH_COST: u64 = 1 << 20;
-/// Idle tenant lines that are always kept at a level.
-const IDLE_LINES_KEPT: usize = 16;
-/// Levels of urgency.
+/// Idle tenants that are always kept per urgency level.
+const MINIMUM_IDLE_TENANTS: usize = 16;
+/// Number of urgency levels.
 const LEVELS: usize = 3;
 
-/// What the requests of one queue need.
+/// What the requests of a queue need.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueKey {
-    /// A replica.
+    /// A replica of a model.
     Model {
         /// Model.
         model: ModelName,
         /// Adapter that must be loaded.
         adapter: Option<AdapterName>,
-        /// Version, for a stream that goes on from a position.
+        /// Version that a resumed stream requires.
         version: Option<VersionLabel>,
     },
-    /// A web back end of a group.
+    /// A web backend of a group.
     Web(GroupName),
 }
 
 impl QueueKey {
-    /// Whether both are served by the same replicas or back ends.
+    /// Returns true if both queues use the same model or web group.
     fn same_service(&self, other: &QueueKey) -> bool {
         match (self, other) {
             (QueueKey::Model { model, .. }, QueueKey::Model { model: other, .. }) => model == other,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether both need the same model with the same adapter.
+    /// Returns true if both queues use the same model and adapter.
     fn same_adapter(&self, other: &QueueKey) -> bool {
         let adapter_of = |key: &QueueKey| match key {
             QueueKey::Model { adapter, .. } => adapter.clone(),
@@ -54,7 +54,7 @@
         self.same_service(other) && adapter_of(self) == adapter_of(other)
     }
 
-    /// The first key, in order, of the same model or group.
+    /// Returns the smallest key of the same model or group.
     fn first_of_service(&self) -> QueueKey {
         match self {
             QueueKey::Model { model, .. } => QueueKey::Model {
@@ -72,76 +72,75 @@
     urgency as usize
 }
 
-/// The requests of one tenant at one level.
+/// Waiting requests of one tenant at one level.
 #[derive(Debug)]
-struct TenantLine {
+struct TenantQueue {
     start: u64,
     weight: u32,
     waiting: BTreeSet<RequestNumber>,
 }
 
-/// One level of urgency.
+/// Fair queue of one urgency level.
 #[derive(Debug, Default)]
 struct FairLevel {
     virtual_time: u64,
-    lines: BTreeMap<TenantName, TenantLine>,
+    tenants: BTreeMap<TenantName, TenantQueue>,
     order: BTreeSet<(u64, TenantName)>,
 }
 
 impl FairLevel {
     fn push(&mut self, tenant: &TenantName, weight: u32, number: RequestNumber) {
         let virtual_time = self.virtual_time;
-        let line = self.lines.entry(tenant.clone()).or_insert(TenantLine {
+        let queue = self.tenants.entry(tenant.clone()).or_insert(TenantQueue {
             start: virtual_time,
             weight: 1,
             waiting: BTreeSet::new(),
         });
-        line.weight = weight.max(1);
-        if line.waiting.is_empty() {
-            line.start = line.start.max(virtual_time);
-            self.order.insert((line.start, tenant.clone()));
+        queue.weight = weight.max(1);
+        if queue.waiting.is_empty() {
+            queue.start = queue.start.max(virtual_time);
+            self.order.insert((queue.start, tenant.clone()));
         }
-        line.waiting.insert(number);
+        queue.waiting.insert(number);
     }
 
     fn first(&self) -> Option<RequestNumber> {
         let (_, tenant) = self.order.first()?;
-        self.lines.get(tenant)?.waiting.first().copied()
+        self.tenants.get(tenant)?.waiting.first().copied()
     }
 
-    /// Takes a request out; a dispatched one is charged to its tenant.
+    /// Removes a request; `charge` advances the tenant's start time.
     fn remove(&mut self, tenant: &TenantName, number: RequestNumber, charge: bool) {
-        let Some(line) = self.lines.get_mut(tenant) else {
+        let Some(queue) = self.tenants.get_mut(tenant) else {
             return;
         };
-        if !line.waiting.remove(&number) {
+        if !queue.waiting.remove(&number) {
             return;
         }
-        self.order.remove(&(line.start, tenant.clone()));
+        self.order.remove(&(queue.start, tenant.clone()));
         if charge {
-            self.virtual_time = self.virtual_time.max(line.start);
-            line.start += DISPATCH_COST / u64::from(line.weight);
+            self.virtual_time = self.virtual_time.max(queue.start);
+            queue.start += DISPATCH_COST / u64::from(queue.weight);
         }
-        if line.waiting.is_empty() {
-            self.forget_idle();
+        if queue.waiting.is_empty() {
+            self.evict_idle();
         } else {
-            self.order.insert((line.start, tenant.clone()));
+            self.order.insert((queue.start, tenant.clone()));
         }
     }
 
-    /// Drops lines that wait for nothing and owe nothing, so the table stays bounded. Done only
-    /// once idle lines outnumber the others, so that its cost spreads over many removals.
-    fn forget_idle(&mut self) {
-        if self.lines.len() <= 2 * self.order.len() + IDLE_LINES_KEPT {
+    /// Drops idle tenants whose start time has passed, which bounds the table. Runs only when idle
+    /// tenants outnumber the others, so that its cost is amortized.
+    fn evict_idle(&mut self) {
+        if self.tenants.len() <= 2 * self.order.len() + MINIMUM_IDLE_TENANTS {
             return;
         }
         let virtual_time = self.virtual_time;
-        self.lines
-            .retain(|_, line| !line.waiting.is_empty() || line.start > virtual_time);
+        self.tenants
+            .retain(|_, queue| !queue.waiting.is_empty() || queue.start > virtual_time);
     }
 }
 
-/// One queue.
 #[derive(Debug, Default)]
 struct Queue {
     levels: [FairLevel; LEVELS],
@@ -150,22 +149,22 @@
 }
 
 impl Queue {
-    /// The next request to serve, with its level.
+    /// Returns the next request to dispatch and its level.
     fn first(&self) -> Option<(usize, RequestNumber)> {
         let levels = self.levels.iter().enumerate();
-        let mut heads = levels.filter_map(|(level, line)| Some((level, line.first()?)));
-        heads.next()
+        let mut first_requests = levels.filter_map(|(level, queue)| Some((level, queue.first()?)));
+        first_requests.next()
     }
 }
 
-/// All queues. Empty ones are dropped.
+/// All queues; empty ones are removed.
 #[derive(Debug, Default)]
 pub(crate) struct Queues {
     queues: BTreeMap<QueueKey, Queue>,
 }
 
 impl Queues {
-    /// Puts a request into its queue.
+    /// Adds a request to its queue.
     pub fn push(&mut self, request: &Request, weight: u32) {
         let queue = self.queues.entry(request.queue.clone()).or_default();
         let level = &mut queue.levels[level_of(request.urgency)];
@@ -174,7 +173,7 @@
         queue.deadlines.insert((request.deadline, request.number));
     }
 
-    /// Takes a request out of its queue; `charge` when it is dispatched.
+    /// Removes a request from its queue; `charge` is set if it is dispatched.
     pub fn remove(&mut self, request: &Request, charge: bool) {
         let Some(queue) = self.queues.get_mut(&request.queue) else {
             return;
@@ -188,34 +187,35 @@
         }
     }
 
-    /// Whether nothing waits in this queue.
+    /// Returns true if no request waits in the queue.
     pub fn is_empty(&self, key: &QueueKey) -> bool {
         !self.queues.contains_key(key)
     }
 
-    /// Keys of the queues in which something waits.
+    /// Keys of the non-empty queues.
     pub fn keys(&self) -> impl Iterator<Item = &QueueKey> {
         self.queues.keys()
     }
 
-    /// Queues of the same model or group that are not in `blocked`: the one with the most urgent
-    /// next request (the oldest among equals), and that request.
+    /// Among the queues of the same model or group that are not in `excluded`, returns the one with
+    /// the most urgent (then oldest) next request, and that request.
     pub fn next_of_service(
         &self,
         key: &QueueKey,
-        blocked: &[QueueKey],
+        excluded: &[QueueKey],
     ) -> Option<(QueueKey, RequestNumber)> {
         let queues = self
             .queues
             .range(key.first_of_service()..)
             .take_while(|(candidate, _)| candidate.same_service(key))
-            .filter(|(candidate, _)| !blocked.contains(candidate));
-        let heads = queues.filter_map(|(candidate, queue)| Some((queue.first()?, candidate)));
-        let ((_, number), best) = heads.min()?;
+            .filter(|(candidate, _)| !excluded.contains(candidate));
+        let first_requests =
+            queues.filter_map(|(candidate, queue)| Some((queue.first()?, candidate)));
+        let ((_, number), best) = first_requests.min()?;
         Some((best.clone(), number))
     }
 
-    /// Queues of the same model and adapter, whatever version their requests need.
+    /// Returns the queues of the same model and adapter, for all versions.
     pub fn versions_of(&self, key: &QueueKey) -> Vec<QueueKey> {
         let queues = self.queues.range(key..).map(|(candidate, _)| candidate);
         queues
@@ -224,7 +224,7 @@
             .collect()
     }
 
-    /// Requests of a queue whose deadline is before a time.
+    /// Returns the requests of a queue with a deadline before `time`.
     pub fn due_before(&self, key: &QueueKey, time: Timestamp) -> Vec<RequestNumber> {
         let queue = self.queues.get(key).into_iter();
         let deadlines = queue.flat_map(|queue| queue.deadlines.iter());
@@ -240,7 +240,7 @@
         queue.flat_map(|queue| queue.members.iter().copied())
     }
 
-    /// Number waiting in a queue.
+    /// Number of requests in a queue.
     pub fn len(&self, key: &QueueKey) -> usize {
         self.queues.get(key).map_or(0, |queue| queue.members.len())
     }
--- a/crates/millpass-routing/src/readiness.rs
+++ b/crates/millpass-routing/src/readiness.rs
@@ -1,110 +1,112 @@
-//! Whether what waits in a queue can be served in time, judged on each tick and update.
+//! Checks on each tick and update whether waiting requests can still be served in time.
 
-use crate::dispatch::Choice;
+use crate::dispatch::Selection;
 use crate::interface::RequestNumber;
-use crate::outlook::UNPLACEABLE_GRACE;
 use crate::queues::QueueKey;
-use crate::refusals::Refused;
+use crate::ready_estimates::UNPLACEABLE_GRACE;
+use crate::refusals::Rejection;
 use crate::{Routing, Step};
 use millpass_proto::{Duration, ReplicaPhase, Timestamp};
 
-/// How long a request waits for the first back end of its web group to appear.
+/// How long a request waits for its web group to get a backend.
 pub(crate) const NO_BACKEND_GRACE: Duration = Duration::from_secs(1);
 
-/// How a queue stands.
+/// State of the backends of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
-    /// Something serves it, if perhaps all of it is busy.
+    /// At least one backend serves the queue, even if all are at capacity.
     Serving,
-    /// Something will serve it from then on.
+    /// A backend is expected to serve from this time.
     ReadyAt(Timestamp),
-    /// No replica can be placed as things stand.
+    /// No replica can be placed at present.
     Unplaceable {
-        /// Whether that has lasted beyond the grace.
-        given_up: bool,
-        /// When a replica might serve if one could be placed.
+        /// Whether the grace period has elapsed.
+        grace_elapsed: bool,
+        /// Earliest time at which a replica could serve if one could be placed.
         ready: Timestamp,
     },
-    /// The web group has no back end.
+    /// The web group has no backend.
     NoBackend,
-    /// A stream cannot go on: no replica of its version is left.
-    VersionGone,
-    /// The leader has not said yet.
+    /// No replica of the version that a stream needs is left.
+    VersionUnavailable,
+    /// The leader has sent no estimate yet.
     Unknown,
 }
 
 impl Routing {
-    /// How a queue stands.
+    /// Returns the state of the backends of a queue.
     pub(crate) fn readiness(&self, queue: &QueueKey, now: Timestamp) -> Readiness {
-        match self.choose(queue, 0, &[], now) {
-            Choice::Found(_) | Choice::Busy => Readiness::Serving,
-            Choice::OpenUntil(until) => Readiness::ReadyAt(until),
-            Choice::Absent => self.readiness_of_absent(queue, now),
+        match self.select_backend(queue, 0, &[], now) {
+            Selection::Backend(_) | Selection::Busy => Readiness::Serving,
+            Selection::OpenUntil(until) => Readiness::ReadyAt(until),
+            Selection::NoBackend => self.readiness_without_backend(queue, now),
         }
     }
 
-    fn readiness_of_absent(&self, queue: &QueueKey, now: Timestamp) -> Readiness {
+    fn readiness_without_backend(&self, queue: &QueueKey, now: Timestamp) -> Readiness {
         let QueueKey::Model { model, version, .. } = queue else {
             return Readiness::NoBackend;
         };
         if let Some(version) = version {
             let mut replicas = self.routes.replicas_of(model);
-            let kept = replicas.any(|replica| {
+            let is_available = replicas.any(|replica| {
                 replica.version == *version && replica.phase != ReplicaPhase::Unloading
             });
-            if !kept {
-                return Readiness::VersionGone;
+            if !is_available {
+                return Readiness::VersionUnavailable;
             }
         }
-        match self.outlooks.of(model) {
+        match self.ready_estimates.of(model) {
             None => Readiness::Unknown,
-            Some(expectation) => match expectation.unplaceable_since {
-                None => Readiness::ReadyAt(expectation.ready),
+            Some(estimate) => match estimate.unplaceable_since {
+                None => Readiness::ReadyAt(estimate.ready),
                 Some(since) => Readiness::Unplaceable {
-                    given_up: since + UNPLACEABLE_GRACE <= now,
-                    ready: expectation.ready,
+                    grace_elapsed: since + UNPLACEABLE_GRACE <= now,
+                    ready: estimate.ready,
                 },
             },
         }
     }
 
-    /// Refuses what can no longer be met in every queue, then serves what can be served. The
-    /// work is bounded by the number of queues and of requests that end here.
-    pub(crate) fn judge_and_serve_all(&mut self, step: &mut Step) {
+    /// Refuses waiting requests that cannot be served in time, then dispatches the others. The work
+    /// is bounded by the number of queues and of cause requests.
+    pub(crate) fn refresh_queues(&mut self, step: &mut Step) {
         let queues: Vec<QueueKey> = self.queues.keys().cloned().collect();
         for queue in &queues {
-            self.judge_queue(queue, step);
+            self.check_queue_deadlines(queue, step);
         }
         for queue in &queues {
-            self.serve(queue, step);
+            self.dispatch_waiting(queue, step);
         }
     }
 
-    fn judge_queue(&mut self, queue: &QueueKey, step: &mut Step) {
-        for number in self.doubtful(queue, step.now) {
+    fn check_queue_deadlines(&mut self, queue: &QueueKey, step: &mut Step) {
+        for number in self.requests_at_risk(queue, step.now) {
             let Some(request) = self.table.get(number) else {
                 continue;
             };
-            if let Some(refused) = self.hopeless(request, step.now) {
-                self.give_up(number, refused, step);
+            if let Some(rejection) = self.check_deadline(request, step.now) {
+                self.end_request(number, rejection, step);
             }
         }
     }
 
-    /// Requests of a queue that may have become hopeless.
-    fn doubtful(&self, queue: &QueueKey, now: Timestamp) -> Vec<RequestNumber> {
+    /// Returns the requests of a queue whose deadline may have become unreachable.
+    fn requests_at_risk(&self, queue: &QueueKey, now: Timestamp) -> Vec<RequestNumber> {
         match self.readiness(queue, now) {
             Readiness::Serving | Readiness::Unknown => Vec::new(),
             Readiness::ReadyAt(ready)
             | Readiness::Unplaceable {
-                given_up: false,
+                grace_elapsed: false,
                 ready,
             } => self.queues.due_before(queue, ready),
-            Readiness::Unplaceable { given_up: true, .. } | Readiness::VersionGone => {
-                self.queues.members(queue).collect()
+            Readiness::Unplaceable {
+                grace_elapsed: true,
+                ..
             }
+            | Readiness::VersionUnavailable => self.queues.members(queue).collect(),
             Readiness::NoBackend => {
-                // Members are in order of arrival, so the grace ends for a prefix of them.
+                // Requests are in arrival order, so those past the grace period form a prefix.
                 let members = self.queues.members(queue);
                 let arrived = |number| self.table.get(number).map(|request| request.arrived);
                 members
@@ -116,10 +118,10 @@
         }
     }
 
-    /// Refuses everything that waits; called when the lease ends.
-    pub(crate) fn refuse_all_waiting(&mut self, refused: &Refused, step: &mut Step) {
+    /// Refuses all waiting requests, when the lease expires.
+    pub(crate) fn refuse_all_waiting(&mut self, rejection: &Rejection, step: &mut Step) {
         for number in self.table.all_waiting() {
-            self.give_up(number, refused.clone(), step);
+            self.end_request(number, rejection.clone(), step);
         }
     }
 }
--- a/crates/millpass-routing/src/refusals.rs
+++ b/crates/millpass-routing/src/refusals.rs
@@ -1,69 +1,69 @@
-//! Refusals: reasons in words, and the one place where a request is given up.
+//! Refusals: messages for the caller, and the removal of cause requests.
 
-use crate::claims::conclusion_without_answer;
+use crate::claims::conclusion_without_response;
 use crate::explain::{AttemptEnd, Outcome};
 use crate::interface::{Executed, Refusal, RefusalReason, RequestNumber, RoutingOutput};
 use crate::request::{Request, Stage};
 use crate::{Routing, Step};
 use millpass_proto::{Duration, Timestamp};
 
-/// When to come back if nothing better is known.
+/// Default Retry-After.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// When to come back for a model that cannot be placed as things stand.
+/// Minimum Retry-After for a model that cannot be placed.
 pub(crate) const UNPLACEABLE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Why a request is given up; whether it ran is added when it is.
+/// Cause of a refusal; whether the request may have run is added later.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Refused {
+pub(crate) struct Rejection {
     /// Reason.
     pub reason: RefusalReason,
-    /// When to come back, if that can help.
+    /// When to retry; `None` if a retry cannot succeed.
     pub retry_after: Option<Duration>,
-    /// What is particular to this request.
+    /// Additional detail for the message.
     pub detail: Option<String>,
 }
 
-impl Refused {
-    /// A refusal with the reason's usual time to come back.
+impl Rejection {
+    /// A cause with the default Retry-After of its reason.
     pub fn new(reason: RefusalReason) -> Self {
-        Refused {
+        Rejection {
             reason,
             retry_after: is_temporary(reason).then_some(DEFAULT_RETRY_AFTER),
             detail: None,
         }
     }
 
-    /// The same with a detail.
+    /// A cause with a detail for the message.
     pub fn with_detail(reason: RefusalReason, detail: String) -> Self {
-        Refused {
+        Rejection {
             detail: Some(detail),
-            ..Refused::new(reason)
+            ..Rejection::new(reason)
         }
     }
 
-    /// The deadline is before the time at which it could be served.
-    pub fn hopeless(ready: Timestamp, now: Timestamp) -> Self {
-        Refused {
+    /// The queue becomes ready only after the deadline.
+    pub fn deadline_unreachable(ready: Timestamp, now: Timestamp) -> Self {
+        Rejection {
             retry_after: Some(ready.since(now)),
-            ..Refused::new(RefusalReason::Hopeless)
+            ..Rejection::new(RefusalReason::Hopeless)
         }
     }
 
     /// No replica can be placed.
     pub fn unplaceable(ready: Timestamp, now: Timestamp) -> Self {
         let wait = ready.since(now).max(UNPLACEABLE_RETRY_AFTER);
-        Refused {
+        Rejection {
             retry_after: Some(wait),
-            ..Refused::new(RefusalReason::Hopeless)
+            ..Rejection::new(RefusalReason::Hopeless)
         }
     }
 
-    /// The refusal as given to the caller.
+    /// Converts the cause into the refusal sent to the caller.
     pub fn into_refusal(self, executed: Executed) -> Refusal {
-        let sentence = sentence(self.reason);
+        let text = message_text(self.reason);
         let message = match self.detail {
-            Some(detail) => format!("{sentence} ({detail})"),
-            None => sentence.to_owned(),
+            Some(detail) => format!("{text} ({detail})"),
+            None => text.to_owned(),
         };
         Refusal {
             reason: self.reason,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether coming back later can help.
+/// Returns true if a later retry can succeed.
 fn is_temporary(reason: RefusalReason) -> bool {
     matches!(
         reason,
@@ -90,8 +90,8 @@
     )
 }
 
-/// One sentence for the caller, with the remedy.
-fn sentence(reason: RefusalReason) -> &'static str {
+/// Message for the caller: what is wrong and what to do.
+fn message_text(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::UnknownKey => {
             "The API key is missing or unknown; send `Authorization: Bearer KEY` with a key of a \
@@ -138,33 +138,38 @@
 }
 
 impl Routing {
-    /// Gives a live request up, whatever its stage: its one final output.
-    pub(crate) fn give_up(&mut self, number: RequestNumber, refused: Refused, step: &mut Step) {
+    /// Ends a live request in any stage with its single final output.
+    pub(crate) fn end_request(
+        &mut self,
+        number: RequestNumber,
+        rejection: Rejection,
+        step: &mut Step,
+    ) {
         let Some(request) = self.remove_request(number, step) else {
             return;
         };
         let executed = request.executed();
-        self.conclude_claim(number, conclusion_without_answer(executed), step);
-        let reason = refused.reason;
-        let outcome = if request.answer_begun() {
+        self.conclude_claim(number, conclusion_without_response(executed), step);
+        let reason = rejection.reason;
+        let outcome = if request.has_response_started() {
             Outcome::BrokenOff(reason)
         } else {
             Outcome::Refused(reason)
         };
-        let refusal = refused.into_refusal(executed);
-        self.record_given_up(&request, outcome, &refusal, step.now);
+        let refusal = rejection.into_refusal(executed);
+        self.record_failure(&request, outcome, &refusal, step.now);
         if request.detached {
             return;
         }
-        step.outputs.push(if request.answer_begun() {
+        step.outputs.push(if request.has_response_started() {
             RoutingOutput::BreakOff(number, refusal)
         } else {
             RoutingOutput::Refuse(number, refusal)
         });
     }
 
-    /// Takes a request out of the table, its queue and its place. An attempt still in flight is
-    /// cancelled, and its place goes to the next in the queue.
+    /// Removes a request from the table, its queue and its backend. An attempt in flight is
+    /// cancelled, and its capacity goes to the next waiting request.
     pub(crate) fn remove_request(
         &mut self,
         number: RequestNumber,
@@ -172,7 +177,7 @@
     ) -> Option<Request> {
         let mut request = self.table.remove(number)?;
         if request.is_in_flight() {
-            request.attempt_ended(AttemptEnd::Cancelled, step.now);
+            request.record_attempt_end(AttemptEnd::Cancelled, step.now);
         }
         match &request.stage {
             Stage::AwaitingClaim => {}
@@ -180,7 +185,7 @@
             Stage::InFlight(attempt) => {
                 step.outputs.push(RoutingOutput::Cancel(number));
                 self.circuits
-                    .abandoned(&attempt.backend, attempt.incarnation);
+                    .record_cancelled(&attempt.backend, attempt.incarnation);
                 self.release(&request.queue, attempt);
                 step.freed.push(request.queue.clone());
             }
--- a/crates/millpass-routing/src/reporting.rs
+++ b/crates/millpass-routing/src/reporting.rs
@@ -1,4 +1,4 @@
-//! Reports to the leader and its updates.
+//! Reports to the leader, and updates from it.
 
 use crate::catalog::DeltaOutcome;
 use crate::demand::{DemandCounts, DemandEntry, DemandKey, DemandTable};
@@ -10,45 +10,45 @@
     VersionLabel,
 };
 
-/// Most demand entries in one report; those with waiting requests go first.
+/// Maximum number of demand entries per report; entries with the most waiting requests go first.
 const MAXIMUM_DEMAND_ENTRIES: usize = 1_024;
-/// Most observations in one report; the rest goes with the next.
+/// Maximum number of observations per report; the rest follows in the next reports.
 const MAXIMUM_OBSERVATIONS: usize = 64;
 
-/// When reports go out.
+/// Schedule of reports.
 #[derive(Debug, Default)]
 pub(crate) struct ReportSchedule {
     link_up: bool,
     last_sent: Option<Timestamp>,
-    hurried: bool,
+    urgent: bool,
 }
 
 impl ReportSchedule {
-    /// Whether there is a link to the leader.
+    /// Returns true if there is a link to the leader.
     pub fn link_up(&self) -> bool {
         self.link_up
     }
 
-    /// Asks for a report as soon as the shortest interval allows.
-    pub fn hurry(&mut self) {
-        self.hurried = true;
+    /// Requests a report as soon as the minimum interval allows.
+    pub fn expedite(&mut self) {
+        self.urgent = true;
     }
 
     fn is_due(&self, idle: Duration, shortest: Duration, now: Timestamp) -> bool {
         if !self.link_up {
             return false;
         }
-        let interval = if self.hurried { shortest } else { idle };
+        let interval = if self.urgent { shortest } else { idle };
         self.last_sent.is_none_or(|last| last + interval <= now)
     }
 }
 
 impl Routing {
-    /// There is a new link: hello, a report, and whatever was not answered on the old one.
+    /// Handles a new link: sends hello, a report and all unanswered claim messages.
     pub(crate) fn link_up(&mut self, step: &mut Step) {
         self.reporting.link_up = true;
-        // Whoever is at the other end need not have what the last one acknowledged.
-        self.forget_acknowledged();
+        // The new leader may not have what the previous one acknowledged.
+        self.reset_acknowledged();
         step.outputs.push(RoutingOutput::SendHello(RouterHello {
             group: self.settings.group,
             router: self.settings.router.clone(),
@@ -61,14 +61,14 @@
         step.outputs.extend(messages);
     }
 
-    /// The link was lost.
+    /// Handles the loss of the link.
     pub(crate) fn link_down(&mut self) {
         self.reporting.link_up = false;
     }
 
-    fn forget_acknowledged(&mut self) {
-        self.demand.forget_acknowledged();
-        self.observations.forget_acknowledged();
+    fn reset_acknowledged(&mut self) {
+        self.demand.reset_acknowledged();
+        self.observations.reset_acknowledged();
     }
 
     /// Sends a report if one is due.
@@ -81,13 +81,13 @@
     }
 
     fn send_report(&mut self, step: &mut Step) {
-        let sequence = self.lease.report_sent(step.now);
+        let sequence = self.lease.record_report_sent(step.now);
         self.reporting.last_sent = Some(step.now);
-        self.reporting.hurried = false;
+        self.reporting.urgent = false;
         let demand = self.demand_for_report(sequence, step.now);
         let observations = self
             .observations
-            .take_for_report(sequence, MAXIMUM_OBSERVATIONS);
+            .collect_for_report(sequence, MAXIMUM_OBSERVATIONS);
         step.outputs.push(RoutingOutput::SendReport(RouterReport {
             sequence,
             configuration: self.catalog.revision(),
@@ -99,7 +99,7 @@
     }
 
     fn demand_for_report(&mut self, sequence: u64, now: Timestamp) -> Vec<ModelDemand> {
-        let mut told: Vec<(DemandKey, DemandCounts, ModelDemand)> = Vec::new();
+        let mut reported: Vec<(DemandKey, DemandCounts, ModelDemand)> = Vec::new();
         for (key, entry) in self.demand.entries() {
             let demand = self.demand_of(key, entry, now);
             let counts = DemandCounts {
@@ -107,23 +107,23 @@
                 in_flight: demand.in_flight,
                 arrivals: demand.arrivals,
             };
-            if DemandTable::is_worth_telling(entry, counts) {
-                told.push((key.clone(), counts, demand));
+            if DemandTable::must_report(entry, counts) {
+                reported.push((key.clone(), counts, demand));
             }
         }
-        if told.len() > MAXIMUM_DEMAND_ENTRIES {
-            told.sort_by_key(|(_, counts, _)| std::cmp::Reverse(counts.waiting));
-            told.truncate(MAXIMUM_DEMAND_ENTRIES);
+        if reported.len() > MAXIMUM_DEMAND_ENTRIES {
+            reported.sort_by_key(|(_, counts, _)| std::cmp::Reverse(counts.waiting));
+            reported.truncate(MAXIMUM_DEMAND_ENTRIES);
         }
-        let mut demands = Vec::with_capacity(told.len());
-        for (key, counts, demand) in told {
-            self.demand.mark_sent(&key, sequence, counts);
+        let mut demands = Vec::with_capacity(reported.len());
+        for (key, counts, demand) in reported {
+            self.demand.record_sent(&key, sequence, counts);
             demands.push(demand);
         }
         demands
     }
 
-    /// Demand of one model, over the queues of all versions that streams wait for.
+    /// Demand of one model, summed over the queues of all its versions.
     fn demand_of(&self, key: &DemandKey, entry: &DemandEntry, now: Timestamp) -> ModelDemand {
         let mut waiting = 0usize;
         let mut oldest = Duration::ZERO;
@@ -148,19 +148,19 @@
         }
     }
 
-    /// Queues in which requests for this model and adapter wait.
+    /// Queues of a model and adapter, for all versions.
     fn queues_of(&self, key: &DemandKey) -> Vec<QueueKey> {
-        let with = |version: Option<VersionLabel>| QueueKey::Model {
+        let key_with = |version: Option<VersionLabel>| QueueKey::Model {
             model: key.model.clone(),
             adapter: key.adapter.clone(),
             version,
         };
-        self.queues.versions_of(&with(None))
+        self.queues.versions_of(&key_with(None))
     }
 
-    /// The leader answered a report.
-    pub(crate) fn take_update(&mut self, update: RouterUpdate, step: &mut Step) {
-        let known_term = self.lease.term();
+    /// Handles the leader's response to a report.
+    pub(crate) fn handle_update(&mut self, update: RouterUpdate, step: &mut Step) {
+        let previous_term = self.lease.term();
         let Some(sent) = self.lease.accept(update.term, update.sequence) else {
             let pairs = vec![
                 ("term", update.term.to_string()),
@@ -169,37 +169,38 @@
             step.event("update_ignored", pairs);
             return;
         };
-        if update.term > known_term {
-            self.forget_acknowledged();
+        if update.term > previous_term {
+            self.reset_acknowledged();
         }
         self.demand.acknowledge(update.sequence);
         self.observations.acknowledge(update.sequence);
-        self.claims_born_after = self
-            .claims_born_after
+        self.claims_created_after = self
+            .claims_created_after
             .max(update.claims_created_after_unix_millis);
         let catalog_changed = match self.apply_deltas(&update, step) {
             Some(changed) => {
                 self.extend_lease(sent, update.lease_millis, step);
                 changed
             }
-            // Without the missing changes the copy must not be used for longer.
+            // The lease is not extended while deltas are missing.
             None => {
-                self.reporting.hurry();
+                self.reporting.expedite();
                 false
             }
         };
-        self.outlooks.replace(&update.load_estimates, step.now);
+        self.ready_estimates
+            .replace(&update.load_estimates, step.now);
         if let Some(list) = &update.watch {
-            let share = self.observations.watch(&list.backends);
-            step.outputs.push(RoutingOutput::Watch(share));
+            let watch_list = self.observations.watch(&list.backends);
+            step.outputs.push(RoutingOutput::Watch(watch_list));
         }
         if catalog_changed {
-            self.judge_waiting_by_catalog(step);
+            self.recheck_waiting(step);
         }
-        self.judge_and_serve_all(step);
+        self.refresh_queues(step);
     }
 
-    /// Applies the deltas; whether the catalog changed, or none if one does not fit.
+    /// Applies the deltas. Returns whether the catalog changed, or `None` if a delta does not fit.
     fn apply_deltas(&mut self, update: &RouterUpdate, step: &mut Step) -> Option<bool> {
         let catalog = update.configuration.as_ref();
         let catalog = catalog.map(|delta| self.catalog.apply(delta));
--- a/crates/millpass-routing/src/request.rs
+++ b/crates/millpass-routing/src/request.rs
@@ -1,4 +1,4 @@
-//! One live request.
+//! A live request.
 
 use crate::explain::{AttemptEnd, AttemptRecord};
 use crate::interface::{Executed, IdempotencyKey, RequestNumber};
@@ -7,109 +7,109 @@
     BackendName, Incarnation, PolicyName, SlotId, TenantName, Timestamp, Urgency, VersionLabel,
 };
 
-/// Where an attempt runs; also the key under which running attempts are counted.
+/// Endpoint of an attempt; also the key for counting attempts in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Place {
+pub(crate) enum Endpoint {
     /// A replica.
     Slot(SlotId),
-    /// A web back end.
+    /// A web backend.
     Web(BackendName),
 }
 
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
-    /// Where it runs.
-    pub place: Place,
-    /// Back end.
+    /// Endpoint.
+    pub endpoint: Endpoint,
+    /// Backend.
     pub backend: BackendName,
-    /// Run of the back end.
+    /// Incarnation of the backend.
     pub incarnation: Incarnation,
-    /// Version of the model, for a model.
+    /// Version of the model; `None` for web backends.
     pub version: Option<VersionLabel>,
-    /// Whether its first byte of answer arrived.
+    /// The first byte of the response arrived.
     pub first_byte: bool,
 }
 
-/// What a request waits for.
+/// Stage of a live request.
 #[derive(Clone, Debug)]
 pub(crate) enum Stage {
-    /// The answer to its claim. Nothing was dispatched.
+    /// Waiting for the decision on its claim; nothing was dispatched.
     AwaitingClaim,
-    /// A place; it is in its queue.
+    /// Waiting in its queue.
     Waiting,
-    /// The end of its attempt.
+    /// An attempt is in flight.
     InFlight(Box<Attempt>),
 }
 
-/// A live request. It leaves the table with its one final output.
+/// A live request. It leaves the table with its single final output.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     /// Number.
     pub number: RequestNumber,
-    /// Identity that its caller knows.
+    /// Request id as sent to the caller.
     pub request_id: String,
     /// Tenant.
     pub tenant: TenantName,
-    /// Queue it waits in.
+    /// Queue.
     pub queue: QueueKey,
     /// `completion`, `chat` or `web`.
     pub kind: &'static str,
-    /// Path without query, for a web request; else empty.
+    /// Path without query; empty for model requests.
     pub path: String,
     /// Hash of the start of the prompt.
     pub prefix_hash: u64,
-    /// Urgency, from the policies.
+    /// Urgency set by the policies.
     pub urgency: Urgency,
     /// Policy that allowed it.
     pub policy: Option<PolicyName>,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Timestamp,
-    /// When it must be answered or refused.
+    /// When it must have been completed or refused.
     pub deadline: Timestamp,
-    /// Its key, if it runs at most once under a claim.
+    /// Idempotency key, if it runs at most once under a claim.
     pub claim: Option<IdempotencyKey>,
-    /// Whether it may run again after it may have run.
+    /// It may be retried even if an earlier attempt may have run.
     pub repeatable: bool,
     /// Stage.
     pub stage: Stage,
-    /// Attempts dispatched, oldest first; the settings bound their number.
+    /// Dispatched attempts, oldest first; bounded by the settings.
     pub attempts: Vec<AttemptRecord>,
-    /// Whether an earlier attempt may have run.
+    /// An earlier attempt may have run.
     pub may_have_run: bool,
-    /// Whether some of the answer went to the caller.
-    pub answer_started: bool,
-    /// Tokens passed on to the caller.
+    /// Part of a response was sent to the caller.
+    pub response_started: bool,
+    /// Tokens forwarded to the caller.
     pub tokens: u64,
-    /// Whether the caller is gone while its claimed attempt goes on.
+    /// The caller disconnected while its claimed attempt continues.
     pub detached: bool,
 }
 
 impl Request {
-    /// Whether an attempt may have run, or may be running.
-    fn possibly_run(&self) -> bool {
+    /// Returns true if an attempt may have run or may be running.
+    fn may_have_executed(&self) -> bool {
         self.may_have_run || matches!(self.stage, Stage::InFlight(_))
     }
 
-    /// Whether it ran, as a refusal states it.
+    /// Execution state as stated in a refusal.
     pub fn executed(&self) -> Executed {
-        if self.possibly_run() {
+        if self.may_have_executed() {
             Executed::Unknown
         } else {
             Executed::No
         }
     }
 
-    /// Whether some of an answer may have reached the caller.
-    pub fn answer_begun(&self) -> bool {
+    /// Returns true if part of a response may have reached the caller.
+    pub fn has_response_started(&self) -> bool {
         match &self.stage {
-            Stage::InFlight(attempt) => self.answer_started || attempt.first_byte,
-            _ => self.answer_started,
+            Stage::InFlight(attempt) => self.response_started || attempt.first_byte,
+            _ => self.response_started,
         }
     }
 
-    /// Notes that an attempt was dispatched.
-    pub fn attempt_started(&mut self, attempt: Attempt, now: Timestamp) {
+    /// Records a dispatched attempt.
+    pub fn record_attempt_start(&mut self, attempt: Attempt, now: Timestamp) {
         self.attempts.push(AttemptRecord {
             backend: attempt.backend.clone(),
             resume_from: self.tokens,
@@ -119,15 +119,15 @@
         self.stage = Stage::InFlight(Box::new(attempt));
     }
 
-    /// Notes how the last attempt ended.
-    pub fn attempt_ended(&mut self, end: AttemptEnd, now: Timestamp) {
+    /// Records the end of the last attempt.
+    pub fn record_attempt_end(&mut self, end: AttemptEnd, now: Timestamp) {
         let after = now.since(self.arrived);
         if let Some(last) = self.attempts.last_mut() {
             last.ended = Some((after, end));
         }
     }
 
-    /// Whether it is dispatched and not ended.
+    /// Returns true while an attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         matches!(self.stage, Stage::InFlight(_))
     }
--- a/crates/millpass-routing/src/routes.rs
+++ b/crates/millpass-routing/src/routes.rs
@@ -1,4 +1,4 @@
-//! This router's copy of the routes: applied in order of revision, never going back.
+//! Local copy of the routes. Deltas are applied in revision order; the revision never decreases.
 
 use crate::catalog::DeltaOutcome;
 use millpass_proto::{
@@ -7,7 +7,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The copy, with indices by model and by group.
+/// Routes with indexes by model and by group.
 pub(crate) struct Routes {
     revision: PlacementRevision,
     replicas: BTreeMap<SlotId, ReplicaRoute>,
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Revision held.
+    /// Current revision.
     pub fn revision(&self) -> PlacementRevision {
         self.revision
     }
 
-    /// Applies a delta if it fits what is held.
+    /// Applies a delta that starts at the current revision or replaces all routes.
     pub fn apply(&mut self, delta: &PlacementDelta) -> DeltaOutcome {
         if delta.to <= self.revision {
             return DeltaOutcome::AlreadyHeld;
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Replicas of a model in every phase, in order of slot.
+    /// Replicas of a model in any phase, ordered by slot.
     pub fn replicas_of(&self, model: &ModelName) -> impl Iterator<Item = &ReplicaRoute> {
         let slots = self.slots_of_model.get(model).into_iter().flatten();
         slots.filter_map(|slot| self.replicas.get(slot))
     }
 
-    /// Web back ends of a group, in order of name.
+    /// Web backends of a group, ordered by name.
     pub fn web_of(&self, group: &GroupName) -> impl Iterator<Item = &WebRoute> {
         let backends = self.backends_of_group.get(group).into_iter().flatten();
         backends.filter_map(|backend| self.web.get(backend))
--- a/crates/millpass-routing/src/table.rs
+++ b/crates/millpass-routing/src/table.rs
@@ -1,12 +1,12 @@
-//! The table of live requests, with their deadlines and the counts of those that wait.
+//! Table of live requests, with indexes by deadline and counts of waiting requests.
 
 use crate::interface::RequestNumber;
 use crate::request::{Request, Stage};
 use millpass_proto::{TenantName, Timestamp, Urgency};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Live requests. A request waits while nothing of it is in flight; the number of waiting ones
-/// is bounded by admission, the number in flight by the concurrency of the back ends.
+/// Live requests. Every request that is not in flight counts as waiting. Admission bounds the
+/// waiting requests, backend concurrency those in flight.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestNumber, Request>,
@@ -17,14 +17,12 @@
 }
 
 impl RequestTable {
-    /// Adds a request.
     pub fn insert(&mut self, request: Request) {
         self.deadlines.insert((request.deadline, request.number));
         self.count(&request);
         self.requests.insert(request.number, request);
     }
 
-    /// Takes a request out.
     pub fn remove(&mut self, number: RequestNumber) -> Option<Request> {
         let request = self.requests.remove(&number)?;
         self.deadlines.remove(&(request.deadline, number));
@@ -32,7 +30,7 @@
         Some(request)
     }
 
-    /// Changes a request; the counts follow its stage.
+    /// Modifies a request and updates the counts.
     pub fn update(&mut self, number: RequestNumber, change: impl FnOnce(&mut Request)) {
         let Some(mut request) = self.requests.remove(&number) else {
             return;
@@ -43,12 +41,11 @@
         self.requests.insert(number, request);
     }
 
-    /// A request.
     pub fn get(&self, number: RequestNumber) -> Option<&Request> {
         self.requests.get(&number)
     }
 
-    /// Every request, in order of number.
+    /// All requests, ordered by number.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Request> {
         self.requests.values()
     }
@@ -64,8 +61,8 @@
                 self.waiting_by_tenant.insert(request.tenant.clone(), 1);
             }
         }
-        // A stream that has begun is never displaced.
-        if request.urgency == Urgency::Batch && !request.answer_started {
+        // Requests that have started to respond are never displaced.
+        if request.urgency == Urgency::Batch && !request.response_started {
             self.waiting_batch.insert(request.number);
         }
     }
@@ -84,22 +81,22 @@
         self.waiting_batch.remove(&request.number);
     }
 
-    /// Requests that wait, in all.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Requests of a tenant that wait.
+    /// Number of waiting requests of a tenant.
     pub fn waiting_of(&self, tenant: &TenantName) -> u32 {
         self.waiting_by_tenant.get(tenant).copied().unwrap_or(0)
     }
 
-    /// The newest waiting batch request.
+    /// Newest waiting batch request.
     pub fn newest_batch(&self) -> Option<RequestNumber> {
         self.waiting_batch.last().copied()
     }
 
-    /// Requests whose deadline has come: those that wait, or those in flight.
+    /// Requests whose deadline has passed, either waiting or in flight.
     pub fn expired(&self, now: Timestamp, in_flight: bool) -> Vec<RequestNumber> {
         let due = self
             .deadlines
@@ -111,7 +108,7 @@
             .collect()
     }
 
-    /// Every request that waits, in order of number.
+    /// All waiting requests, ordered by number.
     pub fn all_waiting(&self) -> Vec<RequestNumber> {
         let requests = self.requests.values();
         requests
--- a/crates/millpass-routing/tests/admission.rs
+++ b/crates/millpass-routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Authentication, targets, policies, bounds, early refusals and deadlines.
+//! Authentication, target lookup, policies, limits, early refusals and deadlines.
 
 mod common;
 
--- a/crates/millpass-routing/tests/claims.rs
+++ b/crates/millpass-routing/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Requests that run at most once: claims from asking to their committed end.
+//! Claims of requests that run at most once, from the claim request to the committed conclusion.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use millpass_routing::*;
 use rstest::rstest;
 
-/// A claimed web request, asked for and not answered.
+/// A web request whose claim is not decided yet.
 fn asked() -> (Driver, RequestNumber) {
     let mut driver = Driver::ready(vec![], vec![web(1, "north"), web(2, "north")]);
     let mut arrival = driver.arrival("t1", web_target("/publish/7", false));
@@ -18,7 +18,7 @@
     (driver, number)
 }
 
-/// The same, granted and dispatched.
+/// A web request whose claim was granted and that was dispatched.
 fn dispatched() -> (Driver, RequestNumber) {
     let (mut driver, number) = asked();
     let outputs = driver.claim(number, ClaimDecision::Granted);
--- a/crates/millpass-routing/tests/common/mod.rs
+++ b/crates/millpass-routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builds a catalog and routes, feeds them to a core, and drives it in virtual time.
+//! Drives a routing core in virtual time with a test catalog and routes.
 #![allow(dead_code)]
 
 use millpass_proto::*;
@@ -8,10 +8,10 @@
 pub const UNIX_MILLIS: u64 = 1_800_000_000_000;
 /// Length of every lease granted here.
 pub const LEASE_MILLIS: u64 = 3_000;
-/// Time that a request may take unless a test says otherwise.
+/// Time from arrival to deadline unless a test sets another.
 pub const PATIENCE_MILLIS: u64 = 10_000;
 
-/// Settings that the tests start from.
+/// Default settings of the tests.
 pub fn settings() -> RoutingSettings {
     RoutingSettings {
         group: GroupId(1),
@@ -30,7 +30,7 @@
     }
 }
 
-/// A policy that allows by this expression.
+/// A policy with this `allow` expression.
 pub fn policy(allow: &str) -> PolicySpec {
     PolicySpec {
         allow: allow.to_owned(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A replica that takes requests.
+/// A loaded replica.
 pub fn replica(slot: u64, model: &str, zone: &str) -> ReplicaRoute {
     ReplicaRoute {
         slot: SlotId(slot),
@@ -59,7 +59,7 @@
     }
 }
 
-/// A web back end of the group `pages`.
+/// A web backend of the group `pages`.
 pub fn web(number: u64, zone: &str) -> WebRoute {
     WebRoute {
         backend: BackendName(format!("web-{number}")),
@@ -71,7 +71,7 @@
     }
 }
 
-/// A core with its clock.
+/// A routing core with its virtual clock.
 pub struct Driver {
     pub routing: Routing,
     pub now: Timestamp,
@@ -82,7 +82,6 @@
     next_request: u64,
 }
 
-/// Catalog object under its name.
 fn object(kind: ObjectKind, name: &str, spec: ObjectSpec) -> StoredObject {
     StoredObject {
         key: ObjectKey {
@@ -142,9 +141,9 @@
     )
 }
 
-/// Tenants `t1`, `t2` (weights 1 and 3) and `batcher`, models `m1`, `m2`, adapter `a1` of `m1`,
-/// web groups `pages` (`/`) and `deep` (`/deep/`), and policies that give `batcher` batch
-/// urgency, `t2` interactive on chat, and deny `m2` to `t2`.
+/// Tenants `t1`, `t2` (weights 1 and 3) and `batcher`; models `m1`, `m2`; adapter `a1` of `m1`; web
+/// groups `pages` (`/`) and `deep` (`/deep/`). Policies set batch urgency for `batcher` and
+/// interactive urgency for chat, and deny `m2` to `t2`.
 pub fn catalog_objects() -> Vec<StoredObject> {
     let mut rule = policy("true");
     rule.urgency = Some(
@@ -180,12 +179,12 @@
         }
     }
 
-    /// A core with lease, catalog and these routes.
+    /// A core with a lease, the test catalog and these routes.
     pub fn ready(replicas: Vec<ReplicaRoute>, webs: Vec<WebRoute>) -> Self {
         Self::ready_with(settings(), replicas, webs)
     }
 
-    /// The same with other settings.
+    /// As [`Driver::ready`], with other settings.
     pub fn ready_with(
         settings: RoutingSettings,
         replicas: Vec<ReplicaRoute>,
@@ -228,7 +227,7 @@
         }
     }
 
-    /// An empty update that answers the last report.
+    /// An empty update that responds to the last report.
     pub fn update(&self) -> RouterUpdate {
         RouterUpdate {
             term: self.term,
@@ -245,7 +244,7 @@
         }
     }
 
-    /// One step at the present time.
+    /// Executes one step at the current time.
     pub fn step(&mut self, input: RoutingInput) -> Vec<RoutingOutput> {
         let outputs = self.routing.step(self.now, UNIX_MILLIS, input);
         for output in &outputs {
@@ -256,13 +255,13 @@
         outputs
     }
 
-    /// A tick after this time.
+    /// Executes a tick after this many milliseconds.
     pub fn tick(&mut self, millis: u64) -> Vec<RoutingOutput> {
         self.now = self.now + Duration::from_millis(millis);
         self.step(RoutingInput::Tick)
     }
 
-    /// Has a report sent, and answers it with new routes.
+    /// Triggers a report and responds with new routes.
     pub fn route(
         &mut self,
         replicas: Vec<ReplicaRoute>,
@@ -274,7 +273,7 @@
         self.step(RoutingInput::Update(update))
     }
 
-    /// Has a report sent, and answers it with this outlook of `m1`.
+    /// Triggers a report and responds with this ready estimate for `m1`.
     pub fn outlook(&mut self, ready_in_millis: u64, placeable: bool) -> Vec<RoutingOutput> {
         self.tick(60);
         let mut update = self.update();
@@ -286,7 +285,7 @@
         self.step(RoutingInput::Update(update))
     }
 
-    /// An arrival that waits up to [`PATIENCE_MILLIS`].
+    /// An arrival with a deadline after [`REQUEST_TIMEOUT_MILLIS`].
     pub fn arrival(&mut self, tenant: &str, target: Target) -> Arrival {
         self.next_request += 1;
         Arrival {
@@ -299,7 +298,7 @@
         }
     }
 
-    /// An arrival for a model; its number and the outputs.
+    /// Sends a request for a model; returns its number and the outputs.
     pub fn ask(&mut self, tenant: &str, model: &str) -> (RequestNumber, Vec<RoutingOutput>) {
         let arrival = self.arrival(tenant, model_target(model));
         self.arrive(arrival)
@@ -361,7 +360,7 @@
     }
 }
 
-/// Dispatches among outputs.
+/// Dispatches among the outputs.
 pub fn dispatches(outputs: &[RoutingOutput]) -> Vec<&Dispatch> {
     let found = outputs.iter().filter_map(|output| match output {
         RoutingOutput::Dispatch(dispatch) => Some(&**dispatch),
@@ -370,7 +369,7 @@
     found.collect()
 }
 
-/// Refusals among outputs: request, reason, whether it ran.
+/// Refusals among the outputs.
 pub fn refusals(outputs: &[RoutingOutput]) -> Vec<(RequestNumber, RefusalReason, Executed)> {
     let found = outputs.iter().filter_map(|output| match output {
         RoutingOutput::Refuse(number, refusal) => Some((*number, refusal.reason, refusal.executed)),
@@ -379,7 +378,7 @@
     found.collect()
 }
 
-/// Streams broken off among outputs.
+/// Broken-off responses among the outputs.
 pub fn break_offs(outputs: &[RoutingOutput]) -> Vec<(RequestNumber, RefusalReason)> {
     let found = outputs.iter().filter_map(|output| match output {
         RoutingOutput::BreakOff(number, refusal) => Some((*number, refusal.reason)),
@@ -388,7 +387,7 @@
     found.collect()
 }
 
-/// How claims are ended by these outputs.
+/// Claim conclusions among the outputs.
 pub fn conclusions(outputs: &[RoutingOutput]) -> Vec<ClaimConclusion> {
     let found = outputs.iter().filter_map(|output| match output {
         RoutingOutput::SendClaimFinish(finish) => Some(finish.conclusion.clone()),
@@ -397,7 +396,7 @@
     found.collect()
 }
 
-/// Attempts of the claims asked for by these outputs.
+/// Attempt numbers of the claim requests among the outputs.
 pub fn claims_asked(outputs: &[RoutingOutput]) -> Vec<u64> {
     let found = outputs.iter().filter_map(|output| match output {
         RoutingOutput::SendClaim(begin) => Some(begin.attempt),
@@ -406,7 +405,7 @@
     found.collect()
 }
 
-/// Whether a report goes out.
+/// Returns true if the outputs contain a report.
 pub fn reports(outputs: &[RoutingOutput]) -> bool {
     let is_report = |output: &RoutingOutput| matches!(output, RoutingOutput::SendReport(_));
     outputs.iter().any(is_report)
--- a/crates/millpass-routing/tests/dispatch.rs
+++ b/crates/millpass-routing/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Choice of back ends, fair queues, retries, circuits and resumed streams.
+//! Backend selection, fair queues, retries, circuit breakers and resumed streams.
 
 mod common;
 
--- a/crates/millpass-routing/tests/explain.rs
+++ b/crates/millpass-routing/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations: what is kept of each request, and for how many of them.
+//! Explanations of requests and the bounds of their history.
 
 mod common;
 
@@ -64,7 +64,7 @@
     driver.outlook(800, true);
     let ready = WaitReason::ReadyIn(Duration::from_millis(800));
     assert_eq!(waiting_for(&driver), Some(ready));
-    // The next report is due, so that the leader has something new to answer.
+    // The leader can only respond to a new report.
     driver.tick(1_000);
     driver.outlook(800, false);
     assert_eq!(waiting_for(&driver), Some(WaitReason::Unplaceable));
@@ -82,7 +82,7 @@
     };
     for model in ["m1", "none", "m1"] {
         let (number, found) = ask(model);
-        // The first request goes on: a live one is what an operator asks about.
+        // The first request is still live, and a live request is preferred over an ended one.
         let expected = if model == "none" {
             RequestNumber(number.0 - 1)
         } else {
--- a/crates/millpass-routing/tests/lease.rs
+++ b/crates/millpass-routing/tests/lease.rs
@@ -59,7 +59,7 @@
     driver.ask("t1", "m1");
     let (waiting, _) = driver.ask("t1", "m1");
     driver.now = driver.now + Duration::from_millis(LEASE_MILLIS + 5_000);
-    // The first input after the freeze frees a place; the lease is judged before it.
+    // The completion frees capacity, but the lease is checked first.
     let outputs = driver.complete(first);
     assert_eq!(
         refusals(&outputs),
@@ -225,7 +225,8 @@
     }))
 }
 
-/// Requests at any router may wait for the load; how many requests run is no such news.
+/// Guards against delayed reports of finished loads, which may unblock requests at any router. A
+/// changed load alone is not urgent.
 #[rstest]
 #[case::load_ended(EngineSlotPhase::Loaded, 0, true)]
 #[case::load_goes_on(EngineSlotPhase::Loading, 3, false)]
--- a/crates/millpass-routing/tests/properties.rs
+++ b/crates/millpass-routing/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random inputs against an independent account of what must always hold.
+//! Checks invariants under random inputs against an independent model.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One random input. Indices pick among what is live at that moment.
+/// A random input. Indices select among the eligible requests.
 #[derive(Clone, Debug)]
 enum Action {
     Arrive {
@@ -69,7 +69,7 @@
     ]
 }
 
-/// What the account knows of one request.
+/// Model of one request.
 #[derive(Debug, Default)]
 struct Story {
     keyed: bool,
@@ -82,7 +82,7 @@
     decision: Option<ClaimDecision>,
 }
 
-/// The independent account.
+/// Independent model of the core.
 struct Account {
     driver: Driver,
     stories: BTreeMap<RequestNumber, Story>,
@@ -111,7 +111,7 @@
         account
     }
 
-    /// One step, with every output checked.
+    /// Executes one step and checks every output.
     fn feed(&mut self, input: RoutingInput) {
         let outputs = self.driver.step(input);
         for output in &outputs {
@@ -130,8 +130,8 @@
             RoutingOutput::Refuse(number, refusal) => {
                 let story = self.story(*number);
                 story.finals += 1;
-                // Once the claim's answer decides the refusal, what other attempts with the key
-                // did counts too; before, only what this request did.
+                // A refusal decided by the claim also covers other attempts with the key; any other
+                // refusal covers only this request.
                 let by_claim = matches!(
                     refusal.reason,
                     RefusalReason::MayHaveRun
@@ -320,8 +320,8 @@
             failure,
             AttemptFailure::NotSent | AttemptFailure::RefusedByBackend
         ) {
-            // For a request that is not claimed this may forget an earlier attempt that may have
-            // run; the account is then merely less strict.
+            // For an unclaimed request this may drop an earlier attempt that may have run, which
+            // only makes the model less strict.
             story.possibly_sent = false;
         }
         self.feed(RoutingInput::Failed { request, failure });
@@ -339,7 +339,7 @@
             4 => ClaimDecision::Expired,
             _ => ClaimDecision::Granted,
         };
-        // The log decides an attempt once; a resend gets the same answer.
+        // The control group decides once per attempt; resends get the same decision.
         let story = self.story(number);
         let decision = story.decision.get_or_insert(drawn).clone();
         story.granted |= decision == ClaimDecision::Granted;
@@ -384,7 +384,7 @@
         self.update(update);
     }
 
-    /// Lets everything run out, then judges every request; returns the core's counters.
+    /// Waits until all requests ended and checks their outcomes; returns the core's counters.
     fn close(mut self) -> RoutingSnapshot {
         for _ in 0..40 {
             self.pass(500);
@@ -428,7 +428,7 @@
             Ok(())
         })
         .unwrap();
-    // A run that reaches nothing would prove nothing.
+    // Guards against random inputs that no longer reach the interesting states.
     let sums = sums.into_inner();
     println!("{sums:?}");
     assert!(
