--- a/crates/millpass-tenancy/src/account.rs
+++ b/crates/millpass-tenancy/src/account.rs
@@ -1,46 +1,47 @@
-//! One tenant's credit at a gateway: units lent for requests to come, and what may be used while no leader answers.
+//! Credit of one tenant at a gateway: reserved units, and overdraft while the leader is
+//! unreachable.
 
 use crate::limit::TenantLimit;
 use crate::pool::CreditClaim;
 use millpass_proto::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Time for which units lent for requests to come are kept; then they go back. Far below a window of any quota,
-/// so that what is used in a window was lent little before it.
+/// How long reserved units are kept before they are returned. Much shorter than a quota window, so
+/// that units are used in the window in which they were granted.
 const RESERVE_LIFETIME: Duration = Duration::from_millis(1_500);
-/// Time after a tenant's last request for which units for its next ones are wished for.
+/// How long after a tenant's last request units are reserved for its next ones.
 const RESERVE_INTEREST: Duration = Duration::from_secs(3);
-/// Time for which units are wished for ahead, at the pace at which they are used here.
+/// Reserve to request, as a time at the current rate of use.
 const RESERVE_AHEAD: Duration = Duration::from_millis(250);
-/// Weight of the newest request in the averaged cost of a tenant's requests.
+/// Weight of the newest request in the moving average of request costs.
 const COST_WEIGHT: f64 = 0.2;
-/// Time for which a gateway that hears nothing goes on at its usual pace with a tenant of which there was plenty:
-/// longer than an election, shorter than a window.
+/// How long a gateway without contact to the leader may continue at the usual rate for a tenant
+/// with surplus quota. Longer than an election, shorter than a window.
 const STANDING_LIFETIME: Duration = Duration::from_millis(2_500);
-/// Pace of such a gateway, in its usual one: quotas leave room above what is usual.
+/// Factor on the usual rate during that time.
 const STANDING_PACE: f64 = 1.5;
-/// Time over which a tenant's use at a gateway is averaged.
+/// Time constant of the moving average of a tenant's use.
 const USE_SECONDS: f64 = 3.0;
-/// Part of what the contract bears above a limit that gateways without a leader may use together in a window.
+/// Fraction of the tolerance that all gateways without a leader may use together in a window.
 const OVERDRAFT_PART: f64 = 0.5;
-/// Gateways assumed while their number is not known.
+/// Number of gateways assumed while it is unknown.
 const UNKNOWN_GATEWAYS: u32 = 500;
-/// Longest time for which a gateway takes a tenant as used up without asking anew.
+/// How long a gateway treats a quota as exhausted without another request.
 const LONGEST_EXHAUSTED: Duration = Duration::from_millis(200);
 
-/// What the operators' contract bears above a tenant's limit.
+/// Use beyond a tenant's limit that is tolerated.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaTolerance {
-    /// Length of the window in which use is summed.
+    /// Length of the window over which use is summed.
     pub window: Duration,
-    /// Part of the limit that is borne above it.
+    /// Tolerated excess as a fraction of the limit.
     pub overage: f64,
-    /// Units borne beyond that in a window.
+    /// Additional tolerated units per window.
     pub slack_units: u64,
 }
 
 impl Default for QuotaTolerance {
-    /// Nothing is borne above a limit.
+    /// Tolerates no excess.
     fn default() -> Self {
         QuotaTolerance {
             window: Duration::from_secs(10),
@@ -51,52 +52,52 @@
 }
 
 impl QuotaTolerance {
-    /// Units that are borne above a limit in a window.
+    /// Units tolerated beyond a limit in a window.
     pub(crate) fn borne_above(&self, limit: TenantLimit) -> f64 {
         let flow = limit.units_per_second as f64 * self.window.as_secs_f64();
         self.overage * (flow + limit.burst_units as f64) + self.slack_units as f64
     }
 }
 
-/// Units lent for requests to come.
+/// Units granted ahead of requests.
 #[derive(Debug)]
 struct Reserve {
     units: u64,
-    /// When they go back.
+    /// When unused units are returned.
     until: Timestamp,
 }
 
-/// The leader's word that a tenant has used up its quota.
+/// Response of the leader that a tenant's quota is exhausted.
 #[derive(Clone, Copy, Debug)]
 struct Exhaustion {
-    /// When there will be units again.
+    /// When units are available again.
     until: Timestamp,
-    /// Until when that is taken as true without asking anew.
+    /// Until when no further request is sent.
     believed_until: Timestamp,
 }
 
-/// One tenant's credit at a gateway.
+/// Credit of one tenant at a gateway.
 #[derive(Debug, Default)]
 pub(crate) struct Account {
-    /// The oldest first.
+    /// Oldest first.
     reserves: VecDeque<Reserve>,
-    /// Claims to be asked for.
+    /// Claims to send with the next request.
     pub(crate) queue: VecDeque<CreditClaim>,
-    /// Units to be given back with the next message.
+    /// Units to return with the next request.
     pub(crate) returned: u64,
-    /// Units used without being lent, to be told with the next message.
+    /// Units used without a grant, to report with the next request.
     pub(crate) overdrawn: u64,
-    /// Units used as a part of what the contract bears, in the last window.
+    /// Units used from the tolerance in the last window, with their times.
     overdrafts: VecDeque<(Timestamp, u64)>,
     exhausted: Option<Exhaustion>,
-    /// When the leader last answered that there is plenty.
+    /// When the leader last reported surplus quota.
     plenty_at: Option<Timestamp>,
-    /// Units used since then without being lent.
+    /// Units used without a grant since then.
     standing_used: u64,
-    /// Units used here, each weighed by its age, and when that was last brought up to date.
+    /// Exponentially decaying sum of used units, as of `used_at`.
     used: f64,
     used_at: Timestamp,
-    /// Averaged cost of a request here.
+    /// Moving average of request costs.
     mean_cost: f64,
     last_request: Timestamp,
 }
@@ -106,7 +107,8 @@
         self.reserves.iter().map(|reserve| reserve.units).sum()
     }
 
-    /// Takes a request's cost from the reserve, or nothing.
+    /// Takes a request's cost from the reserve. Returns false and takes nothing if the reserve is
+    /// too small.
     pub(crate) fn take(&mut self, units: u64) -> bool {
         if self.reserve() < units {
             return false;
@@ -126,7 +128,7 @@
         true
     }
 
-    /// Keeps units for requests to come.
+    /// Adds units to the reserve.
     pub(crate) fn keep(&mut self, now: Timestamp, units: u64) {
         if units > 0 {
             let until = now + RESERVE_LIFETIME;
@@ -134,15 +136,15 @@
         }
     }
 
-    /// Units whose time is over go back.
+    /// Returns reserved units whose lifetime has elapsed.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         while let Some(reserve) = self.reserves.pop_front_if(|reserve| reserve.until <= now) {
             self.returned += reserve.units;
         }
     }
 
-    /// Units wished for, while requests come: one request's cost, or more where many come, so that they do not
-    /// each need a message.
+    /// Units to reserve: the average cost of a request, or more at high rates so that not every
+    /// request needs a message. Zero once the tenant is inactive.
     pub(crate) fn wished(&self, now: Timestamp) -> u64 {
         if now.since(self.last_request) >= RESERVE_INTEREST {
             return 0;
@@ -151,7 +153,7 @@
         (ahead.max(self.mean_cost) as u64).saturating_sub(self.reserve())
     }
 
-    /// A request came.
+    /// Records an arriving request.
     pub(crate) fn note_request(&mut self, now: Timestamp, units: u64) {
         let cost = units as f64;
         self.mean_cost = if self.mean_cost == 0.0 {
@@ -162,15 +164,16 @@
         self.last_request = now;
     }
 
-    /// A request's units were used.
+    /// Records used units.
     pub(crate) fn note_use(&mut self, now: Timestamp, units: u64) {
         let age = now.since(self.used_at).as_secs_f64();
         self.used = self.used * (-age / USE_SECONDS).exp() + units as f64;
         self.used_at = now;
     }
 
-    /// Takes a request's cost at the usual pace here while the leader is silent: there was plenty, and all
-    /// gateways together use no more in that time than the tenant's bucket held and what flows in.
+    /// Uses ungranted units at the usual rate while the leader is unreachable. Requires that the
+    /// leader last reported a surplus: all gateways together then use no more than the tenant's
+    /// bucket held plus its refill.
     fn take_standing(&mut self, now: Timestamp, units: u64) -> bool {
         let Some(since) = self.plenty_at else {
             return false;
@@ -189,7 +192,7 @@
         open
     }
 
-    /// Whether nothing needs to be remembered of the tenant.
+    /// Returns true if the account has no state worth keeping.
     pub(crate) fn is_idle(&self, now: Timestamp) -> bool {
         self.reserves.is_empty()
             && self.queue.is_empty()
@@ -199,8 +202,8 @@
             && now.since(self.last_request) >= RESERVE_INTEREST
     }
 
-    /// Uses units that nobody lent, because no leader answers: at the usual pace, or as this gateway's part of what
-    /// the contract bears.
+    /// Uses ungranted units while the leader is unreachable: at the usual rate, or from this
+    /// gateway's part of the tolerance.
     pub(crate) fn overdraw(
         &mut self,
         now: Timestamp,
@@ -239,7 +242,8 @@
         open
     }
 
-    /// The leader answered: whether there is plenty, and when there will be units again if there are none.
+    /// Records the leader's response: whether the quota has a surplus, and until when it is
+    /// exhausted.
     pub(crate) fn answered(&mut self, now: Timestamp, plenty: bool, until: Option<Timestamp>) {
         self.plenty_at = plenty.then_some(now);
         self.standing_used = 0;
@@ -249,7 +253,7 @@
         });
     }
 
-    /// When there will be units again, if the leader said lately that there are none.
+    /// Returns when units are available again, if the leader recently reported an exhausted quota.
     pub(crate) fn exhausted_until(&self, now: Timestamp) -> Option<Timestamp> {
         let exhaustion = self.exhausted?;
         (now < exhaustion.believed_until).then_some(exhaustion.until)
--- a/crates/millpass-tenancy/src/keys.rs
+++ b/crates/millpass-tenancy/src/keys.rs
@@ -1,23 +1,24 @@
-//! Hashes of API keys, and whose they are. A key itself is never kept: it is hashed where a request is read.
+//! Hashes of API keys and the tenants that own them. Keys are hashed when a request is read and
+//! never stored.
 
 use millpass_proto::TenantName;
 use std::collections::HashMap;
 use std::fmt;
 
-/// Most bytes of a key; a longer one is nobody's.
+/// Maximum length of a key in bytes; longer keys are invalid.
 pub const MAXIMUM_KEY_BYTES: usize = 1_024;
 
-/// Hash of an API key. Two hashes are compared in constant time.
+/// BLAKE3 hash of an API key; compared in constant time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyHash(blake3::Hash);
 
 impl KeyHash {
-    /// The hash of a key.
+    /// Hashes a key.
     pub fn of(key: &[u8]) -> Self {
         KeyHash(blake3::hash(key))
     }
 
-    /// A hash written in hexadecimal digits.
+    /// Parses a hash in hexadecimal; `None` if the text is not a hash.
     pub fn from_hex(text: &str) -> Option<Self> {
         blake3::Hash::from_hex(text).ok().map(KeyHash)
     }
@@ -29,20 +30,20 @@
     }
 }
 
-/// The key that came with a request.
+/// The key sent with a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// None.
+    /// No key.
     #[default]
     Missing,
-    /// One key, by its hash.
+    /// Hash of the key.
     One(KeyHash),
-    /// Several keys, or something that cannot be a key.
+    /// Several keys, an empty key or one that is too long.
     Unusable,
 }
 
 impl PresentedKey {
-    /// The key among the values of a request's header for keys: exactly one of them, not empty.
+    /// Reads the key from the values of a header, which must occur once.
     pub fn from_header_values<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         let Some(first) = values.next() else {
             return PresentedKey::Missing;
@@ -55,21 +56,21 @@
     }
 }
 
-/// Whose each key is.
+/// Maps key hashes to tenants.
 #[derive(Clone, Debug, Default)]
 pub struct KeyDirectory {
     tenants: HashMap<KeyHash, TenantName>,
 }
 
 impl KeyDirectory {
-    /// Gives a tenant these keys, as hashes in hexadecimal digits. What is no hash is nobody's key.
+    /// Adds keys of a tenant, as hexadecimal hashes; other texts are ignored.
     pub fn add(&mut self, tenant: &TenantName, hashes: &[String]) {
         for hash in hashes.iter().filter_map(|hash| KeyHash::from_hex(hash)) {
             self.tenants.insert(hash, tenant.clone());
         }
     }
 
-    /// Takes these keys from a tenant; one that is another tenant's by now stays that one's.
+    /// Removes keys of a tenant. Keys that were since added for another tenant are kept.
     pub fn remove(&mut self, tenant: &TenantName, hashes: &[String]) {
         for hash in hashes.iter().filter_map(|hash| KeyHash::from_hex(hash)) {
             if self.tenants.get(&hash) == Some(tenant) {
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Whose a key is.
+    /// Returns the tenant that owns a key.
     pub fn tenant(&self, key: &KeyHash) -> Option<&TenantName> {
         self.tenants.get(key)
     }
 
-    /// Forgets all keys.
+    /// Removes all keys.
     pub fn clear(&mut self) {
         self.tenants.clear();
     }
--- a/crates/millpass-tenancy/src/ledger.rs
+++ b/crates/millpass-tenancy/src/ledger.rs
@@ -1,9 +1,10 @@
-//! What the leader lends of each tenant's quota.
+//! Ledger of the leader: units granted from each tenant's quota.
 //!
-//! Whatever gateways use was lent first, or is charged with their next word, so that the sum over all gateways
-//! stays within the limit whoever fails. A new leader knows nothing of what the one before it lent: it begins
-//! with empty buckets but for a part of what the contract bears above a limit, which is safe since the other lent no
-//! more than the limit until its lease ended.
+//! Every unit that a gateway uses was granted before or is charged with its next request, so the
+//! sum over all gateways stays within the limit, whichever process fails. A new leader does not
+//! know the grants of its predecessor. It starts with only a fraction of the tolerance in each
+//! bucket, which is safe because the predecessor granted no more than the limit until its lease
+//! expired.
 
 use crate::account::QuotaTolerance;
 use crate::limit::{TenantLimit, UnitBucket};
@@ -13,26 +14,27 @@
 };
 use std::collections::HashMap;
 
-/// Part of what the contract bears above a limit that a new leader begins with. A quarter: gateways without a leader
-/// may use a half (`account`), and two changes of leader may fall into one window.
+/// Fraction of the tolerance that a new leader's buckets start with. Gateways without a leader may
+/// use half of the tolerance, and two changes of leader may fall into one window.
 const OPENING_PART: f64 = 0.25;
-/// Shortest time between two events of one tenant.
+/// Minimum interval between two events of one tenant.
 const EVENT_INTERVAL: Duration = Duration::from_secs(1);
-/// Wait that is told for a tenant that the document lacks.
+/// Wait sent for a tenant that is not in the document.
 const UNKNOWN_WAIT_MILLIS: u64 = 1_000;
-/// Most waiting requests that one ask may name; a gateway sends the rest with its next.
+/// Maximum number of waiting requests per tenant in one credit request; the rest follows in the
+/// next.
 pub const MAXIMUM_CLAIMS_PER_REQUEST: usize = 256;
 
-/// A tenant used up its quota.
+/// Event: a tenant exhausted its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaExhausted {
     /// Tenant.
     pub tenant: TenantName,
     /// Its limit.
     pub limit: TenantLimit,
-    /// Units that are left; below 0 when the last request took more than there was.
+    /// Units left; negative if the last request cost more than was left.
     pub level: f64,
-    /// Requests that did not get their units since the last event.
+    /// Requests denied since the last event.
     pub denied: u64,
 }
 
@@ -43,7 +45,7 @@
     event_at: Option<Timestamp>,
 }
 
-/// The leader's book of tenants' credit.
+/// Credit of all tenants, kept by the leader.
 #[derive(Debug)]
 pub struct CreditLedger {
     began: Timestamp,
@@ -54,7 +56,7 @@
 }
 
 impl CreditLedger {
-    /// A book without any account; `terms` say what the operators' contract bears above a limit.
+    /// Returns an empty ledger; `tolerance` is the use beyond a limit that is tolerated.
     pub fn new(now: Timestamp, terms: QuotaTolerance) -> Self {
         CreditLedger {
             began: now,
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Goes by this document's limits from now on.
+    /// Applies the limits of a deployment document.
     pub fn apply_document(&mut self, now: Timestamp, document: &DeploymentDocument) {
         if self.version == Some(document.version) {
             return;
@@ -85,7 +87,7 @@
             .retain(|tenant, _| limits.contains_key(tenant));
     }
 
-    /// Answers a gateway.
+    /// Grants units to a gateway. Returns the response and the events to log.
     pub fn handle_request(
         &mut self,
         now: Timestamp,
@@ -144,7 +146,7 @@
         bucket.refill(now, limit);
         bucket.refund(ask.returned);
         if lent_here {
-            // What was used while another led came out of that one's bucket, which this one began without.
+            // Units used under another leader came from that leader's bucket.
             bucket.charge(ask.overdrawn);
         }
         let covered = ask
--- a/crates/millpass-tenancy/src/lib.rs
+++ b/crates/millpass-tenancy/src/lib.rs
@@ -1,12 +1,14 @@
-//! Who a caller is, and how much a tenant may ask for: without input/output, clock or threads.
+//! Tenants: API keys and quotas shared by all gateways, without I/O, clock or threads.
+//!
+//! | module | contents |
 //!
-//! | module | job |
 //! |---|---|
-//! | `keys` | hashes of API keys, and whose they are |
-//! | `limit` | a tenant's limit, and a bucket that holds what may be used of it |
-//! | `ledger` | what the leader lends of each tenant's quota |
-//! | `account` | one tenant's credit at a gateway, also while no leader answers |
-//! | `pool` | what a gateway was lent, and the requests that wait for more |
+//!
+//! | `keys` | hashes of API keys and the tenants that own them |
+//! | `limit` | limit of a tenant and its token bucket |
+//! | `ledger` | units that the leader grants from each tenant's quota |
+//! | `account` | credit of one tenant at a gateway, with overdraft while the leader is unreachable |
+//! | `pool` | credit of all tenants at a gateway, and the requests that wait for more |
 
 mod account;
 mod keys;
--- a/crates/millpass-tenancy/src/limit.rs
+++ b/crates/millpass-tenancy/src/limit.rs
@@ -1,18 +1,18 @@
-//! A tenant's limit, and a bucket that holds what may be used of it.
+//! Limit of a tenant, and its token bucket.
 
 use millpass_proto::{TenantAccess, Timestamp};
 
-/// What a tenant may use, over all gateways.
+/// Limit of a tenant over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantLimit {
-    /// Units in a second.
+    /// Refill rate in units per second.
     pub units_per_second: u64,
-    /// Units beyond that at once.
+    /// Capacity of the bucket in units.
     pub burst_units: u64,
 }
 
 impl TenantLimit {
-    /// The limit of a tenant; none where it has no limit.
+    /// Returns the limit of a tenant; `None` if it is unlimited.
     pub fn of(tenant: &TenantAccess) -> Option<TenantLimit> {
         (tenant.units_per_second > 0).then_some(TenantLimit {
             units_per_second: tenant.units_per_second,
@@ -20,7 +20,7 @@
         })
     }
 
-    /// Most units that a bucket holds. Without a burst one unit is kept, so that the bucket can fill at all.
+    /// Capacity of the bucket; at least one unit, since an empty bucket could never refill.
     pub(crate) fn capacity(&self) -> f64 {
         self.burst_units.max(1) as f64
     }
@@ -30,9 +30,10 @@
     }
 }
 
-/// A bucket of units that fills at the tenant's rate up to its burst. A request may go while anything is in
-/// it and takes its whole cost, so that the level may fall below 0: otherwise requests above the burst would
-/// never go, and large ones would wait behind small ones that come later.
+/// Token bucket that refills at the tenant's rate up to its burst. A request is admitted while at
+/// least one unit is left and takes its whole cost, so the level may become negative. Otherwise
+/// requests above the burst would never be admitted, and large requests would starve behind small
+/// ones.
 #[derive(Clone, Debug)]
 pub struct UnitBucket {
     limit: TenantLimit,
@@ -41,7 +42,7 @@
 }
 
 impl UnitBucket {
-    /// A bucket with this many units in it.
+    /// Returns a bucket with this many units, up to the capacity.
     pub fn new(now: Timestamp, limit: TenantLimit, units: f64) -> Self {
         UnitBucket {
             limit,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Fills it for the time gone by, and goes on under this limit.
+    /// Refills the bucket for the elapsed time, then switches to `limit`.
     pub fn refill(&mut self, now: Timestamp, limit: TenantLimit) {
         let gone_by = now.since(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
@@ -59,7 +60,7 @@
         self.level = self.level.min(limit.capacity());
     }
 
-    /// Takes a request's cost, if anything is there.
+    /// Takes a request's cost if at least one unit is left.
     pub fn try_take(&mut self, units: u64) -> bool {
         let open = self.level >= 1.0;
         if open {
@@ -68,12 +69,12 @@
         open
     }
 
-    /// Whether more than half of the capacity is there.
+    /// Returns true if the bucket is more than half full.
     pub fn has_surplus(&self) -> bool {
         self.level > self.limit.capacity() / 2.0
     }
 
-    /// Takes up to this many units of what is above half of the capacity; gives how many.
+    /// Takes up to `units` from the upper half of the bucket; returns the number taken.
     pub fn take_surplus(&mut self, units: u64) -> u64 {
         let plenty = (self.level - self.limit.capacity() / 2.0).max(0.0);
         let taken = (plenty as u64).min(units);
@@ -81,22 +82,22 @@
         taken
     }
 
-    /// Puts back units that were not used.
+    /// Returns unused units to the bucket.
     pub fn refund(&mut self, units: u64) {
         self.level = (self.level + units as f64).min(self.limit.capacity());
     }
 
-    /// Takes units that were used without asking.
+    /// Charges units that were used without a grant.
     pub fn charge(&mut self, units: u64) {
         self.level -= units as f64;
     }
 
-    /// Units in it.
+    /// Units in the bucket.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Time until the next request may go, in milliseconds; 0 if one may.
+    /// Time until the next request is admitted, in milliseconds; 0 if one is admitted now.
     pub fn wait_millis(&self) -> u64 {
         let lacking = 1.0 - self.level;
         if lacking <= 0.0 {
--- a/crates/millpass-tenancy/src/pool.rs
+++ b/crates/millpass-tenancy/src/pool.rs
@@ -1,4 +1,4 @@
-//! A gateway's credit of tenants' quotas: what the leader lent it, and the requests that wait for more.
+//! Credit of all tenants at a gateway: granted units, and the requests that wait for more.
 
 use crate::account::{Account, QuotaTolerance};
 use crate::ledger::MAXIMUM_CLAIMS_PER_REQUEST;
@@ -9,45 +9,47 @@
 };
 use std::collections::{BTreeMap, HashMap};
 
-/// Shortest time without an answer after which the leader counts as silent: by then its members notice too.
+/// Minimum time without a response after which the leader counts as unresponsive.
 const LEAST_SILENCE: Duration = Duration::from_millis(500);
-/// The same in the averaged time of an answer: a leader that is busy answers late, and must not lose its gateways.
+/// The same as a multiple of the average response time, so that gateways do not leave a busy
+/// leader.
 const SILENCE_ANSWERS: u32 = 8;
-/// Weight of the newest answer in the averaged time of an answer.
+/// Weight of the newest response in the moving average of response times.
 const ANSWER_WEIGHT: f64 = 0.2;
-/// Time without an answer after which a request may use units that nobody lent: some times what an answer takes.
+/// Time without a response after which a request may use ungranted units; several usual response
+/// times.
 const OVERDRAFT_AFTER: Duration = Duration::from_millis(60);
-/// Time between two looks at a request that waits.
+/// Interval between checks of a waiting request.
 const LOOK_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A request's claim on its tenant's credit.
+/// Handle of a request's claim on its tenant's credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CreditClaim(u64);
 
-/// Where a claim stands.
+/// State of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CreditOutcome {
-    /// The request may go.
+    /// The units are granted; the request may run.
     Covered,
-    /// Ask again when something changes, or at this time.
+    /// Check again when a response arrives, or at this time.
     Pending {
-        /// When to ask again at the latest.
+        /// Time of the next check.
         until: Timestamp,
     },
-    /// The tenant has used up its quota for longer than the request waits.
+    /// The quota is exhausted for longer than the request waits.
     Denied {
-        /// When there will be units again.
+        /// Time until units are available again.
         retry_after: Duration,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// To be asked for with the next message.
+    /// To be sent with the next request.
     Queued,
-    /// Asked for.
+    /// Sent to the leader.
     Asked,
-    /// The leader has none until then.
+    /// The leader has no units until this time.
     Denied(Timestamp),
     Covered,
 }
@@ -59,26 +61,26 @@
     units: u64,
     stage: Stage,
     opened_at: Timestamp,
-    /// Until when it waits for a tenant that has used up its quota.
+    /// Until when it waits for an exhausted quota.
     patient_until: Timestamp,
 }
 
-/// A message that is not answered yet.
+/// A request to the leader without a response.
 #[derive(Debug)]
 struct Asked {
     at: Timestamp,
     tenants: Vec<TenantAsked>,
 }
 
-/// What a message asked for one tenant.
+/// Part of a request that concerns one tenant.
 #[derive(Debug)]
 struct TenantAsked {
     tenant: TenantName,
-    /// Claims with their units, in the order of the message.
+    /// Claims with their units, in the order sent.
     claims: Vec<(CreditClaim, u64)>,
 }
 
-/// One gateway's credit.
+/// Credit of one gateway.
 #[derive(Debug, Default)]
 pub struct CreditPool {
     terms: QuotaTolerance,
@@ -86,16 +88,16 @@
     claims: HashMap<CreditClaim, Claim>,
     last_claim: u64,
     sequence: u64,
-    /// Term of the leader that lent last.
+    /// Term of the leader that responded last.
     lent_in: u64,
-    /// What each message asked for that is not answered yet.
+    /// Unanswered requests by sequence number.
     asked: BTreeMap<u64, Asked>,
-    /// Averaged time of an answer.
+    /// Moving average of response times.
     answer_time: Duration,
 }
 
 impl CreditPool {
-    /// A pool without any credit.
+    /// Returns a pool without credit.
     pub fn new(terms: QuotaTolerance) -> Self {
         CreditPool {
             terms,
@@ -103,7 +105,8 @@
         }
     }
 
-    /// A request needs units; it waits up to `patience` for a tenant that has used up its quota.
+    /// Opens a claim for a request's units. The request waits up to `wait_limit` for an exhausted
+    /// quota.
     pub fn open(
         &mut self,
         now: Timestamp,
@@ -137,7 +140,8 @@
         claim
     }
 
-    /// Where a claim stands. `gateways` share what may be used without a leader; 0 while unknown.
+    /// Returns the state of a claim. `gateways` is the number of gateways that share the overdraft;
+    /// 0 if unknown.
     pub fn outcome(&mut self, now: Timestamp, claim: CreditClaim, gateways: u32) -> CreditOutcome {
         let Some(found) = self.claims.get_mut(&claim) else {
             return CreditOutcome::Pending {
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Uses units that nobody lent.
+    /// Uses ungranted units for a claim.
     fn overdraw(&mut self, now: Timestamp, claim: CreditClaim, gateways: u32) -> bool {
         let Some(found) = self.claims.get_mut(&claim) else {
             return false;
@@ -181,12 +185,12 @@
             return false;
         }
         account.queue.retain(|queued| *queued != claim);
-        // An answer that still covers it finds it covered: those units are kept for others.
+        // If a later response also covers the claim, its units go to the reserve.
         found.stage = Stage::Covered;
         true
     }
 
-    /// A request is over, or goes on without its claim. Units of one that did not run are kept for others.
+    /// Closes the claim of a request. The units of a request that did not run go to the reserve.
     pub fn close(&mut self, now: Timestamp, claim: CreditClaim, ran: bool) {
         let Some(found) = self.claims.remove(&claim) else {
             return;
@@ -200,15 +204,15 @@
         }
     }
 
-    /// Whether a request waits that the leader was not asked for.
+    /// Returns true if claims wait to be sent to the leader.
     pub fn has_queued_claims(&self) -> bool {
         self.accounts
             .values()
             .any(|account| !account.queue.is_empty())
     }
 
-    /// The next message to the leader, if there is something to say. Reserves alone are spoken of only with
-    /// the `periodic` message.
+    /// Returns the next request to the leader, if there is anything to send. Reserves, returns and
+    /// overdrafts alone are sent only if `periodic` is set.
     pub fn next_request(
         &mut self,
         now: Timestamp,
@@ -260,7 +264,7 @@
         })
     }
 
-    /// Takes the leader's answer.
+    /// Handles the leader's response.
     pub fn handle_response(&mut self, now: Timestamp, answer: &CreditResponse) {
         self.lent_in = answer.term;
         let Some(asked) = self.asked.remove(&answer.sequence) else {
@@ -288,7 +292,7 @@
                         Stage::Denied(until)
                     };
                 }
-                // Gone, or gone on without it: what was lent for it serves others.
+                // The claim was closed or overdrawn; its units go to the reserve.
                 _ if lent => account.keep(now, *units),
                 _ => {}
             }
@@ -301,15 +305,17 @@
         );
     }
 
-    /// Whether the leader owes an answer for longer than one takes, and nothing was heard of it since.
+    /// Returns true if a response is overdue and nothing was received from the leader since
+    /// `last_contact`.
     pub fn is_leader_unresponsive(&self, now: Timestamp, heard_at: Timestamp) -> bool {
         let longest = LEAST_SILENCE.max(self.answer_time * SILENCE_ANSWERS);
         let asked = self.asked.values().next();
         asked.is_some_and(|asked| now.since(asked.at.max(heard_at)) > longest)
     }
 
-    /// An answer that never came took at least this long. Otherwise a gateway that leaves a busy leader would never
-    /// learn how long it takes, and leave it again and again, each time to be told everything anew.
+    /// Counts the age of an unanswered request as a response time. Otherwise a gateway that
+    /// disconnects from a slow leader would never adapt, and would disconnect again after each full
+    /// update.
     fn note_unanswered(&mut self, now: Timestamp) {
         let oldest = self.asked.values().next();
         let waited = oldest.map_or(Duration::ZERO, |asked| now.since(asked.at));
@@ -323,7 +329,7 @@
             self.answer_time.mul_f64(1.0 - ANSWER_WEIGHT) + took.mul_f64(ANSWER_WEIGHT);
     }
 
-    /// The connection to the leader is gone: what it was asked for is asked of the next.
+    /// Handles the loss of the connection; unanswered claims are sent to the next leader.
     pub fn handle_disconnect(&mut self, now: Timestamp) {
         self.note_unanswered(now);
         let asked = std::mem::take(&mut self.asked).into_values();
--- a/crates/millpass-tenancy/tests/keys.rs
+++ b/crates/millpass-tenancy/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and whose they are.
+//! Tests of API keys and their tenants.
 
 use millpass_proto::TenantName;
 use millpass_tenancy::{KeyDirectory, KeyHash, PresentedKey};
--- a/crates/millpass-tenancy/tests/quota.rs
+++ b/crates/millpass-tenancy/tests/quota.rs
@@ -1,5 +1,6 @@
-//! Quotas in virtual time: many gateways, messages that take time, cuts, restarts and changes of leader. Over
-//! every window the sum stays within what the contract bears, and what is asked below the limit is granted.
+//! Simulates quotas over many gateways with message delays, disconnects, restarts and changes of
+//! leader. Use must stay within the tolerance in every window, and demand below the limit must be
+//! granted.
 
 use millpass_proto::codec;
 use millpass_proto::*;
@@ -13,11 +14,11 @@
     overage: 0.1,
     slack_units: 110_000,
 };
-/// One way between a gateway and a member.
+/// One-way delay between a gateway and the leader, in milliseconds.
 const DELAY: u64 = 2;
 const REPORT_INTERVAL: u64 = 300;
 const PATIENCE: Duration = Duration::from_millis(160);
-/// Time for which a request waits for a leader.
+/// How long a request waits for a leader, in milliseconds.
 const LONGEST_WAIT: u64 = 400;
 
 fn at(millis: u64) -> Timestamp {
@@ -59,7 +60,7 @@
     claim: millpass_tenancy::CreditClaim,
 }
 
-/// One tenant's requests at many gateways before one leader at a time.
+/// Gateways with requests of one tenant, and at most one leader.
 struct World {
     now: u64,
     random: u64,
@@ -72,7 +73,7 @@
     messages: BTreeMap<(u64, u64), Message>,
     sent: u64,
     waiting: Vec<Request>,
-    /// When and how much ran.
+    /// Time and units of every request that ran.
     ran: Vec<(u64, u64)>,
     asked: u64,
     granted: u64,
@@ -112,7 +113,8 @@
         self.messages.insert((self.now + DELAY, self.sent), message);
     }
 
-    /// One millisecond in which this many units a second are asked for, in requests of 200 or `large` units.
+    /// Advances by one millisecond. Requests cost 200 or `large` units and arrive at
+    /// `units_per_second`.
     fn step(&mut self, units_per_second: f64, large: u64) {
         self.now += 1;
         self.deliver();
@@ -202,7 +204,7 @@
         self.post(Message::ToGateway(gateway, answer));
     }
 
-    /// The leader is gone, with all that is on its way.
+    /// Removes the leader and all messages in transit.
     fn lose_leader(&mut self) {
         self.leader = None;
         self.messages.clear();
@@ -221,7 +223,7 @@
         self.pools[gateway].handle_disconnect(at(self.now));
     }
 
-    /// A gateway starts anew and knows nothing.
+    /// Restarts a gateway without its state.
     fn restart(&mut self, gateway: usize) {
         self.pools[gateway] = CreditPool::new(TERMS);
         self.waiting.retain(|request| request.gateway != gateway);
@@ -233,7 +235,7 @@
         }
     }
 
-    /// The largest sum over any window, as a part of what the contract bears.
+    /// Largest use in any window, relative to the tolerated use.
     fn worst_window(&self) -> f64 {
         let window = TERMS.window.as_millis() as u64;
         let limit = self.limit;
@@ -259,7 +261,7 @@
     units_per_second: 850_000,
     burst_units: 850_000,
 };
-/// Its large requests cost a third of what it may use in a second.
+/// A large request costs a third of what this tenant may use per second.
 const SMALL_TENANT: TenantLimit = TenantLimit {
     units_per_second: 29_000,
     burst_units: 29_000,
@@ -291,7 +293,7 @@
     assert!(used > 0.95, "of the limit {used:.3} was used");
 }
 
-/// Over a change of leader large requests wait and plain ones go on; in all less than a tenth is lost.
+/// Guards against refusing a tenth of the usual load during a change of leader.
 #[rstest]
 fn a_change_of_leader_costs_little(#[values(LARGE_TENANT, SMALL_TENANT)] limit: TenantLimit) {
     let mut world = World::new(9, 81, limit);
@@ -306,8 +308,8 @@
     assert!(world.worst_window() <= 1.0);
 }
 
-/// Found in an incident: half a second after a loss of all power a large tenant's usual requests were refused, as a
-/// new leader began with the same few units whatever the limit.
+/// Guards against a new leader that refuses the usual load of a large tenant because its buckets
+/// start nearly empty.
 #[test]
 fn after_a_loss_of_everything_a_new_leader_begins_with_what_a_large_tenant_needs() {
     let mut world = World::new(13, 81, LARGE_TENANT);
@@ -319,11 +321,10 @@
     world.run(1_700, 0.0, 9_800);
     world.elect();
     let (asked, granted) = (world.asked, world.granted);
-    // What was held back comes with what is usual.
+    // Deferred requests arrive together with the usual load.
     world.run(100, 4_000_000.0, 9_800);
     world.run(400, 0.0, 9_800);
     let share = (world.granted - granted) as f64 / (world.asked - asked) as f64;
-    // 0.50 before, 0.88 with it.
     assert!(share > 0.8, "granted {share:.3}");
     assert!(world.worst_window() <= 1.0);
 }
@@ -335,7 +336,7 @@
     world.limit = SMALL_TENANT;
     world.version = 2;
     let lowered = world.now;
-    // What was lent before, one window and the time to the next word.
+    // Skips the units granted before the change and the delay until the next request.
     world.run(10_000, 470_000.0, 9_800);
     world.ran.retain(|(now, _)| *now > lowered + 1_500);
     assert!(world.worst_window() <= 1.0, "{:.3}", world.worst_window());
@@ -361,9 +362,9 @@
     let first = ask(&mut pool, 0);
     assert!(!pool.is_leader_unresponsive(at(400), at(0)));
     assert!(pool.is_leader_unresponsive(at(600), at(0)));
-    // Something else of it was heard.
+    // Another message was received in between.
     assert!(!pool.is_leader_unresponsive(at(600), at(500)));
-    // Answers that take 200 ms make it a slow one.
+    // After responses that take 200 ms, a longer delay is tolerated.
     let mut answered = first;
     for turn in 1..20 {
         let answer = CreditResponse {
@@ -378,10 +379,8 @@
     assert!(pool.is_leader_unresponsive(at(19 * 300 + 2_000), at(0)));
 }
 
-/// Gateways left a busy leader, found the same one again half a second later and were told everything anew, which made
-/// it busier: its answers came after half a second, and each was thrown away with the connection that it was owed on, so
-/// that the gateway never learned how long this leader takes. Evidence: the same leader found three times in four
-/// seconds by one gateway, and told all instances each time.
+/// Guards against gateways that disconnect from a slow leader over and over: response times that
+/// end in a disconnect must count too.
 #[test]
 fn a_gateway_that_left_a_leader_for_silent_waits_longer_for_its_next_answer() {
     let tenant = "t".into();
@@ -402,7 +401,7 @@
         patience.is_sorted_by(|one, next| one < next),
         "{patience:?}"
     );
-    // Whoever answers at once after that is soon expected to.
+    // Fast responses shorten the timeout again.
     for turn in 0..40 {
         let asked = 50_000 + turn * 100;
         pool.open(at(asked), &tenant, LARGE_TENANT, 9_800, PATIENCE);
@@ -443,7 +442,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
-    /// Whatever fails, and however often, no window holds more than the contract bears.
+    /// Guards against use beyond the tolerance under any sequence of faults.
     #[test]
     fn no_window_holds_more_than_the_contract_bears(
         seed in any::<u64>(),
@@ -458,8 +457,8 @@
         for fault in faults {
             match fault {
                 Fault::Lose => world.lose_leader(),
-                // Two changes of leader in a window are what the opening part is made for; elections take as
-                // long as a lease.
+                // The opening fraction covers two changes of leader per window; an election takes
+                // as long as a lease.
                 Fault::Elect if world.leader.is_none() && changes < 2 => {
                     changes += 1;
                     world.run(500, limit.units_per_second as f64 * excess, 9_800);
@@ -476,8 +475,7 @@
     }
 }
 
-/// Messages to the leader for each request: figures of docs/CAPACITY.md. Where many requests come, units are lent
-/// ahead.
+/// Guards against more messages per request than documented in docs/CAPACITY.md.
 #[rstest]
 #[case::today(81, 1.0, 1.5)]
 #[case::size_to_design_for(490, 150.0, 0.3)]
@@ -497,7 +495,7 @@
     );
 }
 
-/// Bytes of docs/CAPACITY.md.
+/// Guards against a larger message than documented in docs/CAPACITY.md.
 #[test]
 fn an_ask_for_one_request_is_small() {
     let mut pool = CreditPool::new(TERMS);
