--- a/crates/millpass-tenancy/tests/keys.rs
+++ b/crates/millpass-tenancy/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and whose they are.
+//! Tests of API keys and their tenants.
 
 use millpass_proto::TenantName;
 use millpass_tenancy::{KeyDirectory, KeyHash, PresentedKey};
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 fn presented(values: &[&[u8]]) -> PresentedKey {
-    PresentedKey::among(values.iter().copied())
+    PresentedKey::from_header_values(values.iter().copied())
 }
 
 #[rstest]
