--- a/crates/millpass-dispatch/src/credit.rs
+++ b/crates/millpass-dispatch/src/credit.rs
@@ -46,28 +46,28 @@
 
     /// Returns true if requests wait for units that have not been requested from the leader.
     pub fn is_credit_urgent(&self) -> bool {
-        self.credit.is_urgent()
+        self.credit.has_queued_claims()
     }
 
     /// Returns the next credit message, if one is due.
     pub fn credit_request(&mut self, now: Timestamp, periodic: bool) -> Option<CreditRequest> {
-        self.credit.message(now, &self.settings.name, periodic)
+        self.credit.next_request(now, &self.settings.name, periodic)
     }
 
     /// Applies the leader's response.
     pub fn apply_credit(&mut self, now: Timestamp, response: &CreditResponse) {
-        self.credit.answer(now, response);
+        self.credit.handle_response(now, response);
     }
 
     /// Returns true if the leader's credit response is overdue; `last_contact` is the last contact
     /// with the leader.
     pub fn is_credit_response_overdue(&self, now: Timestamp, last_contact: Timestamp) -> bool {
-        self.credit.is_leader_silent(now, last_contact)
+        self.credit.is_leader_unresponsive(now, last_contact)
     }
 
     /// Handles the end of the connection to the leader.
     pub fn credit_disconnected(&mut self, now: Timestamp) {
-        self.credit.disconnected(now);
+        self.credit.handle_disconnect(now);
     }
 }
 
--- a/crates/millpass-dispatch/src/dispatcher.rs
+++ b/crates/millpass-dispatch/src/dispatcher.rs
@@ -14,7 +14,7 @@
     InstanceLoad, ModelName, ModelReadyEstimate, RouteSpec, ServiceName, TenantAccess, Timestamp,
     ZoneName,
 };
-use millpass_tenancy::{CreditPool, PresentedKey, QuotaTerms};
+use millpass_tenancy::{CreditPool, PresentedKey, QuotaTolerance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -38,8 +38,8 @@
     pub prompt_tokens_per_milli: f64,
     /// Timeout of callers that state no deadline.
     pub default_timeout: Duration,
-    /// Overage allowed above a tenant's limit.
-    pub quota: QuotaTerms,
+    /// Tolerated excess above a tenant's limit.
+    pub quota: QuotaTolerance,
     /// Time without confirmation after which keys are no longer accepted; none to accept them
     /// indefinitely.
     pub key_lifetime: Option<Duration>,
--- a/crates/millpass-dispatch/tests/dispatch.rs
+++ b/crates/millpass-dispatch/tests/dispatch.rs
@@ -5,7 +5,7 @@
     RefusalReason, RequestDescription, RetryBudget, RouteError, SendOutcome, Ticket,
 };
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_timeout: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
             max_staleness: Duration::from_secs(3_600),
--- a/crates/millpass-dispatch/tests/freshness.rs
+++ b/crates/millpass-dispatch/tests/freshness.rs
@@ -6,7 +6,7 @@
     RequestDescription, RouteError,
 };
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -113,7 +113,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_timeout: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
             max_staleness: Duration::from_millis(MAX_STALENESS_MILLIS),
--- a/crates/millpass-dispatch/tests/tenants.rs
+++ b/crates/millpass-dispatch/tests/tenants.rs
@@ -4,7 +4,7 @@
     DispatchSettings, Dispatcher, FreshnessSettings, IdentityError, RequestDescription,
 };
 use millpass_proto::*;
-use millpass_tenancy::{CreditOutcome, KeyHash, PresentedKey, QuotaTerms};
+use millpass_tenancy::{CreditOutcome, KeyHash, PresentedKey, QuotaTolerance};
 use rstest::rstest;
 
 const LIFETIME: Duration = Duration::from_secs(5);
@@ -91,7 +91,7 @@
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
         default_timeout: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        quota: QuotaTolerance::default(),
         key_lifetime,
         freshness: FreshnessSettings {
             max_staleness: Duration::from_secs(3_600),
@@ -218,7 +218,7 @@
         ..tenant("one", b"k-1", 1)
     };
     let mut dispatcher = Dispatcher::new(DispatchSettings {
-        quota: QuotaTerms {
+        quota: QuotaTolerance {
             window: Duration::from_secs(10),
             overage: 0.0,
             // Half of it is shared without a leader: one request for each of ten gateways, or ten
--- a/crates/millpass-policy/tests/policy.rs
+++ b/crates/millpass-policy/tests/policy.rs
@@ -1,12 +1,12 @@
-//! Table and property tests of policies.
+//! Tests of policy compilation, evaluation and validation.
 
-use millpass_policy::{CompiledPolicies, PolicyError, RequestFacts, VerdictCache, admit};
+use millpass_policy::{CompiledPolicies, PolicyError, RequestAttributes, VerdictCache, validate};
 use millpass_proto::{PolicyExample, PolicyName, PolicySpec, Urgency};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
 
-const FACTS: RequestFacts<'static> = RequestFacts {
+const FACTS: RequestAttributes<'static> = RequestAttributes {
     tenant: "harbour",
     model: "writer",
     adapter: "",
@@ -146,7 +146,7 @@
         kind: "chat".to_owned(),
         allowed: expected,
     });
-    let outcome = admit(&"mine".into(), &spec).map_err(|error| error.to_string());
+    let outcome = validate(&"mine".into(), &spec).map_err(|error| error.to_string());
     match words {
         None => assert_eq!(outcome, Ok(())),
         Some(words) => assert!(outcome.unwrap_err().contains(words)),
@@ -159,7 +159,7 @@
     let mut cache = VerdictCache::new(10);
     for number in 0..500 {
         let tenant = format!("t{}", number % 30);
-        let facts = RequestFacts {
+        let facts = RequestAttributes {
             tenant: &tenant,
             ..FACTS
         };
@@ -170,7 +170,7 @@
     assert!(cache.is_empty());
 }
 
-/// The programs shown to operators in `docs/POLICIES.md`.
+/// Guards against documented programs that do not compile or that fail (`docs/POLICIES.md`).
 #[test]
 fn documented_programs_compile() {
     let page = include_str!("../../../docs/POLICIES.md");
@@ -205,7 +205,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &seed))
 }
 
-/// Sources made of pieces of the language, mostly broken, some whole.
+/// Mostly invalid sources composed of language fragments.
 fn source_strategy() -> impl Strategy<Value = String> {
     let pieces = prop::sample::select(vec![
         "tenant",
