--- a/crates/millpass-policy/src/cache.rs
+++ b/crates/millpass-policy/src/cache.rs
@@ -13,8 +13,8 @@
 /// by key, so their iteration order cannot influence decisions.
 #[derive(Debug)]
 pub struct VerdictCache {
-    half_capacity: usize,
-    younger: HashMap<String, Arc<Verdict>>,
+    generation_capacity: usize,
+    newer: HashMap<String, Arc<Verdict>>,
     older: HashMap<String, Arc<Verdict>>,
     key: String,
 }
@@ -23,8 +23,8 @@
     /// Returns a cache of at most `capacity` verdicts.
     pub fn new(capacity: usize) -> Self {
         VerdictCache {
-            half_capacity: (capacity / 2).max(1),
-            younger: HashMap::new(),
+            generation_capacity: (capacity / 2).max(1),
+            newer: HashMap::new(),
             older: HashMap::new(),
             key: String::new(),
         }
@@ -32,13 +32,13 @@
 
     /// Drops all verdicts; must be called for each catalog revision.
     pub fn clear(&mut self) {
-        self.younger.clear();
+        self.newer.clear();
         self.older.clear();
     }
 
     /// Number of cached verdicts.
     pub fn len(&self) -> usize {
-        self.younger.len() + self.older.len()
+        self.newer.len() + self.older.len()
     }
 
     /// Returns true if no verdict is cached.
@@ -50,26 +50,26 @@
     pub fn verdict(
         &mut self,
         policies: &CompiledPolicies,
-        facts: &RequestAttributes<'_>,
+        attributes: &RequestAttributes<'_>,
     ) -> Arc<Verdict> {
-        self.write_key(facts);
-        if let Some(verdict) = self.younger.get(&self.key) {
+        self.write_key(attributes);
+        if let Some(verdict) = self.newer.get(&self.key) {
             return Arc::clone(verdict);
         }
         let verdict = match self.older.remove(&self.key) {
             Some(verdict) => verdict,
-            None => Arc::new(policies.evaluate(facts)),
+            None => Arc::new(policies.evaluate(attributes)),
         };
-        if self.younger.len() >= self.half_capacity {
-            self.older = std::mem::take(&mut self.younger);
+        if self.newer.len() >= self.generation_capacity {
+            self.older = std::mem::take(&mut self.newer);
         }
-        self.younger.insert(self.key.clone(), Arc::clone(&verdict));
+        self.newer.insert(self.key.clone(), Arc::clone(&verdict));
         verdict
     }
 
-    fn write_key(&mut self, facts: &RequestAttributes<'_>) {
+    fn write_key(&mut self, attributes: &RequestAttributes<'_>) {
         self.key.clear();
-        for (_, value) in facts.variables() {
+        for (_, value) in attributes.variables() {
             self.key.push_str(value);
             self.key.push(SEPARATOR);
         }
--- a/crates/millpass-policy/src/cost.rs
+++ b/crates/millpass-policy/src/cost.rs
@@ -29,7 +29,7 @@
 ];
 
 /// A violated bound.
-pub(crate) struct Finding {
+pub(crate) struct Violation {
     /// Id of the node in the source map.
     pub node: u64,
     /// What is wrong.
@@ -39,13 +39,13 @@
 }
 
 /// Checks a whole program and returns its worst-case cost.
-pub(crate) fn check(root: &IdedExpr) -> Result<u64, Finding> {
-    let mut walk = Walk { scope: Vec::new() };
-    let cost = walk.cost(root, 1)?;
+pub(crate) fn check(root: &IdedExpr) -> Result<u64, Violation> {
+    let mut walker = CostWalker { scope: Vec::new() };
+    let cost = walker.cost(root, 1)?;
     if cost > MAXIMUM_COST {
-        return Err(Finding {
+        return Err(Violation {
             node: root.id,
-            reason: format!("its worst-case cost is {cost} steps, over {MAXIMUM_COST}"),
+            reason: format!("worst-case cost of {cost} steps exceeds {MAXIMUM_COST}"),
             remedy: "use shorter lists or nest fewer macros",
         });
     }
@@ -53,40 +53,42 @@
 }
 
 /// Traversal of a syntax tree.
-struct Walk {
+struct CostWalker {
     /// Variables bound by the enclosing macros.
     scope: Vec<String>,
 }
 
-impl Walk {
-    fn cost(&mut self, node: &IdedExpr, depth: usize) -> Result<u64, Finding> {
+impl CostWalker {
+    fn cost(&mut self, node: &IdedExpr, depth: usize) -> Result<u64, Violation> {
         if depth > MAXIMUM_DEPTH {
-            return Err(Finding {
+            return Err(Violation {
                 node: node.id,
-                reason: format!("it is nested deeper than {MAXIMUM_DEPTH}"),
+                reason: format!("expression is nested deeper than {MAXIMUM_DEPTH} levels"),
                 remedy: "split it into several policies",
             });
         }
         let children = match &node.expr {
             Expr::Unspecified | Expr::Literal(_) => 0,
-            Expr::Ident(name) => self.check_name(node, name)?,
+            Expr::Ident(name) => self.check_identifier(node, name)?,
             Expr::Select(select) => self.cost(&select.operand, depth + 1)?,
-            Expr::List(list) => self.sum(list.elements.iter(), depth)?,
-            Expr::Map(map) => self.entries(map.entries.iter().map(|entry| &entry.expr), depth)?,
+            Expr::List(list) => self.sum_costs(list.elements.iter(), depth)?,
+            Expr::Map(map) => {
+                self.entry_costs(map.entries.iter().map(|entry| &entry.expr), depth)?
+            }
             Expr::Struct(value) => {
-                self.entries(value.entries.iter().map(|entry| &entry.expr), depth)?
+                self.entry_costs(value.entries.iter().map(|entry| &entry.expr), depth)?
             }
-            Expr::Call(call) => self.call(node, call, depth)?,
-            Expr::Comprehension(macro_call) => self.comprehension(macro_call, depth)?,
+            Expr::Call(call) => self.call_cost(node, call, depth)?,
+            Expr::Comprehension(macro_call) => self.macro_cost(macro_call, depth)?,
         };
         Ok(children.saturating_add(1))
     }
 
-    fn sum<'a>(
+    fn sum_costs<'a>(
         &mut self,
         nodes: impl Iterator<Item = &'a IdedExpr>,
         depth: usize,
-    ) -> Result<u64, Finding> {
+    ) -> Result<u64, Violation> {
         let mut total = 0u64;
         for node in nodes {
             total = total.saturating_add(self.cost(node, depth + 1)?);
@@ -94,11 +96,11 @@
         Ok(total)
     }
 
-    fn entries<'a>(
+    fn entry_costs<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a EntryExpr>,
         depth: usize,
-    ) -> Result<u64, Finding> {
+    ) -> Result<u64, Violation> {
         let mut total = 0u64;
         for entry in entries {
             let cost = match entry {
@@ -112,48 +114,53 @@
         Ok(total)
     }
 
-    fn check_name(&self, node: &IdedExpr, name: &str) -> Result<u64, Finding> {
+    fn check_identifier(&self, node: &IdedExpr, name: &str) -> Result<u64, Violation> {
         if VARIABLES.contains(&name) || self.scope.iter().any(|bound| bound == name) {
             return Ok(0);
         }
-        Err(Finding {
+        Err(Violation {
             node: node.id,
-            reason: format!("there is no variable `{name}`"),
+            reason: format!("unknown variable `{name}`"),
             remedy: "use tenant, model, adapter, kind or path",
         })
     }
 
-    fn call(&mut self, node: &IdedExpr, call: &CallExpr, depth: usize) -> Result<u64, Finding> {
-        let own = if is_operator(&call.func_name) {
+    fn call_cost(
+        &mut self,
+        node: &IdedExpr,
+        call: &CallExpr,
+        depth: usize,
+    ) -> Result<u64, Violation> {
+        let own_cost = if is_operator(&call.func_name) {
             0
         } else if FUNCTIONS.contains(&call.func_name.as_str()) {
             STRING_CALL_COST
         } else {
-            return Err(Finding {
+            return Err(Violation {
                 node: node.id,
-                reason: format!("there is no function `{}`", call.func_name),
+                reason: format!("unknown function `{}`", call.func_name),
                 remedy: "use operators, `in`, has, all, exists, exists_one, map, filter, size, \
                          contains, startsWith, endsWith, string, int, uint or double",
             });
         };
-        let target = self.sum(call.target.iter().map(|target| &**target), depth)?;
-        let arguments = self.sum(call.args.iter(), depth)?;
-        Ok(own.saturating_add(target).saturating_add(arguments))
+        let target = self.sum_costs(call.target.iter().map(|target| &**target), depth)?;
+        let arguments = self.sum_costs(call.args.iter(), depth)?;
+        Ok(own_cost.saturating_add(target).saturating_add(arguments))
     }
 
-    fn comprehension(&mut self, call: &ComprehensionExpr, depth: usize) -> Result<u64, Finding> {
+    fn macro_cost(&mut self, call: &ComprehensionExpr, depth: usize) -> Result<u64, Violation> {
         let nested = self.scope.iter().filter(|name| name.is_empty()).count();
         if nested >= MAXIMUM_MACRO_NESTING {
-            return Err(Finding {
+            return Err(Violation {
                 node: call.iter_range.id,
                 reason: format!("macros are nested deeper than {MAXIMUM_MACRO_NESTING}"),
-                remedy: "write the inner list out",
+                remedy: "expand the inner macro",
             });
         }
-        let rounds = length_bound(&call.iter_range)?;
+        let iterations = maximum_iterations(&call.iter_range)?;
         let range = self.cost(&call.iter_range, depth + 1)?;
         let start = self.cost(&call.accu_init, depth + 1)?;
-        let outer = self.scope.len();
+        let outer_scope = self.scope.len();
         // An empty name, which no source can contain, marks each level of nesting.
         self.scope.push(String::new());
         self.scope.push(call.iter_var.clone());
@@ -162,9 +169,9 @@
         let condition = self.cost(&call.loop_cond, depth + 1)?;
         let step = self.cost(&call.loop_step, depth + 1)?;
         let result = self.cost(&call.result, depth + 1)?;
-        self.scope.truncate(outer);
-        let round = condition.saturating_add(step);
-        let total = rounds.saturating_mul(round).saturating_add(range);
+        self.scope.truncate(outer_scope);
+        let iteration = condition.saturating_add(step);
+        let total = iterations.saturating_mul(iteration).saturating_add(range);
         Ok(total.saturating_add(start).saturating_add(result))
     }
 }
@@ -175,15 +182,15 @@
 }
 
 /// Returns the maximum number of elements in a macro's range.
-fn length_bound(range: &IdedExpr) -> Result<u64, Finding> {
+fn maximum_iterations(range: &IdedExpr) -> Result<u64, Violation> {
     match &range.expr {
         Expr::List(list) => Ok(list.elements.len() as u64),
         Expr::Map(map) => Ok(map.entries.len() as u64),
-        Expr::Comprehension(inner) => length_bound(&inner.iter_range),
-        _ => Err(Finding {
+        Expr::Comprehension(inner) => maximum_iterations(&inner.iter_range),
+        _ => Err(Violation {
             node: range.id,
-            reason: "a macro ranges over something that is not a written list".to_owned(),
-            remedy: "write the list or map out in the program",
+            reason: "macro range is not a list or map literal".to_owned(),
+            remedy: "use a list or map literal",
         }),
     }
 }
--- a/crates/millpass-policy/src/evaluate.rs
+++ b/crates/millpass-policy/src/evaluate.rs
@@ -113,8 +113,8 @@
     }
 
     /// Evaluates all policies for a request. A program that fails denies the request.
-    pub fn evaluate(&self, facts: &RequestAttributes<'_>) -> Verdict {
-        let context = context_of(&self.functions, facts);
+    pub fn evaluate(&self, attributes: &RequestAttributes<'_>) -> Verdict {
+        let context = request_context(&self.functions, attributes);
         for policy in &self.policies {
             match denies(policy, &context) {
                 Ok(false) => {}
@@ -125,7 +125,7 @@
         let mut verdict = Verdict::default_deny();
         let mut urgency = None;
         for policy in &self.policies {
-            if let Err(failure) = apply_allow(policy, &context, &mut verdict, &mut urgency) {
+            if let Err(failure) = merge_allow(policy, &context, &mut verdict, &mut urgency) {
                 return Verdict::denied_by(&policy.name, Some(failure));
             }
         }
@@ -138,7 +138,7 @@
 pub fn validate(name: &PolicyName, spec: &PolicySpec) -> Result<(), PolicyError> {
     let policies = CompiledPolicies::compile(&[(name.clone(), spec.clone())])?;
     for (index, example) in spec.examples.iter().enumerate() {
-        let verdict = policies.evaluate(&facts_of(example));
+        let verdict = policies.evaluate(&example_attributes(example));
         let reason = match verdict.failure {
             Some(failure) => failure,
             None if verdict.allowed == example.allowed => continue,
@@ -150,7 +150,7 @@
         return Err(PolicyError::Example {
             policy: name.clone(),
             number: index + 1,
-            example: describe(example),
+            example: describe_example(example),
             reason,
             remedy: EXAMPLE_REMEDY,
         });
@@ -159,12 +159,12 @@
 }
 
 /// Inner scope with the variables of a request.
-fn context_of<'a>(
+fn request_context<'a>(
     functions: &'a Context<'static, 'static>,
-    facts: &RequestAttributes<'_>,
+    attributes: &RequestAttributes<'_>,
 ) -> Context<'a, 'static> {
     let mut context = functions.new_inner_scope();
-    for (name, value) in facts.variables() {
+    for (name, value) in attributes.variables() {
         context.add_variable_from_value(name, value.to_owned());
     }
     context
@@ -173,19 +173,19 @@
 /// Evaluates the policy's `deny` program.
 fn denies(policy: &CompiledPolicy, context: &Context<'_, '_>) -> Result<bool, String> {
     match &policy.deny {
-        Some(program) => boolean(program, PolicyProgram::Deny, context),
+        Some(program) => evaluate_bool(program, PolicyProgram::Deny, context),
         None => Ok(false),
     }
 }
 
 /// Merges an allowing policy into the verdict.
-fn apply_allow(
+fn merge_allow(
     policy: &CompiledPolicy,
     context: &Context<'_, '_>,
     verdict: &mut Verdict,
     urgency: &mut Option<Urgency>,
 ) -> Result<(), String> {
-    if !boolean(&policy.allow, PolicyProgram::Allow, context)? {
+    if !evaluate_bool(&policy.allow, PolicyProgram::Allow, context)? {
         return Ok(());
     }
     verdict.allowed = true;
@@ -196,37 +196,37 @@
         *urgency = Some(urgency_value(program.run(context)?)?);
     }
     if let Some(program) = &policy.capacity_bytes {
-        let stated = capacity_value(program.run(context)?)?;
-        let smallest = verdict
+        let limit = capacity_value(program.run(context)?)?;
+        let minimum = verdict
             .capacity_bytes
-            .map_or(stated, |held| held.min(stated));
-        verdict.capacity_bytes = Some(smallest);
+            .map_or(limit, |current| current.min(limit));
+        verdict.capacity_bytes = Some(minimum);
     }
     Ok(())
 }
 
-fn boolean(
+fn evaluate_bool(
     program: &BoundedProgram,
     kind: PolicyProgram,
     context: &Context<'_, '_>,
 ) -> Result<bool, String> {
     match program.run(context) {
         Ok(Value::Bool(value)) => Ok(value),
-        Ok(_) => Err(format!("{kind} does not give true or false")),
+        Ok(_) => Err(format!("{kind} must return true or false")),
         Err(failure) => Err(format!("{kind}: {failure}")),
     }
 }
 
 fn urgency_value(value: Value) -> Result<Urgency, String> {
     let Value::String(text) = value else {
-        return Err("urgency does not give a string".to_owned());
+        return Err("urgency must return a string".to_owned());
     };
     match text.as_str() {
         "interactive" => Ok(Urgency::Interactive),
         "normal" => Ok(Urgency::Normal),
         "batch" => Ok(Urgency::Batch),
         other => Err(format!(
-            "urgency gives `{other}`, not interactive, normal or batch"
+            "urgency returned `{other}`, expected interactive, normal or batch"
         )),
     }
 }
@@ -237,24 +237,24 @@
         Value::Int(bytes) => {
             u64::try_from(bytes).map_err(|_| "capacity_bytes is negative".to_owned())
         }
-        _ => Err("capacity_bytes does not give an integer".to_owned()),
+        _ => Err("capacity_bytes must return an integer".to_owned()),
     }
 }
 
 /// Attributes of an example; for web examples the `model` field contains the path.
-fn facts_of(example: &PolicyExample) -> RequestAttributes<'_> {
+fn example_attributes(example: &PolicyExample) -> RequestAttributes<'_> {
     let is_web = example.kind == "web";
-    let asked = example.model.as_str();
+    let target = example.model.as_str();
     RequestAttributes {
         tenant: example.tenant.as_str(),
-        model: if is_web { "" } else { asked },
+        model: if is_web { "" } else { target },
         adapter: example.adapter.as_ref().map_or("", |name| name.as_str()),
         kind: &example.kind,
-        path: if is_web { asked } else { "" },
+        path: if is_web { target } else { "" },
     }
 }
 
-fn describe(example: &PolicyExample) -> String {
+fn describe_example(example: &PolicyExample) -> String {
     let adapter = example.adapter.as_ref().map_or("", |name| name.as_str());
     format!(
         "tenant={} model={} adapter={adapter} kind={}",
--- a/crates/millpass-routing/src/admission.rs
+++ b/crates/millpass-routing/src/admission.rs
@@ -12,7 +12,7 @@
 use millpass_proto::{Duration, PolicyName, TenantName, Timestamp, Urgency};
 use std::sync::Arc;
 
-/// Fields recorded so far for the explanation of a cause arrival.
+/// Fields recorded so far for the explanation of a refused arrival.
 #[derive(Default)]
 struct ArrivalContext {
     request_id: String,
@@ -209,7 +209,7 @@
             ),
             QueueKey::Web(_) => ("", ""),
         };
-        let facts = RequestAttributes {
+        let attributes = RequestAttributes {
             tenant: tenant.as_str(),
             model,
             adapter,
@@ -217,7 +217,7 @@
             path,
         };
         self.catalog
-            .verdict(&facts)
+            .verdict(&attributes)
             .map_err(|error| Rejection::with_detail(RefusalReason::PolicyDenied, error.to_string()))
     }
 
@@ -351,7 +351,7 @@
     let detail = match (&verdict.deciding_policy, &verdict.failure) {
         (Some(policy), Some(failure)) => format!("policy {policy} failed: {failure}"),
         (Some(policy), None) => format!("denied by policy {policy}"),
-        (None, _) => "no policy allows it".to_owned(),
+        (None, _) => "no policy allows the request".to_owned(),
     };
     Err(Rejection::with_detail(RefusalReason::PolicyDenied, detail))
 }
--- a/crates/millpass-routing/src/catalog.rs
+++ b/crates/millpass-routing/src/catalog.rs
@@ -202,9 +202,12 @@
 
     /// Evaluates the policies. If a policy does not compile here, all requests are denied until it
     /// is replaced, since it could be a policy that denies.
-    pub fn verdict(&mut self, facts: &RequestAttributes<'_>) -> Result<Arc<Verdict>, &PolicyError> {
+    pub fn verdict(
+        &mut self,
+        attributes: &RequestAttributes<'_>,
+    ) -> Result<Arc<Verdict>, &PolicyError> {
         match &self.compiled {
-            Ok(policies) => Ok(self.verdicts.verdict(policies, facts)),
+            Ok(policies) => Ok(self.verdicts.verdict(policies, attributes)),
             Err(error) => Err(error),
         }
     }
--- a/crates/millpass-routing/src/dispatch.rs
+++ b/crates/millpass-routing/src/dispatch.rs
@@ -1,8 +1,8 @@
 //! Backend selection and dispatch of attempts.
 //!
-//! Backends are ranked by: not tried yet by this request, same zone, prefix locality, least_load load.
+//! Backends are ranked by: not tried yet by this request, same zone, prefix locality, least load.
 //! Prefix locality is rendezvous hashing of the prompt's start over the replicas whose load is
-//! within [`LOCALITY_SLACK`] of the least_load loaded one, so that a popular prefix uses a warm cache
+//! within [`LOCALITY_SLACK`] of the least loaded one, so that a popular prefix uses a warm cache
 //! without overloading one replica.
 
 use crate::circuit::CircuitState;
@@ -16,7 +16,7 @@
     VersionLabel, WebRoute, ZoneName,
 };
 
-/// Requests by which a replica's load may exceed the least_load load and still be selected for locality.
+/// Requests by which a replica's load may exceed the least load and still be selected for locality.
 const LOCALITY_SLACK: u32 = 2;
 /// Maximum concurrent attempts from this router to one web backend; web routes state no
 /// concurrency.
@@ -39,7 +39,7 @@
     Backend(SelectedBackend),
     /// All backends are at capacity.
     Busy,
-    /// All backends are ejected, at least_load until this time.
+    /// All backends are ejected, at least until this time.
     OpenUntil(Timestamp),
     /// No backend serves the queue.
     NoBackend,
--- a/crates/millpass-routing/src/explain.rs
+++ b/crates/millpass-routing/src/explain.rs
@@ -20,7 +20,7 @@
     Completed,
     /// Got the recorded response of an earlier request with the same key.
     Replayed,
-    /// Rejection.
+    /// Refused.
     Refused(RefusalReason),
     /// The response broke off.
     BrokenOff(RefusalReason),
--- a/crates/millpass-routing/src/readiness.rs
+++ b/crates/millpass-routing/src/readiness.rs
@@ -69,7 +69,7 @@
     }
 
     /// Refuses waiting requests that cannot be served in time, then dispatches the others. The work
-    /// is bounded by the number of queues and of cause requests.
+    /// is bounded by the number of queues and of refused requests.
     pub(crate) fn refresh_queues(&mut self, step: &mut Step) {
         let queues: Vec<QueueKey> = self.queues.keys().cloned().collect();
         for queue in &queues {
--- a/crates/millpass-routing/src/refusals.rs
+++ b/crates/millpass-routing/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals: messages for the caller, and the removal of cause requests.
+//! Refusals: messages for the caller, and the removal of refused requests.
 
 use crate::claims::conclusion_without_response;
 use crate::explain::{AttemptEnd, Outcome};
@@ -12,7 +12,7 @@
 /// Minimum Retry-After for a model that cannot be placed.
 pub(crate) const UNPLACEABLE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Cause of a refusal; whether the request may have run is added later.
+/// Why a request is refused; whether the request may have run is added later.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Rejection {
     /// Reason.
@@ -24,7 +24,7 @@
 }
 
 impl Rejection {
-    /// A cause with the default Retry-After of its reason.
+    /// A rejection with the default Retry-After of its reason.
     pub fn new(reason: RefusalReason) -> Self {
         Rejection {
             reason,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A cause with a detail for the message.
+    /// A rejection with a detail for the message.
     pub fn with_detail(reason: RefusalReason, detail: String) -> Self {
         Rejection {
             detail: Some(detail),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Converts the cause into the refusal sent to the caller.
+    /// Converts the rejection into the refusal sent to the caller.
     pub fn into_refusal(self, executed: Executed) -> Refusal {
         let text = message_text(self.reason);
         let message = match self.detail {
@@ -98,41 +98,41 @@
              tenant."
         }
         RefusalReason::NotFound => {
-            "There is no such model, adapter or path; check its name against /v1/models."
+            "The model, adapter or path does not exist; check its name against /v1/models."
         }
         RefusalReason::PolicyDenied => {
-            "The policies do not allow this request; ask the operators for access."
+            "The policies deny this request; ask the operators for access."
         }
         RefusalReason::KeyRequired => {
-            "This path runs at most once; send an Idempotency-Key (UUID version 7)."
+            "Requests to this path run at most once; send an Idempotency-Key (UUID version 7)."
         }
         RefusalReason::KeyExpired => {
-            "The idempotency key is too old; check the outcome, then use a new key."
+            "The idempotency key has expired; check the earlier outcome, then use a new key."
         }
         RefusalReason::KeyReused => {
-            "The idempotency key was used for another request; use a new key."
+            "The idempotency key was used for a different request; use a new key."
         }
         RefusalReason::InProgress => {
-            "An attempt with this idempotency key is running; repeat later with the same key."
+            "An attempt with this idempotency key is in progress; retry later with the same key."
         }
         RefusalReason::MayHaveRun => {
-            "An attempt with this idempotency key may have run; check its outcome by hand."
+            "An attempt with this idempotency key may have run; check its outcome manually."
         }
         RefusalReason::Hopeless => {
-            "It cannot be served before its deadline; come back later or allow more time."
+            "The request cannot be served before its deadline; retry later or allow more time."
         }
-        RefusalReason::DeadlinePassed => "Its deadline passed; come back or allow more time.",
-        RefusalReason::QueueFull => "Too many requests wait here; come back later.",
+        RefusalReason::DeadlinePassed => "The deadline passed; retry or allow more time.",
+        RefusalReason::QueueFull => "Too many requests are waiting at this router; retry later.",
         RefusalReason::TenantLimit => {
-            "Too many requests of this tenant wait here; send fewer at once."
+            "Too many requests of this tenant are waiting at this router; send fewer at once."
         }
         RefusalReason::NoLease => {
-            "This router is cut off from the control group; use another router or come back."
+            "This router has no contact with the control group; use another router or retry later."
         }
-        RefusalReason::Draining => "This router is stopping; use another router.",
-        RefusalReason::BackendFailed => "Every allowed attempt failed; come back later.",
+        RefusalReason::Draining => "This router is shutting down; use another router.",
+        RefusalReason::BackendFailed => "All attempts failed; retry later.",
         RefusalReason::ClaimUnavailable => {
-            "The idempotency key could not be claimed in time; repeat with the same key."
+            "The idempotency key could not be claimed in time; retry with the same key."
         }
     }
 }
--- a/crates/millpass-tenancy/src/account.rs
+++ b/crates/millpass-tenancy/src/account.rs
@@ -10,24 +10,24 @@
 /// that units are used in the window in which they were granted.
 const RESERVE_LIFETIME: Duration = Duration::from_millis(1_500);
 /// How long after a tenant's last request units are reserved for its next ones.
-const RESERVE_INTEREST: Duration = Duration::from_secs(3);
+const RESERVE_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Reserve to request, as a time at the current rate of use.
-const RESERVE_AHEAD: Duration = Duration::from_millis(250);
+const RESERVE_HORIZON: Duration = Duration::from_millis(250);
 /// Weight of the newest request in the moving average of request costs.
-const COST_WEIGHT: f64 = 0.2;
+const COST_SMOOTHING: f64 = 0.2;
 /// How long a gateway without contact to the leader may continue at the usual rate for a tenant
 /// with surplus quota. Longer than an election, shorter than a window.
-const STANDING_LIFETIME: Duration = Duration::from_millis(2_500);
+const FALLBACK_LIFETIME: Duration = Duration::from_millis(2_500);
 /// Factor on the usual rate during that time.
-const STANDING_PACE: f64 = 1.5;
+const FALLBACK_RATE_FACTOR: f64 = 1.5;
 /// Time constant of the moving average of a tenant's use.
-const USE_SECONDS: f64 = 3.0;
+const USE_AVERAGE_SECONDS: f64 = 3.0;
 /// Fraction of the tolerance that all gateways without a leader may use together in a window.
-const OVERDRAFT_PART: f64 = 0.5;
+const OVERDRAFT_FRACTION: f64 = 0.5;
 /// Number of gateways assumed while it is unknown.
-const UNKNOWN_GATEWAYS: u32 = 500;
+const DEFAULT_GATEWAYS: u32 = 500;
 /// How long a gateway treats a quota as exhausted without another request.
-const LONGEST_EXHAUSTED: Duration = Duration::from_millis(200);
+const EXHAUSTED_CACHE_LIFETIME: Duration = Duration::from_millis(200);
 
 /// Use beyond a tenant's limit that is tolerated.
 #[derive(Clone, Copy, Debug)]
@@ -53,9 +53,9 @@
 
 impl QuotaTolerance {
     /// Units tolerated beyond a limit in a window.
-    pub(crate) fn borne_above(&self, limit: TenantLimit) -> f64 {
-        let flow = limit.units_per_second as f64 * self.window.as_secs_f64();
-        self.overage * (flow + limit.burst_units as f64) + self.slack_units as f64
+    pub(crate) fn tolerated_above(&self, limit: TenantLimit) -> f64 {
+        let refill = limit.units_per_second as f64 * self.window.as_secs_f64();
+        self.overage * (refill + limit.burst_units as f64) + self.slack_units as f64
     }
 }
 
@@ -73,7 +73,7 @@
     /// When units are available again.
     until: Timestamp,
     /// Until when no further request is sent.
-    believed_until: Timestamp,
+    cached_until: Timestamp,
 }
 
 /// Credit of one tenant at a gateway.
@@ -91,9 +91,9 @@
     overdrafts: VecDeque<(Timestamp, u64)>,
     exhausted: Option<Exhaustion>,
     /// When the leader last reported surplus quota.
-    plenty_at: Option<Timestamp>,
+    surplus_at: Option<Timestamp>,
     /// Units used without a grant since then.
-    standing_used: u64,
+    fallback_used: u64,
     /// Exponentially decaying sum of used units, as of `used_at`.
     used: f64,
     used_at: Timestamp,
@@ -109,18 +109,18 @@
 
     /// Takes a request's cost from the reserve. Returns false and takes nothing if the reserve is
     /// too small.
-    pub(crate) fn take(&mut self, units: u64) -> bool {
+    pub(crate) fn try_take(&mut self, units: u64) -> bool {
         if self.reserve() < units {
             return false;
         }
-        let mut left = units;
-        while left > 0 {
+        let mut remaining = units;
+        while remaining > 0 {
             let Some(first) = self.reserves.front_mut() else {
                 break;
             };
-            let taken = left.min(first.units);
+            let taken = remaining.min(first.units);
             first.units -= taken;
-            left -= taken;
+            remaining -= taken;
             if first.units == 0 {
                 self.reserves.pop_front();
             }
@@ -129,7 +129,7 @@
     }
 
     /// Adds units to the reserve.
-    pub(crate) fn keep(&mut self, now: Timestamp, units: u64) {
+    pub(crate) fn add_reserve(&mut self, now: Timestamp, units: u64) {
         if units > 0 {
             let until = now + RESERVE_LIFETIME;
             self.reserves.push_back(Reserve { units, until });
@@ -145,51 +145,51 @@
 
     /// Units to reserve: the average cost of a request, or more at high rates so that not every
     /// request needs a message. Zero once the tenant is inactive.
-    pub(crate) fn wished(&self, now: Timestamp) -> u64 {
-        if now.since(self.last_request) >= RESERVE_INTEREST {
+    pub(crate) fn wanted_reserve(&self, now: Timestamp) -> u64 {
+        if now.since(self.last_request) >= RESERVE_IDLE_TIMEOUT {
             return 0;
         }
-        let ahead = self.used / USE_SECONDS * RESERVE_AHEAD.as_secs_f64();
-        (ahead.max(self.mean_cost) as u64).saturating_sub(self.reserve())
+        let expected = self.used / USE_AVERAGE_SECONDS * RESERVE_HORIZON.as_secs_f64();
+        (expected.max(self.mean_cost) as u64).saturating_sub(self.reserve())
     }
 
     /// Records an arriving request.
-    pub(crate) fn note_request(&mut self, now: Timestamp, units: u64) {
+    pub(crate) fn record_request(&mut self, now: Timestamp, units: u64) {
         let cost = units as f64;
         self.mean_cost = if self.mean_cost == 0.0 {
             cost
         } else {
-            self.mean_cost * (1.0 - COST_WEIGHT) + cost * COST_WEIGHT
+            self.mean_cost * (1.0 - COST_SMOOTHING) + cost * COST_SMOOTHING
         };
         self.last_request = now;
     }
 
     /// Records used units.
-    pub(crate) fn note_use(&mut self, now: Timestamp, units: u64) {
+    pub(crate) fn record_use(&mut self, now: Timestamp, units: u64) {
         let age = now.since(self.used_at).as_secs_f64();
-        self.used = self.used * (-age / USE_SECONDS).exp() + units as f64;
+        self.used = self.used * (-age / USE_AVERAGE_SECONDS).exp() + units as f64;
         self.used_at = now;
     }
 
     /// Uses ungranted units at the usual rate while the leader is unreachable. Requires that the
     /// leader last reported a surplus: all gateways together then use no more than the tenant's
     /// bucket held plus its refill.
-    fn take_standing(&mut self, now: Timestamp, units: u64) -> bool {
-        let Some(since) = self.plenty_at else {
+    fn take_fallback(&mut self, now: Timestamp, units: u64) -> bool {
+        let Some(since) = self.surplus_at else {
             return false;
         };
-        let silence = now.since(since);
-        if silence >= STANDING_LIFETIME {
+        let elapsed = now.since(since);
+        if elapsed >= FALLBACK_LIFETIME {
             return false;
         }
-        let pace = self.used / USE_SECONDS * STANDING_PACE;
-        let allowed = self.mean_cost + pace * silence.as_secs_f64();
-        let open = (self.standing_used as f64) < allowed && self.used >= self.mean_cost;
-        if open {
-            self.standing_used += units;
+        let rate = self.used / USE_AVERAGE_SECONDS * FALLBACK_RATE_FACTOR;
+        let allowance = self.mean_cost + rate * elapsed.as_secs_f64();
+        let is_allowed = (self.fallback_used as f64) < allowance && self.used >= self.mean_cost;
+        if is_allowed {
+            self.fallback_used += units;
             self.overdrawn += units;
         }
-        open
+        is_allowed
     }
 
     /// Returns true if the account has no state worth keeping.
@@ -199,7 +199,7 @@
             && self.returned == 0
             && self.overdrawn == 0
             && self.overdrafts.is_empty()
-            && now.since(self.last_request) >= RESERVE_INTEREST
+            && now.since(self.last_request) >= RESERVE_IDLE_TIMEOUT
     }
 
     /// Uses ungranted units while the leader is unreachable: at the usual rate, or from this
@@ -209,53 +209,59 @@
         now: Timestamp,
         units: u64,
         limit: TenantLimit,
-        terms: &QuotaTolerance,
+        tolerance: &QuotaTolerance,
         gateways: u32,
     ) -> bool {
-        self.take_standing(now, units) || self.take_borne(now, units, limit, terms, gateways)
+        self.take_fallback(now, units)
+            || self.take_tolerance(now, units, limit, tolerance, gateways)
     }
 
-    fn take_borne(
+    fn take_tolerance(
         &mut self,
         now: Timestamp,
         units: u64,
         limit: TenantLimit,
-        terms: &QuotaTolerance,
+        tolerance: &QuotaTolerance,
         gateways: u32,
     ) -> bool {
         let gateways = match gateways {
-            0 => UNKNOWN_GATEWAYS,
-            known => known,
+            0 => DEFAULT_GATEWAYS,
+            count => count,
         };
         while let Some((at, _)) = self.overdrafts.front()
-            && now.since(*at) >= terms.window
+            && now.since(*at) >= tolerance.window
         {
             self.overdrafts.pop_front();
         }
         let used: u64 = self.overdrafts.iter().map(|(_, units)| units).sum();
-        let room = terms.borne_above(limit) * OVERDRAFT_PART / f64::from(gateways);
-        let open = (used + units) as f64 <= room;
-        if open {
+        let available = tolerance.tolerated_above(limit) * OVERDRAFT_FRACTION / f64::from(gateways);
+        let is_allowed = (used + units) as f64 <= available;
+        if is_allowed {
             self.overdrafts.push_back((now, units));
             self.overdrawn += units;
         }
-        open
+        is_allowed
     }
 
     /// Records the leader's response: whether the quota has a surplus, and until when it is
     /// exhausted.
-    pub(crate) fn answered(&mut self, now: Timestamp, plenty: bool, until: Option<Timestamp>) {
-        self.plenty_at = plenty.then_some(now);
-        self.standing_used = 0;
+    pub(crate) fn record_response(
+        &mut self,
+        now: Timestamp,
+        has_surplus: bool,
+        until: Option<Timestamp>,
+    ) {
+        self.surplus_at = has_surplus.then_some(now);
+        self.fallback_used = 0;
         self.exhausted = until.map(|until| Exhaustion {
             until,
-            believed_until: until.min(now + LONGEST_EXHAUSTED),
+            cached_until: until.min(now + EXHAUSTED_CACHE_LIFETIME),
         });
     }
 
     /// Returns when units are available again, if the leader recently reported an exhausted quota.
     pub(crate) fn exhausted_until(&self, now: Timestamp) -> Option<Timestamp> {
         let exhaustion = self.exhausted?;
-        (now < exhaustion.believed_until).then_some(exhaustion.until)
+        (now < exhaustion.cached_until).then_some(exhaustion.until)
     }
 }
--- a/crates/millpass-tenancy/src/ledger.rs
+++ b/crates/millpass-tenancy/src/ledger.rs
@@ -16,11 +16,11 @@
 
 /// Fraction of the tolerance that a new leader's buckets start with. Gateways without a leader may
 /// use half of the tolerance, and two changes of leader may fall into one window.
-const OPENING_PART: f64 = 0.25;
+const OPENING_FRACTION: f64 = 0.25;
 /// Minimum interval between two events of one tenant.
 const EVENT_INTERVAL: Duration = Duration::from_secs(1);
 /// Wait sent for a tenant that is not in the document.
-const UNKNOWN_WAIT_MILLIS: u64 = 1_000;
+const UNKNOWN_TENANT_WAIT_MILLIS: u64 = 1_000;
 /// Maximum number of waiting requests per tenant in one credit request; the rest follows in the
 /// next.
 pub const MAXIMUM_CLAIMS_PER_REQUEST: usize = 256;
@@ -48,8 +48,8 @@
 /// Credit of all tenants, kept by the leader.
 #[derive(Debug)]
 pub struct CreditLedger {
-    began: Timestamp,
-    terms: QuotaTolerance,
+    started_at: Timestamp,
+    tolerance: QuotaTolerance,
     version: Option<u64>,
     limits: HashMap<TenantName, Option<TenantLimit>>,
     accounts: HashMap<TenantName, Account>,
@@ -57,10 +57,10 @@
 
 impl CreditLedger {
     /// Returns an empty ledger; `tolerance` is the use beyond a limit that is tolerated.
-    pub fn new(now: Timestamp, terms: QuotaTolerance) -> Self {
+    pub fn new(now: Timestamp, tolerance: QuotaTolerance) -> Self {
         CreditLedger {
-            began: now,
-            terms,
+            started_at: now,
+            tolerance,
             version: None,
             limits: HashMap::new(),
             accounts: HashMap::new(),
@@ -98,65 +98,72 @@
         let grants = request
             .tenants
             .iter()
-            .map(|ask| self.grant(now, ask, request.granted_in_term == term, &mut events))
+            .map(|tenant_request| {
+                self.grant(
+                    now,
+                    tenant_request,
+                    request.granted_in_term == term,
+                    &mut events,
+                )
+            })
             .collect();
-        let answer = CreditResponse {
+        let response = CreditResponse {
             term,
             sequence: request.sequence,
             grants,
         };
-        (answer, events)
+        (response, events)
     }
 
     fn grant(
         &mut self,
         now: Timestamp,
-        ask: &TenantCreditRequest,
-        lent_here: bool,
+        tenant_request: &TenantCreditRequest,
+        is_current_term: bool,
         events: &mut Vec<QuotaExhausted>,
     ) -> CreditGrant {
-        let waiting = u32::try_from(ask.queued_units.len()).unwrap_or(u32::MAX);
+        let waiting = u32::try_from(tenant_request.queued_units.len()).unwrap_or(u32::MAX);
         let mut grant = CreditGrant {
-            tenant: ask.tenant.clone(),
+            tenant: tenant_request.tenant.clone(),
             granted_requests: waiting,
             prefetched_units: 0,
             wait_millis: 0,
             over_half_available: true,
         };
-        let limit = match self.limits.get(&ask.tenant) {
+        let limit = match self.limits.get(&tenant_request.tenant) {
             Some(Some(limit)) => *limit,
             Some(None) => return grant,
             None => {
                 grant.granted_requests = 0;
-                grant.wait_millis = UNKNOWN_WAIT_MILLIS;
+                grant.wait_millis = UNKNOWN_TENANT_WAIT_MILLIS;
                 return grant;
             }
         };
-        let began = self.began;
-        let opening = self.terms.borne_above(limit) * OPENING_PART;
+        let started_at = self.started_at;
+        let initial_units = self.tolerance.tolerated_above(limit) * OPENING_FRACTION;
         let account = self
             .accounts
-            .entry(ask.tenant.clone())
+            .entry(tenant_request.tenant.clone())
             .or_insert_with(|| Account {
-                bucket: UnitBucket::new(began, limit, opening),
+                bucket: UnitBucket::new(started_at, limit, initial_units),
                 denied: 0,
                 event_at: None,
             });
         let bucket = &mut account.bucket;
         bucket.refill(now, limit);
-        bucket.refund(ask.returned);
-        if lent_here {
+        bucket.refund(tenant_request.returned);
+        if is_current_term {
             // Units used under another leader came from that leader's bucket.
-            bucket.charge(ask.overdrawn);
+            bucket.charge(tenant_request.overdrawn);
         }
-        let covered = ask
+        let granted = tenant_request
             .queued_units
             .iter()
             .take_while(|units| bucket.try_take(**units));
-        grant.granted_requests = u32::try_from(covered.count()).unwrap_or(u32::MAX);
+        grant.granted_requests = u32::try_from(granted.count()).unwrap_or(u32::MAX);
         grant.over_half_available = bucket.has_surplus();
         if grant.granted_requests == waiting {
-            grant.prefetched_units = bucket.take_surplus(ask.prefetch_units);
+            grant.prefetched_units = bucket.take_surplus(tenant_request.prefetch_units);
             return grant;
         }
         grant.wait_millis = bucket.wait_millis().max(1);
@@ -167,7 +174,7 @@
         {
             account.event_at = Some(now);
             events.push(QuotaExhausted {
-                tenant: ask.tenant.clone(),
+                tenant: tenant_request.tenant.clone(),
                 limit,
                 level: account.bucket.level(),
                 denied: std::mem::take(&mut account.denied),
--- a/crates/millpass-tenancy/src/limit.rs
+++ b/crates/millpass-tenancy/src/limit.rs
@@ -53,20 +53,20 @@
 
     /// Refills the bucket for the elapsed time, then switches to `limit`.
     pub fn refill(&mut self, now: Timestamp, limit: TenantLimit) {
-        let gone_by = now.since(self.filled_at).as_secs_f64();
+        let elapsed = now.since(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
-        self.level += gone_by * self.limit.rate();
+        self.level += elapsed * self.limit.rate();
         self.limit = limit;
         self.level = self.level.min(limit.capacity());
     }
 
     /// Takes a request's cost if at least one unit is left.
     pub fn try_take(&mut self, units: u64) -> bool {
-        let open = self.level >= 1.0;
-        if open {
+        let is_allowed = self.level >= 1.0;
+        if is_allowed {
             self.level -= units as f64;
         }
-        open
+        is_allowed
     }
 
     /// Returns true if the bucket is more than half full.
@@ -76,8 +76,8 @@
 
     /// Takes up to `units` from the upper half of the bucket; returns the number taken.
     pub fn take_surplus(&mut self, units: u64) -> u64 {
-        let plenty = (self.level - self.limit.capacity() / 2.0).max(0.0);
-        let taken = (plenty as u64).min(units);
+        let surplus = (self.level - self.limit.capacity() / 2.0).max(0.0);
+        let taken = (surplus as u64).min(units);
         self.level -= taken as f64;
         taken
     }
@@ -99,10 +99,10 @@
 
     /// Time until the next request is admitted, in milliseconds; 0 if one is admitted now.
     pub fn wait_millis(&self) -> u64 {
-        let lacking = 1.0 - self.level;
-        if lacking <= 0.0 {
+        let missing = 1.0 - self.level;
+        if missing <= 0.0 {
             return 0;
         }
-        (lacking / self.limit.rate() * 1_000.0).ceil() as u64
+        (missing / self.limit.rate() * 1_000.0).ceil() as u64
     }
 }
--- a/crates/millpass-tenancy/src/pool.rs
+++ b/crates/millpass-tenancy/src/pool.rs
@@ -10,17 +10,17 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Minimum time without a response after which the leader counts as unresponsive.
-const LEAST_SILENCE: Duration = Duration::from_millis(500);
+const MINIMUM_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same as a multiple of the average response time, so that gateways do not leave a busy
 /// leader.
-const SILENCE_ANSWERS: u32 = 8;
+const RESPONSE_TIMEOUT_FACTOR: u32 = 8;
 /// Weight of the newest response in the moving average of response times.
-const ANSWER_WEIGHT: f64 = 0.2;
+const RESPONSE_TIME_SMOOTHING: f64 = 0.2;
 /// Time without a response after which a request may use ungranted units; several usual response
 /// times.
 const OVERDRAFT_AFTER: Duration = Duration::from_millis(60);
 /// Interval between checks of a waiting request.
-const LOOK_INTERVAL: Duration = Duration::from_millis(30);
+const CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
 /// Handle of a request's claim on its tenant's credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -48,7 +48,7 @@
     /// To be sent with the next request.
     Queued,
     /// Sent to the leader.
-    Asked,
+    Sent,
     /// The leader has no units until this time.
     Denied(Timestamp),
     Covered,
@@ -62,19 +62,19 @@
     stage: Stage,
     opened_at: Timestamp,
     /// Until when it waits for an exhausted quota.
-    patient_until: Timestamp,
+    wait_until: Timestamp,
 }
 
 /// A request to the leader without a response.
 #[derive(Debug)]
-struct Asked {
+struct PendingRequest {
     at: Timestamp,
-    tenants: Vec<TenantAsked>,
+    tenants: Vec<PendingTenant>,
 }
 
 /// Part of a request that concerns one tenant.
 #[derive(Debug)]
-struct TenantAsked {
+struct PendingTenant {
     tenant: TenantName,
     /// Claims with their units, in the order sent.
     claims: Vec<(CreditClaim, u64)>,
@@ -83,24 +83,24 @@
 /// Credit of one gateway.
 #[derive(Debug, Default)]
 pub struct CreditPool {
-    terms: QuotaTolerance,
+    tolerance: QuotaTolerance,
     accounts: BTreeMap<TenantName, Account>,
     claims: HashMap<CreditClaim, Claim>,
     last_claim: u64,
     sequence: u64,
     /// Term of the leader that responded last.
-    lent_in: u64,
+    granted_in_term: u64,
     /// Unanswered requests by sequence number.
-    asked: BTreeMap<u64, Asked>,
+    pending: BTreeMap<u64, PendingRequest>,
     /// Moving average of response times.
-    answer_time: Duration,
+    mean_response_time: Duration,
 }
 
 impl CreditPool {
     /// Returns a pool without credit.
-    pub fn new(terms: QuotaTolerance) -> Self {
+    pub fn new(tolerance: QuotaTolerance) -> Self {
         CreditPool {
-            terms,
+            tolerance,
             ..CreditPool::default()
         }
     }
@@ -113,14 +113,14 @@
         tenant: &TenantName,
         limit: TenantLimit,
         units: u64,
-        patience: Duration,
+        wait_limit: Duration,
     ) -> CreditClaim {
         self.last_claim += 1;
         let claim = CreditClaim(self.last_claim);
         let account = self.accounts.entry(tenant.clone()).or_default();
         account.expire(now);
-        account.note_request(now, units);
-        let stage = if account.queue.is_empty() && account.take(units) {
+        account.record_request(now, units);
+        let stage = if account.queue.is_empty() && account.try_take(units) {
             Stage::Covered
         } else if let Some(until) = account.exhausted_until(now) {
             Stage::Denied(until)
@@ -134,7 +134,7 @@
             units,
             stage,
             opened_at: now,
-            patient_until: now + patience,
+            wait_until: now + wait_limit,
         };
         self.claims.insert(claim, opened);
         claim
@@ -143,33 +143,33 @@
     /// Returns the state of a claim. `gateways` is the number of gateways that share the overdraft;
     /// 0 if unknown.
     pub fn outcome(&mut self, now: Timestamp, claim: CreditClaim, gateways: u32) -> CreditOutcome {
-        let Some(found) = self.claims.get_mut(&claim) else {
+        let Some(entry) = self.claims.get_mut(&claim) else {
             return CreditOutcome::Pending {
-                until: now + LOOK_INTERVAL,
+                until: now + CHECK_INTERVAL,
             };
         };
-        match found.stage {
+        match entry.stage {
             Stage::Covered => CreditOutcome::Covered,
-            Stage::Denied(until) if until > found.patient_until => CreditOutcome::Denied {
+            Stage::Denied(until) if until > entry.wait_until => CreditOutcome::Denied {
                 retry_after: until.since(now),
             },
             Stage::Denied(until) if now < until => CreditOutcome::Pending { until },
             Stage::Denied(_) => {
-                found.stage = Stage::Queued;
-                let account = self.accounts.entry(found.tenant.clone()).or_default();
+                entry.stage = Stage::Queued;
+                let account = self.accounts.entry(entry.tenant.clone()).or_default();
                 account.queue.push_back(claim);
                 CreditOutcome::Pending {
-                    until: now + LOOK_INTERVAL,
+                    until: now + CHECK_INTERVAL,
                 }
             }
-            Stage::Queued | Stage::Asked => {
-                if now.since(found.opened_at) >= OVERDRAFT_AFTER
+            Stage::Queued | Stage::Sent => {
+                if now.since(entry.opened_at) >= OVERDRAFT_AFTER
                     && self.overdraw(now, claim, gateways)
                 {
                     return CreditOutcome::Covered;
                 }
                 CreditOutcome::Pending {
-                    until: now + LOOK_INTERVAL,
+                    until: now + CHECK_INTERVAL,
                 }
             }
         }
@@ -177,29 +177,29 @@
 
     /// Uses ungranted units for a claim.
     fn overdraw(&mut self, now: Timestamp, claim: CreditClaim, gateways: u32) -> bool {
-        let Some(found) = self.claims.get_mut(&claim) else {
+        let Some(entry) = self.claims.get_mut(&claim) else {
             return false;
         };
-        let account = self.accounts.entry(found.tenant.clone()).or_default();
-        if !account.overdraw(now, found.units, found.limit, &self.terms, gateways) {
+        let account = self.accounts.entry(entry.tenant.clone()).or_default();
+        if !account.overdraw(now, entry.units, entry.limit, &self.tolerance, gateways) {
             return false;
         }
         account.queue.retain(|queued| *queued != claim);
         // If a later response also covers the claim, its units go to the reserve.
-        found.stage = Stage::Covered;
+        entry.stage = Stage::Covered;
         true
     }
 
     /// Closes the claim of a request. The units of a request that did not run go to the reserve.
     pub fn close(&mut self, now: Timestamp, claim: CreditClaim, ran: bool) {
-        let Some(found) = self.claims.remove(&claim) else {
+        let Some(entry) = self.claims.remove(&claim) else {
             return;
         };
-        let account = self.accounts.entry(found.tenant).or_default();
+        let account = self.accounts.entry(entry.tenant).or_default();
         account.queue.retain(|queued| *queued != claim);
-        match (found.stage, ran) {
-            (Stage::Covered, true) => account.note_use(now, found.units),
-            (Stage::Covered, false) => account.keep(now, found.units),
+        match (entry.stage, ran) {
+            (Stage::Covered, true) => account.record_use(now, entry.units),
+            (Stage::Covered, false) => account.add_reserve(now, entry.units),
             _ => {}
         }
     }
@@ -219,86 +219,87 @@
         gateway: &str,
         periodic: bool,
     ) -> Option<CreditRequest> {
-        let mut asks = Vec::new();
-        let mut asked = Vec::new();
+        let mut tenant_requests = Vec::new();
+        let mut pending_tenants = Vec::new();
         self.accounts.retain(|_, account| !account.is_idle(now));
         for (tenant, account) in &mut self.accounts {
             account.expire(now);
-            let reserve = account.wished(now);
-            let settles = account.returned > 0 || account.overdrawn > 0 || reserve > 0;
-            if account.queue.is_empty() && !(periodic && settles) {
+            let reserve = account.wanted_reserve(now);
+            let must_settle = account.returned > 0 || account.overdrawn > 0 || reserve > 0;
+            if account.queue.is_empty() && !(periodic && must_settle) {
                 continue;
             }
             let count = account.queue.len().min(MAXIMUM_CLAIMS_PER_REQUEST);
             let mut claims = Vec::new();
             for claim in account.queue.drain(..count) {
-                if let Some(found) = self.claims.get_mut(&claim) {
-                    found.stage = Stage::Asked;
-                    claims.push((claim, found.units));
+                if let Some(entry) = self.claims.get_mut(&claim) {
+                    entry.stage = Stage::Sent;
+                    claims.push((claim, entry.units));
                 }
             }
-            let needed = claims.iter().map(|(_, units)| *units).collect();
-            asked.push(TenantAsked {
+            let claim_units = claims.iter().map(|(_, units)| *units).collect();
+            pending_tenants.push(PendingTenant {
                 tenant: tenant.clone(),
                 claims,
             });
-            asks.push(TenantCreditRequest {
+            tenant_requests.push(TenantCreditRequest {
                 tenant: tenant.clone(),
-                queued_units: needed,
+                queued_units: claim_units,
                 prefetch_units: reserve,
                 returned: std::mem::take(&mut account.returned),
                 overdrawn: std::mem::take(&mut account.overdrawn),
             });
         }
-        if asks.is_empty() {
+        if tenant_requests.is_empty() {
             return None;
         }
         self.sequence += 1;
-        let tenants = asked;
-        self.asked.insert(self.sequence, Asked { at: now, tenants });
+        let tenants = pending_tenants;
+        self.pending
+            .insert(self.sequence, PendingRequest { at: now, tenants });
         Some(CreditRequest {
             gateway: gateway.to_owned(),
             sequence: self.sequence,
-            tenants: asks,
-            granted_in_term: self.lent_in,
+            tenants: tenant_requests,
+            granted_in_term: self.granted_in_term,
         })
     }
 
     /// Handles the leader's response.
-    pub fn handle_response(&mut self, now: Timestamp, answer: &CreditResponse) {
-        self.lent_in = answer.term;
-        let Some(asked) = self.asked.remove(&answer.sequence) else {
+    pub fn handle_response(&mut self, now: Timestamp, response: &CreditResponse) {
+        self.granted_in_term = response.term;
+        let Some(pending) = self.pending.remove(&response.sequence) else {
             return;
         };
-        self.note_answer_time(now.since(asked.at));
-        for (asked, grant) in asked.tenants.into_iter().zip(&answer.grants) {
-            if asked.tenant == grant.tenant {
-                self.take_grant(now, &asked, grant);
+        self.record_response_time(now.since(pending.at));
+        for (pending, grant) in pending.tenants.into_iter().zip(&response.grants) {
+            if pending.tenant == grant.tenant {
+                self.apply_grant(now, &pending, grant);
             }
         }
     }
 
-    fn take_grant(&mut self, now: Timestamp, asked: &TenantAsked, grant: &CreditGrant) {
-        let account = self.accounts.entry(asked.tenant.clone()).or_default();
+    fn apply_grant(&mut self, now: Timestamp, pending: &PendingTenant, grant: &CreditGrant) {
+        let account = self.accounts.entry(pending.tenant.clone()).or_default();
         let until = now + Duration::from_millis(grant.wait_millis);
-        let covered = grant.granted_requests as usize;
-        for (place, (claim, units)) in asked.claims.iter().enumerate() {
-            let lent = place < covered;
+        let granted = grant.granted_requests as usize;
+        for (position, (claim, units)) in pending.claims.iter().enumerate() {
+            let is_granted = position < granted;
             match self.claims.get_mut(claim) {
-                Some(found) if found.stage == Stage::Asked => {
-                    found.stage = if lent {
+                Some(entry) if entry.stage == Stage::Sent => {
+                    entry.stage = if is_granted {
                         Stage::Covered
                     } else {
                         Stage::Denied(until)
                     };
                 }
                 // The claim was closed or overdrawn; its units go to the reserve.
-                _ if lent => account.keep(now, *units),
+                _ if is_granted => account.add_reserve(now, *units),
                 _ => {}
             }
         }
-        account.keep(now, grant.prefetched_units);
-        account.answered(
+        account.add_reserve(now, grant.prefetched_units);
+        account.record_response(
             now,
             grant.over_half_available,
             (grant.wait_millis > 0).then_some(until),
@@ -307,39 +308,42 @@
 
     /// Returns true if a response is overdue and nothing was received from the leader since
     /// `last_contact`.
-    pub fn is_leader_unresponsive(&self, now: Timestamp, heard_at: Timestamp) -> bool {
-        let longest = LEAST_SILENCE.max(self.answer_time * SILENCE_ANSWERS);
-        let asked = self.asked.values().next();
-        asked.is_some_and(|asked| now.since(asked.at.max(heard_at)) > longest)
+    pub fn is_leader_unresponsive(&self, now: Timestamp, last_contact: Timestamp) -> bool {
+        let timeout =
+            MINIMUM_RESPONSE_TIMEOUT.max(self.mean_response_time * RESPONSE_TIMEOUT_FACTOR);
+        let pending = self.pending.values().next();
+        pending.is_some_and(|pending| now.since(pending.at.max(last_contact)) > timeout)
     }
 
     /// Counts the age of an unanswered request as a response time. Otherwise a gateway that
     /// disconnects from a slow leader would never adapt, and would disconnect again after each full
     /// update.
-    fn note_unanswered(&mut self, now: Timestamp) {
-        let oldest = self.asked.values().next();
-        let waited = oldest.map_or(Duration::ZERO, |asked| now.since(asked.at));
-        if waited >= LEAST_SILENCE {
-            self.note_answer_time(waited);
+    fn record_unanswered(&mut self, now: Timestamp) {
+        let oldest = self.pending.values().next();
+        let waited = oldest.map_or(Duration::ZERO, |pending| now.since(pending.at));
+        if waited >= MINIMUM_RESPONSE_TIMEOUT {
+            self.record_response_time(waited);
         }
     }
 
-    fn note_answer_time(&mut self, took: Duration) {
-        self.answer_time =
-            self.answer_time.mul_f64(1.0 - ANSWER_WEIGHT) + took.mul_f64(ANSWER_WEIGHT);
+    fn record_response_time(&mut self, elapsed: Duration) {
+        self.mean_response_time = self
+            .mean_response_time
+            .mul_f64(1.0 - RESPONSE_TIME_SMOOTHING)
+            + elapsed.mul_f64(RESPONSE_TIME_SMOOTHING);
     }
 
     /// Handles the loss of the connection; unanswered claims are sent to the next leader.
     pub fn handle_disconnect(&mut self, now: Timestamp) {
-        self.note_unanswered(now);
-        let asked = std::mem::take(&mut self.asked).into_values();
-        for asked in asked.flat_map(|asked| asked.tenants) {
-            let account = self.accounts.entry(asked.tenant).or_default();
-            for (claim, _) in asked.claims.into_iter().rev() {
-                if let Some(found) = self.claims.get_mut(&claim)
-                    && found.stage == Stage::Asked
+        self.record_unanswered(now);
+        let pending = std::mem::take(&mut self.pending).into_values();
+        for pending in pending.flat_map(|pending| pending.tenants) {
+            let account = self.accounts.entry(pending.tenant).or_default();
+            for (claim, _) in pending.claims.into_iter().rev() {
+                if let Some(entry) = self.claims.get_mut(&claim)
+                    && entry.stage == Stage::Sent
                 {
-                    found.stage = Stage::Queued;
+                    entry.stage = Stage::Queued;
                     account.queue.push_front(claim);
                 }
             }
