--- a/crates/millpass-routing/src/claims.rs
+++ b/crates/millpass-routing/src/claims.rs
@@ -2,7 +2,7 @@
 //!
 //! A claim outlives its request: it is kept until its conclusion is committed or until the decision
 //! shows that it was not granted. Every message is resent until it is answered, always with the
-//! same attempt number, so that the control group can tell a resend from a second attempt.
+//! same attempt number, so that the control group can distinguish a resend from a second attempt.
 
 use crate::interface::{Executed, RequestNumber, RoutingOutput};
 use millpass_proto::{ClaimBegin, ClaimConclusion, ClaimFinish, Duration, Timestamp};
--- a/crates/millpass-tenancy/tests/quota.rs
+++ b/crates/millpass-tenancy/tests/quota.rs
@@ -305,7 +305,7 @@
     assert!(used > 0.95, "used {used:.3} of the limit");
 }
 
-/// Guards against refusing a tenth of the usual load during a change of leader.
+/// Guards against refusing a tenth or more of the usual load during a change of leader.
 #[rstest]
 fn change_of_leader_keeps_most_requests_granted(
     #[values(LARGE_TENANT, SMALL_TENANT)] limit: TenantLimit,
