--- a/crates/millpass-dispatch/tests/harness/mod.rs
+++ b/crates/millpass-dispatch/tests/harness/mod.rs
@@ -1,8 +1,8 @@
-//! A gateway's core, its document and its instances, for tests of what instances state.
+//! A gateway with a document and instances, for tests of what instances state.
 
 use millpass_dispatch::*;
 use millpass_proto::*;
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 
 pub fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -17,12 +17,12 @@
         retry_slack: 10_000.0,
         retry_window: Duration::from_secs(10),
         prompt_tokens_per_milli: 40.0,
-        default_patience: Duration::from_secs(15),
-        quota: QuotaTerms::default(),
+        default_timeout: Duration::from_secs(15),
+        quota: QuotaTolerance::default(),
         key_lifetime: None,
         freshness: FreshnessSettings {
-            in_force: day,
-            departed: day,
+            max_staleness: day,
+            max_departure_staleness: day,
             ..FreshnessSettings::default()
         },
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// An update of the leader of a term that names these instances, all there are.
+/// The first update of a leader, with a complete list of instances.
 pub fn update(term: u64, gateways: u32, instances: Vec<InstanceRecord>) -> GatewayUpdate {
     GatewayUpdate {
         term,
@@ -140,7 +140,7 @@
     }
 }
 
-/// A gateway that has been told of these instances.
+/// A gateway that has received these instances.
 pub fn gateway(name: &str, gateways: u32, instances: &[InstanceRecord]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(settings(name));
     dispatcher.report(at(0));
@@ -151,16 +151,16 @@
 pub fn begin(dispatcher: &mut Dispatcher, now: u64, path: &str) -> Ticket {
     let route = dispatcher.route(at(now), "h.example", path).expect("route");
     let model = (path == "/text/").then(|| "a".into());
-    let description = Description {
+    let description = RequestDescription {
         attempt: "r".to_owned(),
-        patience: Some(Duration::from_millis(5_000)),
+        timeout: Some(Duration::from_millis(5_000)),
         model,
-        ..Description::default()
+        ..RequestDescription::default()
     };
     dispatcher.begin(at(now), route, None, description, 0.5)
 }
 
-/// Where a request is sent at once, if anywhere.
+/// Returns the instance to which a request is sent at once, if any.
 pub fn sent_to(dispatcher: &mut Dispatcher, now: u64, ticket: &mut Ticket) -> Option<InstanceId> {
     match dispatcher.choose(at(now), ticket) {
         Choice::Send { instance, .. } => Some(instance),
@@ -168,7 +168,7 @@
     }
 }
 
-/// A request that is sent at once, if it can be, and answered whole with this statement.
+/// Sends a request at once, if possible, and completes it with this statement.
 pub fn exchange(
     dispatcher: &mut Dispatcher,
     now: u64,
@@ -177,8 +177,8 @@
 ) -> Option<InstanceId> {
     let mut ticket = begin(dispatcher, now, path);
     let instance = sent_to(dispatcher, now, &mut ticket)?;
-    dispatcher.heard_statement(at(now + 5), at(now), &instance, statement);
-    let end = SendEnd::Answered(Duration::from_millis(5));
-    dispatcher.ended(at(now + 5), &ticket.record(&instance), end);
+    dispatcher.record_statement(at(now + 5), at(now), &instance, statement);
+    let end = SendOutcome::Responded(Duration::from_millis(5));
+    dispatcher.record_send_outcome(at(now + 5), &ticket.send_record(&instance), end);
     Some(instance)
 }
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -11,7 +11,7 @@
     CrashReport, CrashUpdate, Duration, HeldModel, InstanceId, InstructionOperation,
     QuarantineRecord, QuarantinedRequest, RequestFingerprint, ServiceName, Timestamp,
 };
-use millpass_quarantine::{HeldItem, Quarantine};
+use millpass_quarantine::{Quarantine, QuarantinedItem};
 
 /// Time after a reported crash from which an announcement proves that the instance is alive.
 /// Earlier ones may have been sent before the crash.
@@ -31,11 +31,14 @@
     }
 
     pub(crate) fn is_load_quarantined(&self, now: Timestamp, key: &ModelKey) -> bool {
-        self.loads.held_for(now, key).is_some()
+        self.loads.quarantined_for(now, key).is_some()
     }
 
     fn update(&self, now: Timestamp, term: u64) -> CrashUpdate {
-        let quarantined = self.requests.held().filter(|(_, item)| !item.lapsed);
+        let quarantined = self
+            .requests
+            .quarantined()
+            .filter(|(_, item)| !item.expired);
         let quarantined = quarantined.map(|(request, item)| QuarantinedRequest {
             request: request.clone(),
             remaining_millis: item.until.since(now).as_millis().max(1) as u64,
@@ -78,7 +81,7 @@
             if record.is_some_and(|record| record.draining) {
                 continue;
             }
-            if self.crashes.requests.ended_at(&crash.instance).is_none() {
+            if self.crashes.requests.crashed_at(&crash.instance).is_none() {
                 let pairs = vec![
                     ("instance", crash.instance.0.clone()),
                     ("requests", crash.requests.len().to_string()),
@@ -87,7 +90,7 @@
                 self.attribute_crash_to_load(now, &crash.instance);
             }
             let requests = &mut self.crashes.requests;
-            requests.ended(now, &crash.instance, &crash.requests);
+            requests.record_crash(now, &crash.instance, &crash.requests);
             self.log_quarantined(now, &crash.requests);
         }
     }
@@ -95,15 +98,15 @@
     /// Withdraws the crash of an instance that announces itself: the gateway's connection was
     /// refused for another reason.
     pub(crate) fn record_survival(&mut self, now: Timestamp, instance: &InstanceId) {
-        let ended_at = self.crashes.requests.ended_at(instance);
+        let ended_at = self.crashes.requests.crashed_at(instance);
         if ended_at.is_none_or(|at| now.since(at) < SURVIVAL_TIME) {
             return;
         }
-        if self.crashes.requests.survived(now, instance) {
+        if self.crashes.requests.retract_crash(now, instance) {
             let pairs = vec![("instance", instance.0.clone())];
             self.event("instance-still-there", pairs);
         }
-        self.crashes.loads.survived(now, instance);
+        self.crashes.loads.retract_crash(now, instance);
     }
 
     /// Attributes the end of an engine to the load it was carrying out.
@@ -126,7 +129,7 @@
         };
         let was_quarantined = self.crashes.is_load_quarantined(now, &key);
         let loads = &mut self.crashes.loads;
-        loads.ended(now, instance, std::slice::from_ref(&key));
+        loads.record_crash(now, instance, std::slice::from_ref(&key));
         if !was_quarantined && self.crashes.is_load_quarantined(now, &key) {
             let adapter = key.adapter.as_ref().map_or("none", |name| name.as_str());
             let pairs = vec![
@@ -172,31 +175,31 @@
     /// Returns the quarantined requests with the number of attributed crashes and the remaining
     /// time.
     pub fn quarantined_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
-        let quarantined = self.crashes.requests.held();
+        let quarantined = self.crashes.requests.quarantined();
         quarantined
-            .map(|(request, item)| (request.clone(), item.ends, item.until.since(now)))
+            .map(|(request, item)| (request.clone(), item.crashes, item.until.since(now)))
             .collect()
     }
 
     /// Records confirmed requests in the log and releases those whose quarantine has expired.
     pub(crate) fn expire_quarantine(&mut self, now: Timestamp) {
         let confirmed_after = self.settings.announce_interval * 3 / 2;
-        for (request, item) in self.crashes.requests.settle(now, confirmed_after) {
+        for (request, item) in self.crashes.requests.confirm(now, confirmed_after) {
             self.output_quarantined(request, &item);
         }
-        for (request, item) in self.crashes.requests.lapse(now) {
+        for (request, item) in self.crashes.requests.expire(now) {
             self.log_released(&request, "time");
             self.output_quarantined(request, &item);
         }
-        self.crashes.loads.lapse(now);
+        self.crashes.loads.expire(now);
     }
 
-    fn output_quarantined(&mut self, request: RequestFingerprint, item: &HeldItem) {
+    fn output_quarantined(&mut self, request: RequestFingerprint, item: &QuarantinedItem) {
         self.out
             .push(FleetOutput::QuarantineRequest(QuarantineRecord {
                 request,
-                crashes: item.ends,
-                expired: item.lapsed,
+                crashes: item.crashes,
+                expired: item.expired,
             }));
     }
 
@@ -210,7 +213,7 @@
 
     fn log_quarantined(&mut self, now: Timestamp, requests: &[RequestFingerprint]) {
         for request in requests {
-            let Some(remaining) = self.crashes.requests.held_for(now, request) else {
+            let Some(remaining) = self.crashes.requests.quarantined_for(now, request) else {
                 continue;
             };
             let pairs = vec![
--- a/crates/millpass-fleet/src/interface.rs
+++ b/crates/millpass-fleet/src/interface.rs
@@ -4,7 +4,7 @@
     CallId, CrashUpdate, Duration, EngineInstruction, GatewayUpdate, InstanceChanges, InstanceId,
     InstructionResult, LimitUpdate, QuarantineRecord, RequestFingerprint,
 };
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 
 /// Settings of the core.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
     /// byte.
     pub order_lifetime: Duration,
     /// Tolerance above tenants' limits.
-    pub quota: QuotaTerms,
+    pub quota: QuotaTolerance,
 }
 
 impl Default for FleetSettings {
@@ -33,7 +33,7 @@
             instance_timeout: Duration::from_millis(6_000),
             order_handover: Duration::from_millis(3_500),
             order_lifetime: Duration::from_millis(200),
-            quota: QuotaTerms::default(),
+            quota: QuotaTolerance::default(),
         }
     }
 }
--- a/crates/millpass-policy/src/cache.rs
+++ b/crates/millpass-policy/src/cache.rs
@@ -1,75 +1,75 @@
-//! Verdicts already reached, until the catalog changes.
+//! Cache of verdicts, cleared when the catalog changes.
 
+use crate::attributes::RequestAttributes;
 use crate::evaluate::{CompiledPolicies, Verdict};
-use crate::facts::RequestFacts;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Separates the parts of a key; no name may hold it.
+/// Separates the parts of a key; names cannot contain it.
 const SEPARATOR: char = '\u{0}';
 
-/// A bounded cache of verdicts in two generations: when the younger one is full it becomes the
-/// older one and that one is dropped. Entries in use move back to the younger generation. Only
-/// looked up by key, so its unordered map cannot leak an order into decisions.
+/// Bounded verdict cache with two generations: when the newer one is full it replaces the older
+/// one. A hit in the older generation moves the entry to the newer one. The maps are only accessed
+/// by key, so their iteration order cannot influence decisions.
 #[derive(Debug)]
 pub struct VerdictCache {
-    half_capacity: usize,
-    younger: HashMap<String, Arc<Verdict>>,
+    generation_capacity: usize,
+    newer: HashMap<String, Arc<Verdict>>,
     older: HashMap<String, Arc<Verdict>>,
     key: String,
 }
 
 impl VerdictCache {
-    /// A cache of at most this many verdicts.
+    /// Returns a cache of at most `capacity` verdicts.
     pub fn new(capacity: usize) -> Self {
         VerdictCache {
-            half_capacity: (capacity / 2).max(1),
-            younger: HashMap::new(),
+            generation_capacity: (capacity / 2).max(1),
+            newer: HashMap::new(),
             older: HashMap::new(),
             key: String::new(),
         }
     }
 
-    /// Forgets everything; called with each revision of the catalog.
+    /// Drops all verdicts; must be called for each catalog revision.
     pub fn clear(&mut self) {
-        self.younger.clear();
+        self.newer.clear();
         self.older.clear();
     }
 
-    /// Number of verdicts held.
+    /// Number of cached verdicts.
     pub fn len(&self) -> usize {
-        self.younger.len() + self.older.len()
+        self.newer.len() + self.older.len()
     }
 
-    /// Whether none is held.
+    /// Returns true if no verdict is cached.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The verdict on a request, evaluated when not held.
+    /// Returns the verdict on a request, evaluating the policies on a miss.
     pub fn verdict(
         &mut self,
         policies: &CompiledPolicies,
-        facts: &RequestFacts<'_>,
+        attributes: &RequestAttributes<'_>,
     ) -> Arc<Verdict> {
-        self.write_key(facts);
-        if let Some(verdict) = self.younger.get(&self.key) {
+        self.write_key(attributes);
+        if let Some(verdict) = self.newer.get(&self.key) {
             return Arc::clone(verdict);
         }
         let verdict = match self.older.remove(&self.key) {
             Some(verdict) => verdict,
-            None => Arc::new(policies.evaluate(facts)),
+            None => Arc::new(policies.evaluate(attributes)),
         };
-        if self.younger.len() >= self.half_capacity {
-            self.older = std::mem::take(&mut self.younger);
+        if self.newer.len() >= self.generation_capacity {
+            self.older = std::mem::take(&mut self.newer);
         }
-        self.younger.insert(self.key.clone(), Arc::clone(&verdict));
+        self.newer.insert(self.key.clone(), Arc::clone(&verdict));
         verdict
     }
 
-    fn write_key(&mut self, facts: &RequestFacts<'_>) {
+    fn write_key(&mut self, attributes: &RequestAttributes<'_>) {
         self.key.clear();
-        for (_, value) in facts.variables() {
+        for (_, value) in attributes.variables() {
             self.key.push_str(value);
             self.key.push(SEPARATOR);
         }
