--- a/crates/millpass-fleet/tests/harness/shares.rs
+++ b/crates/millpass-fleet/tests/harness/shares.rs
@@ -186,8 +186,8 @@
     }
 
     /// Cuts a member off from the other members, but not from instances, or reconnects it.
-    pub fn set_partitioned(&mut self, member: usize, is_cut: bool) {
-        match is_cut {
+    pub fn set_partitioned(&mut self, member: usize, is_partitioned: bool) {
+        match is_partitioned {
             true => self.partitioned.insert(member),
             false => self.partitioned.remove(&member),
         };
@@ -333,7 +333,7 @@
         }
     }
 
-    /// SplitMix64.
+    /// Returns true for `failure_percent` of the calls, using SplitMix64.
     fn should_fail(&mut self) -> bool {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.seed ^ (self.seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/millpass-fleet/tests/incarnations.rs
+++ b/crates/millpass-fleet/tests/incarnations.rs
@@ -15,7 +15,7 @@
 
 const NAME: &str = "i-1";
 /// Time between two messages, in milliseconds: long enough for a run of the leader.
-const PAUSE: u64 = 50;
+const MESSAGE_INTERVAL_MILLIS: u64 = 50;
 
 #[derive(Clone, Copy, Debug)]
 struct Heartbeat {
@@ -85,7 +85,7 @@
         let mut held: BTreeMap<InstanceId, InstanceRecord> = BTreeMap::new();
         let mut now = 10_000;
         for heartbeat in &heartbeats {
-            now += PAUSE;
+            now += MESSAGE_INTERVAL_MILLIS;
             leader
                 .fleet
                 .handle_announcement(at(now), heartbeat.record(), false);
