--- a/crates/millpass-control-plane/src/addresses.rs
+++ b/crates/millpass-control-plane/src/addresses.rs
@@ -1,55 +1,52 @@
-//! Where members listen.
+//! Addresses of members.
 
 use millpass_proto::{MemberAddress, MemberId, Membership};
 use std::collections::BTreeMap;
 
-/// Most members outside the membership that are remembered.
-const MAXIMUM_GREETED: usize = 64;
+/// Maximum number of remembered addresses of processes outside the membership.
+const MAXIMUM_HELLOS: usize = 64;
 
-/// Where the members of the membership in force listen, and those that introduced themselves.
+/// Addresses of the current membership and of processes that sent a hello.
 ///
-/// A process that asks to join has an empty membership until the log tells it otherwise: it can
-/// answer the leader only at the address that the leader introduced itself with.
+/// A process that asks to join has an empty membership until it receives the log, so it can only
+/// respond to the leader at the address in the leader's hello.
 pub(crate) struct AddressBook {
     members: BTreeMap<MemberId, MemberAddress>,
-    greeted: BTreeMap<MemberId, MemberAddress>,
+    hellos: BTreeMap<MemberId, MemberAddress>,
 }
 
 impl AddressBook {
-    /// Reads a membership.
     pub(crate) fn new(membership: &Membership) -> Self {
         AddressBook {
-            members: read(membership),
-            greeted: BTreeMap::new(),
+            members: by_member(membership),
+            hellos: BTreeMap::new(),
         }
     }
 
-    /// Reads a newer membership.
     pub(crate) fn replace(&mut self, membership: &Membership) {
-        self.members = read(membership);
+        self.members = by_member(membership);
     }
 
-    /// Notes a member that introduced itself.
-    pub(crate) fn greet(&mut self, address: MemberAddress) {
-        let known = self.greeted.contains_key(&address.member);
-        if !known && self.greeted.len() >= MAXIMUM_GREETED {
-            self.greeted.pop_first();
+    pub(crate) fn record_hello(&mut self, address: MemberAddress) {
+        let known = self.hellos.contains_key(&address.member);
+        if !known && self.hellos.len() >= MAXIMUM_HELLOS {
+            self.hellos.pop_first();
         }
-        self.greeted.insert(address.member, address);
+        self.hellos.insert(address.member, address);
     }
 
-    /// Where a member of the membership listens.
+    /// Returns the address of a member of the current membership.
     pub(crate) fn get(&self, member: MemberId) -> Option<&MemberAddress> {
         self.members.get(&member)
     }
 
-    /// Where a message to a member can be sent.
-    pub(crate) fn reach(&self, member: MemberId) -> Option<&MemberAddress> {
-        self.get(member).or_else(|| self.greeted.get(&member))
+    /// Returns the address to send to: that of the membership, or else that of the member's hello.
+    pub(crate) fn resolve(&self, member: MemberId) -> Option<&MemberAddress> {
+        self.get(member).or_else(|| self.hellos.get(&member))
     }
 }
 
-fn read(membership: &Membership) -> BTreeMap<MemberId, MemberAddress> {
+fn by_member(membership: &Membership) -> BTreeMap<MemberId, MemberAddress> {
     membership
         .voters
         .iter()
--- a/crates/millpass-control-plane/src/administration.rs
+++ b/crates/millpass-control-plane/src/administration.rs
@@ -1,5 +1,5 @@
-//! Calls of the administration API. Reads are answered only under the leader lease; changes are
-//! answered once they are committed.
+//! Calls of the administration API. Reads require the leader lease; changes are answered after
+//! commit.
 
 use crate::interface::{AdministrationRequest, AdministrationResponse, DeploymentStatus};
 use crate::outputs::Outputs;
@@ -12,20 +12,21 @@
 };
 
 impl ControlPlane {
-    pub(crate) fn take_administration(
+    pub(crate) fn handle_administration_call(
         &mut self,
         now: Timestamp,
         call: u64,
         request: AdministrationRequest,
         out: &mut Outputs,
     ) {
-        // What an instance says of itself is soft, and each member keeps what it hears. Its leaving waits for the log.
+        // Announcements are soft state that every member keeps; a draining instance is recorded in
+        // the log.
         let is_soft =
             matches!(&request, AdministrationRequest::Announce(record) if !record.draining);
-        let may_take = self.is_leading(now) || (is_soft && self.fleet.is_some());
-        if !may_take {
+        let is_accepted = self.is_leading(now) || (is_soft && self.fleet.is_some());
+        if !is_accepted {
             let leader_address = self.leader_administration_address();
-            out.answer(call, AdministrationResponse::NotLeader { leader_address });
+            out.respond(call, AdministrationResponse::NotLeader { leader_address });
             return;
         }
         match request {
@@ -42,16 +43,16 @@
             AdministrationRequest::Announce(record) => self.announce(now, call, record, out),
             AdministrationRequest::Depart(departure) => self.depart(now, call, departure, out),
             AdministrationRequest::LiftQuarantine(request) => {
-                self.lift_request(now, call, request, out);
+                self.lift_quarantine(now, call, request, out);
             }
-            read => out.answer(call, self.read(now, read)),
+            read => out.respond(call, self.read(now, read)),
         }
     }
 
-    /// Whether this member leads and was in charge in this term, though its lease may have run out. Before that it does
-    /// not know all that is committed: a late word of an instance whose departure it has not applied would
-    /// be taken for news.
-    pub(crate) fn is_late_leader(&self) -> bool {
+    /// Returns true if this member is the leader and has held the lease in this term, even if the
+    /// lease has expired since. Earlier, committed departures may not be applied yet, and a late
+    /// announcement would bring a departed instance back.
+    pub(crate) fn is_established_leader(&self) -> bool {
         let has_begun = self.fleet.as_ref().is_some_and(Fleet::has_begun);
         self.role == Role::Leader && has_begun
     }
@@ -79,7 +80,7 @@
         let Some(backend) = self.state.backend(name) else {
             let reason =
                 format!("back end {name} is not registered; `status` lists those that are");
-            out.answer(call, AdministrationResponse::Refused(reason));
+            out.respond(call, AdministrationResponse::Refused(reason));
             return;
         };
         let mark = BackendMark {
@@ -92,15 +93,15 @@
         }
     }
 
-    /// Whether a change may be proposed now; otherwise the call is answered.
+    /// Returns true if a change may be proposed now; otherwise answers the call.
     pub(crate) fn admit_change(&mut self, call: u64, out: &mut Outputs) -> bool {
         if self.drain.is_some() {
             let leader_address = None;
-            out.answer(call, AdministrationResponse::NotLeader { leader_address });
+            out.respond(call, AdministrationResponse::NotLeader { leader_address });
             return false;
         }
-        if !self.proposals.has_room() {
-            out.answer(call, AdministrationResponse::Busy);
+        if !self.proposals.has_capacity() {
+            out.respond(call, AdministrationResponse::Busy);
             return false;
         }
         true
@@ -126,7 +127,7 @@
                 let source = self.state.document_source();
                 AdministrationResponse::DocumentSource(source.map(<[u8]>::to_vec))
             }
-            AdministrationRequest::QuarantinedRequests => self.held_requests(now),
+            AdministrationRequest::QuarantinedRequests => self.quarantined_requests(now),
             AdministrationRequest::Change(_)
             | AdministrationRequest::PutDocument(_)
             | AdministrationRequest::Announce(_)
@@ -153,8 +154,8 @@
     }
 }
 
-/// The answer to a change, from what applying it did.
-pub(crate) fn answer(outcome: CommandOutcome) -> AdministrationResponse {
+/// Returns the response to a committed change.
+pub(crate) fn change_response(outcome: CommandOutcome) -> AdministrationResponse {
     match outcome {
         CommandOutcome::Object(outcome) => AdministrationResponse::Change(outcome),
         CommandOutcome::Ignored(reason) => AdministrationResponse::Refused(reason),
--- a/crates/millpass-control-plane/src/claims.rs
+++ b/crates/millpass-control-plane/src/claims.rs
@@ -1,48 +1,50 @@
-//! When claims expire, and when those of a dead router are abandoned.
+//! Expiry of claims, and abandonment of the claims of dead routers.
 //!
-//! An open claim of a router run that is no more stays open until its end is known. It is
-//! abandoned (concluded as may-have-run, so it never runs again) when the router comes back under
-//! a new run, or when the run has been silent for [`CLAIM_ABANDON_TIMEOUT`] under one leader. The open
-//! claims are in the replicated state, so a new leader knows them too; it counts the silence anew.
+//! An open claim stays open until its outcome is known. It is abandoned (concluded as may-have-run,
+//! so that it never runs again) when the router returns under a new incarnation, or when the
+//! incarnation has not reported to the current leader for [`CLAIM_ABANDON_TIMEOUT`]. Open claims
+//! are part of the replicated state; a new leader restarts the timeout.
 
 use millpass_proto::{Duration, Incarnation, RouterName, Timestamp};
 use std::collections::BTreeMap;
 
-/// Silence after which a router's open claims are abandoned. Far longer than a freeze or a cut
-/// from which a router may wake and still finish its requests.
+/// Time without a report after which a router's open claims are abandoned. Far longer than a
+/// process pause or network partition after which a router can still finish its requests.
 pub const CLAIM_ABANDON_TIMEOUT: Duration = Duration::from_secs(600);
-/// Time between two proposals to forget old claims.
+/// Interval between proposals to expire old claims.
 pub(crate) const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
-/// Time between two looks for silent runs.
-pub(crate) const SILENCE_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between checks for unreachable claim holders.
+pub(crate) const HOLDER_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// One run of a router.
-pub(crate) type RouterRun = (RouterName, Incarnation);
+/// One process run of a router.
+pub(crate) type RouterIncarnation = (RouterName, Incarnation);
 
-/// Runs of routers that hold open claims and do not report, bounded by the state's open claims.
+/// Router incarnations that hold open claims and do not report; bounded by the open claims.
 #[derive(Default)]
-pub(crate) struct SilentRuns {
-    since: BTreeMap<RouterRun, Timestamp>,
+pub(crate) struct UnreachableHolders {
+    since: BTreeMap<RouterIncarnation, Timestamp>,
 }
 
-impl SilentRuns {
-    /// Takes the runs that hold open claims without reporting; gives those that have been silent
-    /// for [`CLAIM_ABANDON_TIMEOUT`].
-    pub(crate) fn refresh(&mut self, now: Timestamp, silent: Vec<RouterRun>) -> Vec<RouterRun> {
+impl UnreachableHolders {
+    /// Updates the unreachable holders; returns those unreachable for [`CLAIM_ABANDON_TIMEOUT`].
+    pub(crate) fn refresh(
+        &mut self,
+        now: Timestamp,
+        unreachable: Vec<RouterIncarnation>,
+    ) -> Vec<RouterIncarnation> {
         let mut since = BTreeMap::new();
-        let mut dead = Vec::new();
-        for run in silent {
-            let start = self.since.get(&run).copied().unwrap_or(now);
-            if now.since(start) >= CLAIM_ABANDON_TIMEOUT {
-                dead.push(run.clone());
+        let mut expired = Vec::new();
+        for holder in unreachable {
+            let first_missed = self.since.get(&holder).copied().unwrap_or(now);
+            if now.since(first_missed) >= CLAIM_ABANDON_TIMEOUT {
+                expired.push(holder.clone());
             }
-            since.insert(run, start);
+            since.insert(holder, first_missed);
         }
         self.since = since;
-        dead
+        expired
     }
 
-    /// Forgets everything.
     pub(crate) fn clear(&mut self) {
         self.since.clear();
     }
--- a/crates/millpass-control-plane/src/credit.rs
+++ b/crates/millpass-control-plane/src/credit.rs
@@ -1,4 +1,4 @@
-//! Lends gateways units of tenants' quotas; only while this member is in charge.
+//! Grants gateways credit from tenants' quotas, only while this member is leading.
 
 use crate::interface::ConnectionId;
 use crate::outputs::Outputs;
@@ -7,30 +7,30 @@
 use millpass_tenancy::{CreditLedger, QuotaExhausted};
 
 impl ControlPlane {
-    /// Begins the book when this member has taken charge: from then on tenants' buckets fill.
-    pub(crate) fn begin_credit(&mut self, now: Timestamp) {
+    /// Creates the ledger when this member starts leading; tenants' buckets fill from then on.
+    pub(crate) fn start_credit(&mut self, now: Timestamp) {
         if let Some(fleet) = &self.settings.fleet {
-            let terms = fleet.quota;
+            let quota = fleet.quota;
             self.credit
-                .get_or_insert_with(|| CreditLedger::new(now, terms));
+                .get_or_insert_with(|| CreditLedger::new(now, quota));
         }
     }
 
-    pub(crate) fn take_credit_request(
+    pub(crate) fn handle_credit_request(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
         request: &CreditRequest,
         out: &mut Outputs,
     ) {
-        // The first message after an election may come before anything else is done.
-        self.begin_credit(now);
+        // A request can arrive before the first periodic run after an election.
+        self.start_credit(now);
         let (Some(document), Some(ledger)) = (self.state.document(), &mut self.credit) else {
             return;
         };
         ledger.put_in_force(now, document);
-        let (answer, exhausted) = ledger.answer(now, self.term, request);
-        out.send_router(connection, ControlToRouter::Credit(answer));
+        let (response, exhausted) = ledger.answer(now, self.term, request);
+        out.send_router(connection, ControlToRouter::Credit(response));
         for event in exhausted {
             log_exhausted(&event, &request.gateway, out);
         }
--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -1,6 +1,6 @@
-//! A deployment configured by one document, with instances that announce themselves: puts and reads
-//! of the document, announcements, departures, and the reports of gateways. Decisions about engines
-//! are `millpass-fleet`'s.
+//! Deployments configured by one document, with instances that announce themselves: documents,
+//! announcements, departures and gateway reports. Decisions about engines are made by
+//! `millpass-fleet`.
 
 use crate::interface::{AdministrationResponse, ConnectionId, ControlOutput};
 use crate::outputs::Outputs;
@@ -15,28 +15,27 @@
 };
 use millpass_state::State;
 
-/// Most departed instances that a gateway without an index is told of when it connects: those of the last minutes. It
-/// was told of nothing yet, and what it holds all the same is gone once the leader knows every instance.
-const MAXIMUM_DEPARTED_TOLD: usize = 256;
+/// Maximum number of departed instances listed to a gateway that reports no log index. Such a
+/// gateway has received nothing yet, and drops other unknown instances once the leader has the
+/// complete list.
+const MAXIMUM_INITIAL_DEPARTURES: usize = 256;
 
-/// Why a call is refused where no instances announce themselves.
-const NO_FLEET: &str =
-    "this deployment is configured object by object; use the administration API's objects";
+const FLEET_REQUIRED: &str = "this deployment has no instances that announce themselves; configure it with the administration API's objects";
 
-/// Departed instances to name to a gateway that was told of what binds it up to this log index: all since, as it counts
-/// as told of them from then on.
-pub(crate) fn departures_to_tell(state: &State, told: u64) -> Vec<InstanceId> {
-    let most = match told {
-        0 => MAXIMUM_DEPARTED_TOLD,
+/// Returns the departed instances to list to a gateway that has applied required entries up to
+/// `since`. Lists all of them: the gateway counts as up to date afterwards.
+pub(crate) fn departures_since(state: &State, since: u64) -> Vec<InstanceId> {
+    let limit = match since {
+        0 => MAXIMUM_INITIAL_DEPARTURES,
         _ => usize::MAX,
     };
-    let departures = state.departures_after(told).take(most);
+    let departures = state.departures_after(since).take(limit);
     departures.cloned().collect()
 }
 
 impl ControlPlane {
-    /// Puts a document in force. A version that is not above the one held is acknowledged and
-    /// changes nothing.
+    /// Commits a document. A version that is not higher than the current one is acknowledged
+    /// without effect.
     pub(crate) fn put_document(
         &mut self,
         now: Timestamp,
@@ -44,17 +43,17 @@
         put: PutDocument,
         out: &mut Outputs,
     ) {
-        let held = self.state.document_version();
+        let current = self.state.document_version();
         let version = put.document.version;
         let mut pairs = vec![
             ("version", version.to_string()),
-            ("held", held.to_string()),
+            ("held", current.to_string()),
             ("bytes", put.source.len().to_string()),
         ];
-        if version <= held {
+        if version <= current {
             pairs.push(("outcome", "not-above".to_owned()));
             out.event("document-put", pairs);
-            return out.answer(call, AdministrationResponse::Done);
+            return out.respond(call, AdministrationResponse::Done);
         }
         pairs.push(("outcome", "proposed".to_owned()));
         out.event("document-put", pairs);
@@ -63,8 +62,8 @@
         }
     }
 
-    /// Takes an announcement, whether this member leads or not. A draining instance is recorded in the log before it is
-    /// acknowledged, by the leader: the word survives the loss of this member.
+    /// Records an announcement on any member. A draining instance is committed to the log by the
+    /// leader before the acknowledgement, so that it survives the loss of this member.
     pub(crate) fn announce(
         &mut self,
         now: Timestamp,
@@ -73,7 +72,10 @@
         out: &mut Outputs,
     ) {
         let Some(fleet) = &mut self.fleet else {
-            return out.answer(call, AdministrationResponse::Refused(NO_FLEET.to_owned()));
+            return out.respond(
+                call,
+                AdministrationResponse::Refused(FLEET_REQUIRED.to_owned()),
+            );
         };
         let departed = self.state.departed(&record.instance);
         let draining = record.draining;
@@ -87,21 +89,21 @@
             };
             return self.depart(now, call, departure, out);
         }
-        out.answer(call, AdministrationResponse::Done);
+        out.respond(call, AdministrationResponse::Done);
     }
 
-    /// The run that is meant: where none is stated and runs of the instance have stated theirs, the latest.
-    fn meant_run(&self, instance: InstanceId) -> InstanceId {
+    /// Resolves an instance without incarnation to its latest known incarnation, if any.
+    fn resolve_incarnation(&self, instance: InstanceId) -> InstanceId {
         if instance.incarnation() > 0 {
             return instance;
         }
-        let known = self.fleet.as_ref();
-        let known = known.and_then(|fleet| fleet.latest_run(&instance));
-        let noted = || self.state.latest_noted_run(&instance).cloned();
-        known.or_else(noted).unwrap_or(instance)
+        let latest = self.fleet.as_ref();
+        let latest = latest.and_then(|fleet| fleet.latest_run(&instance));
+        let recorded = || self.state.latest_noted_run(&instance).cloned();
+        latest.or_else(recorded).unwrap_or(instance)
     }
 
-    /// Records that an instance leaves or has left.
+    /// Commits that an instance is leaving or has ended.
     pub(crate) fn depart(
         &mut self,
         now: Timestamp,
@@ -110,12 +112,12 @@
         out: &mut Outputs,
     ) {
         let departure = InstanceDeparture {
-            instance: self.meant_run(departure.instance),
+            instance: self.resolve_incarnation(departure.instance),
             ..departure
         };
         let departed = self.state.departed(&departure.instance);
         if departed == Some(true) || (departed.is_some() && !departure.ended) {
-            return out.answer(call, AdministrationResponse::Done);
+            return out.respond(call, AdministrationResponse::Done);
         }
         if self.admit_change(call, out) {
             let command = Command::DepartInstance(departure);
@@ -123,14 +125,13 @@
         }
     }
 
-    /// The document in force may be another one.
-    pub(crate) fn note_document(&mut self, now: Timestamp) {
+    /// Records the current document in the history, if it changed.
+    pub(crate) fn record_document(&mut self, now: Timestamp) {
         if let Some(document) = self.state.document() {
             self.documents.applied(now, document);
         }
     }
 
-    /// A departure was committed.
     pub(crate) fn departure_applied(
         &mut self,
         now: Timestamp,
@@ -143,7 +144,7 @@
         }
     }
 
-    pub(crate) fn take_gateway_report(
+    pub(crate) fn handle_gateway_report(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -152,9 +153,10 @@
     ) {
         if !self.is_leading(now) {
             if self.fleet.is_some() {
-                self.pass_on(connection, report, out);
+                self.forward_committed(connection, report, out);
             }
-            // A leader whose lease has run out is late, not deposed: sent away, every gateway would come back to it.
+            // Gateways stay connected while the lease is expired: all of them would reconnect to
+            // this member.
             if self.role != Role::Leader {
                 return out.send_not_leader(connection, self.leader_peer_address());
             }
@@ -165,15 +167,15 @@
         }
     }
 
-    /// Takes what a gateway saw of instances that ended. What follows is told at the next run of the fleet.
-    pub(crate) fn take_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
+    /// Records crashes that a gateway observed; updates are sent in the next run of the fleet.
+    pub(crate) fn handle_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
         if let Some(fleet) = &mut self.fleet {
             fleet.crashes_reported(now, report);
         }
     }
 
-    /// Answers a gateway that tells of instances' limits, or asks for permits.
-    pub(crate) fn take_permit_request(
+    /// Responds to a gateway's permit request, which also carries limits stated by instances.
+    pub(crate) fn handle_permit_request(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -181,20 +183,19 @@
         out: &mut Outputs,
     ) {
         if let Some(fleet) = &mut self.fleet {
-            let answer = fleet.permit_request(now, self.term, request);
-            out.send_router(connection, ControlToRouter::Permits(answer));
+            let response = fleet.permit_request(now, self.term, request);
+            out.send_router(connection, ControlToRouter::Permits(response));
         }
     }
 
-    /// Requests that are held back.
-    pub(crate) fn held_requests(&self, now: Timestamp) -> AdministrationResponse {
+    pub(crate) fn quarantined_requests(&self, now: Timestamp) -> AdministrationResponse {
         let fleet = self.fleet.as_ref();
         let held = fleet.map_or_else(Vec::new, |fleet| fleet.held_requests(now));
         AdministrationResponse::QuarantinedRequests(held)
     }
 
-    /// Lets a request go; done once the log says so.
-    pub(crate) fn lift_request(
+    /// Releases a quarantined request; answered after commit.
+    pub(crate) fn lift_quarantine(
         &mut self,
         now: Timestamp,
         call: u64,
@@ -211,26 +212,26 @@
         self.propose(now, Waiter::Call(call), command, out);
     }
 
-    pub(crate) fn instruction_answered(&mut self, now: Timestamp, answer: &CallAnswer) {
+    pub(crate) fn handle_call_result(&mut self, now: Timestamp, result: &CallAnswer) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.answered(now, answer);
+            fleet.answered(now, result);
         }
     }
 
-    /// Begins with what the log knows, the first time since this member took charge.
-    pub(crate) fn begin_fleet(&mut self, now: Timestamp) {
+    /// Initializes the fleet from the replicated state, once per leadership.
+    pub(crate) fn start_fleet(&mut self, now: Timestamp) {
         if let Some(fleet) = self.fleet.as_mut().filter(|fleet| !fleet.has_begun()) {
-            let noted = self.state.noted_instances().cloned();
+            let recorded = self.state.noted_instances().cloned();
             let held = self.state.held_requests().cloned();
             let state = &self.state;
             fleet.take_departures(&|instance| state.departed(instance));
-            fleet.begin(now, noted, held, &self.instructions);
+            fleet.begin(now, recorded, held, &self.instructions);
         }
     }
 
-    /// Lets the fleet do what is due; only while this member is in charge.
+    /// Runs the fleet and executes its outputs; only while this member is leading.
     pub(crate) fn run_fleet(&mut self, now: Timestamp, out: &mut Outputs) {
-        self.begin_fleet(now);
+        self.start_fleet(now);
         let Some(fleet) = &mut self.fleet else {
             return;
         };
@@ -241,7 +242,7 @@
             members.map(|member| member.peer_address.clone()).collect()
         };
         let state = &self.state;
-        let departed = |told| departures_to_tell(state, told);
+        let departed = |since| departures_since(state, since);
         let context = GatewayContext {
             members: &members,
             departed: &departed,
@@ -299,30 +300,31 @@
             }
         }
         if !instructions.is_empty() {
-            self.note_instructions(now, instructions, out);
+            self.propose_instructions(now, instructions, out);
         }
     }
 
-    /// Says in the log which engines are about to be instructed. The instructions leave when that is
-    /// committed; if it never is, the fleet reads the engines' state once they are overdue.
-    fn note_instructions(
+    /// Records in the log which engines are about to be instructed. The instructions are sent after
+    /// commit; if the entry never commits, the fleet reads the state of the engines when they are
+    /// overdue.
+    fn propose_instructions(
         &mut self,
         now: Timestamp,
         instructions: Vec<EngineInstruction>,
         out: &mut Outputs,
     ) {
-        if !self.proposals.has_room() {
+        if !self.proposals.has_capacity() {
             return;
         }
         let loads = instructions.iter().filter(|found| found.from_store);
-        let note = InstructionIntent {
+        let record = InstructionIntent {
             store_loads: u32::try_from(loads.count()).unwrap_or(u32::MAX),
             instances: instructions
                 .iter()
                 .map(|instruction| instruction.instance.clone())
                 .collect(),
         };
-        let command = Command::RecordInstructionIntent(note);
+        let command = Command::RecordInstructionIntent(record);
         let waiter = Waiter::Instructions {
             decided_at: now,
             instructions,
@@ -330,10 +332,10 @@
         self.propose(now, waiter, command, out);
     }
 
-    /// Gives instructions that were noted, if this member still leads. One that the fleet has given up meanwhile,
-    /// as its note took too long, does not leave: another may be on its way to the engine, and the answer to the
-    /// one would be taken for the other's.
-    pub(crate) fn instruct(
+    /// Sends committed instructions if this member is still leading. An instruction that the fleet
+    /// no longer awaits is dropped: another one may be in flight to the same engine, and its
+    /// response would be matched to the wrong instruction.
+    pub(crate) fn send_instructions(
         &mut self,
         now: Timestamp,
         decided_at: Timestamp,
--- a/crates/millpass-control-plane/src/drain.rs
+++ b/crates/millpass-control-plane/src/drain.rs
@@ -1,27 +1,24 @@
-//! The planned stop: finish what is under way, hand leadership over, stop. Bounded in time.
+//! Graceful shutdown within a bounded time: finish pending proposals, transfer leadership, stop.
 
 use millpass_consensus::{ConsensusStatus, Role};
 use millpass_proto::{Duration, MemberId, Timestamp};
 
-/// Time after which the member stops even if nobody took leadership over.
+/// Time after which the member stops even if no other member has become leader.
 const DRAIN_DEADLINE: Duration = Duration::from_secs(5);
-/// Time that proposals under way are given before leadership is handed over.
-const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Time after which the transfer is asked for again, of the next best voter.
+/// Time that pending proposals get before leadership is transferred.
+const PROPOSAL_GRACE_PERIOD: Duration = Duration::from_secs(1);
+/// Time after which the transfer is retried with the next voter.
 const TRANSFER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a draining member does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainStep {
-    /// Nothing yet.
     Wait,
-    /// Hand leadership to this voter.
+    /// Transfer leadership to this voter.
     Transfer(MemberId),
-    /// Stop.
     Stop,
 }
 
-/// A drain under way.
+/// A drain in progress.
 pub(crate) struct Drain {
     since: Timestamp,
     transfers: usize,
@@ -29,7 +26,6 @@
 }
 
 impl Drain {
-    /// Starts to drain.
     pub(crate) fn new(now: Timestamp) -> Self {
         Drain {
             since: now,
@@ -38,8 +34,8 @@
         }
     }
 
-    /// Decides what to do now, `pending` proposals being under way.
-    pub(crate) fn next(
+    /// Returns the next step; `pending` is the number of pending proposals.
+    pub(crate) fn next_step(
         &mut self,
         now: Timestamp,
         own: MemberId,
@@ -50,7 +46,7 @@
         if status.role != Role::Leader || elapsed >= DRAIN_DEADLINE {
             return DrainStep::Stop;
         }
-        if pending > 0 && elapsed < SETTLE_TIME {
+        if pending > 0 && elapsed < PROPOSAL_GRACE_PERIOD {
             return DrainStep::Wait;
         }
         let candidates = successors(own, status);
@@ -67,7 +63,7 @@
     }
 }
 
-/// Other voters, those that answered lately and hold the most first.
+/// Returns the other voters, the most up-to-date and most recently responsive first.
 fn successors(own: MemberId, status: &ConsensusStatus) -> Vec<MemberId> {
     let mut voters: Vec<(u64, u64, MemberId)> = status
         .membership
@@ -82,8 +78,8 @@
             let missing = progress.map_or(u64::MAX, |found| {
                 status.last.saturating_sub(found.match_index)
             });
-            let silent = progress.map_or(u64::MAX, |found| found.silent_millis);
-            (missing, silent, voter.member)
+            let since_contact = progress.map_or(u64::MAX, |found| found.silent_millis);
+            (missing, since_contact, voter.member)
         })
         .collect();
     voters.sort_unstable();
--- a/crates/millpass-control-plane/src/freshness.rs
+++ b/crates/millpass-control-plane/src/freshness.rs
@@ -1,11 +1,10 @@
-//! What this member can say of how new a gateway's knowledge is, without a leader.
+//! Responses to freshness queries of gateways, which any member can give without a leader.
 //!
-//! An entry is acknowledged once a majority of the voters has it in its log. So a gateway that was told of
-//! everything up to an index knows all that was acknowledged before it asked, if a majority of the voters
-//! holds no entry beyond that index that binds gateways, committed or not. This costs no write and no
-//! election, and is true at a member that follows, stands or leads.
+//! An entry is acknowledged once a majority of the voters has it in its log. A gateway that has
+//! applied everything up to an index is therefore current if a majority of the voters holds no
+//! required entry beyond that index, committed or not. This costs no write and no election.
 
-use crate::deployment::departures_to_tell;
+use crate::deployment::departures_since;
 use crate::interface::ConnectionId;
 use crate::outputs::Outputs;
 use crate::plane::ControlPlane;
@@ -16,33 +15,33 @@
 };
 use millpass_state::State;
 
-/// The highest index of an entry that binds gateways, of all that this process ever held.
+/// Highest index of a required entry that this process has ever held.
 ///
-/// It never falls: while a received snapshot replaces the log, neither log nor state knows the entries that this
-/// member has acknowledged. An entry that is cut off again leaves it too high, which lets a gateway doubt what
-/// it knows until the leader tells it of a higher index.
+/// It never decreases: while a received snapshot replaces the log, neither the log nor the state
+/// contains the entries that this member has acknowledged. A truncated entry leaves it too high,
+/// which only makes gateways consider themselves stale until the leader reports a higher index.
 #[derive(Default)]
-pub(crate) struct BindingMark {
+pub(crate) struct RequiredIndex {
     highest: u64,
-    /// The same of what is committed, where a snapshot of an earlier release does not say it: all of it may bind.
+    /// Assumed committed index for snapshots of earlier releases, which do not record the required
+    /// index.
     assumed: u64,
 }
 
-impl BindingMark {
-    /// A snapshot up to this index gave the state. The replicated state itself stays the same on all members.
-    pub(crate) fn restored(&mut self, state: &State, snapshot_index: u64) {
+impl RequiredIndex {
+    /// Takes over the index of a restored snapshot without changing the replicated state.
+    pub(crate) fn snapshot_restored(&mut self, state: &State, snapshot_index: u64) {
         if state.binding_index() == 0 && state.document().is_some() {
             self.assumed = snapshot_index;
         }
     }
 
-    /// The highest committed index of an entry that binds, as far as is known.
+    /// Returns the highest known index of a committed required entry.
     fn committed(&self, state: &State) -> u64 {
         state.binding_index().max(self.assumed)
     }
 
-    /// Takes up what log and state hold now.
-    pub(crate) fn raise(&mut self, consensus: &Consensus, state: &State) {
+    pub(crate) fn update(&mut self, consensus: &Consensus, state: &State) {
         self.highest = self
             .highest
             .max(consensus.binding_index())
@@ -50,10 +49,10 @@
     }
 }
 
-/// Where a member stands; an answer to gateways follows from it.
+/// State of this member from which freshness responses are built.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FreshnessState {
-    binding: u64,
+    required_index: u64,
     applied: u64,
     membership_index: u64,
     term: u64,
@@ -62,10 +61,10 @@
 }
 
 impl ControlPlane {
-    /// Where this member stands now.
+    /// Returns the current freshness state of this member.
     pub fn freshness_state(&self, now: Timestamp) -> FreshnessState {
         FreshnessState {
-            binding: self.binding.highest,
+            required_index: self.required_index.highest,
             applied: self.applied.last.index,
             membership_index: self.consensus.membership_index(),
             term: self.term,
@@ -74,45 +73,45 @@
         }
     }
 
-    /// The answer to a gateway's question, but for the number of its round.
-    pub fn freshness_response(&self, mark: &FreshnessState) -> FreshnessResponse {
+    /// Builds the response to a freshness query; the caller sets the round.
+    pub fn freshness_response(&self, state: &FreshnessState) -> FreshnessResponse {
         let membership = self.consensus.status().membership;
-        let leader = match mark.is_leading {
+        let leader = match state.is_leading {
             true => Some(self.settings.address.peer_address.clone()),
             false => self.leader_peer_address(),
         };
         FreshnessResponse {
             round: 0,
             member: self.settings.address.member,
-            required_index: mark.binding,
-            applied: mark.applied,
-            membership_index: mark.membership_index,
+            required_index: state.required_index,
+            applied: state.applied,
+            membership_index: state.membership_index,
             voters: identities(&membership.voters),
             outgoing_voters: identities(&membership.outgoing_voters),
             addresses: peer_addresses(&membership.voters, &membership.outgoing_voters),
-            term: mark.term,
+            term: state.term,
             leader,
         }
     }
 
-    /// Passes on what is committed and a gateway lacks, though this member does not lead: a committed document or
-    /// departure is as good from any member. A gateway that has nothing also gets the instances that were
-    /// noted. Nothing is sent to one that lacks nothing: without a leader, gateways ask every member again and again.
-    pub(crate) fn pass_on(
+    /// Forwards committed documents and departures that a gateway is missing while this member is
+    /// not leading. A gateway without any state also receives the recorded instances. Sends nothing
+    /// to a gateway that is up to date: without a leader, gateways query all members repeatedly.
+    pub(crate) fn forward_committed(
         &self,
         connection: ConnectionId,
         report: &GatewayReport,
         out: &mut Outputs,
     ) {
-        let begins = report.as_of == 0;
+        let is_initial = report.as_of == 0;
         let Some(document) = self.state.document() else {
             return;
         };
-        if !begins && report.as_of >= self.binding.committed(&self.state) {
+        if !is_initial && report.as_of >= self.required_index.committed(&self.state) {
             return;
         }
-        let newer = document.version > report.version;
-        let instances = match begins {
+        let is_newer = document.version > report.version;
+        let instances = match is_initial {
             true => self.state.noted_instances().cloned().collect(),
             false => Vec::new(),
         };
@@ -120,9 +119,9 @@
             term: 0,
             complete: false,
             first: false,
-            document: newer.then(|| document.clone()),
+            document: is_newer.then(|| document.clone()),
             instances,
-            removed: departures_to_tell(&self.state, report.as_of),
+            removed: departures_since(&self.state, report.as_of),
             ready_estimates: Vec::new(),
             gateways: 0,
             members: Vec::new(),
--- a/crates/millpass-control-plane/src/interface.rs
+++ b/crates/millpass-control-plane/src/interface.rs
@@ -14,7 +14,7 @@
 /// Settings of the decision core.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneSettings {
-    /// This member and where it listens.
+    /// This member and its addresses.
     pub address: MemberAddress,
     /// Consensus settings.
     pub consensus: ConsensusSettings,
@@ -26,280 +26,285 @@
     pub scheduling_interval: Duration,
     /// Applied entries after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// How long claims are kept.
+    /// Time for which claims are retained.
     pub claim_retention: Duration,
-    /// Time without answer after which a dead voter is replaced by a waiting learner.
+    /// Time without contact after which a voter is replaced by a waiting learner.
     pub member_replacement_delay: Duration,
-    /// Peer addresses of other members to find the group through.
+    /// Peer addresses of other members, used to discover the group.
     pub seeds: Vec<String>,
-    /// Voters up to which caught-up learners are promoted; 0 to keep their number.
+    /// Number of voters up to which caught-up learners are promoted; 0 keeps the current number.
     pub target_voters: usize,
-    /// Time a machine must be missing from the platform's list before it counts as gone.
+    /// Time for which a machine must be missing from the platform's list before it is marked as
+    /// gone.
     pub machine_gone_delay: Duration,
-    /// Instances that announce themselves, and the engines among them; none where the platform
-    /// lists machines instead.
+    /// Settings for instances that announce themselves; `None` where the platform lists machines
+    /// instead.
     pub fleet: Option<FleetSettings>,
 }
 
-/// A router's or joiner's connection, numbered by the host.
+/// Connection of a router or joiner, numbered by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
 /// An input of the core.
 #[derive(Clone, Debug)]
 pub enum ControlInput {
-    /// Time passed; sent every few milliseconds.
+    /// Time has passed; sent every few milliseconds.
     Tick,
-    /// A message from a member.
+    /// A message from another member.
     Peer(PeerEnvelope),
-    /// A process introduced itself on its connection, before its messages as a member.
+    /// First message on a member's connection, with its address.
     MemberHello(MemberAddress),
     /// A process asks to become a member.
     Join(MemberAddress),
     /// A message from a router.
     Router {
-        /// Connection it came on; answers go back on it.
+        /// Connection of the message; responses are sent on it.
         connection: ConnectionId,
-        /// Message.
+        /// The message.
         message: RouterToControl,
     },
-    /// A router's connection ended.
+    /// A router's connection was closed.
     RouterDisconnected(ConnectionId),
-    /// An update of a gateway begins to wait behind another that its socket has not taken, or none waits any more.
+    /// An update for a gateway started to queue behind an unsent one, or the queue has drained.
     RouterBacklog {
-        /// Connection.
+        /// Connection of the gateway.
         connection: ConnectionId,
-        /// Whether one waits.
+        /// Whether an update is queued.
         backlogged: bool,
     },
-    /// What became of a delivery attempt of an order.
+    /// Result of an attempt to deliver an order.
     OrderDelivered {
-        /// Engine.
+        /// Engine that the order is for.
         backend: BackendName,
         /// Fence of the order.
         fence: LogPosition,
-        /// The engine's answer; none when there was none (it may have arrived all the same).
+        /// The engine's response; `None` if none arrived, although the order may have been
+        /// delivered.
         response: Option<OrderResponse>,
     },
     /// The platform's list was read.
     PlatformListed(PlatformList),
-    /// The write of this number is synced.
+    /// The write with this number is on disk.
     Persisted {
         /// Number from [`PersistRequest::write`].
         write: u64,
     },
-    /// A call of the administration API, already authenticated by the core's own operators.
+    /// A call of the administration API, already authenticated.
     Administration {
-        /// Host's number, echoed in the answer.
+        /// Number of the call, echoed in the response.
         call: u64,
-        /// Request.
+        /// The request.
         request: AdministrationRequest,
     },
-    /// Stop: hand leadership over, then report [`ControlOutput::Stopped`].
+    /// Shut down gracefully: transfer leadership, then emit [`ControlOutput::Stopped`].
     Drain,
-    /// What became of an instruction to an engine, or of reading its state.
+    /// Result of an instruction to an engine or of reading an engine's state.
     EngineCallCompleted(CallAnswer),
-    /// Another member says what it hears of instances.
+    /// Another member reports its share of the instances.
     Share(ShareReport),
-    /// Answer to this member's own report.
+    /// Response to this member's share report.
     ShareResponse(ShareResponse),
 }
 
 /// A call of the administration API.
 #[derive(Clone, Debug)]
 pub enum AdministrationRequest {
-    /// Change one object.
+    /// Changes one object.
     Change(ObjectChange),
-    /// Read one object.
+    /// Reads one object.
     Get(ObjectKey),
-    /// List objects of a kind.
+    /// Lists the objects of a kind.
     List(ObjectKind),
-    /// State of the deployment.
+    /// Reads the state of the deployment.
     Status,
-    /// Audit records after a revision.
+    /// Reads the audit records after a revision.
     Audit(ConfigurationRevision),
-    /// Set a back end's state by hand.
+    /// Sets the state of a back end.
     MarkBackend(BackendName, BackendState),
-    /// Change members.
+    /// Changes the membership.
     ChangeMembership(MembershipChange),
-    /// Put a deployment document in force.
+    /// Commits a deployment document.
     PutDocument(Box<PutDocument>),
-    /// Read the deployment document in force, as it was sent.
+    /// Reads the current deployment document as it was uploaded.
     GetDocument,
-    /// An instance says what it is.
+    /// Announcement of an instance.
     Announce(InstanceRecord),
-    /// An instance leaves or has left.
+    /// Reports that an instance is leaving or has ended.
     Depart(InstanceDeparture),
-    /// List the requests that are held back.
+    /// Lists the quarantined requests.
     QuarantinedRequests,
-    /// Let a request go that is held back.
+    /// Releases a quarantined request.
     LiftQuarantine(RequestFingerprint),
 }
 
-/// Answer to a call of the administration API.
+/// Response to a call of the administration API.
 #[derive(Clone, Debug)]
 pub enum AdministrationResponse {
-    /// Outcome of a change; committed before it is given.
+    /// Outcome of a committed change.
     Change(ObjectChangeOutcome),
-    /// The object, or none.
+    /// The object; `None` if it does not exist.
     Object(Option<StoredObject>),
-    /// Objects.
+    /// The objects of a kind.
     Objects(Vec<StoredObject>),
     /// State of the deployment.
     Status(Box<DeploymentStatus>),
-    /// Audit records.
+    /// The audit records.
     Audit(Vec<AuditRecord>),
-    /// Done.
+    /// The call succeeded.
     Done,
-    /// Requests that are held back: how many ends count against each, and how much longer it is refused.
+    /// Quarantined requests, each with its attributed crashes and remaining quarantine.
     QuarantinedRequests(Vec<(RequestFingerprint, u32, Duration)>),
-    /// The deployment document as it was sent; none before the first.
+    /// The deployment document as it was uploaded; `None` before the first one.
     DocumentSource(Option<Vec<u8>>),
-    /// This member does not lead or cannot prove that it does; nothing was done here.
+    /// This member is not leading; the call had no effect here.
     NotLeader {
         /// Administration address of the leader, if known.
         leader_address: Option<String>,
     },
-    /// The outcome is unknown: resend with the same change id.
+    /// The outcome is unknown; resend with the same change id.
     Unknown,
-    /// Too many changes are under way; nothing was done. Retry in a second.
+    /// Too many pending changes; the call had no effect. Retry after a second.
     Busy,
-    /// Refused; reason and remedy.
+    /// The call was refused; the reason and what to do about it.
     Refused(String),
 }
 
-/// State of the deployment as the leader sees it.
+/// State of the deployment as observed by the leader.
 #[derive(Clone, Debug)]
 pub struct DeploymentStatus {
-    /// Consensus.
+    /// State of the consensus core.
     pub consensus: ConsensusStatus,
     /// Revision of the catalog.
     pub configuration: ConfigurationRevision,
-    /// Routers and what they applied.
+    /// Connected routers and the revisions that they applied.
     pub routers: Vec<RouterStatus>,
-    /// Decided replicas, all phases.
+    /// Replicas in all phases.
     pub replicas: Vec<millpass_proto::Replica>,
     /// Back ends and their states.
     pub backends: Vec<(BackendName, BackendState)>,
-    /// Orders outstanding.
+    /// Number of outstanding orders.
     pub outstanding_orders: u64,
 }
 
-/// A router as the leader sees it.
+/// A router as observed by the leader.
 #[derive(Clone, Debug)]
 pub struct RouterStatus {
-    /// Router.
+    /// Name of the router.
     pub router: millpass_proto::RouterName,
-    /// Its zone.
+    /// Zone of the router.
     pub zone: millpass_proto::ZoneName,
-    /// Catalog revision it applied.
+    /// Catalog revision that the router applied.
     pub configuration: ConfigurationRevision,
     /// Milliseconds since its last report.
     pub millis_since_report: u64,
-    /// Whether it is draining.
+    /// Whether the router is draining.
     pub draining: bool,
 }
 
-/// What the host must do.
+/// An output of the core, to be executed by the host.
 #[derive(Clone, Debug)]
 pub enum ControlOutput {
-    /// Send to a member; its address is in the membership.
+    /// Send a message to another member.
     SendPeer {
-        /// Where the member listens.
+        /// Peer address of the member.
         address: String,
-        /// Message.
+        /// The message.
         envelope: PeerEnvelope,
     },
-    /// Send to a router or joiner on its connection.
+    /// Send a message to a router or joiner.
     SendRouter {
-        /// Connection.
+        /// Connection to send on.
         connection: ConnectionId,
-        /// Message.
+        /// The message.
         message: Box<ControlToRouter>,
     },
-    /// Deliver an order to an engine; the leader lease was checked just before.
+    /// Deliver an order to an engine. The leader lease was checked in the same step.
     DeliverOrder {
         /// IP address and port of the engine.
         address: String,
-        /// Order.
+        /// The order.
         order: EngineOrder,
     },
-    /// Pass a request to join on to the member that leads.
+    /// Forward a join request to the leader.
     ForwardJoin {
-        /// Where the leader listens.
+        /// Peer address of the leader.
         address: String,
-        /// Who asks.
+        /// The process that wants to join.
         joiner: MemberAddress,
     },
-    /// Tell the leader, or who may know it, what this member hears of instances.
+    /// Send this member's share of the instances to the leader, or to a member that may know the
+    /// leader.
     SendShare {
-        /// Where it listens.
+        /// Peer address to send to.
         address: String,
-        /// Report.
+        /// The report.
         report: ShareReport,
     },
-    /// Answer another member's report of its instances.
+    /// Respond to another member's share report.
     SendShareResponse {
-        /// Where the member listens.
+        /// Peer address of the member.
         address: String,
-        /// Answer.
+        /// The response.
         response: ShareResponse,
     },
-    /// Give an engine an instruction and answer [`ControlInput::EngineCallCompleted`]; the leader
-    /// lease was checked just before.
+    /// Send an instruction to an engine and report [`ControlInput::EngineCallCompleted`]. The
+    /// leader lease was checked in the same step.
     Instruct {
-        /// Instruction.
+        /// The instruction.
         instruction: EngineInstruction,
-        /// Its last byte leaves before then, or it does not leave: the next leader waits for that long.
+        /// The instruction must be sent completely before this time or not at all; the next leader
+        /// waits until then.
         deadline: Timestamp,
     },
-    /// Read an engine's state and answer [`ControlInput::EngineCallCompleted`].
+    /// Read an engine's state and report [`ControlInput::EngineCallCompleted`].
     ReadEngine {
-        /// Run.
+        /// Instance to read.
         instance: InstanceId,
-        /// IP address and port.
+        /// IP address and port of the instance.
         address: String,
-        /// The call, named by its answer.
+        /// Identifies the call in its result.
         call: CallId,
     },
-    /// Write and sync, then answer [`ControlInput::Persisted`].
+    /// Write and sync to disk, then report [`ControlInput::Persisted`].
     Persist(PersistRequest),
-    /// Write this snapshot in the background and drop the log before it. No answer needed.
+    /// Write this snapshot in the background and drop the log before it; no input follows.
     SaveSnapshot(Snapshot),
-    /// Read the platform's list and answer [`ControlInput::PlatformListed`].
+    /// Read the platform's list and report [`ControlInput::PlatformListed`].
     ReadPlatform,
-    /// Answer an administration call.
+    /// Respond to an administration call.
     AdministrationResponse {
-        /// Host's number of the call.
+        /// Number of the call.
         call: u64,
-        /// Answer.
+        /// The response.
         response: AdministrationResponse,
     },
-    /// For metrics: a gateway reported the newest document, this long after it was committed.
+    /// For metrics: time from the commit of the newest document until a gateway reported it.
     DocumentReached(Duration),
-    /// For metrics: a gateway reported that it has been told of a departure, this long after it was committed.
+    /// For metrics: time from the commit of a departure until a gateway reported it.
     DepartureReached(Duration),
-    /// One event for the log and metrics.
+    /// An event for the log and metrics.
     Event(ControlEvent),
-    /// Draining is done; the process may exit.
+    /// The core has stopped; the process may exit.
     Stopped,
 }
 
-/// An event worth a log line: a name and key=value pairs.
+/// An event for the log: a name and key=value pairs.
 #[derive(Clone, Debug)]
 pub struct ControlEvent {
     /// Name of the event, such as `leader-elected`.
     pub name: &'static str,
-    /// Pairs, in order.
+    /// Key-value pairs, in order.
     pub pairs: Vec<(&'static str, String)>,
 }
 
-/// Why a core stopped.
+/// Reason why the core stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalState {
-    /// It was drained.
+    /// The member was drained.
     Drained,
-    /// A snapshot did not decode; the member must not go on with another state than the group's.
+    /// A snapshot could not be decoded. Continuing could make this member's state diverge from the
+    /// group's.
     StateUnreadable(String),
 }
 
--- a/crates/millpass-control-plane/src/lib.rs
+++ b/crates/millpass-control-plane/src/lib.rs
@@ -1,31 +1,32 @@
-//! Decision core of a control member: consensus, replicated state, scheduler, router sessions and
-//! order delivery put together, without input/output, clock or threads.
+//! Decision core of a control member: combines consensus, replicated state, scheduler, router sessions and order
+//! delivery, without I/O, clock or threads.
 //!
-//! The control process and the simulator both drive [`ControlPlane::step`]. Each module has one
-//! job; `plane` calls them:
+//! The control process and the simulator both drive [`ControlPlane::step`].
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
-//! | `plane` | the core itself: takes inputs, runs what is due |
-//! | `replication` | carries out the consensus core's outputs, applies committed commands |
-//! | `proposals` | what waits for a proposal to commit |
-//! | `addresses` | where members listen |
+//! | `plane` | the core: handles inputs and runs periodic jobs |
+//! | `replication` | executes the consensus core's outputs, applies committed commands |
+//! | `proposals` | pending proposals and who waits for them |
+//! | `addresses` | addresses of members |
 //! | `administration` | calls of the administration API |
-//! | `deployment` | a deployment configured by one document, with instances that announce themselves |
-//! | `freshness` | what a member says of how new a gateway's knowledge is, without a leader |
+//! | `deployment` | deployments configured by one document, with instances that announce themselves |
+//! | `freshness` | freshness responses to gateways, without a leader |
 //! | `sessions` | routers connected to this member and their leases |
-//! | `reports` | answers routers' reports and claims |
-//! | `watch` | which router watches which back end |
-//! | `news` | routers are told to report at once |
-//! | `observations` | what reports of back ends mean: registrations and settled orders |
-//! | `pace` | how much less processor this member has than it needs |
-//! | `platform` | what the platform's machine list means |
-//! | `orders` | when to deliver which order |
-//! | `claims` | when claims expire and when those of a dead router are abandoned |
-//! | `repair` | replaces dead members by joiners |
-//! | `missing_voters` | which voters the leader misses, since when and what is done about it |
+//! | `reports` | responses to routers' reports and claims |
+//! | `watch` | assignment of back ends to the routers that watch them |
+//! | `notifications` | notifications to routers about newer revisions |
+//! | `observations` | registrations and settled orders, derived from reports of back ends |
+//! | `overload` | detection of processor starvation |
+//! | `platform` | the platform's machine list |
+//! | `orders` | delivery of orders to engines |
+//! | `claims` | expiry of claims, and abandonment of those of dead routers |
+//! | `credit` | grants of credit from tenants' quotas |
+//! | `shares` | forwarding of announced instances to the leader |
+//! | `repair` | replacement of dead members |
+//! | `missing_voters` | voters that do not respond to the leader |
 //! | `snapshots` | when to take a snapshot |
-//! | `drain` | the planned stop |
+//! | `drain` | graceful shutdown |
 
 mod addresses;
 mod administration;
@@ -36,11 +37,11 @@
 mod freshness;
 pub mod interface;
 mod missing_voters;
-mod news;
+mod notifications;
 mod observations;
 mod orders;
 mod outputs;
-mod pace;
+mod overload;
 mod plane;
 mod platform;
 mod proposals;
--- a/crates/millpass-control-plane/src/observations.rs
+++ b/crates/millpass-control-plane/src/observations.rs
@@ -1,14 +1,14 @@
-//! What reports of back ends mean: registrations of new runs and settled orders.
+//! Derives registrations and order settlements from reports of back ends.
 //!
-//! Reports lag and may reach the leader through two routers in turn. Three rules keep an old
-//! report from undoing newer knowledge:
+//! Reports can be delayed and can reach the leader through two routers in turn. Three rules keep
+//! stale reports from undoing newer state:
 //!
-//! - Only the router that watches a back end now is heard about its run.
-//! - A run other than the registered one is believed when two reports of it with growing
-//!   sequence numbers arrive with none of the registered run in between, or when the engine
-//!   itself refused an order for the wrong run.
-//! - An order is settled only by a report whose highest accepted fence has reached the order's,
-//!   and which shows the slot or adapter under exactly that fence.
+//! - Only the router that currently watches a back end can report its incarnation.
+//! - An incarnation other than the registered one is accepted after two reports of it with
+//!   increasing sequence numbers and none of the registered one in between, or when the engine
+//!   itself rejected an order for the wrong incarnation.
+//! - An order is settled only by a report whose highest accepted fence has reached the order's, and
+//!   which lists the slot or adapter under exactly that fence.
 
 use crate::platform::Platform;
 use crate::proposals::InternalKey;
@@ -19,10 +19,10 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// Most back ends with an unconfirmed run; the lowest names are dropped first.
+/// Maximum number of back ends with an unconfirmed incarnation; the lowest names are evicted first.
 const MAXIMUM_CANDIDATES: usize = 4_096;
 
-/// A command to propose, with its identity.
+/// A command to propose, with its key.
 pub(crate) type Proposal = (InternalKey, Command);
 
 struct Candidate {
@@ -30,17 +30,17 @@
     sequence: u64,
 }
 
-/// Runs of back ends that were seen and are not yet believed.
+/// Incarnations of back ends that were reported and are not yet registered.
 #[derive(Default)]
 pub(crate) struct Observations {
     candidates: BTreeMap<BackendName, Candidate>,
     confirmed: BTreeMap<BackendName, Incarnation>,
-    /// Runs whose registration the state refused: they have ended.
-    refused: BTreeMap<BackendName, Incarnation>,
+    /// Incarnations whose registration was rejected by the state because they have ended.
+    rejected: BTreeMap<BackendName, Incarnation>,
 }
 
-/// What both kinds of reports say of a run.
-struct RunSeen<'a> {
+/// Fields that are common to reports of engines and web back ends.
+struct ObservedIncarnation<'a> {
     backend: &'a BackendName,
     kind: BackendKind,
     incarnation: Incarnation,
@@ -49,7 +49,8 @@
 }
 
 impl Observations {
-    /// Takes an engine's report: a registration if its run is new, and settled orders.
+    /// Returns the proposals for an engine's report: registration of a new incarnation and settled
+    /// orders.
     pub(crate) fn engine(
         &mut self,
         report: &EngineReport,
@@ -57,7 +58,7 @@
         state: &State,
         platform: &Platform,
     ) -> Vec<Proposal> {
-        let run = RunSeen {
+        let observed = ObservedIncarnation {
             backend: &report.backend,
             kind: BackendKind::Engine,
             incarnation: report.incarnation,
@@ -66,13 +67,13 @@
         };
         let mut proposals = Vec::new();
         if from_watcher {
-            proposals.extend(self.registration(&run, state, platform));
+            proposals.extend(self.registration(&observed, state, platform));
         }
         proposals.extend(settlements(report, state));
         proposals
     }
 
-    /// Takes a web back end's report: a registration if its run is new.
+    /// Returns the proposal for a web back end's report: registration of a new incarnation.
     pub(crate) fn web(
         &mut self,
         report: &WebReport,
@@ -83,87 +84,89 @@
         if !from_watcher {
             return None;
         }
-        let run = RunSeen {
+        let observed = ObservedIncarnation {
             backend: &report.backend,
             kind: BackendKind::Web,
             incarnation: report.incarnation,
             sequence: report.sequence,
             accelerator_bytes: &[],
         };
-        self.registration(&run, state, platform)
+        self.registration(&observed, state, platform)
     }
 
-    /// The engine itself named its run when it refused an order.
-    pub(crate) fn run_confirmed(&mut self, backend: &BackendName, incarnation: Incarnation) {
+    /// Records the incarnation that an engine stated when it rejected an order.
+    pub(crate) fn record_confirmed(&mut self, backend: &BackendName, incarnation: Incarnation) {
         if self.confirmed.len() < MAXIMUM_CANDIDATES {
             self.confirmed.insert(backend.clone(), incarnation);
         }
     }
 
-    /// The state refused the registration of a run: it has ended, and is not proposed again.
-    pub(crate) fn registration_refused(&mut self, backend: &BackendName, run: Incarnation) {
-        if self.refused.len() < MAXIMUM_CANDIDATES {
-            self.refused.insert(backend.clone(), run);
+    /// Records that the state rejected the registration of an incarnation; it is not proposed
+    /// again.
+    pub(crate) fn record_rejected(&mut self, backend: &BackendName, incarnation: Incarnation) {
+        if self.rejected.len() < MAXIMUM_CANDIDATES {
+            self.rejected.insert(backend.clone(), incarnation);
         }
     }
 
-    /// Forgets everything.
     pub(crate) fn clear(&mut self) {
         *self = Observations::default();
     }
 
     fn registration(
         &mut self,
-        run: &RunSeen<'_>,
+        observed: &ObservedIncarnation<'_>,
         state: &State,
         platform: &Platform,
     ) -> Option<Proposal> {
-        let machine = platform.machine(run.backend)?;
-        if machine.kind != run.kind || self.refused.get(run.backend) == Some(&run.incarnation) {
+        let machine = platform.machine(observed.backend)?;
+        if machine.kind != observed.kind
+            || self.rejected.get(observed.backend) == Some(&observed.incarnation)
+        {
             return None;
         }
-        if let Some(known) = state.backend(run.backend) {
-            let known_run = known.registration.incarnation == run.incarnation;
-            if known_run {
-                self.candidates.remove(run.backend);
-                self.confirmed.remove(run.backend);
+        if let Some(registered) = state.backend(observed.backend) {
+            let is_same = registered.registration.incarnation == observed.incarnation;
+            if is_same {
+                self.candidates.remove(observed.backend);
+                self.confirmed.remove(observed.backend);
             }
-            let moved = known.registration.address != machine.address
-                || known.registration.zone != machine.zone;
-            let ended = known.state == BackendState::Gone;
-            let register = if known_run {
+            let moved = registered.registration.address != machine.address
+                || registered.registration.zone != machine.zone;
+            let ended = registered.state == BackendState::Gone;
+            let register = if is_same {
                 moved && !ended
             } else {
-                self.believe(run)
+                self.is_confirmed(observed)
             };
             if !register {
                 return None;
             }
         }
         if machine.state == BackendState::Leaving {
-            return ended_by_leaving_run(run, state);
+            return end_of_previous_incarnation(observed, state);
         }
         let registration = BackendRegistration {
-            backend: run.backend.clone(),
-            kind: run.kind,
+            backend: observed.backend.clone(),
+            kind: observed.kind,
             group: machine.group.clone(),
             zone: machine.zone.clone(),
             address: machine.address.clone(),
-            incarnation: run.incarnation,
-            accelerator_bytes: run.accelerator_bytes.to_vec(),
+            incarnation: observed.incarnation,
+            accelerator_bytes: observed.accelerator_bytes.to_vec(),
         };
-        let key = InternalKey::Register(run.backend.clone(), run.incarnation);
+        let key = InternalKey::Register(observed.backend.clone(), observed.incarnation);
         Some((key, Command::RegisterBackend(registration)))
     }
 
-    /// Whether a run that differs from the registered one is believed by now.
-    fn believe(&mut self, run: &RunSeen<'_>) -> bool {
-        if self.confirmed.get(run.backend) == Some(&run.incarnation) {
+    /// Returns true once an incarnation other than the registered one is confirmed.
+    fn is_confirmed(&mut self, observed: &ObservedIncarnation<'_>) -> bool {
+        if self.confirmed.get(observed.backend) == Some(&observed.incarnation) {
             return true;
         }
-        if let Some(candidate) = self.candidates.get(run.backend)
-            && candidate.incarnation == run.incarnation
-            && candidate.sequence < run.sequence
+        if let Some(candidate) = self.candidates.get(observed.backend)
+            && candidate.incarnation == observed.incarnation
+            && candidate.sequence < observed.sequence
         {
             return true;
         }
@@ -171,15 +174,15 @@
             self.candidates.pop_first();
         }
         let candidate = Candidate {
-            incarnation: run.incarnation,
-            sequence: run.sequence,
+            incarnation: observed.incarnation,
+            sequence: observed.sequence,
         };
-        self.candidates.insert(run.backend.clone(), candidate);
+        self.candidates.insert(observed.backend.clone(), candidate);
         false
     }
 }
 
-/// The orders that a report settles.
+/// Returns the orders that a report settles.
 fn settlements(report: &EngineReport, state: &State) -> Vec<Proposal> {
     let settled = state.settlements(report).into_iter();
     settled
@@ -187,19 +190,23 @@
         .collect()
 }
 
-/// A new run on a machine that leaves is not registered: it would take work until it is marked. It
-/// proves that the run before it has ended.
-fn ended_by_leaving_run(run: &RunSeen<'_>, state: &State) -> Option<Proposal> {
-    let known = state.backend(run.backend)?;
-    let ended = known.registration.incarnation;
-    if ended == run.incarnation || known.state == BackendState::Gone {
+/// Returns the mark for the previous incarnation of a leaving machine. The new incarnation proves
+/// that the previous one has ended, and is not registered itself: it would receive work until it is
+/// marked.
+fn end_of_previous_incarnation(
+    observed: &ObservedIncarnation<'_>,
+    state: &State,
+) -> Option<Proposal> {
+    let registered = state.backend(observed.backend)?;
+    let ended = registered.registration.incarnation;
+    if ended == observed.incarnation || registered.state == BackendState::Gone {
         return None;
     }
     let mark = BackendMark {
-        backend: run.backend.clone(),
+        backend: observed.backend.clone(),
         incarnation: ended,
         state: BackendState::Gone,
     };
-    let key = InternalKey::Mark(run.backend.clone());
+    let key = InternalKey::Mark(observed.backend.clone());
     Some((key, Command::MarkBackend(mark)))
 }
--- a/crates/millpass-control-plane/src/orders.rs
+++ b/crates/millpass-control-plane/src/orders.rs
@@ -1,11 +1,10 @@
-//! When to deliver which order.
+//! Delivery of orders to engines.
 //!
-//! Each engine is given its first outstanding order, again with back-off until the order is
-//! settled in the replicated state. Delivery is idempotent at the engine: the same fence again is
-//! answered as the first time. Loads of models and adapters leave at the weight store's rate at most: they are
-//! decided at that rate, but wait for the orders before them at their engines, whose ends may come
-//! together. Whether this member may deliver at all (the leader lease) is
-//! checked by the caller in the same step.
+//! Each engine is sent its first outstanding order, with backoff, until the order is settled in the
+//! replicated state. Delivery is idempotent: an engine answers a repeated fence as it did the first
+//! time. Loads of models and adapters are limited to the weight store's rate on delivery, since
+//! orders queued behind others at their engines can become due together. The caller checks the
+//! leader lease in the same step.
 
 use millpass_proto::{
     BackendName, Duration, EngineOrder, LogPosition, OrderAction, OrderResponse, Timestamp,
@@ -13,48 +12,48 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// First wait after an attempt without an answer; doubled with each further one.
+/// Initial backoff after an attempt without a response.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
-/// First wait after an answer that was not an acceptance.
-const REFUSED_BACKOFF: Duration = Duration::from_secs(1);
-/// First wait after an acceptance: the report should settle the order before it ends.
+/// Initial backoff after a response other than acceptance.
+const REJECTED_BACKOFF: Duration = Duration::from_secs(1);
+/// Initial backoff after acceptance; a report usually settles the order earlier.
 const ACCEPTED_BACKOFF: Duration = Duration::from_secs(2);
-/// Longest wait between two attempts.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(10);
-/// Most doublings of a back-off.
+/// Maximum backoff.
+const MAXIMUM_BACKOFF: Duration = Duration::from_secs(10);
 const MAXIMUM_DOUBLINGS: u32 = 8;
-/// Time after which an attempt that the host never reported on counts as lost. Longer than the
-/// host's own timeout, so that two attempts rarely overlap.
-const LOST_ATTEMPT: Duration = Duration::from_secs(15);
+/// Time after which an attempt without a result counts as lost. Longer than the host's timeout, so
+/// that two attempts rarely overlap.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time for which a new leader does not know what the one before it sent to the weight store.
-const UNKNOWN_TIME: Duration = Duration::from_secs(1);
+/// Wait before the second load after a change of leader: loads sent by the previous leader are
+/// unknown.
+const TAKEOVER_PAUSE: Duration = Duration::from_secs(1);
 
-/// Time over which the store's rate of one second is spread: orders that are under way for different
-/// times arrive closer together than they left.
-const SPREAD_TIME: Duration = Duration::from_millis(1_200);
+/// Time over which the loads of one second are spread: delivery times vary, so orders arrive closer
+/// together than they were sent.
+const RATE_WINDOW: Duration = Duration::from_millis(1_200);
 
-/// Evenly spaced loads of models and adapters. A burst at the end of one of the store's windows and one at the
-/// beginning of the next would both be within the rate, and together above it.
-struct LoadPace {
+/// Spaces loads of models and adapters evenly. Bursts at the end of one window of the store and at
+/// the start of the next would exceed the rate together.
+struct LoadRateLimiter {
     per_second: u32,
     next_at: Option<Timestamp>,
 }
 
-impl LoadPace {
+impl LoadRateLimiter {
     fn new(per_second: u32) -> Self {
-        LoadPace {
+        LoadRateLimiter {
             per_second: per_second.max(1),
             next_at: None,
         }
     }
 
-    /// Takes the next place, or says when it comes. After the first, a new leader waits.
-    fn take(&mut self, now: Timestamp) -> Result<(), Timestamp> {
+    /// Reserves the next load, or returns when it is allowed.
+    fn try_acquire(&mut self, now: Timestamp) -> Result<(), Timestamp> {
         let pause = match self.next_at {
-            None => UNKNOWN_TIME,
+            None => TAKEOVER_PAUSE,
             Some(next) if now < next => return Err(next),
-            Some(_) => SPREAD_TIME / self.per_second,
+            Some(_) => RATE_WINDOW / self.per_second,
         };
         self.next_at = Some(now + pause);
         Ok(())
@@ -77,46 +76,45 @@
     }
 }
 
-/// Delivery of each engine's first outstanding order.
 pub(crate) struct Orders {
     deliveries: BTreeMap<BackendName, Delivery>,
-    /// Nothing is due before this time unless the state changes.
+    /// Earliest time at which an order is due unless the state changes.
     next_wake: Timestamp,
-    pace: LoadPace,
+    load_limiter: LoadRateLimiter,
 }
 
 impl Orders {
-    /// `loads_per_second` is what the weight store allows.
+    /// `loads_per_second` is the rate that the weight store allows.
     pub(crate) fn new(loads_per_second: u32) -> Self {
         Orders {
             deliveries: BTreeMap::new(),
             next_wake: Timestamp::ZERO,
-            pace: LoadPace::new(loads_per_second),
+            load_limiter: LoadRateLimiter::new(loads_per_second),
         }
     }
 
-    /// Whether [`Orders::due`] may give something now.
+    /// Returns true if [`Orders::due`] may return orders now.
     pub(crate) fn may_be_due(&self, now: Timestamp) -> bool {
         now >= self.next_wake
     }
 
-    /// Orders to deliver now. Each is noted as attempted.
+    /// Returns the orders to deliver now and records the attempts.
     pub(crate) fn due(&mut self, now: Timestamp, state: &State) -> Vec<EngineOrder> {
         let mut due = Vec::new();
         let mut deliveries = BTreeMap::new();
-        // Only the orders that are due are built: thousands may be outstanding at each commit.
+        // Only due orders are built: thousands may be outstanding at each commit.
         for (backend, fence) in state.next_fences() {
-            let known = self.deliveries.remove_entry(backend);
-            let (name, mut delivery) = match known {
+            let previous = self.deliveries.remove_entry(backend);
+            let (name, mut delivery) = match previous {
                 Some((name, delivery)) if delivery.fence == fence => (name, delivery),
                 _ => (backend.clone(), Delivery::new(fence, now)),
             };
             if now >= delivery.next_at
                 && let Some(order) = state.next_order(backend)
-                && self.may_leave(now, &order, &mut delivery)
+                && self.may_send(now, &order, &mut delivery)
             {
                 delivery.attempts = delivery.attempts.saturating_add(1);
-                delivery.next_at = now + LOST_ATTEMPT;
+                delivery.next_at = now + ATTEMPT_TIMEOUT;
                 due.push(order);
             }
             deliveries.insert(name, delivery);
@@ -126,8 +124,8 @@
         due
     }
 
-    /// Whether the store's rate lets an order leave now; else it is due later.
-    fn may_leave(&mut self, now: Timestamp, order: &EngineOrder, delivery: &mut Delivery) -> bool {
+    /// Returns true if the store's rate allows sending an order now; otherwise postpones it.
+    fn may_send(&mut self, now: Timestamp, order: &EngineOrder, delivery: &mut Delivery) -> bool {
         let from_store = matches!(
             order.action,
             OrderAction::LoadModel(_) | OrderAction::LoadAdapter(_)
@@ -135,22 +133,22 @@
         if !from_store {
             return true;
         }
-        match self.pace.take(now) {
+        match self.load_limiter.try_acquire(now) {
             Ok(()) => true,
-            Err(later) => {
-                delivery.next_at = later;
+            Err(allowed_at) => {
+                delivery.next_at = allowed_at;
                 false
             }
         }
     }
 
-    /// Takes the outcome of an attempt and sets when the next is due.
-    pub(crate) fn delivered(
+    /// Records the result of an attempt and schedules the next one.
+    pub(crate) fn record_result(
         &mut self,
         now: Timestamp,
         backend: &BackendName,
         fence: LogPosition,
-        answer: Option<&OrderResponse>,
+        response: Option<&OrderResponse>,
     ) {
         let Some(delivery) = self.deliveries.get_mut(backend) else {
             return;
@@ -158,23 +156,23 @@
         if delivery.fence != fence {
             return;
         }
-        let first = match answer {
+        let initial = match response {
             None => UNANSWERED_BACKOFF,
             Some(OrderResponse::Accepted) => ACCEPTED_BACKOFF,
-            Some(_) => REFUSED_BACKOFF,
+            Some(_) => REJECTED_BACKOFF,
         };
         let doublings = delivery.attempts.saturating_sub(1).min(MAXIMUM_DOUBLINGS);
-        delivery.next_at = now + (first * 2_u32.pow(doublings)).min(LONGEST_BACKOFF);
+        delivery.next_at = now + (initial * 2_u32.pow(doublings)).min(MAXIMUM_BACKOFF);
         self.next_wake = self.next_wake.min(delivery.next_at);
     }
 
-    /// Forgets attempts: a new leader delivers at once.
+    /// Clears all attempts, so that a new leader delivers at once.
     pub(crate) fn clear(&mut self) {
-        *self = Orders::new(self.pace.per_second);
+        *self = Orders::new(self.load_limiter.per_second);
     }
 
     fn set_wake(&mut self, now: Timestamp) {
         let next = self.deliveries.values().map(|delivery| delivery.next_at);
-        self.next_wake = next.min().unwrap_or(now + LOST_ATTEMPT);
+        self.next_wake = next.min().unwrap_or(now + ATTEMPT_TIMEOUT);
     }
 }
--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -1,25 +1,25 @@
-//! The core itself: takes one input at a time and runs what is due.
+//! The decision core: handles one input at a time and runs periodic jobs.
 
 use crate::addresses::AddressBook;
-use crate::claims::{self, RouterRun, SilentRuns};
+use crate::claims::{self, RouterIncarnation, UnreachableHolders};
 use crate::drain::{Drain, DrainStep};
-use crate::freshness::BindingMark;
+use crate::freshness::RequiredIndex;
 use crate::interface::{
     AdministrationResponse, ControlInput, ControlOutput, ControlPlaneSettings, FinalState,
 };
 use crate::missing_voters::{self, MissingVoters};
-use crate::news::{self, Told};
+use crate::notifications::{self, NotifiedRevisions};
 use crate::observations::Observations;
 use crate::orders::Orders;
 use crate::outputs::Outputs;
-use crate::pace::PaceWatch;
+use crate::overload::OverloadDetector;
 use crate::platform::{self, Platform};
 use crate::proposals::{InternalKey, Proposals, Waiter};
 use crate::repair::{self, Repair, RepairSettings};
-use crate::sessions::{CopyBudget, RouteCopy, Sessions};
+use crate::sessions::{FullCopyLimiter, FullRouteCache, Sessions};
 use crate::shares::ShareLink;
 use crate::snapshots::AppliedLog;
-use crate::watch::WatchShares;
+use crate::watch::WatchAssignments;
 use millpass_consensus::{Consensus, ConsensusInput, ConsensusStatus, RestoredLog, Role};
 use millpass_fleet::{DocumentHistory, Fleet, InstructionHistory};
 use millpass_proto::{Command, Duration, ExpireClaims, OrderResponse, Snapshot, Timestamp};
@@ -28,17 +28,16 @@
 use millpass_tenancy::CreditLedger;
 use serde_bytes::ByteBuf;
 
-/// Time after which an administration call whose proposal has not committed is answered
-/// `Unknown`.
+/// Time after which an administration call whose proposal has not committed is answered `Unknown`.
 const CALL_DEADLINE: Duration = Duration::from_secs(5);
 
-/// How long notes of instructions are kept; above any pause between two leaders' instructions.
-pub(crate) const INSTRUCTION_MEMORY: Duration = Duration::from_secs(600);
+/// Retention of instruction records; longer than any pause between the instructions of two leaders.
+pub(crate) const INSTRUCTION_RETENTION: Duration = Duration::from_secs(600);
 
-/// Entries kept behind a snapshot where entries may hold whole documents.
+/// Entries kept before a snapshot where entries may contain whole documents.
 const DOCUMENT_TRAILING_ENTRIES: u64 = 32;
 
-/// When each periodic job is due next.
+/// Next run of each periodic job.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Schedule {
     scheduling: Timestamp,
@@ -46,48 +45,48 @@
     repair: Timestamp,
     missing_voters: Timestamp,
     claims: Timestamp,
-    silence: Timestamp,
-    housekeeping: Timestamp,
-    news: Timestamp,
+    claim_holders: Timestamp,
+    sessions: Timestamp,
+    notifications: Timestamp,
 }
 
-/// One control member's decision core.
+/// Decision core of one control member.
 pub struct ControlPlane {
     pub(crate) settings: ControlPlaneSettings,
     pub(crate) consensus: Consensus,
     pub(crate) state: State,
     pub(crate) applied: AppliedLog,
-    /// Role, term and leader as last reported by the consensus core.
+    /// Role and term as last reported by the consensus core.
     pub(crate) role: Role,
     pub(crate) term: u64,
     pub(crate) addresses: AddressBook,
     pub(crate) proposals: Proposals,
     pub(crate) sessions: Sessions,
-    pub(crate) copies: CopyBudget,
-    pub(crate) route_copy: RouteCopy,
-    pub(crate) silent: SilentRuns,
-    pub(crate) watch: WatchShares,
+    pub(crate) full_copies: FullCopyLimiter,
+    pub(crate) full_routes: FullRouteCache,
+    pub(crate) unreachable_holders: UnreachableHolders,
+    pub(crate) watch: WatchAssignments,
     pub(crate) observations: Observations,
     pub(crate) platform: Platform,
     pub(crate) orders: Orders,
     pub(crate) repair: Repair,
     missing_voters: MissingVoters,
     pub(crate) scheduler: Scheduler,
-    /// Instances that announce themselves, where the deployment has them.
+    /// Instances that announce themselves; `None` where the platform lists machines instead.
     pub(crate) fleet: Option<Fleet>,
-    /// What is lent of tenants' quotas; begun anew each time this member takes charge.
+    /// Grants from tenants' quotas; created anew for each leadership.
     pub(crate) credit: Option<CreditLedger>,
-    /// Instructions to engines as the log told them, also those of other leaders.
+    /// Instructions to engines recorded in the log, including those of other leaders.
     pub(crate) instructions: InstructionHistory,
     pub(crate) share_link: ShareLink,
-    pub(crate) binding: BindingMark,
-    pace: PaceWatch,
-    /// The last documents in force, for gateways that hold one of them.
+    pub(crate) required_index: RequiredIndex,
+    overload: OverloadDetector,
+    /// Recent documents, for updates to gateways that hold one of them.
     pub(crate) documents: DocumentHistory,
-    /// Whether commands were applied since the outstanding orders were last looked at.
+    /// Whether commands were applied since outstanding orders were last checked.
     pub(crate) state_changed: bool,
-    /// Revisions that routers were told of.
-    pub(crate) told: Option<Told>,
+    /// Revisions of the last notification to routers.
+    pub(crate) notified_revisions: Option<NotifiedRevisions>,
     pub(crate) drain: Option<Drain>,
     schedule: Schedule,
     decisions: u64,
@@ -95,7 +94,7 @@
 }
 
 impl ControlPlane {
-    /// Starts from what the disk holds; `state` is the newest snapshot's.
+    /// Creates the core from the restored log and the state of the newest snapshot.
     pub fn new(
         settings: ControlPlaneSettings,
         restored: RestoredLog,
@@ -103,22 +102,21 @@
         now: Timestamp,
     ) -> Self {
         let applied = AppliedLog::new(&restored.snapshot);
-        let mut binding = BindingMark::default();
-        binding.restored(&state, restored.snapshot.last.index);
+        let mut required_index = RequiredIndex::default();
+        required_index.snapshot_restored(&state, restored.snapshot.last.index);
         let snapshot = Snapshot {
             meta: restored.snapshot.clone(),
             data: ByteBuf::from(state.encode()),
         };
         let mut consensus = Consensus::new(settings.consensus.clone(), restored, now);
-        // A restored snapshot lets a leader help members that lag behind it; nothing to carry out.
+        // Lets a leader send the snapshot to members that lag behind it; causes no outputs.
         if snapshot.meta.last.index > 0 {
             consensus.step(now, ConsensusInput::SnapshotTaken(snapshot));
         }
         if settings.fleet.is_some() {
-            // Entries hold whole documents.
             consensus.set_trailing_entries(DOCUMENT_TRAILING_ENTRIES);
         }
-        binding.raise(&consensus, &state);
+        required_index.update(&consensus, &state);
         let status = consensus.status();
         let mut documents = DocumentHistory::new();
         if let Some(document) = state.document() {
@@ -129,10 +127,10 @@
             scheduler: Scheduler::new(settings.scheduler.clone()),
             fleet: settings.fleet.clone().map(Fleet::new),
             credit: None,
-            instructions: InstructionHistory::new(now, INSTRUCTION_MEMORY),
+            instructions: InstructionHistory::new(now, INSTRUCTION_RETENTION),
             share_link: ShareLink::default(),
-            binding,
-            pace: PaceWatch::default(),
+            required_index,
+            overload: OverloadDetector::default(),
             documents,
             addresses: AddressBook::new(&status.membership),
             role: status.role,
@@ -143,17 +141,17 @@
             applied,
             proposals: Proposals::default(),
             sessions: Sessions::default(),
-            copies: CopyBudget::default(),
-            route_copy: RouteCopy::default(),
-            silent: SilentRuns::default(),
-            watch: WatchShares::default(),
+            full_copies: FullCopyLimiter::default(),
+            full_routes: FullRouteCache::default(),
+            unreachable_holders: UnreachableHolders::default(),
+            watch: WatchAssignments::default(),
             observations: Observations::default(),
             platform: Platform::default(),
             orders: Orders::new(loads_per_second),
             repair: Repair::default(),
             missing_voters: MissingVoters::default(),
             state_changed: true,
-            told: None,
+            notified_revisions: None,
             drain: None,
             schedule: Schedule::default(),
             decisions: 0,
@@ -161,7 +159,8 @@
         }
     }
 
-    /// Takes one input; `unix_millis` is the wall clock. Returns what the host must do, in order.
+    /// Handles one input and returns the outputs to execute, in order. `unix_millis` is the wall
+    /// clock.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -172,39 +171,45 @@
             return Vec::new();
         }
         let mut out = Outputs::default();
-        self.take(now, unix_millis, input, &mut out);
-        self.run_due(now, unix_millis, &mut out);
-        self.binding.raise(&self.consensus, &self.state);
+        self.handle_input(now, unix_millis, input, &mut out);
+        self.run_periodic(now, unix_millis, &mut out);
+        self.required_index.update(&self.consensus, &self.state);
         out.list
     }
 
-    /// What the consensus core believes.
+    /// Returns the status of the consensus core.
     pub fn consensus_status(&self) -> ConsensusStatus {
         self.consensus.status()
     }
 
-    /// The replicated state as applied here.
+    /// Returns the replicated state as applied by this member.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Whether this member may act as the leader now: it holds the lease, and it has applied an
-    /// entry of its own term, so that its state lacks nothing that was committed before.
+    /// Returns true if this member may act as the leader now: it holds the leader lease and has
+    /// applied an entry of its own term, so that its state contains everything committed earlier.
     pub fn is_leading(&self, now: Timestamp) -> bool {
         self.role == Role::Leader
             && self.applied.last.term == self.term
             && self.consensus.holds_lease(now)
     }
 
-    /// Why the core stopped, once it did.
+    /// Returns why the core stopped; `None` while it is running.
     pub fn final_state(&self) -> Option<&FinalState> {
         self.stopped.as_ref()
     }
 
-    fn take(&mut self, now: Timestamp, unix_millis: u64, input: ControlInput, out: &mut Outputs) {
+    fn handle_input(
+        &mut self,
+        now: Timestamp,
+        unix_millis: u64,
+        input: ControlInput,
+        out: &mut Outputs,
+    ) {
         match input {
             ControlInput::Tick => {
-                self.keep_pace(now);
+                self.detect_overload(now);
                 self.consensus_step(now, ConsensusInput::Tick, out);
             }
             ControlInput::Peer(envelope) => {
@@ -213,12 +218,12 @@
             ControlInput::Persisted { write } => {
                 self.consensus_step(now, ConsensusInput::Persisted { write }, out);
             }
-            ControlInput::MemberHello(address) => self.addresses.greet(address),
-            ControlInput::Join(address) => self.take_join(now, address, out),
+            ControlInput::MemberHello(address) => self.addresses.record_hello(address),
+            ControlInput::Join(address) => self.handle_join(now, address, out),
             ControlInput::Router {
                 connection,
                 message,
-            } => self.take_router(now, unix_millis, connection, message, out),
+            } => self.handle_router_message(now, unix_millis, connection, message, out),
             ControlInput::RouterDisconnected(connection) => {
                 self.sessions.disconnected(connection);
                 if let Some(fleet) = &mut self.fleet {
@@ -236,17 +241,17 @@
             ControlInput::OrderDelivered {
                 backend,
                 fence,
-                response: answer,
-            } => self.take_order_answer(now, &backend, fence, answer, out),
-            ControlInput::PlatformListed(list) => self.take_platform_list(now, list, out),
+                response,
+            } => self.handle_order_response(now, &backend, fence, response, out),
+            ControlInput::PlatformListed(list) => self.handle_platform_list(now, list, out),
             ControlInput::Administration { call, request } => {
-                self.take_administration(now, call, request, out);
+                self.handle_administration_call(now, call, request, out);
             }
-            ControlInput::EngineCallCompleted(answer) => {
-                self.instruction_answered(now, &answer);
+            ControlInput::EngineCallCompleted(result) => {
+                self.handle_call_result(now, &result);
             }
-            ControlInput::Share(report) => self.take_share(now, &report, out),
-            ControlInput::ShareResponse(answer) => self.take_share_answer(&answer),
+            ControlInput::Share(report) => self.handle_share_report(now, &report, out),
+            ControlInput::ShareResponse(response) => self.handle_share_response(&response),
             ControlInput::Drain => {
                 out.event("drain-started", Vec::new());
                 self.drain.get_or_insert_with(|| Drain::new(now));
@@ -254,21 +259,21 @@
         }
     }
 
-    fn keep_pace(&mut self, now: Timestamp) {
-        let pace = self.pace.tick(now);
+    fn detect_overload(&mut self, now: Timestamp) {
+        let factor = self.overload.record_tick(now);
         if let Some(fleet) = &mut self.fleet {
-            fleet.set_pace(pace);
+            fleet.set_pace(factor);
         }
     }
 
-    /// The host refused announcements, as too many waited.
+    /// Records that the host refused announcements because its queue was full.
     pub fn announcements_refused(&mut self, now: Timestamp) {
         if let Some(fleet) = &mut self.fleet {
             fleet.announcements_refused(now);
         }
     }
 
-    fn take_join(
+    fn handle_join(
         &mut self,
         now: Timestamp,
         address: millpass_proto::MemberAddress,
@@ -290,33 +295,34 @@
             ("zone", address.zone.to_string()),
             ("address", address.peer_address.clone()),
         ];
-        if self.repair.joining(now, address) {
+        if self.repair.record_join(now, address) {
             out.event("member-asks-to-join", pairs);
         }
     }
 
-    fn take_order_answer(
+    fn handle_order_response(
         &mut self,
         now: Timestamp,
         backend: &millpass_proto::BackendName,
         fence: millpass_proto::LogPosition,
-        answer: Option<OrderResponse>,
+        response: Option<OrderResponse>,
         out: &mut Outputs,
     ) {
-        self.orders.delivered(now, backend, fence, answer.as_ref());
+        self.orders
+            .record_result(now, backend, fence, response.as_ref());
         let mut pairs = vec![
             ("backend", backend.to_string()),
             ("fence", fence.to_string()),
         ];
-        match answer {
+        match response {
             Some(OrderResponse::Accepted) => out.event("order-accepted", pairs),
             Some(OrderResponse::StaleFence(highest)) => {
                 pairs.push(("highest", highest.to_string()));
                 out.event("order-stale", pairs);
             }
-            Some(OrderResponse::WrongIncarnation(run)) => {
-                self.observations.run_confirmed(backend, run);
-                pairs.push(("run", run.to_string()));
+            Some(OrderResponse::WrongIncarnation(incarnation)) => {
+                self.observations.record_confirmed(backend, incarnation);
+                pairs.push(("run", incarnation.to_string()));
                 out.event("order-wrong-incarnation", pairs);
             }
             Some(OrderResponse::Rejected(reason)) => {
@@ -327,40 +333,44 @@
         }
     }
 
-    fn run_due(&mut self, now: Timestamp, unix_millis: u64, out: &mut Outputs) {
+    fn run_periodic(&mut self, now: Timestamp, unix_millis: u64, out: &mut Outputs) {
         self.snapshot_if_due(now, out);
         self.run_drain(now, out);
         for call in self.overdue_calls(now) {
-            out.answer(call, AdministrationResponse::Unknown);
+            out.respond(call, AdministrationResponse::Unknown);
         }
-        self.run_share(now, unix_millis, out);
+        self.report_share(now, unix_millis, out);
         if self.role == Role::Leader {
             self.expire_sessions(now, out);
-            self.look_for_voters(now, out);
+            self.check_voters(now, out);
         } else {
             self.missing_voters.clear();
         }
         if !self.is_leading(now) {
             return;
         }
-        self.begin_credit(now);
+        self.start_credit(now);
         self.run_scheduling(now, out);
         self.run_platform(now, out);
         self.run_claims(now, unix_millis, out);
         self.run_repair(now, out);
         self.deliver_orders(now, out);
-        self.tell_news(now, out);
+        self.notify_routers(now, out);
         self.run_fleet(now, out);
     }
 
-    /// Whether the look for news is due.
-    pub(crate) fn news_due(&mut self, now: Timestamp) -> bool {
-        due(now, &mut self.schedule.news, news::INTERVAL)
+    /// Returns true if a notification is due.
+    pub(crate) fn is_notification_due(&mut self, now: Timestamp) -> bool {
+        due(
+            now,
+            &mut self.schedule.notifications,
+            notifications::INTERVAL,
+        )
     }
 
     fn overdue_calls(&mut self, now: Timestamp) -> Vec<u64> {
-        let waited = Duration::from_micros(now.as_micros());
-        match waited.checked_sub(CALL_DEADLINE) {
+        let elapsed = Duration::from_micros(now.as_micros());
+        match elapsed.checked_sub(CALL_DEADLINE) {
             Some(oldest) => {
                 let oldest = Timestamp::from_micros(oldest.as_micros() as u64);
                 self.proposals.overdue_calls(oldest)
@@ -384,7 +394,7 @@
     }
 
     fn expire_sessions(&mut self, now: Timestamp, out: &mut Outputs) {
-        if !due(now, &mut self.schedule.housekeeping, HOUSEKEEPING_INTERVAL) {
+        if !due(now, &mut self.schedule.sessions, SESSION_CHECK_INTERVAL) {
             return;
         }
         for (router, incarnation) in self.sessions.expire(now, self.settings.router_lease) {
@@ -414,27 +424,27 @@
             return;
         }
         out.push(ControlOutput::ReadPlatform);
-        self.mark_back_ends(now, out);
+        self.mark_backends(now, out);
     }
 
-    fn take_platform_list(
+    fn handle_platform_list(
         &mut self,
         now: Timestamp,
         list: millpass_proto::PlatformList,
         out: &mut Outputs,
     ) {
         let sequence = list.sequence;
-        if !self.platform.listed(now, list, &self.state) {
+        if !self.platform.update(now, list, &self.state) {
             let pairs = vec![("sequence", sequence.to_string())];
             return out.event("platform-list-stale", pairs);
         }
         if self.is_leading(now) {
-            self.mark_back_ends(now, out);
+            self.mark_backends(now, out);
         }
     }
 
-    /// Proposes what the platform's list says of registered back ends.
-    fn mark_back_ends(&mut self, now: Timestamp, out: &mut Outputs) {
+    /// Proposes the state changes of registered back ends that follow from the platform's list.
+    fn mark_backends(&mut self, now: Timestamp, out: &mut Outputs) {
         let delay = self.settings.machine_gone_delay;
         for mark in self.platform.marks(now, delay, &self.state) {
             let key = InternalKey::Mark(mark.backend.clone());
@@ -443,10 +453,14 @@
     }
 
     fn run_claims(&mut self, now: Timestamp, unix_millis: u64, out: &mut Outputs) {
-        if due(now, &mut self.schedule.silence, claims::SILENCE_INTERVAL) {
-            let silent = self.runs_without_session();
-            for run in self.silent.refresh(now, silent) {
-                self.abandon_claims(now, run, out);
+        if due(
+            now,
+            &mut self.schedule.claim_holders,
+            claims::HOLDER_CHECK_INTERVAL,
+        ) {
+            let unreachable = self.holders_without_session();
+            for holder in self.unreachable_holders.refresh(now, unreachable) {
+                self.abandon_claims(now, holder, out);
             }
         }
         if due(now, &mut self.schedule.claims, claims::EXPIRY_INTERVAL) {
@@ -465,12 +479,13 @@
         }
     }
 
-    /// Runs of routers that hold open claims and have no session.
-    fn runs_without_session(&self) -> Vec<RouterRun> {
+    fn holders_without_session(&self) -> Vec<RouterIncarnation> {
         self.state
             .open_claim_runs()
-            .filter(|(router, run, _)| self.sessions.incarnation(router) != Some(*run))
-            .map(|(router, run, _)| (router.clone(), run))
+            .filter(|(router, incarnation, _)| {
+                self.sessions.incarnation(router) != Some(*incarnation)
+            })
+            .map(|(router, incarnation, _)| (router.clone(), incarnation))
             .collect()
     }
 
@@ -478,7 +493,7 @@
         if !due(now, &mut self.schedule.repair, repair::CHECK_INTERVAL) {
             return;
         }
-        if self.drain.is_some() || self.proposals.repairing() {
+        if self.drain.is_some() || self.proposals.is_repair_pending() {
             return;
         }
         let status = self.consensus.status();
@@ -493,28 +508,28 @@
     fn repair_settings(&self) -> RepairSettings {
         RepairSettings {
             replacement_delay: self.settings.member_replacement_delay,
-            answer_timeout: self.settings.consensus.election_timeout,
+            response_timeout: self.settings.consensus.election_timeout,
             target_voters: self.settings.target_voters,
         }
     }
 
-    fn look_for_voters(&mut self, now: Timestamp, out: &mut Outputs) {
-        let interval = missing_voters::LOOK_INTERVAL;
+    fn check_voters(&mut self, now: Timestamp, out: &mut Outputs) {
+        let interval = missing_voters::CHECK_INTERVAL;
         if !due(now, &mut self.schedule.missing_voters, interval) {
             return;
         }
         let status = self.consensus.status();
         let settings = self.repair_settings();
         self.missing_voters
-            .look(now, &status, &self.repair, settings, out);
+            .check(now, &status, &self.repair, settings, out);
     }
 
-    /// How many voters this member misses, where it leads.
+    /// Returns the number of voters that do not respond to this leader; 0 on other members.
     pub fn missing_voter_count(&self) -> usize {
         self.missing_voters.count()
     }
 
-    /// The host asks for a snapshot at the next step, as the log on its disk is long.
+    /// Requests a snapshot at the next step because the log on disk is long.
     pub fn request_snapshot(&mut self) {
         self.applied.request_snapshot();
     }
@@ -544,7 +559,7 @@
         };
         let status = self.consensus.status();
         let own = self.settings.address.member;
-        match drain.next(now, own, &status, self.proposals.len()) {
+        match drain.next_step(now, own, &status, self.proposals.len()) {
             DrainStep::Wait => {}
             DrainStep::Transfer(member) => {
                 out.event("leadership-transfer", vec![("to", member.to_string())]);
@@ -554,19 +569,19 @@
         }
     }
 
-    /// Stops for good: answers who waits, then tells the host.
+    /// Stops permanently: answers pending calls and emits [`ControlOutput::Stopped`].
     pub(crate) fn stop(&mut self, final_state: FinalState, out: &mut Outputs) {
-        self.give_up_waiters(out);
+        self.respond_unknown_to_all(out);
         out.event("stopped", vec![("reason", final_state.to_string())]);
         out.push(ControlOutput::Stopped);
         self.stopped = Some(final_state);
     }
 }
 
-/// Time between two looks for ended router leases.
-const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between checks for expired router leases.
+const SESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Whether a periodic job is due; if so, sets when it is due next.
+/// Returns true if a periodic job is due, and schedules its next run.
 fn due(now: Timestamp, next: &mut Timestamp, interval: Duration) -> bool {
     if now < *next {
         return false;
--- a/crates/millpass-control-plane/src/platform.rs
+++ b/crates/millpass-control-plane/src/platform.rs
@@ -1,7 +1,7 @@
-//! What the platform's machine list means.
+//! The platform's machine list.
 //!
-//! The list lags. It says which back ends exist and which are leaving. A machine counts as gone
-//! only after it has been missing for a stated time, counted anew by each leader.
+//! The list lags. It states which back ends exist and which are leaving. A machine is marked as
+//! gone only after it has been missing for a configured time, which each leader counts anew.
 
 use crate::watch::Watchable;
 use millpass_proto::{
@@ -10,37 +10,37 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// Time between two readings of the list.
+/// Interval between reads of the list.
 pub(crate) const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest time for which a new leader that can't read the list holds back leases. Without a list
-/// nobody knows who leaves, and routers would lose all their back ends for it.
+/// Maximum time for which a new leader that cannot read the list withholds leases. Without a bound,
+/// routers would lose all back ends while the platform is unavailable.
 const MAXIMUM_LIST_WAIT: Duration = Duration::from_millis(500);
-/// Most machines taken from a list. Of a longer one the rest is ignored, and no machine counts as
-/// missing.
+/// Maximum number of machines read from a list. The rest of a longer list is ignored, and no
+/// machine counts as missing.
 const MAXIMUM_MACHINES: usize = 16_384;
 
-/// The newest list, and since when registered back ends have been missing from it.
+/// The newest list, and the registered back ends that are missing from it.
 #[derive(Default)]
 pub(crate) struct Platform {
     sequence: u64,
     machines: BTreeMap<BackendName, PlatformMachine>,
     missing_since: BTreeMap<BackendName, Timestamp>,
-    read: bool,
-    /// Since when leases have waited for the list and its marks.
-    awaited_since: Option<Timestamp>,
-    /// Whether leases need not wait any more.
-    leases_may_go: bool,
+    has_list: bool,
+    /// Time since which leases have been withheld until leaving back ends are marked.
+    waiting_since: Option<Timestamp>,
+    /// Whether leases are no longer withheld.
+    leases_allowed: bool,
 }
 
 impl Platform {
-    /// Takes a list in. False when it is older than one already seen.
-    pub(crate) fn listed(&mut self, now: Timestamp, list: PlatformList, state: &State) -> bool {
-        if self.read && list.sequence < self.sequence {
+    /// Applies a list. Returns false if it is older than the current one.
+    pub(crate) fn update(&mut self, now: Timestamp, list: PlatformList, state: &State) -> bool {
+        if self.has_list && list.sequence < self.sequence {
             return false;
         }
-        self.read = true;
+        self.has_list = true;
         self.sequence = list.sequence;
-        let whole = list.machines.len() <= MAXIMUM_MACHINES;
+        let is_complete = list.machines.len() <= MAXIMUM_MACHINES;
         self.machines = list
             .machines
             .into_iter()
@@ -48,15 +48,15 @@
             .filter(|machine| machine.state != BackendState::Gone)
             .map(|machine| (machine.backend.clone(), machine))
             .collect();
-        if whole {
-            self.note_missing(now, state);
+        if is_complete {
+            self.record_missing(now, state);
         } else {
             self.missing_since.clear();
         }
         true
     }
 
-    fn note_missing(&mut self, now: Timestamp, state: &State) {
+    fn record_missing(&mut self, now: Timestamp, state: &State) {
         let mut missing = BTreeMap::new();
         for backend in state.backends() {
             let name = &backend.registration.backend;
@@ -69,21 +69,21 @@
         self.missing_since = missing;
     }
 
-    /// One machine of the list.
     pub(crate) fn machine(&self, backend: &BackendName) -> Option<&PlatformMachine> {
         self.machines.get(backend)
     }
 
-    /// Whether leases may be given to routers: a new leader first marks the back ends that leave,
-    /// so that a chain of short-lived leaders doesn't prolong the use of one. The wait is bounded.
-    pub(crate) fn leases_may_go(&mut self, now: Timestamp, state: &State) -> bool {
-        if self.leases_may_go {
+    /// Returns true if router leases may be granted. A new leader first marks the leaving back
+    /// ends, for a bounded time, so that a chain of short-lived leaders cannot prolong the use of
+    /// one.
+    pub(crate) fn leases_allowed(&mut self, now: Timestamp, state: &State) -> bool {
+        if self.leases_allowed {
             return true;
         }
-        let since = *self.awaited_since.get_or_insert(now);
-        let marked = self.read && self.unmarked_leaving(state).next().is_none();
-        self.leases_may_go = marked || now.since(since) >= MAXIMUM_LIST_WAIT;
-        self.leases_may_go
+        let since = *self.waiting_since.get_or_insert(now);
+        let marked = self.has_list && self.unmarked_leaving(state).next().is_none();
+        self.leases_allowed = marked || now.since(since) >= MAXIMUM_LIST_WAIT;
+        self.leases_allowed
     }
 
     fn unmarked_leaving<'a>(
@@ -97,7 +97,8 @@
         })
     }
 
-    /// Marks to propose: back ends that leave, and those gone for longer than `gone_delay`.
+    /// Returns the marks to propose: leaving back ends, and those missing for longer than
+    /// `gone_delay`.
     pub(crate) fn marks(
         &self,
         now: Timestamp,
@@ -128,7 +129,7 @@
         marks
     }
 
-    /// All back ends to watch: those of the list, and registered ones that it does not have.
+    /// Returns all back ends to watch: listed machines and registered back ends.
     pub(crate) fn watchable(&self, state: &State) -> BTreeMap<BackendName, Watchable> {
         let mut all = BTreeMap::new();
         for backend in state.backends() {
@@ -151,7 +152,6 @@
         all
     }
 
-    /// Forgets everything.
     pub(crate) fn clear(&mut self) {
         *self = Platform::default();
     }
--- a/crates/millpass-control-plane/src/proposals.rs
+++ b/crates/millpass-control-plane/src/proposals.rs
@@ -1,7 +1,7 @@
-//! What waits for a proposal to commit.
+//! Pending proposals and who waits for them.
 //!
-//! A proposal is resolved when its index commits with its term. Another term at that index, or a
-//! snapshot beyond it, means that it is lost or that its outcome is not known here.
+//! A proposal is resolved when its index commits with its term. If another term commits at that
+//! index the proposal is lost; after a snapshot beyond it the outcome is unknown here.
 
 use crate::interface::ConnectionId;
 use millpass_proto::{
@@ -10,58 +10,55 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most proposals under way; more are refused at once, so that nothing waits without bound.
+/// Maximum number of pending proposals; more are rejected.
 pub(crate) const MAXIMUM_PROPOSALS: usize = 8_192;
 
-/// Identity of an internal proposal, so that it is not made twice while one is under way.
+/// Identity of an internal proposal, which prevents proposing it twice concurrently.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum InternalKey {
-    /// Registration of a run of a back end.
+    /// Registration of an incarnation of a back end.
     Register(BackendName, Incarnation),
     /// Change of a back end's state.
     Mark(BackendName),
     /// Settlement of the order with this fence at this engine.
     Settle(BackendName, LogPosition),
-    /// Expiry of claims.
     ExpireClaims,
-    /// Abandoning the claims of a run of a router.
+    /// Abandonment of the claims of a router incarnation.
     AbandonClaims(RouterName, Incarnation),
-    /// The leader's view of instances.
+    /// The leader's record of instances.
     NoteInstances,
-    /// What the leader knows of the weight store.
+    /// The leader's estimate of the weight store's capacity.
     NoteStoreCapacity,
-    /// A request that is held back, or let go.
+    /// Quarantine or release of a request.
     HeldRequest(RequestFingerprint),
-    /// A scheduling decision, by its number.
+    /// A scheduling decision, by number.
     Schedule(u64),
 }
 
-/// Who waits for a proposal.
+/// Who waits for a proposal to commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
     /// A call of the administration API.
     Call(u64),
     /// A router's claim.
     Claim {
-        /// Connection to answer on.
+        /// Connection to respond on.
         connection: ConnectionId,
-        /// Attempt to name in the answer.
+        /// Attempt that the response refers to.
         attempt: u64,
     },
     /// The end of a router's claim.
     ClaimFinish {
-        /// Connection to answer on.
+        /// Connection to respond on.
         connection: ConnectionId,
-        /// Attempt to name in the answer.
+        /// Attempt that the response refers to.
         attempt: u64,
     },
-    /// The core itself.
     Internal(InternalKey),
-    /// Instructions that leave once the note of them is committed.
+    /// Instructions to send after their record is committed.
     Instructions {
-        /// When they were decided.
+        /// When the instructions were decided.
         decided_at: Timestamp,
-        /// Instructions.
         instructions: Vec<EngineInstruction>,
     },
     /// A repair of the membership.
@@ -74,7 +71,7 @@
     position: Option<LogPosition>,
 }
 
-/// Proposals under way, bounded by [`MAXIMUM_PROPOSALS`].
+/// Pending proposals, bounded by [`MAXIMUM_PROPOSALS`].
 #[derive(Default)]
 pub(crate) struct Proposals {
     next_ticket: u64,
@@ -84,29 +81,28 @@
 }
 
 impl Proposals {
-    /// Whether one more proposal may be made.
-    pub(crate) fn has_room(&self) -> bool {
+    /// Returns true if another proposal may be added.
+    pub(crate) fn has_capacity(&self) -> bool {
         self.pending.len() < MAXIMUM_PROPOSALS
     }
 
-    /// Number of proposals under way.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether an internal proposal of this identity is under way.
+    /// Returns true if an internal proposal with this key is pending.
     pub(crate) fn contains(&self, key: &InternalKey) -> bool {
         self.internal.contains(key)
     }
 
-    /// Whether a repair of the membership is under way.
-    pub(crate) fn repairing(&self) -> bool {
+    /// Returns true if a repair of the membership is pending.
+    pub(crate) fn is_repair_pending(&self) -> bool {
         self.pending
             .values()
             .any(|pending| pending.waiter == Waiter::Repair)
     }
 
-    /// Notes a proposal and gives its ticket.
+    /// Adds a proposal and returns its ticket.
     pub(crate) fn add(&mut self, now: Timestamp, waiter: Waiter) -> u64 {
         self.next_ticket += 1;
         if let Waiter::Internal(key) = &waiter {
@@ -121,15 +117,14 @@
         self.next_ticket
     }
 
-    /// Notes where a proposal entered the log.
-    pub(crate) fn appended(&mut self, ticket: u64, position: LogPosition) {
+    /// Records the log position of a proposal.
+    pub(crate) fn record_position(&mut self, ticket: u64, position: LogPosition) {
         if let Some(pending) = self.pending.get_mut(&ticket) {
             pending.position = Some(position);
             self.by_index.insert(position.index, ticket);
         }
     }
 
-    /// Takes a proposal out.
     pub(crate) fn remove(&mut self, ticket: u64) -> Option<Waiter> {
         let pending = self.pending.remove(&ticket)?;
         if let Some(position) = pending.position
@@ -143,16 +138,16 @@
         Some(pending.waiter)
     }
 
-    /// Takes out who waits for this committed position. The flag tells whether the proposal is
-    /// the entry committed there; otherwise it is lost.
-    pub(crate) fn committed(&mut self, at: LogPosition) -> Option<(Waiter, bool)> {
+    /// Removes the proposal at a committed index. The flag is true if the committed entry is this
+    /// proposal, and false if the proposal was replaced.
+    pub(crate) fn take_committed(&mut self, at: LogPosition) -> Option<(Waiter, bool)> {
         let ticket = *self.by_index.get(&at.index)?;
-        let own = self.pending.get(&ticket)?.position == Some(at);
+        let is_own = self.pending.get(&ticket)?.position == Some(at);
         let waiter = self.remove(ticket)?;
-        Some((waiter, own))
+        Some((waiter, is_own))
     }
 
-    /// Takes out administration calls that have waited since before `oldest`.
+    /// Removes the administration calls that have been pending since before `oldest`.
     pub(crate) fn overdue_calls(&mut self, oldest: Timestamp) -> Vec<u64> {
         let overdue: Vec<(u64, u64)> = self
             .pending
@@ -169,7 +164,7 @@
         overdue.into_iter().map(|(_, call)| call).collect()
     }
 
-    /// Takes out all proposals, in the order in which they were made.
+    /// Removes all proposals, in the order in which they were added.
     pub(crate) fn drain(&mut self) -> Vec<Waiter> {
         self.by_index.clear();
         self.internal.clear();
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -1,9 +1,9 @@
-//! Carries out the consensus core's outputs and applies committed commands.
+//! Executes the consensus core's outputs and applies committed commands.
 
 use crate::administration;
 use crate::interface::{AdministrationResponse, ConnectionId, ControlOutput, FinalState};
 use crate::outputs::Outputs;
-use crate::plane::{ControlPlane, INSTRUCTION_MEMORY};
+use crate::plane::{ControlPlane, INSTRUCTION_RETENTION};
 use crate::proposals::{InternalKey, Waiter};
 use crate::snapshots::AppliedLog;
 use millpass_consensus::{
@@ -19,7 +19,7 @@
 use millpass_state::State;
 
 impl ControlPlane {
-    /// Steps the consensus core and carries out what it wants.
+    /// Passes an input to the consensus core and executes its outputs.
     pub(crate) fn consensus_step(
         &mut self,
         now: Timestamp,
@@ -27,11 +27,11 @@
         out: &mut Outputs,
     ) {
         for output in self.consensus.step(now, input) {
-            self.carry_out(now, output, out);
+            self.execute(now, output, out);
         }
     }
 
-    /// Proposes a command for a waiter, who is answered when its fate is known.
+    /// Proposes a command; `waiter` is answered when the outcome is known.
     pub(crate) fn propose(
         &mut self,
         now: Timestamp,
@@ -44,7 +44,7 @@
         self.consensus_step(now, input, out);
     }
 
-    /// Proposes a command of the core's own, unless the same one is under way.
+    /// Proposes a command of the core itself, unless one with the same key is pending.
     pub(crate) fn propose_internal(
         &mut self,
         now: Timestamp,
@@ -52,13 +52,13 @@
         command: Command,
         out: &mut Outputs,
     ) {
-        if self.proposals.contains(&key) || !self.proposals.has_room() {
+        if self.proposals.contains(&key) || !self.proposals.has_capacity() {
             return;
         }
         self.propose(now, Waiter::Internal(key), command, out);
     }
 
-    /// Asks for a change of members.
+    /// Proposes a change of the membership.
     pub(crate) fn change_membership(
         &mut self,
         now: Timestamp,
@@ -71,7 +71,7 @@
         self.consensus_step(now, input, out);
     }
 
-    fn carry_out(&mut self, now: Timestamp, output: ConsensusOutput, out: &mut Outputs) {
+    fn execute(&mut self, now: Timestamp, output: ConsensusOutput, out: &mut Outputs) {
         match output {
             ConsensusOutput::Send(envelope) => self.send_peer(envelope, out),
             ConsensusOutput::Persist(request) => out.push(ControlOutput::Persist(request)),
@@ -82,20 +82,22 @@
             }
             ConsensusOutput::Restore(snapshot) => self.restore(now, snapshot, out),
             ConsensusOutput::Appended { ticket, position } => {
-                self.proposals.appended(ticket, position);
+                self.proposals.record_position(ticket, position);
             }
-            ConsensusOutput::Rejected { ticket, reason } => self.rejected(ticket, reason, out),
-            ConsensusOutput::RoleChanged(status) => self.role_changed(&status, out),
+            ConsensusOutput::Rejected { ticket, reason } => {
+                self.proposal_rejected(ticket, reason, out)
+            }
+            ConsensusOutput::RoleChanged(status) => self.handle_role_change(&status, out),
             ConsensusOutput::CandidacyEnded(ended) => log_candidacy(&ended, out),
         }
     }
 
     fn send_peer(&mut self, envelope: PeerEnvelope, out: &mut Outputs) {
         if self.addresses.get(envelope.to).is_none() {
-            // The membership in force changes as soon as an entry is appended.
+            // The membership takes effect when its entry is appended.
             self.addresses.replace(&self.consensus.status().membership);
         }
-        if let Some(member) = self.addresses.reach(envelope.to) {
+        if let Some(member) = self.addresses.resolve(envelope.to) {
             let address = member.peer_address.clone();
             out.push(ControlOutput::SendPeer { address, envelope });
         }
@@ -103,7 +105,7 @@
 
     fn apply(&mut self, now: Timestamp, entry: LogEntry, out: &mut Outputs) {
         let at = entry.position;
-        self.applied.applied(at, &entry.payload);
+        self.applied.record_entry(at, &entry.payload);
         let outcome = match &entry.payload {
             EntryPayload::Noop => CommandOutcome::Done,
             EntryPayload::Membership(membership) => {
@@ -124,14 +126,14 @@
                 }
                 let outcome = self.state.apply(at, command);
                 if matches!(command, Command::PutDocument(_)) {
-                    self.note_document(now);
+                    self.record_document(now);
                 }
                 outcome
             }
         };
-        match self.proposals.committed(at) {
+        match self.proposals.take_committed(at) {
             Some((waiter, true)) => self.resolve(now, waiter, outcome, out),
-            Some((waiter, false)) => self.lost(waiter, out),
+            Some((waiter, false)) => self.proposal_lost(waiter, out),
             None => {}
         }
     }
@@ -150,11 +152,12 @@
     fn restore(&mut self, now: Timestamp, snapshot: Snapshot, out: &mut Outputs) {
         match State::decode(&snapshot.data) {
             Ok(state) => {
-                self.binding.restored(&state, snapshot.meta.last.index);
+                self.required_index
+                    .snapshot_restored(&state, snapshot.meta.last.index);
                 self.state = state;
             }
             Err(error) => {
-                // Going on with another state than the group's would break every promise.
+                // Continuing with a different state than the group's would violate every guarantee.
                 self.stop(FinalState::StateUnreadable(error.to_string()), out);
                 return;
             }
@@ -162,11 +165,11 @@
         self.applied = AppliedLog::new(&snapshot.meta);
         self.addresses.replace(&self.consensus.status().membership);
         self.state_changed = true;
-        self.note_document(now);
-        // Notes of instructions that the snapshot stands for are not known.
-        self.instructions = InstructionHistory::new(now, INSTRUCTION_MEMORY);
-        self.route_copy.clear();
-        self.give_up_waiters(out);
+        self.record_document(now);
+        // The instructions recorded in entries that the snapshot replaced are unknown.
+        self.instructions = InstructionHistory::new(now, INSTRUCTION_RETENTION);
+        self.full_routes.clear();
+        self.respond_unknown_to_all(out);
         let pairs = vec![("last", snapshot.meta.last.to_string())];
         out.event("state-restored", pairs);
     }
@@ -179,14 +182,14 @@
         out: &mut Outputs,
     ) {
         match waiter {
-            Waiter::Call(call) => out.answer(call, administration::answer(outcome)),
+            Waiter::Call(call) => out.respond(call, administration::change_response(outcome)),
             Waiter::Claim {
                 connection,
                 attempt,
             } => {
                 if let CommandOutcome::Claim(decision) = outcome {
-                    let answer = ClaimResponse { attempt, decision };
-                    out.send_router(connection, ControlToRouter::Claim(answer));
+                    let response = ClaimResponse { attempt, decision };
+                    out.send_router(connection, ControlToRouter::Claim(response));
                 }
             }
             Waiter::ClaimFinish {
@@ -197,7 +200,7 @@
             Waiter::Instructions {
                 decided_at,
                 instructions,
-            } => self.instruct(now, decided_at, instructions, out),
+            } => self.send_instructions(now, decided_at, instructions, out),
             Waiter::Repair => {}
         }
     }
@@ -211,31 +214,32 @@
             out.event("proposal-applied", pairs);
             return;
         };
-        if let InternalKey::Register(backend, run) = key {
-            self.observations.registration_refused(backend, *run);
+        if let InternalKey::Register(backend, incarnation) = key {
+            self.observations.record_rejected(backend, *incarnation);
         }
         out.event("proposal-ignored", pairs);
     }
 
-    /// A proposal did not enter the log, or its entry was replaced: nothing was done.
-    fn lost(&mut self, waiter: Waiter, out: &mut Outputs) {
+    /// Resolves a proposal that was rejected, or whose entry was replaced, so that it had no
+    /// effect.
+    fn proposal_lost(&mut self, waiter: Waiter, out: &mut Outputs) {
         let leader_address = self.leader_administration_address();
         match waiter {
             Waiter::Call(call) => {
-                out.answer(call, AdministrationResponse::NotLeader { leader_address });
+                out.respond(call, AdministrationResponse::NotLeader { leader_address });
             }
-            other => self.give_up(other, out),
+            waiter => self.respond_unknown(waiter, out),
         }
     }
 
-    fn rejected(&mut self, ticket: u64, reason: ProposalRejection, out: &mut Outputs) {
+    fn proposal_rejected(&mut self, ticket: u64, reason: ProposalRejection, out: &mut Outputs) {
         let Some(waiter) = self.proposals.remove(ticket) else {
             return;
         };
         match (&waiter, &reason) {
             (Waiter::Call(call), ProposalRejection::MembershipRefused(_)) => {
                 let refusal = AdministrationResponse::Refused(reason.to_string());
-                out.answer(*call, refusal);
+                out.respond(*call, refusal);
             }
             (Waiter::Repair, _) => {
                 out.event(
@@ -243,15 +247,15 @@
                     vec![("reason", reason.to_string())],
                 );
             }
-            _ => self.lost(waiter, out),
+            _ => self.proposal_lost(waiter, out),
         }
     }
 
-    /// The fate of a proposal is not known here and will not be.
-    fn give_up(&mut self, waiter: Waiter, out: &mut Outputs) {
+    /// Resolves a proposal whose outcome cannot be determined on this member.
+    fn respond_unknown(&mut self, waiter: Waiter, out: &mut Outputs) {
         match waiter {
-            Waiter::Call(call) => out.answer(call, AdministrationResponse::Unknown),
-            // The router asks the leader again for the same attempt and gets the same answer.
+            Waiter::Call(call) => out.respond(call, AdministrationResponse::Unknown),
+            // The router retries the same attempt with the leader and receives the same decision.
             Waiter::Claim { connection, .. } | Waiter::ClaimFinish { connection, .. } => {
                 let leader_address = self.leader_peer_address();
                 out.send_not_leader(connection, leader_address);
@@ -260,16 +264,15 @@
         }
     }
 
-    /// Answers everybody who waits.
-    pub(crate) fn give_up_waiters(&mut self, out: &mut Outputs) {
+    pub(crate) fn respond_unknown_to_all(&mut self, out: &mut Outputs) {
         for waiter in self.proposals.drain() {
-            self.give_up(waiter, out);
+            self.respond_unknown(waiter, out);
         }
     }
 
-    fn role_changed(&mut self, status: &ConsensusStatus, out: &mut Outputs) {
-        let led = self.role == Role::Leader;
-        let same = self.role == status.role && self.term == status.term;
+    fn handle_role_change(&mut self, status: &ConsensusStatus, out: &mut Outputs) {
+        let was_leader = self.role == Role::Leader;
+        let unchanged = self.role == status.role && self.term == status.term;
         self.role = status.role;
         self.term = status.term;
         let pairs = vec![
@@ -283,7 +286,7 @@
             ),
         ];
         out.event("role-changed", pairs);
-        if same {
+        if unchanged {
             return;
         }
         let gateways = self
@@ -292,17 +295,17 @@
             .map(Fleet::connections)
             .unwrap_or_default();
         self.clear_soft_state();
-        self.give_up_waiters(out);
-        if led {
+        self.respond_unknown_to_all(out);
+        if was_leader {
             self.redirect_routers(&gateways, out);
         }
     }
 
-    /// Drops every belief that is not in the replicated state: a new leader starts without any.
+    /// Clears all state that is not replicated: a new leader starts without any.
     fn clear_soft_state(&mut self) {
         self.sessions.clear();
-        self.route_copy.clear();
-        self.silent.clear();
+        self.full_routes.clear();
+        self.unreachable_holders.clear();
         self.watch.clear();
         self.observations.clear();
         self.platform.clear();
@@ -323,25 +326,24 @@
         }
     }
 
-    /// Another member that leads, if known; a process that is not in the group goes by what others say.
+    /// Returns another member that is known to lead. A process outside the group uses what other
+    /// members stated.
     pub(crate) fn leader(&self) -> Option<MemberAddress> {
         if !self.consensus.is_in_membership()
-            && let Some(told) = self.share_link.leader()
+            && let Some(stated) = self.share_link.leader()
         {
-            return Some(told.clone());
+            return Some(stated.clone());
         }
-        // One that believes that it leads but cannot prove it knows of nobody.
+        // A leader without a valid lease knows of no other leader.
         let own = self.settings.address.member;
         let leader = self.consensus.leader().filter(|leader| *leader != own)?;
         self.addresses.get(leader).cloned()
     }
 
-    /// Peer address of another member that leads, if known.
     pub(crate) fn leader_peer_address(&self) -> Option<String> {
         self.leader().map(|leader| leader.peer_address)
     }
 
-    /// Administration address of another member that leads, if known.
     pub(crate) fn leader_administration_address(&self) -> Option<String> {
         self.leader().map(|leader| leader.administration_address)
     }
@@ -355,19 +357,23 @@
     names.join(",")
 }
 
-/// One line for each candidacy that made no leader: who had answered, and after how long.
+/// Logs a candidacy that did not produce a leader, with the responses received.
 fn log_candidacy(ended: &EndedCandidacy, out: &mut Outputs) {
     let reason = match ended.end {
         CandidacyEnd::Refused => "refused",
         CandidacyEnd::Outvoted => "outvoted",
         CandidacyEnd::TimedOut => "timed-out",
     };
-    let answers: Vec<String> = ended
+    let votes: Vec<String> = ended
         .answers
         .iter()
-        .map(|answer| {
-            let word = if answer.is_granted { "yes" } else { "no" };
-            format!("{}:{word}:{}ms", answer.member, answer.after.as_millis())
+        .map(|response| {
+            let vote = if response.is_granted { "yes" } else { "no" };
+            format!(
+                "{}:{vote}:{}ms",
+                response.member,
+                response.after.as_millis()
+            )
         })
         .collect();
     let pairs = vec![
@@ -375,7 +381,7 @@
         ("term", ended.term.to_string()),
         ("pre_vote", ended.is_pre_vote.to_string()),
         ("lasted_ms", ended.lasted.as_millis().to_string()),
-        ("answers", answers.join(",")),
+        ("answers", votes.join(",")),
     ];
     out.event("candidacy-ended", pairs);
 }
--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -1,6 +1,6 @@
-//! Answers routers' reports and claims, only while this member is in charge.
+//! Responds to routers' reports and claims, only while this member is leading.
 
-use crate::claims::RouterRun;
+use crate::claims::RouterIncarnation;
 use crate::interface::ConnectionId;
 use crate::observations::Proposal;
 use crate::outputs::Outputs;
@@ -14,13 +14,13 @@
     RouterName, RouterReport, RouterToControl, RouterUpdate, Timestamp, WatchList,
 };
 
-/// Most models whose outlook one update carries.
-const MAXIMUM_OUTLOOKS: usize = 256;
-/// Most observations taken from one report.
+/// Maximum number of models with a ready estimate in one update.
+const MAXIMUM_READY_ESTIMATES: usize = 256;
+/// Maximum number of observations read from one report.
 const MAXIMUM_OBSERVATIONS: usize = 1_024;
 
 impl ControlPlane {
-    pub(crate) fn take_router(
+    pub(crate) fn handle_router_message(
         &mut self,
         now: Timestamp,
         unix_millis: u64,
@@ -29,27 +29,27 @@
         out: &mut Outputs,
     ) {
         if let RouterToControl::Hello(hello) = message {
-            self.take_hello(now, connection, hello, out);
+            self.handle_hello(now, connection, hello, out);
             return;
         }
         if let RouterToControl::Gateway(report) = message {
-            self.take_gateway_report(now, connection, &report, out);
+            self.handle_gateway_report(now, connection, &report, out);
             return;
         }
         if !self.is_leading(now) {
-            self.take_without_charge(now, connection, &message, out);
+            self.handle_without_leadership(now, connection, &message, out);
             return;
         }
         if let RouterToControl::Credit(request) = &message {
-            self.take_credit_request(now, connection, request, out);
+            self.handle_credit_request(now, connection, request, out);
             return;
         }
         if let RouterToControl::Crashes(report) = &message {
-            self.take_crash_report(now, report);
+            self.handle_crash_report(now, report);
             return;
         }
         if let RouterToControl::Permits(request) = &message {
-            self.take_permit_request(now, connection, request, out);
+            self.handle_permit_request(now, connection, request, out);
             return;
         }
         let Some(hello) = self.sessions.identity(connection).cloned() else {
@@ -65,7 +65,7 @@
             | RouterToControl::Crashes(_)
             | RouterToControl::Permits(_) => {}
             RouterToControl::Report(report) => {
-                self.take_report(now, connection, &hello, report, out);
+                self.handle_report(now, connection, &hello, report, out);
             }
             RouterToControl::Claim(ClaimRequest { claim }) => {
                 self.begin_claim(now, unix_millis, connection, &hello, claim, out);
@@ -76,9 +76,10 @@
         }
     }
 
-    /// A message that this member cannot act on. A leader whose lease has run out is late, not deposed: a gateway that it
-    /// sent away would come back to it, with all others. Its asks for credit and permits are left unanswered meanwhile.
-    fn take_without_charge(
+    /// Handles a message that requires leadership. A leader whose lease has expired does not
+    /// redirect gateways, since all of them would reconnect to it; their credit and permit requests
+    /// stay unanswered.
+    fn handle_without_leadership(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -88,14 +89,14 @@
         match message {
             RouterToControl::Credit(_) | RouterToControl::Permits(_)
                 if self.role == Role::Leader => {}
-            RouterToControl::Crashes(report) if self.is_late_leader() => {
-                self.take_crash_report(now, report);
+            RouterToControl::Crashes(report) if self.is_established_leader() => {
+                self.handle_crash_report(now, report);
             }
             _ => out.send_not_leader(connection, self.leader_peer_address()),
         }
     }
 
-    fn take_hello(
+    fn handle_hello(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -118,7 +119,7 @@
         ];
         out.event("router-connected", pairs);
         let (router, incarnation) = (hello.router.clone(), hello.incarnation);
-        if !self.sessions.hello(connection, hello) {
+        if !self.sessions.record_hello(connection, hello) {
             out.send_not_leader(connection, None);
             return;
         }
@@ -126,29 +127,29 @@
             out.send_not_leader(connection, self.leader_peer_address());
             return;
         }
-        self.router_returned(now, router, incarnation, out);
+        self.abandon_previous_claims(now, router, incarnation, out);
     }
 
-    /// A router that comes back under a new run has lost the requests of its old ones.
-    fn router_returned(
+    /// A router that returns under a new incarnation has lost the requests of its previous ones.
+    fn abandon_previous_claims(
         &mut self,
         now: Timestamp,
         router: RouterName,
         incarnation: Incarnation,
         out: &mut Outputs,
     ) {
-        let replaced: Vec<RouterRun> = self
+        let replaced: Vec<RouterIncarnation> = self
             .state
             .open_claim_runs()
             .filter(|(holder, run, _)| **holder == router && *run != incarnation)
             .map(|(holder, run, _)| (holder.clone(), run))
             .collect();
-        for run in replaced {
-            self.abandon_claims(now, run, out);
+        for holder in replaced {
+            self.abandon_claims(now, holder, out);
         }
     }
 
-    fn take_report(
+    fn handle_report(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -156,18 +157,18 @@
         report: RouterReport,
         out: &mut Outputs,
     ) {
-        // Left unanswered: the router asks again with its next report.
-        if self.needs_copy(&report) && !self.copies.take(now) {
+        // No response; the router retries with its next report.
+        if self.needs_full_copy(&report) && !self.full_copies.try_acquire(now) {
             return;
         }
-        match self.sessions.report(now, connection, hello, &report) {
+        match self.sessions.record_report(now, connection, hello, &report) {
             Admission::Stale => return,
             Admission::Full => {
                 out.send_not_leader(connection, None);
                 return;
             }
             Admission::New => {
-                self.router_returned(now, hello.router.clone(), hello.incarnation, out);
+                self.abandon_previous_claims(now, hello.router.clone(), hello.incarnation, out);
                 let pairs = vec![("router", hello.router.to_string())];
                 out.event("router-reports", pairs);
             }
@@ -176,8 +177,8 @@
         self.scheduler
             .observe_router(now, &hello.router, hello.incarnation, &report);
         self.refresh_watch_if_due(now);
-        self.take_observations(now, &hello.router, &report, out);
-        if !self.platform.leases_may_go(now, &self.state) {
+        self.handle_observations(now, &hello.router, &report, out);
+        if !self.platform.leases_allowed(now, &self.state) {
             return out.event(
                 "lease-held-back",
                 vec![("router", hello.router.to_string())],
@@ -187,15 +188,15 @@
         out.send_router(connection, ControlToRouter::Update(update));
     }
 
-    /// Whether the answer would hold the whole catalog or all routes.
-    fn needs_copy(&self, report: &RouterReport) -> bool {
+    /// Returns true if the response would contain the whole catalog or all routes.
+    fn needs_full_copy(&self, report: &RouterReport) -> bool {
         let without_catalog =
             report.configuration.0 == 0 && self.state.configuration_revision().0 > 0;
         let without_routes = report.placement.0 == 0 && self.state.placement_revision().0 > 0;
         without_catalog || without_routes
     }
 
-    /// Shares follow routers and back ends with a short delay: looking at all of them costs far
+    /// Reassigns back ends to routers at intervals: a scan of all routers and back ends costs far
     /// more than a report, and many routers report at once.
     fn refresh_watch_if_due(&mut self, now: Timestamp) {
         if !self.watch.is_due(now) {
@@ -205,7 +206,7 @@
         self.watch.refresh(self.sessions.watchers(), backends);
     }
 
-    fn take_observations(
+    fn handle_observations(
         &mut self,
         now: Timestamp,
         router: &RouterName,
@@ -213,13 +214,13 @@
         out: &mut Outputs,
     ) {
         for observation in report.observations.iter().take(MAXIMUM_OBSERVATIONS) {
-            for (key, command) in self.observed(now, router, observation, out) {
+            for (key, command) in self.observation_proposals(now, router, observation, out) {
                 self.propose_internal(now, key, command, out);
             }
         }
     }
 
-    fn observed(
+    fn observation_proposals(
         &mut self,
         now: Timestamp,
         router: &RouterName,
@@ -229,12 +230,12 @@
         match observation {
             BackendObservation::Engine(report) => {
                 self.scheduler.observe_engine(now, report);
-                let from_watcher = self.watches(router, &report.backend);
+                let from_watcher = self.is_watcher(router, &report.backend);
                 self.observations
                     .engine(report, from_watcher, &self.state, &self.platform)
             }
             BackendObservation::Web(report) => {
-                let from_watcher = self.watches(router, &report.backend);
+                let from_watcher = self.is_watcher(router, &report.backend);
                 self.observations
                     .web(report, from_watcher, &self.state, &self.platform)
                     .into_iter()
@@ -251,7 +252,7 @@
         }
     }
 
-    fn watches(&self, router: &RouterName, backend: &BackendName) -> bool {
+    fn is_watcher(&self, router: &RouterName, backend: &BackendName) -> bool {
         self.watch.watcher(backend) == Some(router)
     }
 
@@ -268,38 +269,39 @@
             configuration: self.state.configuration_since(report.configuration),
             placement: self.placement_for(report.placement),
             watch: self.watch_change(router),
-            load_estimates: self.outlook(now, report),
+            load_estimates: self.ready_estimates(now, report),
             claims_created_after_unix_millis: self.state.claims_born_after(),
         }
     }
 
-    /// Route changes for a router at a revision, if any. Whole copies of one revision are built
-    /// once: routers that join together ask for the same.
+    /// Returns the route changes since a revision, if any. Full copies of a revision are cached,
+    /// since many routers request them at once after a start.
     fn placement_for(&mut self, held: PlacementRevision) -> Option<PlacementDelta> {
         if held.0 == 0 && self.state.placement_revision().0 > 0 {
-            return Some(self.route_copy.of(&self.state));
+            return Some(self.full_routes.get(&self.state));
         }
         self.state.placement_since(held)
     }
 
-    /// The router's share, if it differs from what was last sent on this connection.
+    /// Returns the back ends assigned to the router if they differ from those last sent on this
+    /// connection.
     fn watch_change(&mut self, router: &RouterName) -> Option<WatchList> {
-        let share = self.watch.share(router);
+        let assigned = self.watch.assigned(router);
         let session = self.sessions.get_mut(router)?;
-        let wanted: Vec<(BackendName, String)> = share
+        let targets: Vec<(BackendName, String)> = assigned
             .iter()
             .map(|watched| (watched.backend.clone(), watched.address.clone()))
             .collect();
-        if session.watch_sent.as_ref() == Some(&wanted) {
+        if session.watch_sent.as_ref() == Some(&targets) {
             return None;
         }
-        session.watch_sent = Some(wanted);
+        session.watch_sent = Some(targets);
         Some(WatchList {
-            backends: share.to_vec(),
+            backends: assigned.to_vec(),
         })
     }
 
-    fn outlook(&self, now: Timestamp, report: &RouterReport) -> Vec<LoadEstimate> {
+    fn ready_estimates(&self, now: Timestamp, report: &RouterReport) -> Vec<LoadEstimate> {
         let mut models: Vec<_> = report
             .demand
             .iter()
@@ -310,7 +312,7 @@
         models.dedup();
         models
             .into_iter()
-            .take(MAXIMUM_OUTLOOKS)
+            .take(MAXIMUM_READY_ESTIMATES)
             .map(|model| self.scheduler.outlook(now, &self.state, model))
             .collect()
     }
@@ -355,8 +357,8 @@
         self.propose(now, waiter, Command::FinishClaim(finish), out);
     }
 
-    /// Whether a claim may be proposed: it is the connection's own, and there is room. Otherwise
-    /// the router is told that nothing was done.
+    /// Returns true if a claim may be proposed: it belongs to the router of the connection, and
+    /// there is free capacity. Otherwise responds that it had no effect.
     fn admit_claim(
         &mut self,
         connection: ConnectionId,
@@ -364,11 +366,11 @@
         holder: (&RouterName, Incarnation),
         out: &mut Outputs,
     ) -> bool {
-        let own = holder == (&hello.router, hello.incarnation);
-        if own && self.proposals.has_room() && self.drain.is_none() {
+        let is_own = holder == (&hello.router, hello.incarnation);
+        if is_own && self.proposals.has_capacity() && self.drain.is_none() {
             return true;
         }
-        if !own {
+        if !is_own {
             let pairs = vec![
                 ("router", hello.router.to_string()),
                 ("claimed", holder.0.to_string()),
@@ -379,9 +381,14 @@
         false
     }
 
-    /// Concludes the open claims of a run of a router that is no more.
-    pub(crate) fn abandon_claims(&mut self, now: Timestamp, run: RouterRun, out: &mut Outputs) {
-        let (router, router_incarnation) = run;
+    /// Concludes the open claims of an ended router incarnation.
+    pub(crate) fn abandon_claims(
+        &mut self,
+        now: Timestamp,
+        holder: RouterIncarnation,
+        out: &mut Outputs,
+    ) {
+        let (router, router_incarnation) = holder;
         let pairs = vec![
             ("router", router.to_string()),
             ("incarnation", router_incarnation.to_string()),
--- a/crates/millpass-control-plane/src/sessions.rs
+++ b/crates/millpass-control-plane/src/sessions.rs
@@ -1,8 +1,8 @@
 //! Routers connected to this member, and their leases.
 //!
-//! A connection's [`RouterHello`] is kept as long as the connection, also while this member does
-//! not lead: it says who is at the other end. A session is soft state of a leader: it begins with
-//! a report under leadership and is dropped when its lease ends or when leadership changes.
+//! A connection's [`RouterHello`] is kept for the lifetime of the connection, also on followers,
+//! and identifies the router. A session is soft state of the leader: it begins with a report and
+//! ends when its lease expires or leadership changes.
 
 use crate::interface::{ConnectionId, RouterStatus};
 use millpass_proto::{
@@ -12,99 +12,94 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// Most router connections; a Hello beyond is answered `NotLeader`, so the router goes elsewhere.
+/// Maximum number of router connections; further ones are answered `NotLeader` and try another
+/// member.
 const MAXIMUM_CONNECTIONS: usize = 4_096;
-/// Most routers with a session.
 const MAXIMUM_SESSIONS: usize = 2_048;
 
-/// Most whole copies of catalog and routes in one [`COPY_WINDOW`]. Thousands of routes are built
-/// for each: without a bound, routers that join at once would keep the leader from its heartbeats.
+/// Maximum number of full copies of catalog and routes per [`COPY_WINDOW`]. Each contains thousands
+/// of routes; without a limit, routers that start at once would delay the leader's heartbeats.
 const MAXIMUM_COPIES: u32 = 8;
-/// See [`MAXIMUM_COPIES`].
+/// Window of [`MAXIMUM_COPIES`].
 const COPY_WINDOW: Duration = Duration::from_millis(100);
 
-/// Bounds how many whole copies are given.
+/// Limits the rate of full copies.
 #[derive(Default)]
-pub(crate) struct CopyBudget {
+pub(crate) struct FullCopyLimiter {
     window_end: Timestamp,
-    given: u32,
+    sent: u32,
 }
 
-impl CopyBudget {
-    /// Whether one more copy may be given now; if so, it counts.
-    pub(crate) fn take(&mut self, now: Timestamp) -> bool {
+impl FullCopyLimiter {
+    /// Returns true, and counts the copy, if one more full copy may be sent now.
+    pub(crate) fn try_acquire(&mut self, now: Timestamp) -> bool {
         if now >= self.window_end {
             self.window_end = now + COPY_WINDOW;
-            self.given = 0;
+            self.sent = 0;
         }
-        let allowed = self.given < MAXIMUM_COPIES;
-        self.given += u32::from(allowed);
+        let allowed = self.sent < MAXIMUM_COPIES;
+        self.sent += u32::from(allowed);
         allowed
     }
 }
 
-/// The last whole copy of the routes, given again while their revision is the same.
+/// The last full copy of the routes, reused while their revision is unchanged.
 #[derive(Default)]
-pub(crate) struct RouteCopy {
-    copy: Option<PlacementDelta>,
+pub(crate) struct FullRouteCache {
+    cached: Option<PlacementDelta>,
 }
 
-impl RouteCopy {
-    /// All routes of the state.
-    pub(crate) fn of(&mut self, state: &State) -> PlacementDelta {
+impl FullRouteCache {
+    pub(crate) fn get(&mut self, state: &State) -> PlacementDelta {
         let current = state.placement_revision();
-        match &self.copy {
-            Some(copy) if copy.to == current => copy.clone(),
-            _ => self.copy.insert(state.full_placement()).clone(),
+        match &self.cached {
+            Some(cached) if cached.to == current => cached.clone(),
+            _ => self.cached.insert(state.full_placement()).clone(),
         }
     }
 
-    /// Drops the copy: the state was replaced or leadership changed.
+    /// Clears the cache after the state was replaced or leadership changed.
     pub(crate) fn clear(&mut self) {
-        self.copy = None;
+        self.cached = None;
     }
 }
 
-/// One router that reports to this leader.
+/// A router that reports to this leader.
 pub(crate) struct Session {
-    /// Connection of its latest report.
+    /// Connection of the latest report.
     pub(crate) connection: ConnectionId,
-    /// Run of the router.
     pub(crate) incarnation: Incarnation,
-    /// Its zone.
     pub(crate) zone: ZoneName,
-    /// Sequence of its latest report.
+    /// Sequence number of the latest report.
     pub(crate) sequence: u64,
-    /// When its latest report arrived.
+    /// Arrival of the latest report.
     pub(crate) reported_at: Timestamp,
-    /// Catalog revision that it applied.
+    /// Catalog revision that the router has applied.
     pub(crate) configuration: ConfigurationRevision,
-    /// Route revision that it applied.
+    /// Route revision that the router has applied.
     pub(crate) placement: PlacementRevision,
-    /// Whether it is stopping.
     pub(crate) draining: bool,
-    /// Whether requests waited at it.
+    /// Whether requests were waiting at the time of the latest report.
     pub(crate) has_waiting: bool,
-    /// Whether it was told of news since its latest report.
-    pub(crate) told: bool,
-    /// Share to watch last sent on this connection; none before the first.
+    /// Whether the router was notified of newer revisions since its latest report.
+    pub(crate) notified: bool,
+    /// Back ends to watch as last sent on this connection; `None` before the first time.
     pub(crate) watch_sent: Option<Vec<(BackendName, String)>>,
 }
 
-/// What became of a report.
+/// How a report was classified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// First report of this router, or of this run, under this leader.
+    /// First report of this router or incarnation under this leader.
     New,
-    /// A further report.
     Known,
-    /// Doubled, reordered, or from a run or connection that a newer one has replaced.
+    /// Duplicate, reordered, or from an incarnation or connection that has been replaced.
     Stale,
-    /// The table is full.
+    /// The session table is full.
     Full,
 }
 
-/// Connections and sessions, bounded.
+/// Connections and sessions of routers, bounded.
 #[derive(Default)]
 pub(crate) struct Sessions {
     connections: BTreeMap<ConnectionId, RouterHello>,
@@ -112,8 +107,8 @@
 }
 
 impl Sessions {
-    /// Notes who is at the other end of a connection. False when the table is full.
-    pub(crate) fn hello(&mut self, connection: ConnectionId, hello: RouterHello) -> bool {
+    /// Records the router of a connection. Returns false if the table is full.
+    pub(crate) fn record_hello(&mut self, connection: ConnectionId, hello: RouterHello) -> bool {
         let known = self.connections.contains_key(&connection);
         if !known && self.connections.len() >= MAXIMUM_CONNECTIONS {
             return false;
@@ -122,23 +117,23 @@
         true
     }
 
-    /// Forgets a connection. The session stays until its lease ends: the router may reconnect.
+    /// Removes a connection. The session is kept until its lease expires, since the router may
+    /// reconnect.
     pub(crate) fn disconnected(&mut self, connection: ConnectionId) {
         self.connections.remove(&connection);
     }
 
-    /// Who is at the other end of a connection.
+    /// Returns the hello received on a connection.
     pub(crate) fn identity(&self, connection: ConnectionId) -> Option<&RouterHello> {
         self.connections.get(&connection)
     }
 
-    /// All connections.
     pub(crate) fn connections(&self) -> Vec<ConnectionId> {
         self.connections.keys().copied().collect()
     }
 
-    /// Takes a report in; the caller answers it unless it is stale.
-    pub(crate) fn report(
+    /// Records a report and classifies it; stale ones must not be answered.
+    pub(crate) fn record_report(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -155,7 +150,7 @@
             return Admission::Full;
         };
         if session.connection != connection {
-            // What was sent on the old connection may not have arrived.
+            // Messages sent on the old connection may be lost.
             session.connection = connection;
             session.watch_sent = None;
         }
@@ -165,7 +160,7 @@
         session.placement = report.placement;
         session.draining = report.draining;
         session.has_waiting = report.demand.iter().any(|demand| demand.waiting > 0);
-        session.told = false;
+        session.notified = false;
         admission
     }
 
@@ -178,7 +173,7 @@
         match self.sessions.get(&hello.router) {
             None if self.sessions.len() >= MAXIMUM_SESSIONS => Admission::Full,
             None => Admission::New,
-            // Connections are numbered in order: an older one carries only leftovers.
+            // Connection numbers increase: an older one only carries delayed messages.
             Some(session) if connection < session.connection => Admission::Stale,
             Some(session) if session.incarnation != hello.incarnation => Admission::New,
             Some(session) if report.sequence <= session.sequence => Admission::Stale,
@@ -197,23 +192,23 @@
             placement: PlacementRevision(0),
             draining: false,
             has_waiting: false,
-            told: false,
+            notified: false,
             watch_sent: None,
         };
         self.sessions.insert(hello.router.clone(), session);
     }
 
-    /// The session of a router.
     pub(crate) fn get_mut(&mut self, router: &RouterName) -> Option<&mut Session> {
         self.sessions.get_mut(router)
     }
 
-    /// The run of a router that has a session.
+    /// Returns the incarnation of a router with a session.
     pub(crate) fn incarnation(&self, router: &RouterName) -> Option<Incarnation> {
         self.sessions.get(router).map(|session| session.incarnation)
     }
 
-    /// Routers that can watch back ends, with their zones: all but those that are stopping.
+    /// Returns the routers that can watch back ends, which excludes draining ones, with their
+    /// zones.
     pub(crate) fn watchers(&self) -> Vec<(RouterName, ZoneName)> {
         self.sessions
             .iter()
@@ -222,49 +217,48 @@
             .collect()
     }
 
-    /// Drops the sessions whose lease has ended and names their routers.
+    /// Removes the sessions with an expired lease and returns their routers.
     pub(crate) fn expire(
         &mut self,
         now: Timestamp,
         lease: Duration,
     ) -> Vec<(RouterName, Incarnation)> {
-        let ended: Vec<(RouterName, Incarnation)> = self
+        let expired: Vec<(RouterName, Incarnation)> = self
             .sessions
             .iter()
             .filter(|(_, session)| now.since(session.reported_at) > lease)
             .map(|(router, session)| (router.clone(), session.incarnation))
             .collect();
-        for (router, _) in &ended {
+        for (router, _) in &expired {
             self.sessions.remove(router);
         }
-        ended
+        expired
     }
 
-    /// Drops all sessions; connections stay.
+    /// Removes all sessions; connections are kept.
     pub(crate) fn clear(&mut self) {
         self.sessions.clear();
     }
 
-    /// Connections of the routers to tell of these revisions, each once until its next report:
-    /// routes matter at once only where requests wait.
-    pub(crate) fn behind(
+    /// Returns the connections of routers to notify of these revisions, each once until its next
+    /// report. Routes are urgent only for routers with waiting requests.
+    pub(crate) fn take_unnotified(
         &mut self,
         configuration: ConfigurationRevision,
         placement: PlacementRevision,
     ) -> Vec<ConnectionId> {
         let mut connections = Vec::new();
         for session in self.sessions.values_mut() {
-            let lacks_routes = session.has_waiting && session.placement < placement;
-            let lacks_something = session.configuration < configuration || lacks_routes;
-            if lacks_something && !session.told {
-                session.told = true;
+            let needs_routes = session.has_waiting && session.placement < placement;
+            let is_stale = session.configuration < configuration || needs_routes;
+            if is_stale && !session.notified {
+                session.notified = true;
                 connections.push(session.connection);
             }
         }
         connections
     }
 
-    /// All routers with a session, for the status.
     pub(crate) fn status(&self, now: Timestamp) -> Vec<RouterStatus> {
         self.sessions
             .iter()
--- a/crates/millpass-control-plane/src/shares.rs
+++ b/crates/millpass-control-plane/src/shares.rs
@@ -1,4 +1,4 @@
-//! Instances announce themselves at any member: the leader is told what changed there.
+//! Forwards the instances that announce themselves at this member to the leader.
 
 use crate::interface::ControlOutput;
 use crate::outputs::Outputs;
@@ -7,42 +7,43 @@
 use millpass_fleet::{Fleet, FleetSizes};
 use millpass_proto::{MemberAddress, ShareReport, ShareResponse, Timestamp};
 
-/// Whom this member reports its instances to.
+/// Destination of this member's share reports.
 #[derive(Default)]
 pub(crate) struct ShareLink {
-    /// Names this process' run: the wall clock at its first report, in milliseconds.
-    run: Option<u64>,
-    /// Who leads, as other members say: one that is not in the group hears nothing of its elections.
+    /// Identifies this process run: wall clock at its first report, in Unix milliseconds.
+    process_run: Option<u64>,
+    /// Leader as stated by other members; a process outside the group does not observe its
+    /// elections.
     leader: Option<MemberAddress>,
-    /// Reports in a row that brought no leader's answer.
-    in_vain: usize,
+    /// Number of consecutive reports without a response from a leader.
+    failed_reports: usize,
 }
 
 impl ShareLink {
-    /// Who leads, as other members say.
+    /// Returns the leader as stated by other members.
     pub(crate) fn leader(&self) -> Option<&MemberAddress> {
         self.leader.as_ref()
     }
 
-    /// Where the next report goes, and whether it is to a leader, as far as is known: after a report in vain to a seed, each
-    /// in turn, which may know who leads.
+    /// Returns the destination of the next report and whether it is a known leader. After a failed
+    /// report the seeds are tried in turn.
     fn target(&self, leader: Option<String>, seeds: &[String]) -> Option<(String, bool)> {
-        if let Some(leader) = leader.filter(|_| self.in_vain.is_multiple_of(2)) {
+        if let Some(leader) = leader.filter(|_| self.failed_reports.is_multiple_of(2)) {
             return Some((leader, true));
         }
-        let seed = seeds.get((self.in_vain / 2) % seeds.len().max(1))?;
+        let seed = seeds.get((self.failed_reports / 2) % seeds.len().max(1))?;
         Some((seed.clone(), false))
     }
 }
 
 impl ControlPlane {
-    /// Instances known here; none where the deployment has none that announce themselves.
+    /// Returns the numbers of known instances; `None` where no instances announce themselves.
     pub fn fleet_sizes(&self) -> Option<FleetSizes> {
         self.fleet.as_ref().map(Fleet::sizes)
     }
 
-    /// Keeps what this member hears of instances, and tells the leader.
-    pub(crate) fn run_share(&mut self, now: Timestamp, unix_millis: u64, out: &mut Outputs) {
+    /// Maintains this member's share of the instances and reports changes to the leader.
+    pub(crate) fn report_share(&mut self, now: Timestamp, unix_millis: u64, out: &mut Outputs) {
         let Some(fleet) = &mut self.fleet else {
             return;
         };
@@ -51,41 +52,45 @@
             return;
         }
         if fleet.is_share_unanswered(now) {
-            self.share_link.in_vain += 1;
+            self.share_link.failed_reports += 1;
         }
         let leader = self.leader_peer_address();
-        let Some((address, leads)) = self.share_link.target(leader, &self.settings.seeds) else {
+        let Some((address, is_leader)) = self.share_link.target(leader, &self.settings.seeds)
+        else {
             return;
         };
-        let run = *self.share_link.run.get_or_insert(unix_millis);
+        let process_run = *self.share_link.process_run.get_or_insert(unix_millis);
         let own = &self.settings.address;
         if let Some(fleet) = &mut self.fleet {
-            let report = fleet.share_report(now, run, own, leads);
+            let report = fleet.share_report(now, process_run, own, is_leader);
             out.push(ControlOutput::SendShare { address, report });
         }
     }
 
-    /// Takes another member's report. A leader whose lease has run out takes it, too: it is no promise.
-    pub(crate) fn take_share(&mut self, now: Timestamp, report: &ShareReport, out: &mut Outputs) {
-        let answer = match self.is_leading(now) || self.is_late_leader() {
-            true => self.take_share_as_leader(now, report),
-            false => Some(self.name_leader(report)),
+    /// Handles another member's report. A leader with an expired lease accepts it too, as it
+    /// promises nothing.
+    pub(crate) fn handle_share_report(
+        &mut self,
+        now: Timestamp,
+        report: &ShareReport,
+        out: &mut Outputs,
+    ) {
+        let response = match self.is_leading(now) || self.is_established_leader() {
+            true => self.apply_share_report(now, report),
+            false => Some(self.leader_hint(report)),
         };
-        if let Some(answer) = answer {
+        if let Some(response) = response {
             let address = report.from.peer_address.clone();
-            out.push(ControlOutput::SendShareResponse {
-                address,
-                response: answer,
-            });
+            out.push(ControlOutput::SendShareResponse { address, response });
         }
     }
 
-    fn take_share_as_leader(
+    fn apply_share_report(
         &mut self,
         now: Timestamp,
         report: &ShareReport,
     ) -> Option<ShareResponse> {
-        self.begin_fleet(now);
+        self.start_fleet(now);
         let own = self.settings.address.clone();
         let state = &self.state;
         let departed = |instance: &_| state.departed(instance);
@@ -93,7 +98,7 @@
         Some(fleet.take_share(now, report, own, &departed))
     }
 
-    fn name_leader(&self, report: &ShareReport) -> ShareResponse {
+    fn leader_hint(&self, report: &ShareReport) -> ShareResponse {
         ShareResponse {
             run: report.run,
             number: report.number,
@@ -104,19 +109,21 @@
         }
     }
 
-    /// Takes the answer to this member's report.
-    pub(crate) fn take_share_answer(&mut self, answer: &ShareResponse) {
+    /// Handles the response to this member's report.
+    pub(crate) fn handle_share_response(&mut self, response: &ShareResponse) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.share_answered(answer);
+            fleet.share_answered(response);
         }
         let own = self.settings.address.member;
-        let named = answer.leader.as_ref();
+        let named = response.leader.as_ref();
         self.share_link.leader = named.filter(|leader| leader.member != own).cloned();
-        match answer.acknowledged_revision {
-            Some(_) => self.share_link.in_vain = 0,
-            // The next report goes to the leader that is named; where none is, to another seed.
-            None if named.is_some() => self.share_link.in_vain += self.share_link.in_vain % 2,
-            None => self.share_link.in_vain += 1,
+        match response.acknowledged_revision {
+            Some(_) => self.share_link.failed_reports = 0,
+            // Retries with the named leader, or else with another seed.
+            None if named.is_some() => {
+                self.share_link.failed_reports += self.share_link.failed_reports % 2
+            }
+            None => self.share_link.failed_reports += 1,
         }
     }
 }
--- a/crates/millpass-control-plane/src/snapshots.rs
+++ b/crates/millpass-control-plane/src/snapshots.rs
@@ -1,69 +1,65 @@
-//! When to take a snapshot, and what it covers.
+//! When to take a snapshot, and its contents.
 
 use millpass_proto::{Command, EntryPayload, LogPosition, Membership, Snapshot, SnapshotMeta};
 use millpass_state::State;
 
-/// Notes of instructions that weigh as much as one other entry: they are small, frequent, and leave
-/// the state as it is.
-const NOTES_PER_ENTRY: u64 = 16;
+/// Instruction records that weigh as much as one other entry: they are small and frequent, and do
+/// not change the state.
+const ENTRY_WEIGHT: u64 = 16;
 
-/// Where the applied state stands, and where the newest snapshot does.
+/// Position of the applied log, and the weight of the entries since the last snapshot.
 pub(crate) struct AppliedLog {
-    /// Last entry applied.
     pub(crate) last: LogPosition,
-    /// Membership at that entry.
+    /// Membership as of the last applied entry.
     membership: Membership,
-    /// Weight of the entries since the last snapshot, in notes of instructions.
+    /// Weight of the entries since the last snapshot, in instruction records.
     weight: u64,
-    /// Whether the host asks for one, as the log on its disk is long.
-    is_wanted: bool,
+    /// Whether the host requested a snapshot because the log on disk is long.
+    is_requested: bool,
 }
 
 impl AppliedLog {
-    /// Starts at a snapshot.
     pub(crate) fn new(meta: &SnapshotMeta) -> Self {
         AppliedLog {
             last: meta.last,
             membership: meta.membership.clone(),
             weight: 0,
-            is_wanted: false,
+            is_requested: false,
         }
     }
 
-    /// The host asks for a snapshot.
     pub(crate) fn request_snapshot(&mut self) {
-        self.is_wanted = true;
+        self.is_requested = true;
     }
 
-    /// Notes that an entry was applied.
-    pub(crate) fn applied(&mut self, at: LogPosition, payload: &EntryPayload) {
+    pub(crate) fn record_entry(&mut self, at: LogPosition, payload: &EntryPayload) {
         self.last = at;
         self.weight += match payload {
             EntryPayload::Command(Command::RecordInstructionIntent(_)) => 1,
-            _ => NOTES_PER_ENTRY,
+            _ => ENTRY_WEIGHT,
         };
     }
 
-    /// Notes a committed membership.
     pub(crate) fn membership_committed(&mut self, membership: &Membership) {
         self.membership = membership.clone();
     }
 
-    /// Takes a snapshot when enough entries have been applied since the last one.
+    /// Returns a snapshot if enough entries have been applied since the last one, or the host
+    /// requested one.
     pub(crate) fn snapshot_if_due(
         &mut self,
         state: &State,
         snapshot_entries: u64,
     ) -> Option<Snapshot> {
-        let due_from = match self.is_wanted {
+        let threshold = match self.is_requested {
             true => 1,
-            false => snapshot_entries.max(1) * NOTES_PER_ENTRY,
+            false => snapshot_entries.max(1) * ENTRY_WEIGHT,
         };
-        if self.weight < due_from {
+        if self.weight < threshold {
             return None;
         }
         self.weight = 0;
-        self.is_wanted = false;
+        self.is_requested = false;
         let meta = SnapshotMeta {
             last: self.last,
             membership: self.membership.clone(),
--- a/crates/millpass-control-plane/src/watch.rs
+++ b/crates/millpass-control-plane/src/watch.rs
@@ -1,9 +1,9 @@
-//! Which router watches which back end.
+//! Assignment of back ends to the routers that watch them.
 //!
-//! Rendezvous hashing: each back end goes to the router of its zone with the highest hash of the
-//! pair, or to one of another zone when its own has none. A router that comes or goes moves only
-//! its own share. Only the leader computes shares, so the hash needs no agreement between
-//! processes.
+//! Uses rendezvous hashing: each back end is assigned to the router of its zone with the highest
+//! hash of the pair, or to a router of another zone if its own has none. A router that joins or
+//! leaves moves only its own back ends. Only the leader computes assignments, so processes need not
+//! agree on the hash.
 
 use millpass_proto::{
     BackendKind, BackendName, Duration, RouterName, Timestamp, WatchedBackend, ZoneName,
@@ -11,33 +11,29 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Shortest time between two looks at all routers and back ends.
+/// Minimum interval between scans of all routers and back ends.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A back end to be watched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Watchable {
-    /// Kind.
     pub(crate) kind: BackendKind,
-    /// Zone.
     pub(crate) zone: ZoneName,
     /// IP address and port.
     pub(crate) address: String,
 }
 
-/// The shares in force.
 #[derive(Default)]
-pub(crate) struct WatchShares {
+pub(crate) struct WatchAssignments {
     routers: Vec<(RouterName, ZoneName)>,
     backends: BTreeMap<BackendName, Watchable>,
-    shares: BTreeMap<RouterName, Vec<WatchedBackend>>,
+    assignments: BTreeMap<RouterName, Vec<WatchedBackend>>,
     watcher: BTreeMap<BackendName, RouterName>,
-    /// When the next look is due.
     next_refresh: Timestamp,
 }
 
-impl WatchShares {
-    /// Whether the shares should be refreshed now; if so, not again for a while.
+impl WatchAssignments {
+    /// Returns true if the assignments are due for a refresh, and schedules the next one.
     pub(crate) fn is_due(&mut self, now: Timestamp) -> bool {
         if now < self.next_refresh {
             return false;
@@ -46,7 +42,7 @@
         true
     }
 
-    /// Computes the shares anew if routers or back ends changed.
+    /// Recomputes the assignments if routers or back ends changed.
     pub(crate) fn refresh(
         &mut self,
         routers: Vec<(RouterName, ZoneName)>,
@@ -57,14 +53,14 @@
         }
         self.routers = routers;
         self.backends = backends;
-        self.shares.clear();
+        self.assignments.clear();
         self.watcher.clear();
         let zones = by_zone(&self.routers);
         for (name, backend) in &self.backends {
-            let near = zones.get(&backend.zone).map(Vec::as_slice);
-            let chosen = near
-                .and_then(|near| highest(name, near.iter().copied()))
-                .or_else(|| highest(name, self.routers.iter().map(|(router, _)| router)));
+            let local = zones.get(&backend.zone).map(Vec::as_slice);
+            let chosen = local
+                .and_then(|local| highest_weight(name, local.iter().copied()))
+                .or_else(|| highest_weight(name, self.routers.iter().map(|(router, _)| router)));
             let Some(router) = chosen.cloned() else {
                 continue;
             };
@@ -74,23 +70,22 @@
                 kind: backend.kind,
                 address: backend.address.clone(),
             };
-            self.shares.entry(router).or_default().push(watched);
+            self.assignments.entry(router).or_default().push(watched);
         }
     }
 
-    /// The share of a router, by back end name.
-    pub(crate) fn share(&self, router: &RouterName) -> &[WatchedBackend] {
-        self.shares.get(router).map_or(&[], Vec::as_slice)
+    /// Returns the back ends assigned to a router, sorted by name.
+    pub(crate) fn assigned(&self, router: &RouterName) -> &[WatchedBackend] {
+        self.assignments.get(router).map_or(&[], Vec::as_slice)
     }
 
-    /// The router that watches a back end.
+    /// Returns the router that watches a back end.
     pub(crate) fn watcher(&self, backend: &BackendName) -> Option<&RouterName> {
         self.watcher.get(backend)
     }
 
-    /// Forgets everything.
     pub(crate) fn clear(&mut self) {
-        *self = WatchShares::default();
+        *self = WatchAssignments::default();
     }
 }
 
@@ -102,7 +97,7 @@
     zones
 }
 
-fn highest<'a>(
+fn highest_weight<'a>(
     backend: &BackendName,
     routers: impl Iterator<Item = &'a RouterName>,
 ) -> Option<&'a RouterName> {
--- a/crates/millpass-control-plane/tests/administration.rs
+++ b/crates/millpass-control-plane/tests/administration.rs
@@ -1,4 +1,5 @@
-//! Changes are accepted once, reads need the lease, a deposed leader says so.
+//! Administration calls: idempotent changes, reads under the lease, redirects and graceful
+//! shutdown.
 
 mod harness;
 
@@ -7,8 +8,8 @@
 use millpass_proto::*;
 use rstest::rstest;
 
-fn accepted(answer: Option<AdministrationResponse>) -> ChangeAccepted {
-    match answer {
+fn accepted(response: Option<AdministrationResponse>) -> ChangeAccepted {
+    match response {
         Some(AdministrationResponse::Change(ObjectChangeOutcome::Accepted(accepted))) => accepted,
         other => panic!("not accepted: {other:?}"),
     }
@@ -29,7 +30,7 @@
 #[rstest]
 #[case(1)]
 #[case(3)]
-fn change_is_accepted_once_and_a_resend_is_answered_the_same(#[case] members: u64) {
+fn resent_change_is_applied_once_with_the_same_response(#[case] members: u64) {
     let mut world = World::new(members);
     let leader = world.elect();
     let first = accepted(world.call(leader, put("change-1", 0, 1)));
@@ -73,48 +74,51 @@
     world.members.get_mut(&leader).unwrap().cut = true;
     world.run(Duration::from_millis(850));
     let read = AdministrationRequest::Get(tenant_key("news"));
-    let answer = world.call(leader, read);
+    let response = world.call(leader, read);
     assert!(
-        matches!(answer, Some(AdministrationResponse::NotLeader { .. })),
-        "{answer:?}"
+        matches!(response, Some(AdministrationResponse::NotLeader { .. })),
+        "{response:?}"
     );
 }
 
 #[rstest]
-fn follower_names_the_leader() {
+fn follower_redirects_to_the_leader() {
     let mut world = World::new(3);
     let leader = world.elect();
     let follower = *world.members.keys().find(|id| **id != leader).unwrap();
-    let answer = world.call(follower, AdministrationRequest::Status);
-    let Some(AdministrationResponse::NotLeader { leader_address }) = answer else {
-        panic!("{answer:?}");
+    let response = world.call(follower, AdministrationRequest::Status);
+    let Some(AdministrationResponse::NotLeader { leader_address }) = response else {
+        panic!("{response:?}");
     };
     let expected = harness::address(leader.0).administration_address;
     assert_eq!(leader_address, Some(expected));
 }
 
 #[rstest]
-fn change_at_a_cut_off_leader_is_answered_unknown_in_time() {
+fn change_at_a_partitioned_leader_is_answered_in_time() {
     let mut world = World::new(3);
     let leader = world.elect();
     world.members.get_mut(&leader).unwrap().cut = true;
-    let answer = world.call(leader, put("change-1", 0, 1));
-    assert!(answer.is_none(), "answered without a quorum: {answer:?}");
+    let response = world.call(leader, put("change-1", 0, 1));
+    assert!(
+        response.is_none(),
+        "answered without a quorum: {response:?}"
+    );
     world.run(Duration::from_secs(6));
-    let answer = world.last_answer();
+    let response = world.last_response();
     assert!(
         matches!(
-            answer,
+            response,
             Some(AdministrationResponse::Unknown | AdministrationResponse::NotLeader { .. })
         ),
-        "{answer:?}"
+        "{response:?}"
     );
 }
 
 #[rstest]
 #[case(1)]
 #[case(3)]
-fn drain_hands_leadership_over_and_stops(#[case] members: u64) {
+fn drain_transfers_leadership_and_stops(#[case] members: u64) {
     let mut world = World::new(members);
     let leader = world.elect();
     world.give(leader, ControlInput::Drain);
--- a/crates/millpass-control-plane/tests/claims.rs
+++ b/crates/millpass-control-plane/tests/claims.rs
@@ -1,4 +1,4 @@
-//! A claimed request runs at most once, through leader changes and deaths of routers.
+//! A claimed request runs at most once, through leader changes and losses of routers.
 
 mod harness;
 
@@ -8,10 +8,10 @@
 use rstest::rstest;
 
 const HOUR_MILLIS: u64 = 3_600_000;
-/// Birth of the key: the wall clock at virtual time zero.
+/// Creation time of the key: the wall clock at virtual time zero.
 const BORN_UNIX_MILLIS: u64 = 1_700_000_000_000;
 
-/// Members, a leader and two routers that reported to it.
+/// Creates members, a leader and two routers that have reported to it.
 fn setup(members: u64) -> (World, MemberId, [TestRouter; 2]) {
     let mut world = World::new(members);
     let leader = world.elect();
@@ -23,7 +23,7 @@
     (world, leader, routers)
 }
 
-/// Claims `key` and gives the decision, if it came.
+/// Claims `key` and returns the decision, if one arrived.
 fn begin(
     world: &mut World,
     router: &mut TestRouter,
@@ -33,7 +33,7 @@
     let claim = router.claim(key, "digest", BORN_UNIX_MILLIS, attempt);
     router.claims.clear();
     router.begin(world, claim);
-    router.claims.pop().map(|answer| answer.decision)
+    router.claims.pop().map(|response| response.decision)
 }
 
 fn finish(world: &mut World, router: &mut TestRouter, attempt: u64, conclusion: ClaimConclusion) {
@@ -64,7 +64,7 @@
 )]
 #[case::not_run(ClaimConclusion::NotRun, ClaimDecision::Granted)]
 #[case::unknown(ClaimConclusion::Unknown, ClaimDecision::MayHaveRun)]
-fn what_a_repeat_gets_after_the_end(
+fn retry_after_the_end_returns_the_conclusion(
     #[case] conclusion: ClaimConclusion,
     #[case] expected: ClaimDecision,
     #[values(false, true)] leader_changes: bool,
@@ -83,30 +83,30 @@
         let next = world.elect();
         first.reconnect(&mut world, next, 1);
         second.reconnect(&mut world, next, 1);
-        // The answer to the end was lost too: the end is sent again.
+        // The response to the first one was lost, too.
         finish(&mut world, &mut first, 1, conclusion);
         assert_eq!(first.finished, vec![1, 1]);
     }
     assert_eq!(begin(&mut world, &mut second, "key", 2), Some(expected));
 }
 
-/// What became of the answer to a claim.
+/// Message of a claim that is lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Lost {
     Request,
-    Answer,
+    Response,
 }
 
 #[rstest]
-fn a_claim_sent_again_after_a_leader_change_gets_the_same_decision(
-    #[values(Lost::Request, Lost::Answer)] lost: Lost,
+fn resent_claim_gets_the_same_decision_after_a_leader_change(
+    #[values(Lost::Request, Lost::Response)] lost: Lost,
     #[values(false, true)] other_first: bool,
 ) {
     let (mut world, leader, [mut first, mut second]) = setup(3);
     if other_first {
         begin(&mut world, &mut second, "key", 1);
     }
-    if lost == Lost::Answer {
+    if lost == Lost::Response {
         begin(&mut world, &mut first, "key", 1);
     }
     world.members.get_mut(&leader).unwrap().cut = true;
@@ -130,7 +130,7 @@
 }
 
 #[rstest]
-fn a_leader_without_a_quorum_grants_nothing_and_says_so_once_deposed() {
+fn leader_without_a_quorum_grants_no_claim_and_redirects_once_deposed() {
     let (mut world, leader, [mut router, _]) = setup(3);
     for (id, member) in &mut world.members {
         member.cut = *id != leader;
@@ -154,28 +154,32 @@
     assert_eq!(named, Some(harness::address(next.0).peer_address));
 }
 
-/// How a router with an open claim dies.
+/// How a router with an open claim is lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Death {
-    ReturnsAsNewRun,
-    ReturnsAfterLeaderChange,
-    StaysSilent,
+enum RouterLoss {
+    NewIncarnation,
+    NewIncarnationAfterLeaderChange,
+    NeverReturns,
 }
 
 #[rstest]
-#[case(Death::ReturnsAsNewRun)]
-#[case(Death::ReturnsAfterLeaderChange)]
-#[case(Death::StaysSilent)]
-fn claims_of_a_dead_router_may_have_run_and_never_run_again(#[case] death: Death) {
-    let members = if death == Death::StaysSilent { 1 } else { 3 };
+#[case(RouterLoss::NewIncarnation)]
+#[case(RouterLoss::NewIncarnationAfterLeaderChange)]
+#[case(RouterLoss::NeverReturns)]
+fn claims_of_a_dead_router_are_concluded_as_may_have_run(#[case] loss: RouterLoss) {
+    let members = if loss == RouterLoss::NeverReturns {
+        1
+    } else {
+        3
+    };
     let (mut world, mut leader, [mut first, mut second]) = setup(members);
     assert_eq!(
         begin(&mut world, &mut first, "key", 1),
         Some(ClaimDecision::Granted)
     );
-    match death {
-        Death::ReturnsAsNewRun => first.reconnect(&mut world, leader, 2),
-        Death::ReturnsAfterLeaderChange => {
+    match loss {
+        RouterLoss::NewIncarnation => first.reconnect(&mut world, leader, 2),
+        RouterLoss::NewIncarnationAfterLeaderChange => {
             world.halt(leader);
             leader = world.elect();
             second.reconnect(&mut world, leader, 1);
@@ -183,7 +187,7 @@
             assert_eq!(running, Some(ClaimDecision::InProgress));
             first.reconnect(&mut world, leader, 2);
         }
-        Death::StaysSilent => {
+        RouterLoss::NeverReturns => {
             world.step = Duration::from_millis(50);
             world.run(CLAIM_ABANDON_TIMEOUT - seconds(5));
             let running = begin(&mut world, &mut second, "key", 2);
@@ -202,7 +206,7 @@
 }
 
 #[rstest]
-fn a_new_leader_counts_the_silence_of_a_router_anew() {
+fn new_leader_restarts_the_abandon_timeout() {
     let (mut world, leader, [mut first, mut second]) = setup(3);
     begin(&mut world, &mut first, "key", 1);
     world.step = Duration::from_millis(50);
@@ -216,30 +220,30 @@
 }
 
 #[rstest]
-fn an_expired_key_is_forgotten_and_never_granted_again() {
+fn expired_key_is_removed_and_never_granted_again() {
     let (mut world, leader, [mut first, mut second]) = setup(1);
-    let born = world.unix_millis() - HOUR_MILLIS + 5_000;
-    let claim = first.claim("key", "digest", born, 1);
+    let created = world.unix_millis() - HOUR_MILLIS + 5_000;
+    let claim = first.claim("key", "digest", created, 1);
     first.begin(&mut world, claim);
     assert_eq!(first.claims[0].decision, ClaimDecision::Granted);
     assert_eq!(world.state(leader).claim_count(), 1);
     world.run(seconds(70));
     assert_eq!(world.state(leader).claim_count(), 0);
-    let claim = second.claim("key", "digest", born, 1);
+    let claim = second.claim("key", "digest", created, 1);
     second.begin(&mut world, claim);
     assert_eq!(second.claims[0].decision, ClaimDecision::Expired);
     second.report(&mut world);
     let update = second.updates.last().unwrap();
-    assert!(update.claims_created_after_unix_millis > born);
+    assert!(update.claims_created_after_unix_millis > created);
 }
 
 #[rstest]
-fn a_claim_in_the_name_of_another_router_or_run_is_refused() {
+fn claim_for_another_router_or_incarnation_is_refused() {
     let (mut world, leader, [first, mut second]) = setup(3);
-    let born = world.unix_millis();
-    let mut other_run = second.claim("key", "digest", born, 1);
-    other_run.router_incarnation = Incarnation(9);
-    for claim in [first.claim("key", "digest", born, 1), other_run] {
+    let created = world.unix_millis();
+    let mut other_incarnation = second.claim("key", "digest", created, 1);
+    other_incarnation.router_incarnation = Incarnation(9);
+    for claim in [first.claim("key", "digest", created, 1), other_incarnation] {
         second.begin(&mut world, claim);
     }
     assert_eq!((second.claims.len(), second.not_leader.len()), (0, 2));
