--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -190,8 +190,8 @@
 
     pub(crate) fn quarantined_requests(&self, now: Timestamp) -> AdministrationResponse {
         let fleet = self.fleet.as_ref();
-        let held = fleet.map_or_else(Vec::new, |fleet| fleet.held_requests(now));
-        AdministrationResponse::QuarantinedRequests(held)
+        let quarantined = fleet.map_or_else(Vec::new, |fleet| fleet.held_requests(now));
+        AdministrationResponse::QuarantinedRequests(quarantined)
     }
 
     /// Releases a quarantined request; answered after commit.
@@ -222,10 +222,10 @@
     pub(crate) fn start_fleet(&mut self, now: Timestamp) {
         if let Some(fleet) = self.fleet.as_mut().filter(|fleet| !fleet.has_begun()) {
             let recorded = self.state.noted_instances().cloned();
-            let held = self.state.held_requests().cloned();
+            let quarantined = self.state.held_requests().cloned();
             let state = &self.state;
             fleet.take_departures(&|instance| state.departed(instance));
-            fleet.begin(now, recorded, held, &self.instructions);
+            fleet.begin(now, recorded, quarantined, &self.instructions);
         }
     }
 
@@ -253,17 +253,17 @@
         for output in fleet.run(now, self.term, self.state.document(), &context) {
             match output {
                 FleetOutput::Instruct(instruction) => instructions.push(instruction),
-                FleetOutput::Note(note) => {
-                    let command = Command::RecordInstances(note);
+                FleetOutput::Note(record) => {
+                    let command = Command::RecordInstances(record);
                     self.propose_internal(now, InternalKey::NoteInstances, command, out);
                 }
                 FleetOutput::NoteStoreCapacity(capacity) => {
                     let command = Command::RecordStoreCapacity(capacity);
                     self.propose_internal(now, InternalKey::NoteStoreCapacity, command, out);
                 }
-                FleetOutput::NoteHeldRequest(note) => {
-                    let key = InternalKey::HeldRequest(note.request.clone());
-                    self.propose_internal(now, key, Command::QuarantineRequest(note), out);
+                FleetOutput::NoteHeldRequest(record) => {
+                    let key = InternalKey::HeldRequest(record.request.clone());
+                    self.propose_internal(now, key, Command::QuarantineRequest(record), out);
                 }
                 FleetOutput::LiftRequest(request) => {
                     let key = InternalKey::HeldRequest(request.clone());
--- a/crates/millpass-control-plane/src/interface.rs
+++ b/crates/millpass-control-plane/src/interface.rs
@@ -20,7 +20,7 @@
     pub consensus: ConsensusSettings,
     /// Scheduler settings.
     pub scheduler: SchedulerSettings,
-    /// Lease given to routers for catalog and routes.
+    /// Lease granted to routers for catalog and routes.
     pub router_lease: Duration,
     /// Time between scheduling rounds.
     pub scheduling_interval: Duration,
--- a/crates/millpass-control-plane/src/platform.rs
+++ b/crates/millpass-control-plane/src/platform.rs
@@ -113,7 +113,7 @@
                 .get(name)
                 .is_some_and(|since| now.since(*since) >= gone_delay);
             let leaving = self.machines.get(name).is_some_and(is_leaving);
-            let wanted = if gone {
+            let new_state = if gone {
                 BackendState::Gone
             } else if leaving && backend.state == BackendState::Live {
                 BackendState::Leaving
@@ -123,7 +123,7 @@
             marks.push(BackendMark {
                 backend: name.clone(),
                 incarnation: backend.registration.incarnation,
-                state: wanted,
+                state: new_state,
             });
         }
         marks
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -118,7 +118,7 @@
                     Command::DepartInstance(departure) => {
                         self.departure_applied(now, at, departure);
                     }
-                    Command::RecordInstructionIntent(note) => self.instructions.note(now, note),
+                    Command::RecordInstructionIntent(intent) => self.instructions.note(now, intent),
                     Command::RecordStoreCapacity(capacity) => {
                         self.instructions.note_store_capacity(*capacity);
                     }
--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -141,8 +141,10 @@
         let replaced: Vec<RouterIncarnation> = self
             .state
             .open_claim_runs()
-            .filter(|(holder, run, _)| **holder == router && *run != incarnation)
-            .map(|(holder, run, _)| (holder.clone(), run))
+            .filter(|(holder, holder_incarnation, _)| {
+                **holder == router && *holder_incarnation != incarnation
+            })
+            .map(|(holder, holder_incarnation, _)| (holder.clone(), holder_incarnation))
             .collect();
         for holder in replaced {
             self.abandon_claims(now, holder, out);
@@ -276,11 +278,11 @@
 
     /// Returns the route changes since a revision, if any. Full copies of a revision are cached,
     /// since many routers request them at once after a start.
-    fn placement_for(&mut self, held: PlacementRevision) -> Option<PlacementDelta> {
-        if held.0 == 0 && self.state.placement_revision().0 > 0 {
+    fn placement_for(&mut self, since: PlacementRevision) -> Option<PlacementDelta> {
+        if since.0 == 0 && self.state.placement_revision().0 > 0 {
             return Some(self.full_routes.get(&self.state));
         }
-        self.state.placement_since(held)
+        self.state.placement_since(since)
     }
 
     /// Returns the back ends assigned to the router if they differ from those last sent on this
--- a/crates/millpass-control-plane/tests/administration.rs
+++ b/crates/millpass-control-plane/tests/administration.rs
@@ -71,7 +71,7 @@
 fn reads_are_refused_without_the_lease() {
     let mut world = World::new(3);
     let leader = world.elect();
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     world.run(Duration::from_millis(850));
     let read = AdministrationRequest::Get(tenant_key("news"));
     let response = world.call(leader, read);
@@ -98,7 +98,7 @@
 fn change_at_a_partitioned_leader_is_answered_in_time() {
     let mut world = World::new(3);
     let leader = world.elect();
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     let response = world.call(leader, put("change-1", 0, 1));
     assert!(
         response.is_none(),
@@ -121,7 +121,7 @@
 fn drain_transfers_leadership_and_stops(#[case] members: u64) {
     let mut world = World::new(members);
     let leader = world.elect();
-    world.give(leader, ControlInput::Drain);
+    world.input(leader, ControlInput::Drain);
     world.run(Duration::from_secs(2));
     assert!(world.members[&leader].stopped);
     world.members.get_mut(&leader).unwrap().up = false;
--- a/crates/millpass-control-plane/tests/claims.rs
+++ b/crates/millpass-control-plane/tests/claims.rs
@@ -109,7 +109,7 @@
     if lost == Lost::Response {
         begin(&mut world, &mut first, "key", 1);
     }
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     if lost == Lost::Request {
         assert_eq!(begin(&mut world, &mut first, "key", 1), None);
     }
@@ -133,16 +133,16 @@
 fn leader_without_a_quorum_grants_no_claim_and_redirects_once_deposed() {
     let (mut world, leader, [mut router, _]) = setup(3);
     for (id, member) in &mut world.members {
-        member.cut = *id != leader;
+        member.partitioned = *id != leader;
     }
     assert_eq!(begin(&mut world, &mut router, "key", 1), None);
     world.members.get_mut(&leader).unwrap().frozen = true;
     for member in world.members.values_mut() {
-        member.cut = false;
+        member.partitioned = false;
     }
     let next = world.elect();
     assert_ne!(next, leader);
-    world.thaw(leader);
+    world.resume(leader);
     world.run(seconds(2));
     router.receive(&mut world);
     assert_eq!(
--- a/crates/millpass-control-plane/tests/deployment.rs
+++ b/crates/millpass-control-plane/tests/deployment.rs
@@ -58,7 +58,7 @@
 /// Returns the updates that a gateway received on this connection.
 fn updates(world: &mut World, connection: ConnectionId) -> Vec<GatewayUpdate> {
     world
-        .received(connection)
+        .take_received(connection)
         .into_iter()
         .filter_map(|message| match message {
             ControlToRouter::Gateway(update) => Some(update),
@@ -110,7 +110,7 @@
     let mut world = world(3);
     let leader = world.elect();
     world.call(leader, put(4));
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     world.run(seconds(3));
     assert_eq!(source(&mut world, leader), None);
 }
@@ -150,7 +150,7 @@
 fn leader_without_a_quorum_does_not_acknowledge_a_drain() {
     let mut world = world(3);
     let leader = world.elect();
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     let response = world.call(leader, announce("i-1", 1, true));
     assert!(
         !matches!(response, Some(AdministrationResponse::Done)),
@@ -363,7 +363,7 @@
             on_disk: Vec::new(),
             loading_adapters: Vec::new(),
         };
-        world.answer_reads(leader, &engine.into(), InstructionResult::State(state));
+        world.complete_reads(leader, &engine.into(), InstructionResult::State(state));
     }
 }
 
@@ -476,7 +476,7 @@
 #[test]
 fn leader_without_a_quorum_sends_no_instructions() {
     let (mut world, leader) = world_with_engines();
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     let sent = instructions_for(&mut world, leader, "a");
     assert!(sent.is_empty(), "{sent:?}");
 }
@@ -517,7 +517,7 @@
     let follower = world.follower(leader);
     world.boot_joiner(4);
     world.run(seconds(1));
-    world.give(follower, ControlInput::Join(address(4)));
+    world.input(follower, ControlInput::Join(address(4)));
     world.run(seconds(3));
     let membership = world.members[&leader].plane.consensus_status().membership;
     let learners: Vec<MemberId> = membership
@@ -535,15 +535,15 @@
     let mut world = world(3);
     let leader = world.elect();
     let replaced = world.follower(leader);
-    world.members.get_mut(&replaced).unwrap().cut = true;
+    world.members.get_mut(&replaced).unwrap().partitioned = true;
     world.boot_joiner(4);
     world.join(&[4], 15);
     assert!(!world.voters(leader).contains(&replaced.0), "replaced");
     world.call(leader, put(8));
-    world.members.get_mut(&replaced).unwrap().cut = false;
+    world.members.get_mut(&replaced).unwrap().partitioned = false;
     world.run(seconds(2));
     let joiner = world.members[&replaced].address.clone();
-    world.give(leader, ControlInput::Join(joiner));
+    world.input(leader, ControlInput::Join(joiner));
     world.run(seconds(5));
     assert_eq!(world.state(replaced).document_version(), 8);
 }
@@ -575,14 +575,14 @@
     let connection = world.connect(leader);
     report(&mut world, connection);
     world.run(seconds(1));
-    world.received(connection);
-    cut_others(&mut world, leader, true);
+    world.take_received(connection);
+    partition_others(&mut world, leader, true);
     world.run(std::time::Duration::from_millis(850));
     report(&mut world, connection);
-    let meanwhile = world.received(connection);
+    let meanwhile = world.take_received(connection);
     let is_redirect = |message: &ControlToRouter| matches!(message, ControlToRouter::NotLeader(_));
     assert!(!meanwhile.iter().any(is_redirect), "{meanwhile:?}");
-    cut_others(&mut world, leader, false);
+    partition_others(&mut world, leader, false);
     world.run(std::time::Duration::from_millis(500));
     let answered = updates(&mut world, connection);
     assert!(
@@ -592,9 +592,9 @@
 }
 
 /// Cuts the other two members off, or reconnects them.
-fn cut_others(world: &mut World, leader: MemberId, cut: bool) {
+fn partition_others(world: &mut World, leader: MemberId, partitioned: bool) {
     let others = world.members.iter_mut().filter(|(id, _)| **id != leader);
-    others.for_each(|(_, member)| member.cut = cut);
+    others.for_each(|(_, member)| member.partitioned = partitioned);
 }
 
 /// A majority without newer required entries confirms a gateway's state only if every majority
@@ -611,7 +611,7 @@
             leader = next;
         }
         let behind = world.follower(leader);
-        world.members.get_mut(&behind).unwrap().cut = version % 2 == 0;
+        world.members.get_mut(&behind).unwrap().partitioned = version % 2 == 0;
         let response = world.call(leader, put(version));
         assert!(
             matches!(response, Some(AdministrationResponse::Done)),
@@ -622,7 +622,7 @@
             .filter(|member| required_index(&world, MemberId(*member)) >= acknowledged)
             .count();
         assert!(holders >= 3, "version {version}: {holders} of 5");
-        world.members.get_mut(&behind).unwrap().cut = false;
+        world.members.get_mut(&behind).unwrap().partitioned = false;
         world.run(seconds(1));
     }
 }
--- a/crates/millpass-control-plane/tests/gateway_updates.rs
+++ b/crates/millpass-control-plane/tests/gateway_updates.rs
@@ -62,7 +62,7 @@
     let connection = world.connect(member);
     report(world, connection, version);
     world.run(std::time::Duration::from_millis(50));
-    let received = world.received(connection).into_iter();
+    let received = world.take_received(connection).into_iter();
     let mut updates = received.filter_map(|message| match message {
         ControlToRouter::Gateway(update) => Some(update),
         _ => None,
@@ -127,7 +127,7 @@
         report(&mut world, connection, 2);
         world.run(seconds(1));
     }
-    let received = world.received(connection);
+    let received = world.take_received(connection);
     let documents = received.iter().filter(
         |message| matches!(message, ControlToRouter::Gateway(update) if update.document.is_some()),
     );
--- a/crates/millpass-control-plane/tests/harness/fleet.rs
+++ b/crates/millpass-control-plane/tests/harness/fleet.rs
@@ -58,13 +58,13 @@
     }
 
     /// Sets the number of requests that wait for the model at the first router.
-    pub fn waiting(&mut self, waiting: u32) {
+    pub fn set_waiting(&mut self, waiting: u32) {
         self.routers[0].wait_for("chat", waiting);
     }
 
     /// Lets one request wait until a replica is decided. Returns the replica.
     pub fn place(&mut self) -> Replica {
-        self.waiting(1);
+        self.set_waiting(1);
         self.rounds(3);
         let replicas = self.replicas();
         assert_eq!(replicas.len(), 1, "{replicas:?}");
@@ -106,29 +106,29 @@
     /// Partitions the leader until another member leads, and reconnects the routers.
     pub fn fail_over(&mut self) {
         self.depose();
-        self.follow();
+        self.reconnect_routers();
     }
 
     /// Partitions leaders in turn until this member leads, and reconnects the routers.
-    pub fn lead(&mut self, wanted: MemberId) {
+    pub fn make_leader(&mut self, member: MemberId) {
         for _ in 0..20 {
-            if self.leader != wanted {
+            if self.leader != member {
                 self.depose();
             }
         }
-        assert_eq!(self.leader, wanted);
-        self.follow();
+        assert_eq!(self.leader, member);
+        self.reconnect_routers();
     }
 
     fn depose(&mut self) {
         let old = self.leader;
-        self.world.members.get_mut(&old).unwrap().cut = true;
+        self.world.members.get_mut(&old).unwrap().partitioned = true;
         self.leader = self.world.elect();
-        self.world.members.get_mut(&old).unwrap().cut = false;
+        self.world.members.get_mut(&old).unwrap().partitioned = false;
         self.world.run(Duration::from_millis(300));
     }
 
-    fn follow(&mut self) {
+    fn reconnect_routers(&mut self) {
         for router in &mut self.routers {
             let run = router.incarnation.0;
             router.reconnect(&mut self.world, self.leader, run);
--- a/crates/millpass-control-plane/tests/harness/mod.rs
+++ b/crates/millpass-control-plane/tests/harness/mod.rs
@@ -60,7 +60,7 @@
     pub log: Vec<LogEntry>,
     pub up: bool,
     /// Partitioned from other members, routers and engines.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Whether the core has stopped.
     pub stopped: bool,
     /// Does not handle inputs; they queue until it resumes.
@@ -225,7 +225,7 @@
             snapshot: None,
             log: Vec::new(),
             up: true,
-            cut: false,
+            partitioned: false,
             stopped: false,
             frozen: false,
             disk_stuck: false,
@@ -282,17 +282,17 @@
             member: new,
             ..self.members[&old].address.clone()
         };
-        self.boot_alone(address);
+        self.boot_outside_group(address);
     }
 
     /// Starts a process with an empty disk that is in no membership.
-    pub fn boot_alone(&mut self, address: MemberAddress) {
-        let nobody = Membership {
+    pub fn boot_outside_group(&mut self, address: MemberAddress) {
+        let no_members = Membership {
             voters: Vec::new(),
             outgoing_voters: Vec::new(),
             learners: Vec::new(),
         };
-        self.boot(address, nobody);
+        self.boot(address, no_members);
     }
 
     /// Starts the initial voters with empty disks, numbered from 1.
@@ -314,7 +314,7 @@
     }
 
     /// Resumes a frozen member, which then handles the queued inputs.
-    pub fn thaw(&mut self, id: MemberId) {
+    pub fn resume(&mut self, id: MemberId) {
         let member = self.members.get_mut(&id).unwrap();
         member.frozen = false;
         let queued = std::mem::take(&mut member.queued);
@@ -329,7 +329,7 @@
             for joiner in joiners {
                 for member in self.up() {
                     if self.reachable(member) {
-                        self.give(member, ControlInput::Join(address(*joiner)));
+                        self.input(member, ControlInput::Join(address(*joiner)));
                     }
                 }
             }
@@ -339,7 +339,7 @@
 
     /// Starts a process that is in no membership.
     pub fn boot_joiner(&mut self, joiner: u64) {
-        self.boot_alone(address(joiner));
+        self.boot_outside_group(address(joiner));
     }
 
     /// Returns the voters in force at a member, sorted.
@@ -376,43 +376,43 @@
     }
 
     /// Passes an input to a member and executes everything that follows immediately.
-    pub fn give(&mut self, member: MemberId, input: ControlInput) {
+    pub fn input(&mut self, member: MemberId, input: ControlInput) {
         self.inputs.push_back((member, input));
         self.settle();
     }
 
     /// Responds to pending reads of an engine's state by a member.
-    pub fn answer_reads(
+    pub fn complete_reads(
         &mut self,
         member: MemberId,
         instance: &InstanceId,
-        answer: InstructionResult,
+        result: InstructionResult,
     ) {
         let reads = std::mem::take(&mut self.engine_reads).into_iter();
-        let (answered, others): (Vec<_>, Vec<_>) =
+        let (matching, others): (Vec<_>, Vec<_>) =
             reads.partition(|(reader, read, _)| *reader == member && read == instance);
         self.engine_reads = others;
-        for (_, _, call) in answered {
-            self.answer_call(member, instance, call, answer.clone());
+        for (_, _, call) in matching {
+            self.complete_call(member, instance, call, result.clone());
         }
     }
 
     /// Completes a call to an engine.
-    pub fn answer_call(
+    pub fn complete_call(
         &mut self,
         member: MemberId,
         instance: &InstanceId,
         call: CallId,
-        answer: InstructionResult,
+        result: InstructionResult,
     ) {
-        let answer = CallAnswer {
+        let completed = CallAnswer {
             instance: instance.clone(),
             call,
-            answer,
+            answer: result,
             waited: std::time::Duration::ZERO,
             took: std::time::Duration::ZERO,
         };
-        self.give(member, ControlInput::EngineCallCompleted(answer));
+        self.input(member, ControlInput::EngineCallCompleted(completed));
     }
 
     fn settle(&mut self) {
@@ -451,7 +451,7 @@
     fn reachable(&self, id: MemberId) -> bool {
         self.members
             .get(&id)
-            .is_some_and(|member| member.up && !member.cut)
+            .is_some_and(|member| member.up && !member.partitioned)
     }
 
     fn carry_out(&mut self, id: MemberId, output: ControlOutput) {
@@ -630,7 +630,7 @@
     pub fn leader(&self) -> Option<MemberId> {
         self.members
             .iter()
-            .filter(|(_, member)| member.up && !member.cut && !member.frozen)
+            .filter(|(_, member)| member.up && !member.partitioned && !member.frozen)
             .find(|(_, member)| member.plane.is_leading(self.now))
             .map(|(id, _)| *id)
     }
@@ -654,7 +654,7 @@
     ) -> Option<AdministrationResponse> {
         self.calls += 1;
         let call = self.calls;
-        self.give(member, ControlInput::Administration { call, request });
+        self.input(member, ControlInput::Administration { call, request });
         self.responses.get(&call).cloned()
     }
 
@@ -679,12 +679,12 @@
                 connection,
                 message,
             };
-            self.give(member, input);
+            self.input(member, input);
         }
     }
 
     /// Removes and returns the messages sent to a router.
-    pub fn received(&mut self, connection: ConnectionId) -> Vec<ControlToRouter> {
+    pub fn take_received(&mut self, connection: ConnectionId) -> Vec<ControlToRouter> {
         let queue = self.to_routers.entry(connection).or_default();
         std::mem::take(queue).into()
     }
--- a/crates/millpass-control-plane/tests/harness/router.rs
+++ b/crates/millpass-control-plane/tests/harness/router.rs
@@ -113,7 +113,7 @@
 
     /// Receives the messages sent to the router.
     pub fn receive(&mut self, world: &mut World) {
-        for message in world.received(self.connection) {
+        for message in world.take_received(self.connection) {
             match message {
                 ControlToRouter::Update(update) => self.apply(update),
                 ControlToRouter::Claim(response) => self.claims.push(response),
--- a/crates/millpass-control-plane/tests/incarnations.rs
+++ b/crates/millpass-control-plane/tests/incarnations.rs
@@ -43,7 +43,7 @@
     world.router_sends(connection, RouterToControl::Gateway(report));
     world.run(seconds(1));
     let mut listed = BTreeMap::new();
-    for message in world.received(connection) {
+    for message in world.take_received(connection) {
         if let ControlToRouter::Gateway(update) = message {
             for record in update.instances {
                 listed.insert(record.instance, record.draining);
--- a/crates/millpass-control-plane/tests/late_heartbeat.rs
+++ b/crates/millpass-control-plane/tests/late_heartbeat.rs
@@ -66,7 +66,7 @@
     world.router_sends(connection, RouterToControl::Gateway(report));
     world.run(Time::from_secs(6));
     let mut usable = true;
-    for message in world.received(connection) {
+    for message in world.take_received(connection) {
         if let ControlToRouter::Gateway(update) = message {
             let records = update.instances.iter();
             for record in records.filter(|record| record.instance == "i-1".into()) {
--- a/crates/millpass-control-plane/tests/leadership.rs
+++ b/crates/millpass-control-plane/tests/leadership.rs
@@ -76,7 +76,7 @@
     fleet.world.platform.machines = full;
     fleet.rounds(12);
     lag(&mut fleet);
-    fleet.lead(first);
+    fleet.make_leader(first);
     fleet.rounds(4);
     let known = fleet.state().backend(&BackendName::from("e-1")).unwrap();
     assert_eq!(known.state, BackendState::Live);
@@ -92,7 +92,7 @@
     fleet.rounds(50);
     fleet.fail_over();
     let before = fleet.sent(fence)[&first];
-    fleet.lead(first);
+    fleet.make_leader(first);
     assert_eq!(session_count(&mut fleet.world, first), 0);
     fleet.world.run(Duration::from_millis(200));
     assert!(fleet.sent(fence)[&first] > before);
@@ -112,7 +112,7 @@
     fleet.fail_over();
     fleet.rounds(40);
     // The router connects to the leader late.
-    fleet.lead(first);
+    fleet.make_leader(first);
     fleet.world.run(seconds(12));
     assert_eq!(fleet.world.count_events("claims-abandoned"), 0);
     assert_eq!(fleet.state().open_claim_runs().count(), 1);
@@ -124,12 +124,12 @@
     let leader = world.elect();
     let mut router = TestRouter::new(&mut world, leader, "r-1", "zone-1");
     router.report(&mut world);
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     assert!(world.call(leader, put(0)).is_none());
     let call = world.responses.len() as u64 + 1;
     let next = world.elect();
     assert!(world.call(next, put(0)).is_some());
-    world.members.get_mut(&leader).unwrap().cut = false;
+    world.members.get_mut(&leader).unwrap().partitioned = false;
     world.run(seconds(6));
     let response = &world.responses[&call];
     let not_done = matches!(
--- a/crates/millpass-control-plane/tests/losses.rs
+++ b/crates/millpass-control-plane/tests/losses.rs
@@ -125,15 +125,15 @@
         let own = self.world.members[&id].address.clone();
         for other in self.world.up() {
             if other != id {
-                self.world.give(other, ControlInput::Join(own.clone()));
+                self.world.input(other, ControlInput::Join(own.clone()));
             }
         }
     }
 
     /// Runs until a member is leading. Returns it and the time taken.
-    fn leader_within(&mut self, longest: Duration) -> Option<(MemberId, Duration)> {
+    fn leader_within(&mut self, timeout: Duration) -> Option<(MemberId, Duration)> {
         let start = self.world.now;
-        while self.world.now.since(start) <= longest {
+        while self.world.now.since(start) <= timeout {
             if let Some(leader) = self.world.leader() {
                 return Some((leader, self.world.now.since(start)));
             }
@@ -143,11 +143,11 @@
     }
 
     /// Puts the next version and waits for the acknowledgement. Returns the member that sent it.
-    fn put(&mut self, longest: Duration) -> MemberId {
+    fn put(&mut self, timeout: Duration) -> MemberId {
         self.version += 1;
         let start = self.world.now;
         loop {
-            let Some((leader, _)) = self.leader_within(longest) else {
+            let Some((leader, _)) = self.leader_within(timeout) else {
                 panic!("no leader: {}", self.describe());
             };
             let before = self.world.responses.len();
@@ -161,7 +161,7 @@
             if let Some(AdministrationResponse::Done) = self.world.last_response() {
                 return leader;
             }
-            assert!(self.world.now.since(start) <= longest, "no acknowledgement");
+            assert!(self.world.now.since(start) <= timeout, "no acknowledgement");
         }
     }
 
@@ -209,7 +209,7 @@
     fn start_new_machine(&mut self) -> MemberId {
         self.next_identity += 1;
         let new = MemberId(self.next_identity);
-        self.world.boot_alone(MemberAddress {
+        self.world.boot_outside_group(MemberAddress {
             member: new,
             ..address(9)
         });
@@ -233,10 +233,10 @@
         &mut self,
         lost: MemberId,
         new: MemberId,
-        longest: Duration,
+        timeout: Duration,
     ) -> Option<Duration> {
         let start = self.world.now;
-        while self.world.now.since(start) <= longest {
+        while self.world.now.since(start) <= timeout {
             if self.is_repaired(lost, new) {
                 return Some(self.world.now.since(start));
             }
@@ -271,9 +271,9 @@
     }
 
     /// Queries all members in turn until one responds. Returns the response and the time taken.
-    fn read_within(&mut self, longest: Duration) -> Option<(String, Duration)> {
+    fn read_within(&mut self, timeout: Duration) -> Option<(String, Duration)> {
         let start = self.world.now;
-        while self.world.now.since(start) <= longest {
+        while self.world.now.since(start) <= timeout {
             for member in self.world.up() {
                 if let Some(document) = self.read(member) {
                     return Some((document, self.world.now.since(start)));
@@ -356,8 +356,8 @@
         "{members} {lost_member:?} delay {delay} down {down_millis}: {}",
         quantiles(times.clone())
     );
-    let worst = times.into_iter().max().expect("times");
-    assert!(worst < REPAIR_DEADLINE.as_millis(), "{worst} ms");
+    let maximum = times.into_iter().max().expect("times");
+    assert!(maximum < REPAIR_DEADLINE.as_millis(), "{maximum} ms");
 }
 
 /// The last failure of the scenario.
@@ -417,8 +417,8 @@
         "{members} {last_failure:?} delay {delay} spread {spread}: {}",
         quantiles(times.clone())
     );
-    let worst = times.into_iter().max().expect("times");
-    assert!(worst < READ_DEADLINE.as_millis(), "{worst} ms");
+    let maximum = times.into_iter().max().expect("times");
+    assert!(maximum < READ_DEADLINE.as_millis(), "{maximum} ms");
 }
 
 #[rstest]
@@ -510,7 +510,7 @@
             Successor::Before => {
                 let started = (group.start_new_machine(), group.world.now);
                 group.run(Duration::from_secs(1));
-                group.world.give(lost, ControlInput::Drain);
+                group.world.input(lost, ControlInput::Drain);
                 group.run(DOWNTIME);
                 group.world.halt(lost);
                 started
@@ -524,10 +524,10 @@
         "{members} gone {lost_member:?} delay {delay} {successor:?}: {}",
         quantiles(times.clone())
     );
-    let worst = times.into_iter().max().expect("times");
-    let longest = match members {
+    let maximum = times.into_iter().max().expect("times");
+    let timeout = match members {
         5 => REPAIR_DEADLINE_OF_FIVE,
         _ => REPAIR_DEADLINE,
     };
-    assert!(worst < longest.as_millis(), "{worst} ms");
+    assert!(maximum < timeout.as_millis(), "{maximum} ms");
 }
--- a/crates/millpass-control-plane/tests/membership.rs
+++ b/crates/millpass-control-plane/tests/membership.rs
@@ -106,18 +106,18 @@
         zone: address(zone).zone,
         ..address(listens)
     };
-    let nobody = world.members[&leader].plane.consensus_status().membership;
+    let no_members = world.members[&leader].plane.consensus_status().membership;
     world.boot(
         joiner.clone(),
         Membership {
             voters: Vec::new(),
-            ..nobody
+            ..no_members
         },
     );
     world.run(seconds(6));
     for _ in 0..10 {
         let leader = world.elect();
-        world.give(leader, ControlInput::Join(joiner.clone()));
+        world.input(leader, ControlInput::Join(joiner.clone()));
         world.run(seconds(1));
     }
     assert_eq!(world.voters(leader), vec![1, 2, 3, 5, 6]);
@@ -186,7 +186,7 @@
         AdministrationRequest::ChangeMembership(MembershipChange::AddLearner(address(member)))
     };
     // Partitioned, so that the first change stays pending.
-    world.members.get_mut(&leader).unwrap().cut = true;
+    world.members.get_mut(&leader).unwrap().partitioned = true;
     assert!(world.call(leader, request(8)).is_none());
     let response = world.call(leader, request(9));
     let Some(AdministrationResponse::Refused(reason)) = response else {
@@ -204,17 +204,17 @@
 #[rstest]
 #[case::alone(1, false)]
 #[case::nobody_answers(3, true)]
-fn drain_answers_pending_calls_and_stops_in_time(#[case] voters: u64, #[case] cut: bool) {
+fn drain_answers_pending_calls_and_stops_in_time(#[case] voters: u64, #[case] partitioned: bool) {
     let mut world = World::new(voters);
     let leader = world.elect();
     let mut router = TestRouter::new(&mut world, leader, "r-1", "zone-1");
     router.report(&mut world);
     for (id, member) in &mut world.members {
-        member.cut = cut && *id != leader;
+        member.partitioned = partitioned && *id != leader;
     }
     let is_pending = world.call(leader, put(0, 0)).is_none();
-    assert_eq!(is_pending, cut);
-    world.give(leader, ControlInput::Drain);
+    assert_eq!(is_pending, partitioned);
+    world.input(leader, ControlInput::Drain);
     let refused = world.call(leader, put(1, 1));
     if let Some(response) = refused {
         assert!(
@@ -227,7 +227,7 @@
     assert_eq!(router.claims.len(), 0);
     assert_eq!(
         router.not_leader.len(),
-        usize::from(cut),
+        usize::from(partitioned),
         "claim not refused at once"
     );
     world.run(seconds(6));
@@ -249,7 +249,7 @@
     world.members.get_mut(&leader).unwrap().disk_stuck = true;
     assert!(world.call(leader, put(0, 0)).is_none());
     if drained {
-        world.give(leader, ControlInput::Drain);
+        world.input(leader, ControlInput::Drain);
     }
     world.run(seconds(if drained { 2 } else { 6 }));
     let response = world.last_response();
@@ -265,7 +265,7 @@
     let mut world = World::new(3);
     let leader = world.elect();
     let follower = world.follower(leader);
-    world.give(follower, ControlInput::Drain);
+    world.input(follower, ControlInput::Drain);
     assert!(world.members[&follower].stopped);
     world.run(seconds(5));
     assert_eq!(world.leader(), Some(leader));
@@ -308,7 +308,7 @@
             "{reason:?}"
         );
         let events = world.events.len();
-        world.give(follower, ControlInput::Drain);
+        world.input(follower, ControlInput::Drain);
         assert_eq!(world.events.len(), events, "a stopped core ignores inputs");
     } else {
         assert_eq!(world.count_events("state-restored"), 1);
--- a/crates/millpass-control-plane/tests/news.rs
+++ b/crates/millpass-control-plane/tests/news.rs
@@ -50,7 +50,7 @@
 fn route_change_notifies_only_routers_with_waiting_requests() {
     let mut fleet = fleet();
     notifications(&mut fleet, NOTIFICATION_WAIT);
-    fleet.waiting(3);
+    fleet.set_waiting(3);
     let (world, routers) = (&mut fleet.world, &mut fleet.routers);
     routers[0].report(world);
     assert_eq!(
--- a/crates/millpass-control-plane/tests/orders.rs
+++ b/crates/millpass-control-plane/tests/orders.rs
@@ -75,11 +75,11 @@
 #[rstest]
 fn order_with_a_stale_response_is_not_settled_and_is_resent() {
     let mut fleet = Fleet::small(&["e-1"]);
-    let far = LogPosition {
+    let future_fence = LogPosition {
         term: 99,
         index: 1_000,
     };
-    fleet.engine("e-1").highest = far;
+    fleet.engine("e-1").highest = future_fence;
     let replica = fleet.place();
     fleet.rounds(4);
     assert!(fleet.world.count_events("order-stale") > 1);
@@ -113,7 +113,7 @@
 fn memory_is_freed_only_when_the_latest_order_is_settled(#[case] difference: Difference) {
     let mut fleet = Fleet::small(&["e-1"]);
     let fence = fleet.place().fence;
-    fleet.waiting(0);
+    fleet.set_waiting(0);
     let mut report = fleet.engine("e-1").report();
     assert_eq!(report.highest_fence, fence);
     let older = LogPosition {
@@ -145,7 +145,7 @@
     let mut fleet = Fleet::small(&["e-1"]);
     fleet.engine("e-1").responds = !unanswered;
     let old = fleet.place();
-    fleet.waiting(0);
+    fleet.set_waiting(0);
     let engine = fleet.engine("e-1");
     engine.responds = true;
     engine.restart(2);
@@ -177,7 +177,7 @@
     fleet.world.run(harness::seconds(1));
     fleet.leader = fleet.world.elect();
     let before = fleet.sent(fence)[&old];
-    fleet.world.thaw(old);
+    fleet.world.resume(old);
     fleet.world.run(harness::seconds(20));
     assert_eq!(fleet.sent(fence)[&old], before);
     assert!(fleet.sent(fence)[&fleet.leader] > 0);
--- a/crates/millpass-control-plane/tests/permits.rs
+++ b/crates/millpass-control-plane/tests/permits.rs
@@ -52,7 +52,7 @@
     let connection = world.connect(member);
     world.router_sends(connection, RouterToControl::Gateway(gateway_report(0)));
     world.run(seconds(1));
-    world.received(connection);
+    world.take_received(connection);
     connection
 }
 
@@ -63,7 +63,7 @@
     let follower = world.follower(leader);
     let connection = connect_gateway(&mut world, follower);
     request_permit(&mut world, connection);
-    let messages = world.received(connection);
+    let messages = world.take_received(connection);
     assert_eq!(granted(&messages), None);
     let is_redirect = |message: &ControlToRouter| matches!(message, ControlToRouter::NotLeader(_));
     assert!(messages.iter().any(is_redirect), "{messages:?}");
@@ -75,15 +75,15 @@
     let leader = world.elect();
     let connection = connect_gateway(&mut world, leader);
     request_permit(&mut world, connection);
-    assert_eq!(granted(&world.received(connection)), Some(0));
+    assert_eq!(granted(&world.take_received(connection)), Some(0));
     world.run(seconds(1));
     request_permit(&mut world, connection);
-    assert_eq!(granted(&world.received(connection)), Some(1));
+    assert_eq!(granted(&world.take_received(connection)), Some(1));
     world.halt(leader);
     let next = world.elect();
     let connection = connect_gateway(&mut world, next);
     request_permit(&mut world, connection);
-    assert_eq!(granted(&world.received(connection)), Some(0));
+    assert_eq!(granted(&world.take_received(connection)), Some(0));
 }
 
 #[test]
@@ -92,9 +92,9 @@
     let leader = world.elect();
     let connection = connect_gateway(&mut world, leader);
     let others = world.members.iter_mut().filter(|(id, _)| **id != leader);
-    others.for_each(|(_, member)| member.cut = true);
+    others.for_each(|(_, member)| member.partitioned = true);
     world.run(Duration::from_millis(850));
-    world.received(connection);
+    world.take_received(connection);
     request_permit(&mut world, connection);
-    assert!(world.received(connection).is_empty());
+    assert!(world.take_received(connection).is_empty());
 }
--- a/crates/millpass-control-plane/tests/properties.rs
+++ b/crates/millpass-control-plane/tests/properties.rs
@@ -27,8 +27,8 @@
     Halt(u64),
     Restart(u64),
     Freeze(u64),
-    Thaw(u64),
-    Cut(u64),
+    Resume(u64),
+    Partition(u64),
     Heal(u64),
     /// Routers report this many waiting requests for the model.
     Reports(u32),
@@ -46,8 +46,8 @@
         1 => member().prop_map(Step::Halt),
         3 => member().prop_map(Step::Restart),
         1 => member().prop_map(Step::Freeze),
-        2 => member().prop_map(Step::Thaw),
-        1 => member().prop_map(Step::Cut),
+        2 => member().prop_map(Step::Resume),
+        1 => member().prop_map(Step::Partition),
         2 => member().prop_map(Step::Heal),
         4 => (0_u32..40).prop_map(Step::Reports),
         2 => Just(Step::FinishLoads),
@@ -107,9 +107,9 @@
             Step::Halt(id) => self.world.halt(MemberId(id)),
             Step::Restart(id) => self.world.restart(id),
             Step::Freeze(id) => self.member(id).frozen = true,
-            Step::Thaw(id) => self.world.thaw(MemberId(id)),
-            Step::Cut(id) => self.member(id).cut = true,
-            Step::Heal(id) => self.member(id).cut = false,
+            Step::Resume(id) => self.world.resume(MemberId(id)),
+            Step::Partition(id) => self.member(id).partitioned = true,
+            Step::Heal(id) => self.member(id).partitioned = false,
             Step::Reports(waiting) => self.reports(waiting),
             Step::FinishLoads => self.finish_loads(),
             Step::RestartEngine(number) => self.restart_engine(number),
@@ -263,9 +263,9 @@
         self.world.network.delayed = 0;
         self.world.network.doubled = 0;
         for id in 1..=MEMBERS {
-            self.member(id).cut = false;
+            self.member(id).partitioned = false;
             if self.member(id).frozen {
-                self.world.thaw(MemberId(id));
+                self.world.resume(MemberId(id));
             }
             if !self.member(id).up {
                 self.world.restart(id);
--- a/crates/millpass-control-plane/tests/sessions.rs
+++ b/crates/millpass-control-plane/tests/sessions.rs
@@ -66,11 +66,11 @@
     let connection = fleet.routers[0].connection;
     // Partitioned from the other members only; its routers can still reach it.
     for (id, member) in &mut fleet.world.members {
-        member.cut = *id != leader;
+        member.partitioned = *id != leader;
     }
     fleet.world.run(Duration::from_millis(850));
     fleet.world.router_sends(connection, report(1_000));
-    let messages = fleet.world.received(connection);
+    let messages = fleet.world.take_received(connection);
     assert!(is_redirect(&messages, None), "{messages:?}");
 }
 
@@ -81,9 +81,9 @@
     fleet.world.members.get_mut(&old).unwrap().frozen = true;
     assert_ne!(fleet.world.elect(), old);
     let connection = fleet.routers[0].connection;
-    fleet.world.received(connection);
-    fleet.world.thaw(old);
-    let messages = fleet.world.received(connection);
+    fleet.world.take_received(connection);
+    fleet.world.resume(old);
+    let messages = fleet.world.take_received(connection);
     let redirected = messages
         .iter()
         .any(|response| matches!(response, ControlToRouter::NotLeader(_)));
@@ -96,7 +96,7 @@
     let leader = world.elect();
     let follower = world.follower(leader);
     let router = TestRouter::new(&mut world, follower, "r-1", "zone-1");
-    let messages = world.received(router.connection);
+    let messages = world.take_received(router.connection);
     let expected = harness::address(leader.0).peer_address;
     assert!(is_redirect(&messages, Some(expected)), "{messages:?}");
 }
@@ -109,7 +109,7 @@
         fleet.world.router_sends(connection, report(sequence));
     }
     assert_eq!(
-        update_sequences(&fleet.world.received(connection)),
+        update_sequences(&fleet.world.take_received(connection)),
         vec![50, 51]
     );
 }
@@ -126,9 +126,9 @@
     let watch = fleet.routers[0].updates.last().unwrap().watch.clone();
     assert_eq!(watch.map(|watch| watch.backends.len()), Some(1));
     fleet.world.router_sends(old, report(1_000));
-    assert_eq!(fleet.world.received(old), Vec::new());
+    assert_eq!(fleet.world.take_received(old), Vec::new());
     let disconnected = ControlInput::RouterDisconnected(old);
-    fleet.world.give(leader, disconnected);
+    fleet.world.input(leader, disconnected);
     let sequence = fleet.routers[0].sequence + 1;
     fleet.routers[0].report(&mut fleet.world);
     let update = fleet.routers[0].updates.last().unwrap();
@@ -142,7 +142,7 @@
     let leader = world.elect();
     let connection = world.connect(leader);
     world.router_sends(connection, report(1));
-    assert!(is_redirect(&world.received(connection), None));
+    assert!(is_redirect(&world.take_received(connection), None));
     let hello = RouterHello {
         group: GroupId(2),
         router: RouterName::from("r-1"),
@@ -152,7 +152,7 @@
     };
     world.router_sends(connection, RouterToControl::Hello(hello));
     world.router_sends(connection, report(2));
-    let messages = world.received(connection);
+    let messages = world.take_received(connection);
     assert_eq!(messages.len(), 2);
     assert!(is_redirect(&messages[..1], None) && is_redirect(&messages[1..], None));
 }
@@ -176,10 +176,10 @@
         TestRouter::new(&mut world, leader, &format!("r-{number}"), "zone-1");
     }
     let refused = TestRouter::new(&mut world, leader, "refused", "zone-1");
-    assert!(is_redirect(&world.received(refused.connection), None));
-    world.give(leader, ControlInput::RouterDisconnected(ConnectionId(1)));
+    assert!(is_redirect(&world.take_received(refused.connection), None));
+    world.input(leader, ControlInput::RouterDisconnected(ConnectionId(1)));
     let taken = TestRouter::new(&mut world, leader, "taken", "zone-1");
-    assert_eq!(world.received(taken.connection), Vec::new());
+    assert_eq!(world.take_received(taken.connection), Vec::new());
 }
 
 #[rstest]
@@ -234,7 +234,7 @@
     fleet.routers[0].sequence += 1;
     let sequence = fleet.routers[0].sequence;
     fleet.world.router_sends(old, report(sequence));
-    let late = fleet.world.received(old);
+    let late = fleet.world.take_received(old);
     fleet.fail_over();
     change_tenant(&mut fleet.world, "news", 1, Some(tenant(2)));
     fleet.rounds(2);
--- a/crates/millpass-control-plane/tests/shares.rs
+++ b/crates/millpass-control-plane/tests/shares.rs
@@ -25,7 +25,7 @@
     world.router_sends(connection, RouterToControl::Gateway(report));
     world.run(Time::from_millis(50));
     let mut listed_instances = BTreeSet::new();
-    for message in world.received(connection) {
+    for message in world.take_received(connection) {
         if let ControlToRouter::Gateway(update) = message {
             listed_instances.extend(update.instances.into_iter().map(|it| it.instance.0));
         }
--- a/crates/millpass-control-plane/tests/watch.rs
+++ b/crates/millpass-control-plane/tests/watch.rs
@@ -7,7 +7,7 @@
 use millpass_proto::*;
 use rstest::rstest;
 
-fn wide() -> Fleet {
+fn multi_zone_fleet() -> Fleet {
     let routers = [("r-1", "zone-1"), ("r-2", "zone-1"), ("r-3", "zone-2")];
     let engines = [
         ("e-1", "zone-1"),
@@ -23,19 +23,22 @@
 }
 
 /// Asserts that each engine has one watcher, from its own zone if a router there can watch.
-fn assert_one_watcher_each(fleet: &Fleet, away: &str) {
+fn assert_one_watcher_each(fleet: &Fleet, excluded: &str) {
     let watchers = fleet.watchers();
-    let able = |router: &&harness::TestRouter| router.name.0 != away;
+    let can_watch = |router: &&harness::TestRouter| router.name.0 != excluded;
     for (name, engine) in &fleet.world.engines {
         let found = watchers.get(name).cloned().unwrap_or_default();
         let [watcher] = found.as_slice() else {
             panic!("{name} is watched by {found:?}");
         };
-        let near = |router: &harness::TestRouter| router.zone == engine.zone;
-        let mut routers = fleet.routers.iter().filter(able);
+        let is_local = |router: &harness::TestRouter| router.zone == engine.zone;
+        let mut routers = fleet.routers.iter().filter(can_watch);
         let watching = routers.clone().find(|router| router.name == *watcher);
-        let watching = watching.unwrap_or_else(|| panic!("{watcher} is away"));
-        assert!(near(watching) || !routers.any(near), "{name}: {watcher}");
+        let watching = watching.unwrap_or_else(|| panic!("{watcher} is excluded"));
+        assert!(
+            is_local(watching) || !routers.any(is_local),
+            "{name}: {watcher}"
+        );
     }
 }
 
@@ -51,33 +54,33 @@
     #[values(RouterLoss::Unreachable, RouterLoss::Draining)] loss: RouterLoss,
     #[values("r-1", "r-3")] name: &str,
 ) {
-    let mut fleet = wide();
+    let mut fleet = multi_zone_fleet();
     assert_one_watcher_each(&fleet, "nobody");
     let before = fleet.watchers();
-    let place = fleet
+    let position = fleet
         .routers
         .iter()
         .position(|router| router.name.0 == name);
-    let place = place.unwrap();
-    assert!(!fleet.routers[place].watch.is_empty());
-    let gone = if loss == RouterLoss::Draining {
-        fleet.routers[place].draining = true;
+    let position = position.unwrap();
+    assert!(!fleet.routers[position].watch.is_empty());
+    let removed = if loss == RouterLoss::Draining {
+        fleet.routers[position].draining = true;
         None
     } else {
-        Some(fleet.routers.remove(place))
+        Some(fleet.routers.remove(position))
     };
     fleet.rounds(10);
     assert_one_watcher_each(&fleet, name);
     for (engine, watcher) in fleet.watchers() {
         let moved = before[&engine] != watcher;
-        let of_gone = before[&engine][0].0 == name;
+        let was_assigned = before[&engine][0].0 == name;
         assert_eq!(
-            moved, of_gone,
+            moved, was_assigned,
             "only back ends of {name} may move: {engine}"
         );
     }
     // The router returns.
-    fleet.routers.extend(gone);
+    fleet.routers.extend(removed);
     for router in &mut fleet.routers {
         router.draining = false;
     }
@@ -87,7 +90,7 @@
 
 #[rstest]
 fn only_the_watcher_can_report_a_new_incarnation() {
-    let mut fleet = wide();
+    let mut fleet = multi_zone_fleet();
     let engine = BackendName::from("e-5");
     fleet.engine("e-5").restart(2);
     for sequence in 1..4 {
@@ -129,7 +132,7 @@
         sequence: old.sequence - 1,
         machines: Vec::new(),
     };
-    fleet.world.give(leader, ControlInput::PlatformListed(old));
+    fleet.world.input(leader, ControlInput::PlatformListed(old));
     fleet.rounds(30);
     assert!(fleet.world.count_events("platform-list-stale") > 10);
     assert_eq!(state(&fleet), BackendState::Leaving);
@@ -177,7 +180,7 @@
     fleet.world.platform.machines[0].state = BackendState::Leaving;
     fleet.rounds(5);
     let before = fleet.world.deliveries.len();
-    fleet.waiting(100);
+    fleet.set_waiting(100);
     for _ in 0..10 {
         fleet.rounds(2);
         fleet.engine("e-2").finish_loads();
@@ -202,7 +205,7 @@
     platform
         .machines
         .retain(|machine| machine.backend != engine.backend);
-    fleet.waiting(1);
+    fleet.set_waiting(1);
     for _ in 0..20 {
         fleet.rounds(2);
         for engine in fleet.world.engines.values_mut() {
--- a/crates/millpass-quarantine/tests/quarantine.rs
+++ b/crates/millpass-quarantine/tests/quarantine.rs
@@ -137,10 +137,10 @@
     assert!(quarantine.release(&DEADLY));
     quarantine.record_crash(at(3 * CRASH_INTERVAL_MILLIS), &instance_id(7), &[DEADLY]);
     assert!(!quarantine.is_suspect(&DEADLY));
-    let mut held = with_crashes(3);
-    assert!(held.release(&DEADLY));
+    let mut quarantine = with_crashes(3);
+    assert!(quarantine.release(&DEADLY));
     assert_eq!(
-        held.quarantined_for(at(3 * CRASH_INTERVAL_MILLIS), &DEADLY),
+        quarantine.quarantined_for(at(3 * CRASH_INTERVAL_MILLIS), &DEADLY),
         None
     );
 }
@@ -242,8 +242,8 @@
         quarantine.confirm(at(now) + CONFIRM_AFTER, CONFIRM_AFTER);
     }
     let now = at(events * CRASH_INTERVAL_MILLIS);
-    let held = (0..items).filter(|item| quarantine.quarantined_for(now, item).is_some());
-    (held.count(), items as usize)
+    let quarantined = (0..items).filter(|item| quarantine.quarantined_for(now, item).is_some());
+    (quarantined.count(), items as usize)
 }
 
 /// Guards against quarantining requests that are retried into several crashes of a mass outage.
@@ -254,10 +254,10 @@
 #[case(50, 1)]
 fn mass_crash_quarantines_few_items(#[case] share: u64, #[case] most_in_a_thousand: usize) {
     let runs = (0..200).map(|seed| wrongly_quarantined(seed, 18, share, 5));
-    let (held, items) = runs.fold((0, 0), |sum, run| (sum.0 + run.0, sum.1 + run.1));
+    let (quarantined, items) = runs.fold((0, 0), |sum, run| (sum.0 + run.0, sum.1 + run.1));
     assert!(
-        held * 1_000 <= items * most_in_a_thousand,
-        "{held} of {items}"
+        quarantined * 1_000 <= items * most_in_a_thousand,
+        "{quarantined} of {items}"
     );
 }
 
