--- a/crates/millpass-cli/src/commands/programs.rs
+++ b/crates/millpass-cli/src/commands/programs.rs
@@ -16,7 +16,7 @@
 use millpass_scheduler::{KeepAlive, SchedulerSettings};
 use millpass_storage::StorageOptions;
 use millpass_telemetry::{LogSettings, ProcessClock, event_line, log_panics, start_logging};
-use millpass_tenancy::QuotaTerms;
+use millpass_tenancy::QuotaTolerance;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
@@ -213,8 +213,8 @@
     }
 }
 
-fn quota(window_ms: u64, overage: &str, slack_units: u64) -> Result<QuotaTerms> {
-    Ok(QuotaTerms {
+fn quota(window_ms: u64, overage: &str, slack_units: u64) -> Result<QuotaTolerance> {
+    Ok(QuotaTolerance {
         window: millis(window_ms),
         overage: overage.parse().context("quota.overage")?,
         slack_units,
@@ -260,7 +260,7 @@
             retry_slack: settings.retries.slack as f64,
             retry_window: millis(settings.retries.window_ms),
             prompt_tokens_per_milli: settings.instances.prompt_tokens_per_second as f64 / 1_000.0,
-            default_patience: millis(settings.instances.default_patience_ms),
+            default_timeout: millis(settings.instances.default_patience_ms),
             quota: quota(
                 settings.quota.window_ms,
                 &settings.quota.overage,
@@ -269,10 +269,11 @@
             key_lifetime: (settings.tenants.unchecked_keys == "refuse")
                 .then(|| millis(settings.tenants.key_lifetime_ms)),
             freshness: FreshnessSettings {
-                in_force: millis(settings.freshness.in_force_ms),
-                departed: millis(settings.freshness.departed_ms),
-                sending: millis(settings.instances.connect_timeout_ms) + SENDING_BEYOND_CONNECTING,
-                cut_off: millis(settings.freshness.cut_off_ms),
+                max_staleness: millis(settings.freshness.in_force_ms),
+                max_departure_staleness: millis(settings.freshness.departed_ms),
+                max_send_delay: millis(settings.instances.connect_timeout_ms)
+                    + SENDING_BEYOND_CONNECTING,
+                max_isolated_staleness: millis(settings.freshness.cut_off_ms),
             },
         },
         clock: ProcessClock::start(),
--- a/crates/millpass-tenancy/src/ledger.rs
+++ b/crates/millpass-tenancy/src/ledger.rs
@@ -1,11 +1,12 @@
-//! What the leader lends of each tenant's quota.
+//! Ledger of the leader: units granted from each tenant's quota.
 //!
-//! Whatever gateways use was lent first, or is charged with their next word, so that the sum over all gateways
-//! stays within the limit whoever fails. A new leader knows nothing of what the one before it lent: it begins
-//! with empty buckets but for a part of what the contract bears above a limit, which is safe since the other lent no
-//! more than the limit until its lease ended.
+//! Every unit that a gateway uses was granted before or is charged with its next request, so the
+//! sum over all gateways stays within the limit, whichever process fails. A new leader does not
+//! know the grants of its predecessor. It starts with only a fraction of the tolerance in each
+//! bucket, which is safe because the predecessor granted no more than the limit until its lease
+//! expired.
 
-use crate::account::QuotaTerms;
+use crate::account::QuotaTolerance;
 use crate::limit::{TenantLimit, UnitBucket};
 use millpass_proto::{
     CreditGrant, CreditRequest, CreditResponse, DeploymentDocument, Duration, TenantCreditRequest,
@@ -13,26 +14,27 @@
 };
 use std::collections::HashMap;
 
-/// Part of what the contract bears above a limit that a new leader begins with. A quarter: gateways without a leader
-/// may use a half (`account`), and two changes of leader may fall into one window.
-const OPENING_PART: f64 = 0.25;
-/// Shortest time between two events of one tenant.
+/// Fraction of the tolerance that a new leader's buckets start with. Gateways without a leader may
+/// use half of the tolerance, and two changes of leader may fall into one window.
+const OPENING_FRACTION: f64 = 0.25;
+/// Minimum interval between two events of one tenant.
 const EVENT_INTERVAL: Duration = Duration::from_secs(1);
-/// Wait that is told for a tenant that the document lacks.
-const UNKNOWN_WAIT_MILLIS: u64 = 1_000;
-/// Most waiting requests that one ask may name; a gateway sends the rest with its next.
-pub const MAXIMUM_NEEDED: usize = 256;
+/// Wait sent for a tenant that is not in the document.
+const UNKNOWN_TENANT_WAIT_MILLIS: u64 = 1_000;
+/// Maximum number of waiting requests per tenant in one credit request; the rest follows in the
+/// next.
+pub const MAXIMUM_CLAIMS_PER_REQUEST: usize = 256;
 
-/// A tenant used up its quota.
+/// Event: a tenant exhausted its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaExhausted {
     /// Tenant.
     pub tenant: TenantName,
     /// Its limit.
     pub limit: TenantLimit,
-    /// Units that are left; below 0 when the last request took more than there was.
+    /// Units left; negative if the last request cost more than was left.
     pub level: f64,
-    /// Requests that did not get their units since the last event.
+    /// Requests denied since the last event.
     pub denied: u64,
 }
 
@@ -43,30 +45,30 @@
     event_at: Option<Timestamp>,
 }
 
-/// The leader's book of tenants' credit.
+/// Credit of all tenants, kept by the leader.
 #[derive(Debug)]
 pub struct CreditLedger {
-    began: Timestamp,
-    terms: QuotaTerms,
+    started_at: Timestamp,
+    tolerance: QuotaTolerance,
     version: Option<u64>,
     limits: HashMap<TenantName, Option<TenantLimit>>,
     accounts: HashMap<TenantName, Account>,
 }
 
 impl CreditLedger {
-    /// A book without any account; `terms` say what the operators' contract bears above a limit.
-    pub fn new(now: Timestamp, terms: QuotaTerms) -> Self {
+    /// Returns an empty ledger; `tolerance` is the use beyond a limit that is tolerated.
+    pub fn new(now: Timestamp, tolerance: QuotaTolerance) -> Self {
         CreditLedger {
-            began: now,
-            terms,
+            started_at: now,
+            tolerance,
             version: None,
             limits: HashMap::new(),
             accounts: HashMap::new(),
         }
     }
 
-    /// Goes by this document's limits from now on.
-    pub fn put_in_force(&mut self, now: Timestamp, document: &DeploymentDocument) {
+    /// Applies the limits of a deployment document.
+    pub fn apply_document(&mut self, now: Timestamp, document: &DeploymentDocument) {
         if self.version == Some(document.version) {
             return;
         }
@@ -77,7 +79,7 @@
             .collect();
         for (tenant, account) in &mut self.accounts {
             if let Some(Some(limit)) = self.limits.get(tenant) {
-                account.bucket.fill(now, *limit);
+                account.bucket.refill(now, *limit);
             }
         }
         let limits = &self.limits;
@@ -85,8 +87,8 @@
             .retain(|tenant, _| limits.contains_key(tenant));
     }
 
-    /// Answers a gateway.
-    pub fn answer(
+    /// Grants units to a gateway. Returns the response and the events to log.
+    pub fn handle_request(
         &mut self,
         now: Timestamp,
         term: u64,
@@ -96,65 +98,72 @@
         let grants = request
             .tenants
             .iter()
-            .map(|ask| self.grant(now, ask, request.granted_in_term == term, &mut events))
+            .map(|tenant_request| {
+                self.grant(
+                    now,
+                    tenant_request,
+                    request.granted_in_term == term,
+                    &mut events,
+                )
+            })
             .collect();
-        let answer = CreditResponse {
+        let response = CreditResponse {
             term,
             sequence: request.sequence,
             grants,
         };
-        (answer, events)
+        (response, events)
     }
 
     fn grant(
         &mut self,
         now: Timestamp,
-        ask: &TenantCreditRequest,
-        lent_here: bool,
+        tenant_request: &TenantCreditRequest,
+        is_current_term: bool,
         events: &mut Vec<QuotaExhausted>,
     ) -> CreditGrant {
-        let waiting = u32::try_from(ask.queued_units.len()).unwrap_or(u32::MAX);
+        let waiting = u32::try_from(tenant_request.queued_units.len()).unwrap_or(u32::MAX);
         let mut grant = CreditGrant {
-            tenant: ask.tenant.clone(),
+            tenant: tenant_request.tenant.clone(),
             granted_requests: waiting,
             prefetched_units: 0,
             wait_millis: 0,
             over_half_available: true,
         };
-        let limit = match self.limits.get(&ask.tenant) {
+        let limit = match self.limits.get(&tenant_request.tenant) {
             Some(Some(limit)) => *limit,
             Some(None) => return grant,
             None => {
                 grant.granted_requests = 0;
-                grant.wait_millis = UNKNOWN_WAIT_MILLIS;
+                grant.wait_millis = UNKNOWN_TENANT_WAIT_MILLIS;
                 return grant;
             }
         };
-        let began = self.began;
-        let opening = self.terms.borne_above(limit) * OPENING_PART;
+        let started_at = self.started_at;
+        let initial_units = self.tolerance.tolerated_above(limit) * OPENING_FRACTION;
         let account = self
             .accounts
-            .entry(ask.tenant.clone())
+            .entry(tenant_request.tenant.clone())
             .or_insert_with(|| Account {
-                bucket: UnitBucket::new(began, limit, opening),
+                bucket: UnitBucket::new(started_at, limit, initial_units),
                 denied: 0,
                 event_at: None,
             });
         let bucket = &mut account.bucket;
-        bucket.fill(now, limit);
-        bucket.put_back(ask.returned);
-        if lent_here {
-            // What was used while another led came out of that one's bucket, which this one began without.
-            bucket.charge(ask.overdrawn);
+        bucket.refill(now, limit);
+        bucket.refund(tenant_request.returned);
+        if is_current_term {
+            // Units used under another leader came from that leader's bucket.
+            bucket.charge(tenant_request.overdrawn);
         }
-        let covered = ask
+        let granted = tenant_request
             .queued_units
             .iter()
-            .take_while(|units| bucket.take(**units));
-        grant.granted_requests = u32::try_from(covered.count()).unwrap_or(u32::MAX);
-        grant.over_half_available = bucket.has_plenty();
+            .take_while(|units| bucket.try_take(**units));
+        grant.granted_requests = u32::try_from(granted.count()).unwrap_or(u32::MAX);
+        grant.over_half_available = bucket.has_surplus();
         if grant.granted_requests == waiting {
-            grant.prefetched_units = bucket.take_plenty(ask.prefetch_units);
+            grant.prefetched_units = bucket.take_surplus(tenant_request.prefetch_units);
             return grant;
         }
         grant.wait_millis = bucket.wait_millis().max(1);
@@ -165,7 +174,7 @@
         {
             account.event_at = Some(now);
             events.push(QuotaExhausted {
-                tenant: ask.tenant.clone(),
+                tenant: tenant_request.tenant.clone(),
                 limit,
                 level: account.bucket.level(),
                 denied: std::mem::take(&mut account.denied),
