--- a/crates/millpass-control-plane/src/snapshots.rs
+++ b/crates/millpass-control-plane/src/snapshots.rs
@@ -3,8 +3,8 @@
 use millpass_proto::{Command, EntryPayload, LogPosition, Membership, Snapshot, SnapshotMeta};
 use millpass_state::State;
 
-/// Instruction records that weigh as much as one other entry: they are small and frequent, and do
-/// not change the state.
+/// Weight of an ordinary entry, in instruction records: these are small and frequent, and do not
+/// change the state.
 const ENTRY_WEIGHT: u64 = 16;
 
 /// Position of the applied log, and the weight of the entries since the last snapshot.
