--- a/crates/millpass-control-plane/tests/losses.rs
+++ b/crates/millpass-control-plane/tests/losses.rs
@@ -525,9 +525,9 @@
         quantiles(times.clone())
     );
     let maximum = times.into_iter().max().expect("times");
-    let timeout = match members {
+    let deadline = match members {
         5 => REPAIR_DEADLINE_OF_FIVE,
         _ => REPAIR_DEADLINE,
     };
-    assert!(maximum < timeout.as_millis(), "{maximum} ms");
+    assert!(maximum < deadline.as_millis(), "{maximum} ms");
 }
--- a/crates/millpass-control-plane/tests/membership.rs
+++ b/crates/millpass-control-plane/tests/membership.rs
@@ -57,7 +57,10 @@
 #[rstest]
 #[case::with_hello(true, vec![1, 2, 4])]
 #[case::without_hello(false, vec![1, 2, 3])]
-fn joiner_replaces_a_dead_voter(#[case] hellos: bool, #[case] voters: Vec<u64>) {
+fn joiner_replaces_a_dead_voter_if_members_send_hellos(
+    #[case] hellos: bool,
+    #[case] voters: Vec<u64>,
+) {
     let mut world = World::new(3);
     world.hellos = hellos;
     let leader = world.elect();
@@ -106,12 +109,12 @@
         zone: address(zone).zone,
         ..address(listens)
     };
-    let no_members = world.members[&leader].plane.consensus_status().membership;
+    let membership = world.members[&leader].plane.consensus_status().membership;
     world.boot(
         joiner.clone(),
         Membership {
             voters: Vec::new(),
-            ..no_members
+            ..membership
         },
     );
     world.run(seconds(6));
