--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -155,8 +155,8 @@
             if self.fleet.is_some() {
                 self.forward_committed(connection, report, out);
             }
-            // Gateways stay connected while the lease is expired: all of them would reconnect to
-            // this member.
+            // An expired lease does not redirect gateways: all of them would reconnect to this
+            // member.
             if self.role != Role::Leader {
                 return out.send_not_leader(connection, self.leader_peer_address());
             }
--- a/crates/millpass-control-plane/src/platform.rs
+++ b/crates/millpass-control-plane/src/platform.rs
@@ -73,9 +73,9 @@
         self.machines.get(backend)
     }
 
-    /// Returns true if router leases may be granted. A new leader first marks the leaving back
-    /// ends, for a bounded time, so that a chain of short-lived leaders cannot prolong the use of
-    /// one.
+    /// Returns true if router leases may be granted. A new leader waits for a bounded time until
+    /// leaving back ends are marked, so that a chain of short-lived leaders cannot prolong the use
+    /// of one.
     pub(crate) fn leases_allowed(&mut self, now: Timestamp, state: &State) -> bool {
         if self.leases_allowed {
             return true;
