--- a/crates/millpass-tenancy/tests/quota.rs
+++ b/crates/millpass-tenancy/tests/quota.rs
@@ -449,7 +449,7 @@
     Disconnect(usize),
     Reconnect(usize),
     Restart(usize),
-    NoFault,
+    Wait,
 }
 
 fn faults() -> impl Strategy<Value = Vec<Fault>> {
@@ -459,7 +459,7 @@
         (0..8_usize).prop_map(Fault::Disconnect),
         (0..8_usize).prop_map(Fault::Reconnect),
         (0..8_usize).prop_map(Fault::Restart),
-        Just(Fault::NoFault),
+        Just(Fault::Wait),
     ];
     prop::collection::vec(fault, 1..16)
 }
@@ -491,7 +491,7 @@
                 Fault::Disconnect(gateway) => simulation.disconnect(gateway % gateways),
                 Fault::Reconnect(gateway) => simulation.disconnected[gateway % gateways] = false,
                 Fault::Restart(gateway) => simulation.restart(gateway % gateways),
-                Fault::ElectLeader | Fault::NoFault => {}
+                Fault::ElectLeader | Fault::Wait => {}
             }
             simulation.run(700, limit.units_per_second as f64 * demand_factor, 9_800);
         }
