--- a/crates/millpass-routing/tests/dispatch.rs
+++ b/crates/millpass-routing/tests/dispatch.rs
@@ -242,9 +242,9 @@
     let mut driver = Driver::ready(vec![replica(1, "m1", "north")], vec![]);
     let (first, _) = driver.request("t1", "m1");
     driver.request("t1", "m1");
-    let (gone, _) = driver.request("t1", "m1");
+    let (disconnected, _) = driver.request("t1", "m1");
     let (waiting, _) = driver.request("t1", "m1");
-    driver.step(RoutingInput::CallerGone(gone));
+    driver.step(RoutingInput::CallerGone(disconnected));
     let outputs = driver.step(RoutingInput::CallerGone(first));
     assert!(matches!(outputs[0], RoutingOutput::Cancel(number) if number == first));
     assert_eq!(dispatches(&outputs)[0].request, waiting);
--- a/crates/millpass-routing/tests/properties.rs
+++ b/crates/millpass-routing/tests/properties.rs
@@ -218,12 +218,12 @@
                 .lease_end
                 .max(sent + Duration::from_millis(LEASE_MILLIS));
             if let Some(placement) = &update.placement {
-                let open = placement.replicas.iter().filter(|replica| !replica.leaving);
-                self.usable = open
+                let accepting = placement.replicas.iter().filter(|replica| !replica.leaving);
+                self.usable = accepting
                     .map(|replica| (replica.backend.clone(), replica.slot))
                     .collect();
-                let open = placement.web.iter().filter(|web| !web.leaving);
-                self.usable_web = open.map(|web| web.backend.clone()).collect();
+                let accepting = placement.web.iter().filter(|web| !web.leaving);
+                self.usable_web = accepting.map(|web| web.backend.clone()).collect();
             }
         }
         self.step(RoutingInput::Update(update));
