--- a/crates/millpass-cli/src/commands/online.rs
+++ b/crates/millpass-cli/src/commands/online.rs
@@ -266,7 +266,7 @@
 
 /// `held-requests`.
 pub fn held_requests(options: &AdministrationOptions) -> Result<ExitCode> {
-    let held = client(options).held_requests()?;
+    let held = client(options).quarantined_requests()?;
     if held.requests.is_empty() {
         println!("no request is held back");
     }
@@ -282,7 +282,7 @@
 
 /// `lift-request`.
 pub fn lift_request(options: &AdministrationOptions, fingerprint: &str) -> Result<ExitCode> {
-    client(options).lift_request(fingerprint)?;
+    client(options).lift_quarantine(fingerprint)?;
     println!("{fingerprint} is served again");
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/millpass-cli/src/commands/programs.rs
+++ b/crates/millpass-cli/src/commands/programs.rs
@@ -52,7 +52,7 @@
         return Ok(());
     };
     let waiting = signals.handle();
-    handle.on_end(move || waiting.close())?;
+    handle.on_exit(move || waiting.close())?;
     wait_for_signal(&mut signals);
     handle.drain();
     handle.join()?;
@@ -67,7 +67,7 @@
     signals: &mut Signals,
 ) -> Result<Option<ControlHandle>> {
     let mut is_stopped = false;
-    let started = millpass_control::start_patiently(process, extensions, || {
+    let started = millpass_control::start_when_disk_available(process, extensions, || {
         is_stopped |= signals.pending().any(|signal| signal != SIGHUP);
         !is_stopped
     });
@@ -168,7 +168,7 @@
     process.router_lease = millis(settings.routers.lease_ms);
     process.claim_retention = millis(settings.claims.retention_ms);
     process.member_replacement_delay = millis(settings.repair.member_replacement_delay_ms);
-    process.wanted_voters = match count(settings.repair.tolerated_losses) {
+    process.target_voters = match count(settings.repair.tolerated_losses) {
         0 => 0,
         losses => 2 * losses + 1,
     };
@@ -283,7 +283,7 @@
         members,
         member_source: None,
         report_interval: millis(control.report_interval_ms),
-        leader_silence: millis(control.leader_silence_ms),
+        leader_timeout: millis(control.leader_silence_ms),
         connect_timeout: millis(settings.instances.connect_timeout_ms),
         link_timeout: millis(control.connect_timeout_ms),
         drain_grace: millis(settings.drain.grace_ms),
--- a/crates/millpass-cli/src/objects.rs
+++ b/crates/millpass-cli/src/objects.rs
@@ -1,7 +1,7 @@
 //! Catalog objects as operators write them: TOML, one `[[kind]]` table per object, with defaults
 //! for what may be left out.
 
-use millpass_control::api::{kind_of_plural, kind_of_word, kind_word};
+use millpass_control::api::{kind_from_name, kind_from_plural, kind_name};
 use millpass_proto::{
     AdapterSpec, BackendGroupSpec, ModelSpec, ObjectKey, ObjectKind, ObjectSpec, OperatorSpec,
     PolicySpec, TenantSpec, VersionSpec,
@@ -120,7 +120,7 @@
 
 impl KindForm {
     fn word(&self) -> &'static str {
-        kind_word(self.kind)
+        kind_name(self.kind)
     }
 }
 
@@ -130,7 +130,7 @@
 
 /// The kind of a word, singular or plural.
 pub fn parse_kind(word: &str) -> Option<ObjectKind> {
-    kind_of_word(word).or_else(|| kind_of_plural(word))
+    kind_from_name(word).or_else(|| kind_from_plural(word))
 }
 
 /// Reads the objects of a file, ordered so that an object comes after those it refers to.
--- a/crates/millpass-control/src/administration/operations.rs
+++ b/crates/millpass-control/src/administration/operations.rs
@@ -6,8 +6,8 @@
 use super::failure::Failure;
 use super::routes::Route;
 use crate::api::{
-    self, AcceptedBody, AuditBody, AuditRecordBody, BackendStateBody, ChangeBody, HeldRequestsBody,
-    MembershipBody, ObjectBody, ObjectsBody, StatusBody,
+    self, AcceptedBody, AuditBody, AuditRecordBody, BackendStateBody, ChangeBody, MembershipBody,
+    ObjectBody, ObjectsBody, QuarantinedRequestsBody, StatusBody,
 };
 use http::StatusCode;
 use millpass_control_plane::{AdministrationRequest, AdministrationResponse, DeploymentStatus};
@@ -56,8 +56,8 @@
         Route::Audit(after) => return audit(calls, after),
         Route::BackendState(name) => return set_backend_state(calls, &name, body),
         Route::Members => return change_members(calls, body),
-        Route::HeldRequests => return held_requests(calls),
-        Route::LiftRequest(request) => return lift_request(calls, request),
+        Route::QuarantinedRequests => return quarantined_requests(calls),
+        Route::LiftQuarantine(request) => return lift_quarantine(calls, request),
     };
     submit(calls, asker, change)
 }
@@ -204,7 +204,7 @@
     body: &[u8],
 ) -> Result<Response, Failure> {
     let body: BackendStateBody = read_body(body)?;
-    let state = api::backend_state_of_word(&body.state).ok_or_else(|| {
+    let state = api::backend_state_from_name(&body.state).ok_or_else(|| {
         Failure::rejected(format!(
             "there is no state `{}`; use live, leaving or gone",
             body.state
@@ -237,14 +237,16 @@
     }
 }
 
-fn held_requests(calls: &dyn AdministrationCalls) -> Result<Response, Failure> {
+fn quarantined_requests(calls: &dyn AdministrationCalls) -> Result<Response, Failure> {
     match calls.call(AdministrationRequest::QuarantinedRequests) {
-        AdministrationResponse::QuarantinedRequests(held) => ok(&HeldRequestsBody::from(held)),
+        AdministrationResponse::QuarantinedRequests(held) => {
+            ok(&QuarantinedRequestsBody::from(held))
+        }
         other => Err(not_answered(other)),
     }
 }
 
-fn lift_request(
+fn lift_quarantine(
     calls: &dyn AdministrationCalls,
     request: RequestFingerprint,
 ) -> Result<Response, Failure> {
--- a/crates/millpass-control/src/administration/routes.rs
+++ b/crates/millpass-control/src/administration/routes.rs
@@ -44,9 +44,9 @@
     /// Change members.
     Members,
     /// Requests that end the instances that run them.
-    HeldRequests,
+    QuarantinedRequests,
     /// Let such a request go.
-    LiftRequest(RequestFingerprint),
+    LiftQuarantine(RequestFingerprint),
 }
 
 impl Route {
@@ -57,8 +57,8 @@
             | Route::List(_)
             | Route::Status
             | Route::Audit(_)
-            | Route::HeldRequests => OperatorRole::Viewer,
-            Route::LiftRequest(_) => OperatorRole::Editor,
+            | Route::QuarantinedRequests => OperatorRole::Viewer,
+            Route::LiftQuarantine(_) => OperatorRole::Editor,
             Route::Put(key) | Route::Delete { key, .. } => match key.kind {
                 ObjectKind::Operator => OperatorRole::Administrator,
                 _ => OperatorRole::Editor,
@@ -93,9 +93,9 @@
             only(method, Method::GET, "GET", Route::Audit(after))
         }
         ["v1", "members"] => only(method, Method::POST, "POST", Route::Members),
-        ["v1", "held-requests"] => only(method, Method::GET, "GET", Route::HeldRequests),
+        ["v1", "held-requests"] => only(method, Method::GET, "GET", Route::QuarantinedRequests),
         ["v1", "held-requests", fingerprint] => {
-            let route = Route::LiftRequest(self::fingerprint(fingerprint)?);
+            let route = Route::LiftQuarantine(self::fingerprint(fingerprint)?);
             only(method, Method::DELETE, "DELETE", route)
         }
         ["v1", "backends", name, "state"] => {
@@ -141,7 +141,7 @@
 }
 
 fn kind(plural: &str) -> Result<ObjectKind, Failure> {
-    api::kind_of_plural(plural).ok_or_else(|| {
+    api::kind_from_plural(plural).ok_or_else(|| {
         let known: Vec<&str> = api::KINDS.iter().map(|(_, _, plural)| *plural).collect();
         Failure::new(
             StatusCode::NOT_FOUND,
--- a/crates/millpass-control/src/administration/server.rs
+++ b/crates/millpass-control/src/administration/server.rs
@@ -156,7 +156,7 @@
 impl Api {
     fn answer(&self, request: &Request) -> Response {
         let extension = self.extension.as_deref();
-        let answered = extension.and_then(|extension| extension.answer(request, &*self.calls));
+        let answered = extension.and_then(|extension| extension.handle(request, &*self.calls));
         if let Some(response) = answered {
             return response;
         }
--- a/crates/millpass-control/src/api/kinds.rs
+++ b/crates/millpass-control/src/api/kinds.rs
@@ -15,7 +15,7 @@
 ];
 
 /// Word of a kind, as in object files.
-pub fn kind_word(kind: ObjectKind) -> &'static str {
+pub fn kind_name(kind: ObjectKind) -> &'static str {
     let known = KINDS.iter().find(|(known, ..)| *known == kind);
     known.map_or("", |(_, word, _)| word)
 }
@@ -27,13 +27,13 @@
 }
 
 /// Kind of a word in the singular.
-pub fn kind_of_word(word: &str) -> Option<ObjectKind> {
+pub fn kind_from_name(word: &str) -> Option<ObjectKind> {
     let known = KINDS.iter().find(|(_, known, _)| *known == word);
     known.map(|(kind, ..)| *kind)
 }
 
 /// Kind of a plural.
-pub fn kind_of_plural(plural: &str) -> Option<ObjectKind> {
+pub fn kind_from_plural(plural: &str) -> Option<ObjectKind> {
     let known = KINDS.iter().find(|(_, _, known)| *known == plural);
     known.map(|(kind, ..)| *kind)
 }
--- a/crates/millpass-control/src/api/mod.rs
+++ b/crates/millpass-control/src/api/mod.rs
@@ -3,19 +3,19 @@
 //! The content of an object has the field names of the message types, as the `[[kind]]` tables
 //! of object files have them; [`spec_to_json`] and [`spec_from_json`] convert.
 
-mod held;
 mod kinds;
 mod membership;
+mod quarantine;
 mod specs;
 mod status;
 
-pub use held::{HeldRequestBody, HeldRequestsBody};
-pub use kinds::{KINDS, kind_of_plural, kind_of_word, kind_plural, kind_word};
+pub use kinds::{KINDS, kind_from_name, kind_from_plural, kind_name, kind_plural};
 pub use membership::MembershipBody;
+pub use quarantine::{QuarantinedRequestBody, QuarantinedRequestsBody};
 pub use specs::{SpecError, spec_from_json, spec_to_json};
 pub use status::{
     BackendBody, BackendStateBody, MemberBody, ReplicaBody, RouterBody, StatusBody,
-    backend_state_of_word, backend_state_word,
+    backend_state_from_name, backend_state_name,
 };
 
 use millpass_proto::{AuditRecord, ChangeAccepted, StoredObject};
@@ -75,7 +75,7 @@
 
     fn try_from(object: &StoredObject) -> Result<Self, SpecError> {
         Ok(ObjectBody {
-            kind: kind_word(object.key.kind).to_owned(),
+            kind: kind_name(object.key.kind).to_owned(),
             name: object.key.name.clone(),
             version: object.version,
             revision: object.revision.0,
@@ -123,7 +123,7 @@
     fn from(record: &AuditRecord) -> Self {
         AuditRecordBody {
             revision: record.revision.0,
-            kind: kind_word(record.key.kind).to_owned(),
+            kind: kind_name(record.key.kind).to_owned(),
             name: record.key.name.clone(),
             version: record.version,
             change_id: record.change_id.0.clone(),
--- a/crates/millpass-control/src/api/held.rs
+++ b/crates/millpass-control/src/api/quarantine.rs
@@ -5,7 +5,7 @@
 
 /// A request that is held back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldRequestBody {
+pub struct QuarantinedRequestBody {
     /// Fingerprint, in hexadecimal digits; gateways log it with each request.
     pub fingerprint: String,
     /// Ends of instances that count against it.
@@ -16,21 +16,21 @@
 
 /// All of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldRequestsBody {
+pub struct QuarantinedRequestsBody {
     /// Requests.
-    pub requests: Vec<HeldRequestBody>,
+    pub requests: Vec<QuarantinedRequestBody>,
 }
 
-impl From<Vec<(RequestFingerprint, u32, Duration)>> for HeldRequestsBody {
+impl From<Vec<(RequestFingerprint, u32, Duration)>> for QuarantinedRequestsBody {
     fn from(held: Vec<(RequestFingerprint, u32, Duration)>) -> Self {
         let requests = held
             .into_iter()
-            .map(|(request, ends, left)| HeldRequestBody {
+            .map(|(request, ends, left)| QuarantinedRequestBody {
                 fingerprint: request.to_string(),
                 ends,
                 held_ms: left.as_millis() as u64,
             });
-        HeldRequestsBody {
+        QuarantinedRequestsBody {
             requests: requests.collect(),
         }
     }
--- a/crates/millpass-control/src/api/specs.rs
+++ b/crates/millpass-control/src/api/specs.rs
@@ -10,7 +10,7 @@
 pub enum SpecError {
     /// A field is missing or of another type.
     #[error("the content does not fit the kind: {0}; correct that field")]
-    Unfit(#[from] serde_json::Error),
+    Invalid(#[from] serde_json::Error),
     /// A field that the kind does not have.
     #[error("unknown field `{0}`; remove it or correct its name")]
     UnknownField(String),
--- a/crates/millpass-control/src/api/status.rs
+++ b/crates/millpass-control/src/api/status.rs
@@ -93,7 +93,7 @@
 }
 
 /// Word of a back end's state.
-pub const fn backend_state_word(state: BackendState) -> &'static str {
+pub const fn backend_state_name(state: BackendState) -> &'static str {
     match state {
         BackendState::Live => "live",
         BackendState::Leaving => "leaving",
@@ -102,7 +102,7 @@
 }
 
 /// State of a word.
-pub fn backend_state_of_word(word: &str) -> Option<BackendState> {
+pub fn backend_state_from_name(word: &str) -> Option<BackendState> {
     let states = [
         BackendState::Live,
         BackendState::Leaving,
@@ -110,7 +110,7 @@
     ];
     states
         .into_iter()
-        .find(|state| backend_state_word(*state) == word)
+        .find(|state| backend_state_name(*state) == word)
 }
 
 const fn phase_word(phase: ReplicaPhase) -> &'static str {
@@ -136,7 +136,7 @@
             backends: backends
                 .map(|(backend, state)| BackendBody {
                     backend: backend.0.clone(),
-                    state: backend_state_word(*state).to_owned(),
+                    state: backend_state_name(*state).to_owned(),
                 })
                 .collect(),
         }
--- a/crates/millpass-control/src/backlog.rs
+++ b/crates/millpass-control/src/backlog.rs
@@ -1,15 +1,15 @@
-//! What waits for the core, by urgency.
+//! What waits for the core, by priority.
 //!
 //! Each class has a bounded queue of its own, in order of arrival. A tick that is due comes before all
 //! else, then what consensus needs, then the other classes in order, each up to its share of a turn. So no
 //! class waits for another for good: at most the shares of the less urgent classes are taken before an
 //! input of a class whose share is used up.
 
-use crate::urgency::Urgency;
+use crate::priority::Priority;
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const CLASSES: usize = Urgency::ALL.len();
+const CLASSES: usize = Priority::ALL.len();
 
 /// What the core's thread does next.
 #[derive(Debug, PartialEq, Eq)]
@@ -17,9 +17,9 @@
     /// A tick is due.
     Tick,
     /// Take this input up.
-    Input(Urgency, T),
+    Input(Priority, T),
     /// Nothing to do before the tick is due.
-    Nothing,
+    Idle,
 }
 
 /// Bounds of one class.
@@ -38,13 +38,13 @@
 ///
 /// A turn without consensus takes 44 inputs. A step takes 0.1 to 1 ms, so a turn ends well within the wait
 /// that a sender of credit or announcements grants.
-fn bounds(class: Urgency) -> Bounds {
+fn bounds(class: Priority) -> Bounds {
     let (length, share) = match class {
-        Urgency::Consensus => (2_048, 256),
-        Urgency::Promised => (1_024, 16),
-        Urgency::Credit => (4_096, 16),
-        Urgency::Reports => (4_096, 8),
-        Urgency::Announcements => (1_024, 4),
+        Priority::Consensus => (2_048, 256),
+        Priority::Promised => (1_024, 16),
+        Priority::Credit => (4_096, 16),
+        Priority::Reports => (4_096, 8),
+        Priority::Announcements => (1_024, 4),
     };
     Bounds { length, share }
 }
@@ -71,13 +71,13 @@
 
 impl<T> Backlog<T> {
     /// Whether the class has room for one more.
-    pub fn has_room(&self, class: Urgency) -> bool {
+    pub fn has_capacity(&self, class: Priority) -> bool {
         self.length(class) < bounds(class).length
     }
 
     /// Adds an input; hands it back, and counts it, when its class is full.
-    pub fn push(&mut self, class: Urgency, input: T) -> Result<(), T> {
-        if !self.has_room(class) {
+    pub fn push(&mut self, class: Priority, input: T) -> Result<(), T> {
+        if !self.has_capacity(class) {
             self.refused[class as usize] += 1;
             return Err(input);
         }
@@ -86,7 +86,7 @@
     }
 
     /// Adds an input of the core's own making, which cannot wait for room and must not be lost.
-    pub fn push_own(&mut self, class: Urgency, input: T) {
+    pub fn push_unbounded(&mut self, class: Priority, input: T) {
         self.waiting[class as usize].push_back(input);
     }
 
@@ -98,11 +98,11 @@
         }
         match self.take() {
             Some((class, input)) => Next::Input(class, input),
-            None => Next::Nothing,
+            None => Next::Idle,
         }
     }
 
-    fn take(&mut self) -> Option<(Urgency, T)> {
+    fn take(&mut self) -> Option<(Priority, T)> {
         let class = self.most_urgent_within_share().or_else(|| {
             self.taken = [0; CLASSES];
             self.most_urgent_within_share()
@@ -111,26 +111,26 @@
         let input = self.waiting[index].pop_front()?;
         self.taken[index] += 1;
         // Consensus limits itself: only a queue that never empties has to let others pass.
-        if class == Urgency::Consensus && self.waiting[index].is_empty() {
+        if class == Priority::Consensus && self.waiting[index].is_empty() {
             self.taken[index] = 0;
         }
         Some((class, input))
     }
 
-    fn most_urgent_within_share(&self) -> Option<Urgency> {
-        Urgency::ALL.into_iter().find(|class| {
+    fn most_urgent_within_share(&self) -> Option<Priority> {
+        Priority::ALL.into_iter().find(|class| {
             let index = *class as usize;
             !self.waiting[index].is_empty() && self.taken[index] < bounds(*class).share
         })
     }
 
     /// Inputs of a class that wait.
-    pub fn length(&self, class: Urgency) -> usize {
+    pub fn length(&self, class: Priority) -> usize {
         self.waiting[class as usize].len()
     }
 
     /// Inputs of a class that were refused since the start.
-    pub fn refused(&self, class: Urgency) -> u64 {
+    pub fn refused(&self, class: Priority) -> u64 {
         self.refused[class as usize]
     }
 }
--- a/crates/millpass-control/src/call_schedule.rs
+++ b/crates/millpass-control/src/call_schedule.rs
@@ -26,11 +26,11 @@
 
 /// How a call ended, as far as it matters for those to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The peer answered.
-    Answered,
+    Responded,
     /// It did not.
-    Silent,
+    Unreachable,
 }
 
 /// Calls that wait, and those under way.
@@ -94,7 +94,7 @@
         !self.silent_ready.is_empty() && self.silent_under_way < self.most_silent_under_way
     }
 
-    /// The next call to make, and its peer; [`CallSchedule::ended`] is owed for it.
+    /// The next call to make, and its peer; [`CallSchedule::finish`] is owed for it.
     pub fn take(&mut self) -> Option<(String, T)> {
         let peer = match self.ready.pop_front() {
             Some(peer) => peer,
@@ -112,11 +112,11 @@
     }
 
     /// The call under way to a peer has ended.
-    pub fn ended(&mut self, peer: &str, end: CallEnd) {
+    pub fn finish(&mut self, peer: &str, end: CallOutcome) {
         if self.silent.remove(peer) {
             self.silent_under_way -= 1;
         }
-        if end == CallEnd::Silent {
+        if end == CallOutcome::Unreachable {
             if self.silent.len() >= MOST_SILENT {
                 self.forget_silent();
             }
@@ -142,7 +142,7 @@
     }
 
     /// Takes out the calls whose time has passed.
-    pub fn expired(&mut self, now: Timestamp) -> Vec<T> {
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<T> {
         if self.waiting == 0 {
             return Vec::new();
         }
--- a/crates/millpass-control/src/calls.rs
+++ b/crates/millpass-control/src/calls.rs
@@ -3,8 +3,8 @@
 use crate::administration::{AdministrationCalls, RefusedAnnouncement};
 use crate::inputs::{Inputs, NotTaken};
 use crate::metrics::Metrics;
+use crate::priority::Priority;
 use crate::throttle::Throttle;
-use crate::urgency::Urgency;
 use crossbeam::channel::{Sender, bounded};
 use millpass_control_plane::{AdministrationRequest, AdministrationResponse, ControlInput};
 use millpass_telemetry::event_line;
@@ -29,7 +29,7 @@
 
 /// A call under way.
 struct WaitingCall {
-    class: Urgency,
+    class: Priority,
     answer: Sender<AdministrationResponse>,
 }
 
@@ -42,7 +42,7 @@
 
 impl CallTable {
     /// Adds a call and gives it a number; none if too many of its class wait.
-    fn admit(&self, class: Urgency, answer: Sender<AdministrationResponse>) -> Option<u64> {
+    fn admit(&self, class: Priority, answer: Sender<AdministrationResponse>) -> Option<u64> {
         let mut waiting = self.lock();
         let alike = waiting.values().filter(|call| call.class == class).count();
         if alike >= maximum(class) {
@@ -77,9 +77,9 @@
     }
 }
 
-fn maximum(class: Urgency) -> usize {
+fn maximum(class: Priority) -> usize {
     match class {
-        Urgency::Announcements => MAXIMUM_LESS_URGENT_CALLS,
+        Priority::Announcements => MAXIMUM_LESS_URGENT_CALLS,
         _ => MAXIMUM_CALLS,
     }
 }
@@ -105,7 +105,7 @@
 impl AdministrationCalls for CoreCalls {
     fn call(&self, request: AdministrationRequest) -> AdministrationResponse {
         let (sender, answer) = bounded(1);
-        let class = Urgency::of_call(&request);
+        let class = Priority::of_call(&request);
         let Some(call) = self.table.admit(class, sender) else {
             self.metrics.refused_calls.inc();
             return AdministrationResponse::Busy;
--- a/crates/millpass-control/src/client/call.rs
+++ b/crates/millpass-control/src/client/call.rs
@@ -32,7 +32,7 @@
         body: &T,
     ) -> Result<Self, ClientError> {
         let body = serde_json::to_vec(body);
-        let body = body.map_err(|error| ClientError::NotUnderstood(error.to_string()))?;
+        let body = body.map_err(|error| ClientError::UnexpectedResponse(error.to_string()))?;
         if body.len() > MAXIMUM_BODY_BYTES {
             return Err(too_large());
         }
--- a/crates/millpass-control/src/client/error.rs
+++ b/crates/millpass-control/src/client/error.rs
@@ -58,5 +58,5 @@
     },
     /// The answer is no body of this interface.
     #[error("the answer was not understood ({0}); use the client of the members' release")]
-    NotUnderstood(String),
+    UnexpectedResponse(String),
 }
--- a/crates/millpass-control/src/client/mod.rs
+++ b/crates/millpass-control/src/client/mod.rs
@@ -11,8 +11,8 @@
 pub use error::ClientError;
 
 use crate::api::{
-    AcceptedBody, AuditBody, BackendStateBody, ChangeBody, ErrorBody, HeldRequestsBody,
-    MembershipBody, ObjectBody, ObjectsBody, StatusBody, backend_state_word, kind_plural,
+    AcceptedBody, AuditBody, BackendStateBody, ChangeBody, ErrorBody, MembershipBody, ObjectBody,
+    ObjectsBody, QuarantinedRequestsBody, StatusBody, backend_state_name, kind_plural,
 };
 use call::{Call, encode, object_path};
 use http::{Method, StatusCode};
@@ -148,19 +148,19 @@
     pub fn drain_backend(&mut self, backend: &str) -> Result<(), ClientError> {
         let path = format!("/v1/backends/{}/state", encode(backend));
         let state = BackendStateBody {
-            state: backend_state_word(BackendState::Leaving).to_owned(),
+            state: backend_state_name(BackendState::Leaving).to_owned(),
         };
         let _: Value = self.call(Call::change(Method::PUT, path, &state)?)?;
         Ok(())
     }
 
     /// Requests that are held back, as they end the instances that run them.
-    pub fn held_requests(&mut self) -> Result<HeldRequestsBody, ClientError> {
+    pub fn quarantined_requests(&mut self) -> Result<QuarantinedRequestsBody, ClientError> {
         self.call(Call::read("/v1/held-requests".to_owned()))
     }
 
     /// Lets such a request go.
-    pub fn lift_request(&mut self, fingerprint: &str) -> Result<(), ClientError> {
+    pub fn lift_quarantine(&mut self, fingerprint: &str) -> Result<(), ClientError> {
         let _: Value = self.call(Call {
             method: Method::DELETE,
             path: format!("/v1/held-requests/{}", encode(fingerprint)),
@@ -294,7 +294,7 @@
 }
 
 fn understand<T: DeserializeOwned>(body: &[u8]) -> Result<T, ClientError> {
-    serde_json::from_slice(body).map_err(|error| ClientError::NotUnderstood(error.to_string()))
+    serde_json::from_slice(body).map_err(|error| ClientError::UnexpectedResponse(error.to_string()))
 }
 
 fn over(may_have_run: bool, last: String) -> ClientError {
--- a/crates/millpass-control/src/connections.rs
+++ b/crates/millpass-control/src/connections.rs
@@ -159,7 +159,7 @@
     fn serve(self: &Arc<Self>, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         // Members may be silent for long; a dead machine's connection ends by keep-alive probes.
-        let keep_alive = TcpKeepalive::new().with_time(self.limits.connection_silence);
+        let keep_alive = TcpKeepalive::new().with_time(self.limits.connection_timeout);
         SockRef::from(&stream).set_tcp_keepalive(&keep_alive)?;
         let stream = Arc::new(Async::new(stream)?);
         let connection = ConnectionId(self.next.fetch_add(1, Ordering::Relaxed));
@@ -221,7 +221,7 @@
             return work.await;
         }
         let silence = async {
-            Timer::after(self.limits.connection_silence).await;
+            Timer::after(self.limits.connection_timeout).await;
             Err(CodecError::Io(std::io::ErrorKind::TimedOut.into()))
         };
         future::or(work, silence).await
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -7,7 +7,7 @@
 //! been idle. An order's delivery may be lost or repeated: its fence makes that harmless. What cannot be queued, or waits
 //! past its time, is answered as not sent; the core decides anew.
 
-use crate::call_schedule::{CallEnd, CallSchedule};
+use crate::call_schedule::{CallOutcome, CallSchedule};
 use crate::inputs::Inputs;
 use crate::interface::EngineCalls;
 use crate::settings::ProcessLimits;
@@ -268,9 +268,9 @@
             let carried_out = catch_unwind(AssertUnwindSafe(|| self.carry_out(waiting)));
             let end = carried_out.unwrap_or_else(|_| {
                 log::error!("event=delivery_panicked");
-                CallEnd::Answered
+                CallOutcome::Responded
             });
-            self.shared.lock().schedule.ended(&peer, end);
+            self.shared.lock().schedule.finish(&peer, end);
         }
     }
 
@@ -280,7 +280,7 @@
         let idle_until = self.shared.clock.now() + IDLE_LIFETIME;
         loop {
             let now = self.shared.clock.now();
-            let expired = state.schedule.expired(now);
+            let expired = state.schedule.take_expired(now);
             if !expired.is_empty() {
                 drop(state);
                 self.give_back(expired, now);
@@ -324,7 +324,7 @@
         }
     }
 
-    fn carry_out(&self, waiting: Waiting) -> CallEnd {
+    fn carry_out(&self, waiting: Waiting) -> CallOutcome {
         let now = self.shared.clock.now();
         let waited = now.since(waiting.since);
         match waiting.delivery {
@@ -335,7 +335,7 @@
                 if within < LEAST_SENDING_TIME {
                     let not_sent = Delivery::Instruct(instruction, ends_by).not_sent(waited);
                     self.inputs.send(not_sent.expect("the core awaits it"));
-                    return CallEnd::Answered;
+                    return CallOutcome::Responded;
                 }
                 self.call_engine(&instruction.instance, instruction.call, waited, |engines| {
                     engines.instruct(&self.agent, &instruction, within)
@@ -355,13 +355,13 @@
         call: CallId,
         waited: Duration,
         make: impl FnOnce(&dyn EngineCalls) -> InstructionResult,
-    ) -> CallEnd {
+    ) -> CallOutcome {
         let unanswered = InstructionResult::Unanswered;
         let left_at = self.shared.clock.now();
         let answer = self.engines.as_deref().map_or(unanswered, make);
         let end = match answer {
-            InstructionResult::Unanswered => CallEnd::Silent,
-            _ => CallEnd::Answered,
+            InstructionResult::Unanswered => CallOutcome::Unreachable,
+            _ => CallOutcome::Responded,
         };
         let answer = CallAnswer {
             instance: instance.clone(),
@@ -374,7 +374,7 @@
         end
     }
 
-    fn deliver(&self, address: &str, order: &EngineOrder) -> CallEnd {
+    fn deliver(&self, address: &str, order: &EngineOrder) -> CallOutcome {
         let answer = match self.post(address, order) {
             Ok(answer) => Some(answer),
             Err(error) => {
@@ -403,7 +403,7 @@
     }
 
     /// A list that cannot be read is read again at the next interval.
-    fn read_platform(&self, address: &str) -> CallEnd {
+    fn read_platform(&self, address: &str) -> CallOutcome {
         let read = self.get_machines(address);
         let end = ended(read.is_ok());
         match read {
@@ -424,9 +424,9 @@
     }
 }
 
-fn ended(is_answered: bool) -> CallEnd {
+fn ended(is_answered: bool) -> CallOutcome {
     match is_answered {
-        true => CallEnd::Answered,
-        false => CallEnd::Silent,
+        true => CallOutcome::Responded,
+        false => CallOutcome::Unreachable,
     }
 }
--- a/crates/millpass-control/src/patient_start.rs
+++ b/crates/millpass-control/src/disk_wait.rs
@@ -23,7 +23,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Like [`start_extended`], but waits for a disk that is full or fails, for as long as `may_wait` allows.
-pub fn start_patiently(
+pub fn start_when_disk_available(
     settings: &ControlProcessSettings,
     extensions: &Extensions,
     mut may_wait: impl FnMut() -> bool,
--- a/crates/millpass-control/src/error.rs
+++ b/crates/millpass-control/src/error.rs
@@ -46,7 +46,7 @@
         "the data folder is empty and no other member is listed; add `[[members]]` to the \
          settings, or run `millpass control init` once to start a group"
     )]
-    NobodyToJoin,
+    NoMembersToJoin,
     /// A timing of the settings does not fit the others.
     #[error(
         "consensus.lease_ms ({lease_millis}) must be at most three quarters of \
--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -1,11 +1,11 @@
-//! The way into the core: bounded queues by urgency that its thread empties.
+//! The way into the core: bounded queues by priority that its thread empties.
 //!
 //! Inputs of one class keep their order. Of one connection, credit and crash reports may overtake its
 //! other messages, and may be taken after its end: they rest on neither. Its end never overtakes a report
 //! or claim.
 
 use crate::backlog::{Backlog, Next};
-use crate::urgency::Urgency;
+use crate::priority::Priority;
 use millpass_control_plane::ControlInput;
 use millpass_storage::StorageError;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -29,7 +29,7 @@
 
 /// An input of the core, and since when it waits.
 pub(crate) struct WaitingInput {
-    pub(crate) class: Urgency,
+    pub(crate) class: Priority,
     pub(crate) since: Instant,
     pub(crate) input: ControlInput,
 }
@@ -60,7 +60,7 @@
     /// The core's thread waits here.
     filled: Condvar,
     /// Senders wait here for room, by class.
-    emptied: [Condvar; Urgency::ALL.len()],
+    emptied: [Condvar; Priority::ALL.len()],
 }
 
 impl Shared {
@@ -93,9 +93,9 @@
     /// Waits for room: whoever reads a connection reads on when the core has caught up. False once the
     /// core has ended.
     pub(crate) fn send(&self, input: ControlInput) -> bool {
-        let class = Urgency::of(&input);
+        let class = Priority::of(&input);
         let mut state = self.shared.lock();
-        while !state.has_ended && !state.backlog.has_room(class) {
+        while !state.has_ended && !state.backlog.has_capacity(class) {
             let woken = self.shared.emptied[class as usize].wait(state);
             state = woken.unwrap_or_else(PoisonError::into_inner);
         }
@@ -105,7 +105,7 @@
     /// Hands the input back where its class has no room: its sender waits. False once the core has ended.
     pub(crate) fn try_send(&self, input: ControlInput) -> Result<bool, Box<ControlInput>> {
         let mut state = self.shared.lock();
-        if !state.has_ended && !state.backlog.has_room(Urgency::of(&input)) {
+        if !state.has_ended && !state.backlog.has_capacity(Priority::of(&input)) {
             return Err(Box::new(input));
         }
         Ok(self.push(&mut state, input).is_ok())
@@ -120,7 +120,10 @@
     /// under way.
     pub(crate) fn put(&self, input: ControlInput) {
         let waiting = waiting(input);
-        self.shared.lock().backlog.push_own(waiting.class, waiting);
+        self.shared
+            .lock()
+            .backlog
+            .push_unbounded(waiting.class, waiting);
     }
 
     fn push(&self, state: &mut State, input: ControlInput) -> Result<(), NotTaken> {
@@ -183,7 +186,7 @@
                     self.shared.emptied[class as usize].notify_one();
                     return HostInput::Core(*waiting);
                 }
-                Next::Nothing => {}
+                Next::Idle => {}
             }
             let left = tick_due.saturating_duration_since(now);
             let woken = self.shared.filled.wait_timeout(state, left);
@@ -201,10 +204,10 @@
     }
 
     /// Inputs that wait, and inputs refused since the start, by class.
-    pub(crate) fn lengths(&self) -> [(Urgency, usize, u64); Urgency::ALL.len()] {
+    pub(crate) fn lengths(&self) -> [(Priority, usize, u64); Priority::ALL.len()] {
         let state = self.shared.lock();
         let backlog = &state.backlog;
-        Urgency::ALL.map(|class| (class, backlog.length(class), backlog.refused(class)))
+        Priority::ALL.map(|class| (class, backlog.length(class), backlog.refused(class)))
     }
 }
 
@@ -216,7 +219,7 @@
 
 fn waiting(input: ControlInput) -> Box<WaitingInput> {
     Box::new(WaitingInput {
-        class: Urgency::of(&input),
+        class: Priority::of(&input),
         since: Instant::now(),
         input,
     })
--- a/crates/millpass-control/src/interface.rs
+++ b/crates/millpass-control/src/interface.rs
@@ -9,7 +9,7 @@
 /// Calls answered on the administration API's address before the API's own.
 pub trait ApiExtension: Send + Sync {
     /// Answers a call of its own; none for any other.
-    fn answer(&self, request: &Request, calls: &dyn AdministrationCalls) -> Option<Response>;
+    fn handle(&self, request: &Request, calls: &dyn AdministrationCalls) -> Option<Response>;
 }
 
 /// The way to engines whose instances announce themselves.
--- a/crates/millpass-control/src/lateness.rs
+++ b/crates/millpass-control/src/lateness.rs
@@ -1,11 +1,11 @@
 //! Tells when the core's thread is late: with a tick, or with an input that has waited.
 
-use crate::urgency::Urgency;
+use crate::priority::Priority;
 use std::time::{Duration, Instant};
 
 /// Age of an input, or lateness of a tick, from which on it is worth a line: a quarter of the default lease
 /// of 600 ms, so that a line comes before a lease is lost.
-pub const NOTABLE_LATENESS: Duration = Duration::from_millis(150);
+pub const LATENESS_THRESHOLD: Duration = Duration::from_millis(150);
 /// Shortest time between two lines: a member that is late for long says so once a second.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -13,10 +13,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lateness {
     /// Class of the input; none for a tick.
-    pub class: Option<Urgency>,
+    pub class: Option<Priority>,
     /// How long it waited, or how much later than due it came.
     pub age: Duration,
-    /// Inputs and ticks that were later than [`NOTABLE_LATENESS`] in that span.
+    /// Inputs and ticks that were later than [`LATENESS_THRESHOLD`] in that span.
     pub count: u64,
 }
 
@@ -29,14 +29,14 @@
 
 impl LatenessWatch {
     /// Takes the lateness of one input (with its class) or tick. Returns what to log now, if anything.
-    pub fn look(
+    pub fn record(
         &mut self,
         now: Instant,
-        class: Option<Urgency>,
+        class: Option<Priority>,
         age: Duration,
     ) -> Option<Lateness> {
-        if age >= NOTABLE_LATENESS {
-            self.note(class, age);
+        if age >= LATENESS_THRESHOLD {
+            self.add(class, age);
         }
         let is_too_soon = self
             .told_at
@@ -49,7 +49,7 @@
         Some(worst)
     }
 
-    fn note(&mut self, class: Option<Urgency>, age: Duration) {
+    fn add(&mut self, class: Option<Priority>, age: Duration) {
         let worst = self.worst.get_or_insert(Lateness {
             class,
             age,
--- a/crates/millpass-control/src/lib.rs
+++ b/crates/millpass-control/src/lib.rs
@@ -4,14 +4,14 @@
 //! | module | job |
 //! |---|---|
 //! | `process` | the threads, from start to stop |
-//! | `patient_start` | a start that waits for the disk |
+//! | `disk_wait` | a start that waits for the disk |
 //! | `threads` | which threads the member cannot do without, and how long its end waits for them |
 //! | `throttle` | lets something be done once in an interval |
 //! | `startup` | who this member is and what its data folder holds |
 //! | `member` | the core's thread: carries out what the core wants |
 //! | `inputs` | the way into the core |
-//! | `backlog` | what waits for the core, by urgency |
-//! | `urgency` | how urgent an input is |
+//! | `backlog` | what waits for the core, by priority |
+//! | `priority` | how urgent an input is |
 //! | `lateness` | tells when the core's thread is late |
 //! | `disk` | writes and syncs |
 //! | `disk_watch` | how long a write lasts and how full the disk is, for log and metrics |
@@ -39,6 +39,7 @@
 mod connections;
 mod deliveries;
 mod disk;
+mod disk_wait;
 mod disk_watch;
 mod error;
 mod frames;
@@ -48,21 +49,20 @@
 pub mod lateness;
 mod member;
 mod metrics;
-mod patient_start;
 pub mod peer_queue;
 mod peers;
+pub mod priority;
 mod process;
 mod router_backlog;
 pub mod settings;
 mod startup;
 mod threads;
 mod throttle;
-pub mod urgency;
 
 pub use administration::RefusedAnnouncement;
+pub use disk_wait::start_when_disk_available;
 pub use error::ControlError;
 pub use interface::{ApiExtension, EngineCalls, Extensions};
-pub use patient_start::start_patiently;
 pub use process::{ControlHandle, start, start_extended, start_on};
 pub use settings::ControlProcessSettings;
 pub use startup::initialize;
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -14,7 +14,7 @@
 use crate::lateness::LatenessWatch;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::urgency::Urgency;
+use crate::priority::Priority;
 use crossbeam::channel::Sender;
 use millpass_control_plane::{
     AdministrationRequest, AdministrationResponse, ConnectionId, ControlEvent, ControlInput,
@@ -148,15 +148,15 @@
     }
 
     /// Shows how long an input of a class waited, or how much later than due a tick comes.
-    fn show_lateness(&mut self, class: Option<Urgency>, since: Instant) {
+    fn show_lateness(&mut self, class: Option<Priority>, since: Instant) {
         let now = Instant::now();
         let age = now.saturating_duration_since(since);
         match class {
             Some(class) => self.metrics.input_waited(class, age),
             None => self.metrics.tick_late(age),
         }
-        if let Some(late) = self.lateness.look(now, class, age) {
-            let class = late.class.map_or("tick", Urgency::name);
+        if let Some(late) = self.lateness.record(now, class, age) {
+            let class = late.class.map_or("tick", Priority::name);
             let (age_millis, count) = (late.age.as_millis(), late.count);
             let lengths = self.queue.lengths();
             let waiting: usize = lengths.iter().map(|(_, length, _)| length).sum();
@@ -371,7 +371,7 @@
     let ControlInput::Administration { call, request } = &waiting.input else {
         return None;
     };
-    let is_outdated = waiting.class == Urgency::Announcements
+    let is_outdated = waiting.class == Priority::Announcements
         && matches!(request, AdministrationRequest::Announce(_))
         && waiting.since.elapsed() >= ANNOUNCEMENT_PATIENCE;
     is_outdated.then_some(*call)
--- a/crates/millpass-control/src/metrics.rs
+++ b/crates/millpass-control/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Prometheus metrics of a control member.
 
-use crate::urgency::Urgency;
+use crate::priority::Priority;
 use millpass_consensus::{ConsensusStatus, Role};
 use millpass_control_plane::FleetSizes;
 use prometheus::{
@@ -173,7 +173,7 @@
         self.document_seconds.observe(after.as_secs_f64());
     }
 
-    pub(crate) fn input_waited(&self, class: Urgency, time: Duration) {
+    pub(crate) fn input_waited(&self, class: Priority, time: Duration) {
         let histogram = self.input_wait_seconds.with_label_values(&[class.name()]);
         histogram.observe(time.as_secs_f64());
     }
@@ -183,7 +183,7 @@
     }
 
     /// Shows a class's queue; returns how many inputs were refused since the last look.
-    pub(crate) fn show_queue(&self, class: Urgency, waiting: usize, refused: u64) -> u64 {
+    pub(crate) fn show_queue(&self, class: Priority, waiting: usize, refused: u64) -> u64 {
         let queue = self.queues.with_label_values(&[class.name()]);
         queue.set(i64::try_from(waiting).unwrap_or(i64::MAX));
         let counter = self.refused_inputs.with_label_values(&[class.name()]);
--- a/crates/millpass-control/src/urgency.rs
+++ b/crates/millpass-control/src/priority.rs
@@ -9,7 +9,7 @@
 
 /// Class of an input, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum Priority {
     /// Messages of members and completed writes: elections, leases and commits wait for them.
     Consensus,
     /// What is promised to an operator or to an instance that leaves, and what such a call reads first;
@@ -23,24 +23,24 @@
     Announcements,
 }
 
-impl Urgency {
+impl Priority {
     /// All classes, the most urgent first.
-    pub const ALL: [Urgency; 5] = [
-        Urgency::Consensus,
-        Urgency::Promised,
-        Urgency::Credit,
-        Urgency::Reports,
-        Urgency::Announcements,
+    pub const ALL: [Priority; 5] = [
+        Priority::Consensus,
+        Priority::Promised,
+        Priority::Credit,
+        Priority::Reports,
+        Priority::Announcements,
     ];
 
     /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Urgency::Consensus => "consensus",
-            Urgency::Promised => "promised",
-            Urgency::Credit => "credit",
-            Urgency::Reports => "reports",
-            Urgency::Announcements => "announcements",
+            Priority::Consensus => "consensus",
+            Priority::Promised => "promised",
+            Priority::Credit => "credit",
+            Priority::Reports => "reports",
+            Priority::Announcements => "announcements",
         }
     }
 
@@ -51,20 +51,20 @@
             ControlInput::Tick
             | ControlInput::Peer(_)
             | ControlInput::MemberHello(_)
-            | ControlInput::Persisted { .. } => Urgency::Consensus,
-            ControlInput::Join(_) | ControlInput::Drain => Urgency::Promised,
-            ControlInput::Administration { request, .. } => Urgency::of_call(request),
+            | ControlInput::Persisted { .. } => Priority::Consensus,
+            ControlInput::Join(_) | ControlInput::Drain => Priority::Promised,
+            ControlInput::Administration { request, .. } => Priority::of_call(request),
             ControlInput::Router { message, .. } => of_router(message),
             // With the reports, so that it follows the last one of its connection.
             ControlInput::RouterDisconnected(_)
             | ControlInput::RouterBacklog { .. }
-            | ControlInput::PlatformListed(_) => Urgency::Reports,
+            | ControlInput::PlatformListed(_) => Priority::Reports,
             // A member's share is its sign of life, on the connection that carries its consensus. An answer that waits for
             // two seconds counts as lost, and comes in place of a later one's.
             ControlInput::Share(_)
             | ControlInput::ShareResponse(_)
             | ControlInput::OrderDelivered { .. }
-            | ControlInput::EngineCallCompleted { .. } => Urgency::Credit,
+            | ControlInput::EngineCallCompleted { .. } => Priority::Credit,
         }
     }
 
@@ -77,32 +77,32 @@
             | AdministrationRequest::PutDocument(_)
             | AdministrationRequest::GetDocument
             | AdministrationRequest::Depart(_)
-            | AdministrationRequest::LiftQuarantine(_) => Urgency::Promised,
+            | AdministrationRequest::LiftQuarantine(_) => Priority::Promised,
             // An instance leaves by its announcement.
-            AdministrationRequest::Announce(record) if record.draining => Urgency::Promised,
+            AdministrationRequest::Announce(record) if record.draining => Priority::Promised,
             // Every call of an operator first reads the operators, to know whose key it brings.
-            AdministrationRequest::List(ObjectKind::Operator) => Urgency::Promised,
+            AdministrationRequest::List(ObjectKind::Operator) => Priority::Promised,
             AdministrationRequest::Get(_)
             | AdministrationRequest::List(_)
             | AdministrationRequest::Status
             | AdministrationRequest::Audit(_)
             | AdministrationRequest::Announce(_)
-            | AdministrationRequest::QuarantinedRequests => Urgency::Announcements,
+            | AdministrationRequest::QuarantinedRequests => Priority::Announcements,
         }
     }
 }
 
 /// Credit, crashes and permits rest on no earlier message of their connection. A router's claims rest on its
 /// hello, and its reports too, so these stay in one class, in order.
-fn of_router(message: &RouterToControl) -> Urgency {
+fn of_router(message: &RouterToControl) -> Priority {
     match message {
         RouterToControl::Credit(_) | RouterToControl::Crashes(_) | RouterToControl::Permits(_) => {
-            Urgency::Credit
+            Priority::Credit
         }
         RouterToControl::Hello(_)
         | RouterToControl::Report(_)
         | RouterToControl::Claim(_)
         | RouterToControl::FinishClaim(_)
-        | RouterToControl::Gateway(_) => Urgency::Reports,
+        | RouterToControl::Gateway(_) => Priority::Reports,
     }
 }
--- a/crates/millpass-control/src/process.rs
+++ b/crates/millpass-control/src/process.rs
@@ -275,7 +275,7 @@
     /// Calls back once the member has ended, for whatever reason. A process without its member
     /// must end as well: it answers as if it took part, and whoever starts ended processes again
     /// sees none to start.
-    pub fn on_end(&mut self, act: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
+    pub fn on_exit(&mut self, act: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
         let ended = self.core_ended.clone();
         let watch = spawn("control-end", move || {
             // It closes without a message.
--- a/crates/millpass-control/src/settings.rs
+++ b/crates/millpass-control/src/settings.rs
@@ -72,7 +72,7 @@
     /// Longest wait for an engine's or the platform's answer.
     pub call_timeout: Duration,
     /// Silence after which a connection counts as broken.
-    pub connection_silence: Duration,
+    pub connection_timeout: Duration,
 }
 
 impl Default for ProcessLimits {
@@ -84,7 +84,7 @@
             delivery_threads: 32,
             delivery_queue: 4_096,
             call_timeout: Duration::from_secs(2),
-            connection_silence: Duration::from_secs(10),
+            connection_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -137,7 +137,7 @@
     /// Time a machine must be missing from the platform's list before it counts as gone.
     pub machine_gone_delay: Duration,
     /// Voters up to which caught-up members are promoted; 0 to keep their number.
-    pub wanted_voters: usize,
+    pub target_voters: usize,
     /// Instances that announce themselves; none where the platform lists machines instead.
     pub fleet: Option<FleetSettings>,
     /// Bounds of the process.
@@ -171,7 +171,7 @@
             member_replacement_delay: Duration::from_secs(30),
             machine_gone_delay: Duration::from_secs(10),
             fleet: None,
-            wanted_voters: 0,
+            target_voters: 0,
             limits: ProcessLimits::default(),
         }
     }
--- a/crates/millpass-control/src/startup.rs
+++ b/crates/millpass-control/src/startup.rs
@@ -112,7 +112,7 @@
     } else if settings.bootstrap {
         return Ok(None);
     } else if others(settings).is_empty() {
-        return Err(ControlError::NobodyToJoin);
+        return Err(ControlError::NoMembersToJoin);
     } else {
         write_identity(settings, joiner_identity(), Vec::new())?;
     }
@@ -268,6 +268,6 @@
         machine_gone_delay: settings.machine_gone_delay,
         fleet: settings.fleet.clone(),
         seeds: others(settings),
-        target_voters: settings.wanted_voters,
+        target_voters: settings.target_voters,
     }
 }
--- a/crates/millpass-control/tests/backlog.rs
+++ b/crates/millpass-control/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! What waits for the core, by urgency.
+//! What waits for the core, by priority.
 //!
 //! The failure: one queue of 16,384 inputs in order of arrival, and a tick only when it was empty. When a
 //! member was lost, 70 gateways and 144 instances connected anew to those that were left, and what they
@@ -6,7 +6,7 @@
 //! have ended the loss came after the next candidacy had begun.
 
 use millpass_control::backlog::{Backlog, Next};
-use millpass_control::urgency::Urgency;
+use millpass_control::priority::Priority;
 use millpass_control_plane::{AdministrationRequest, ConnectionId, ControlInput};
 use millpass_proto::{
     CreditRequest, InstanceDeparture, InstanceRecord, ObjectKey, ObjectKind, PermitRequest,
@@ -19,17 +19,17 @@
 const STEP: Duration = Duration::from_millis(1);
 
 /// Takes what is next when no tick is due.
-fn take(backlog: &mut Backlog<u32>) -> Option<(Urgency, u32)> {
+fn take(backlog: &mut Backlog<u32>) -> Option<(Priority, u32)> {
     let now = Instant::now();
     match backlog.next(now, now + TICK) {
         Next::Input(class, input) => Some((class, input)),
-        Next::Nothing => None,
+        Next::Idle => None,
         Next::Tick => panic!("no tick is due"),
     }
 }
 
 /// Fills a class to its bound; returns how many fit.
-fn fill(backlog: &mut Backlog<u32>, class: Urgency) -> usize {
+fn fill(backlog: &mut Backlog<u32>, class: Priority) -> usize {
     let mut number = 0;
     while backlog.push(class, number).is_ok() {
         number += 1;
@@ -47,7 +47,7 @@
     let mut due = now + TICK;
     let mut ticks = 0;
     while now < end {
-        for class in Urgency::ALL {
+        for class in Priority::ALL {
             let _ = backlog.push(class, 0);
         }
         match backlog.next(now, due) {
@@ -58,7 +58,7 @@
                 due = now + TICK;
             }
             Next::Input(..) => now += STEP,
-            Next::Nothing => panic!("inputs wait"),
+            Next::Idle => panic!("inputs wait"),
         }
     }
     assert!(ticks > 1_600, "{ticks} ticks");
@@ -67,14 +67,14 @@
 #[test]
 fn what_consensus_needs_comes_before_all_that_waits() {
     let mut backlog = Backlog::default();
-    for class in Urgency::ALL.into_iter().skip(1) {
+    for class in Priority::ALL.into_iter().skip(1) {
         fill(&mut backlog, class);
     }
     for number in 0..100 {
-        backlog.push(Urgency::Consensus, number).expect("room");
-        assert_eq!(take(&mut backlog), Some((Urgency::Consensus, number)));
+        backlog.push(Priority::Consensus, number).expect("room");
+        assert_eq!(take(&mut backlog), Some((Priority::Consensus, number)));
         let (class, _) = take(&mut backlog).expect("others wait");
-        assert_ne!(class, Urgency::Consensus);
+        assert_ne!(class, Priority::Consensus);
     }
 }
 
@@ -82,12 +82,12 @@
 fn a_class_keeps_its_order() {
     let mut backlog = Backlog::default();
     for number in 0..50 {
-        backlog.push(Urgency::Reports, number).expect("room");
-        backlog.push(Urgency::Credit, number).expect("room");
+        backlog.push(Priority::Reports, number).expect("room");
+        backlog.push(Priority::Credit, number).expect("room");
     }
     let mut last = [None; 2];
     while let Some((class, number)) = take(&mut backlog) {
-        let last = &mut last[usize::from(class == Urgency::Credit)];
+        let last = &mut last[usize::from(class == Priority::Credit)];
         assert!(*last < Some(number), "{class:?}: {number} after {last:?}");
         *last = Some(number);
     }
@@ -97,16 +97,16 @@
 /// An input that arrives while all other classes are full and stay full is taken up after a bounded
 /// number of others.
 #[rstest]
-#[case(Urgency::Promised, 28)]
-#[case(Urgency::Credit, 28)]
-#[case(Urgency::Reports, 36)]
-#[case(Urgency::Announcements, 40)]
-fn no_class_waits_for_good(#[case] class: Urgency, #[case] others: usize) {
+#[case(Priority::Promised, 28)]
+#[case(Priority::Credit, 28)]
+#[case(Priority::Reports, 36)]
+#[case(Priority::Announcements, 40)]
+fn no_class_waits_for_good(#[case] class: Priority, #[case] others: usize) {
     for turns in 0..60 {
         let mut backlog = Backlog::default();
         let refill = |backlog: &mut Backlog<u32>| {
-            for other in Urgency::ALL {
-                if other != class && other != Urgency::Consensus {
+            for other in Priority::ALL {
+                if other != class && other != Priority::Consensus {
                     let _ = backlog.push(other, 0);
                 }
             }
@@ -138,16 +138,16 @@
 #[test]
 fn consensus_does_not_starve_the_others_for_good() {
     let mut backlog = Backlog::default();
-    fill(&mut backlog, Urgency::Announcements);
-    backlog.push(Urgency::Consensus, 0).expect("room");
+    fill(&mut backlog, Priority::Announcements);
+    backlog.push(Priority::Consensus, 0).expect("room");
     let mut others = 0;
     for _ in 0..10_000 {
-        backlog.push(Urgency::Consensus, 0).expect("room");
-        backlog.push(Urgency::Consensus, 0).expect("room");
+        backlog.push(Priority::Consensus, 0).expect("room");
+        backlog.push(Priority::Consensus, 0).expect("room");
         let first = take(&mut backlog).map(|(class, _)| class);
         let second = take(&mut backlog).map(|(class, _)| class);
         for class in [first, second] {
-            others += usize::from(class == Some(Urgency::Announcements));
+            others += usize::from(class == Some(Priority::Announcements));
         }
     }
     assert!(others > 100, "{others}");
@@ -157,24 +157,24 @@
 #[rstest]
 fn a_full_class_refuses_and_counts(
     #[values(
-        Urgency::Consensus,
-        Urgency::Promised,
-        Urgency::Credit,
-        Urgency::Reports,
-        Urgency::Announcements
+        Priority::Consensus,
+        Priority::Promised,
+        Priority::Credit,
+        Priority::Reports,
+        Priority::Announcements
     )]
-    class: Urgency,
+    class: Priority,
 ) {
     let mut backlog = Backlog::default();
     let length = fill(&mut backlog, class);
-    assert!(!backlog.has_room(class));
+    assert!(!backlog.has_capacity(class));
     assert_eq!(backlog.push(class, 9), Err(9));
     assert_eq!((backlog.length(class), backlog.refused(class)), (length, 2));
-    for other in Urgency::ALL.into_iter().filter(|other| *other != class) {
-        assert!(backlog.has_room(other));
+    for other in Priority::ALL.into_iter().filter(|other| *other != class) {
+        assert!(backlog.has_capacity(other));
         assert_eq!(backlog.refused(other), 0);
     }
-    backlog.push_own(class, 9);
+    backlog.push_unbounded(class, 9);
     assert_eq!(backlog.length(class), length + 1);
 }
 
@@ -229,27 +229,27 @@
         instances: Vec::new(),
     });
     for (input, class) in [
-        (ControlInput::Persisted { write: 1 }, Urgency::Consensus),
-        (ControlInput::Drain, Urgency::Promised),
+        (ControlInput::Persisted { write: 1 }, Priority::Consensus),
+        (ControlInput::Drain, Priority::Promised),
         (
             call(AdministrationRequest::Depart(departure)),
-            Urgency::Promised,
+            Priority::Promised,
         ),
-        (call(AdministrationRequest::GetDocument), Urgency::Promised),
-        (announcement(true), Urgency::Promised),
-        (announcement(false), Urgency::Announcements),
+        (call(AdministrationRequest::GetDocument), Priority::Promised),
+        (announcement(true), Priority::Promised),
+        (announcement(false), Priority::Announcements),
         (
             call(AdministrationRequest::Get(key)),
-            Urgency::Announcements,
+            Priority::Announcements,
         ),
-        (call(AdministrationRequest::Status), Urgency::Announcements),
-        (router(credit), Urgency::Credit),
-        (router(permits), Urgency::Credit),
+        (call(AdministrationRequest::Status), Priority::Announcements),
+        (router(credit), Priority::Credit),
+        (router(permits), Priority::Credit),
         (
             ControlInput::RouterDisconnected(ConnectionId(1)),
-            Urgency::Reports,
+            Priority::Reports,
         ),
     ] {
-        assert_eq!(Urgency::of(&input), class, "{input:?}");
+        assert_eq!(Priority::of(&input), class, "{input:?}");
     }
 }
--- a/crates/millpass-control/tests/call_schedule.rs
+++ b/crates/millpass-control/tests/call_schedule.rs
@@ -4,7 +4,7 @@
 //! call to one of them held a thread for 0.6 s, and calls to all others waited behind: an order left 2.5 s after it had
 //! been given up (2.2 s until an answer in one of ten calls, against 0.41 s on a calm day).
 
-use millpass_control::call_schedule::{CallEnd, CallSchedule};
+use millpass_control::call_schedule::{CallOutcome, CallSchedule};
 use millpass_proto::Timestamp;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -42,13 +42,13 @@
         self.under_way = under_way;
         for (_, peer, answers) in ended {
             let end = if answers {
-                CallEnd::Answered
+                CallOutcome::Responded
             } else {
-                CallEnd::Silent
+                CallOutcome::Unreachable
             };
-            self.schedule.ended(&peer, end);
+            self.schedule.finish(&peer, end);
         }
-        self.schedule.expired(at(self.now));
+        self.schedule.take_expired(at(self.now));
         while self.under_way.len() < AT_ONCE {
             let Some((peer, since)) = self.schedule.take() else {
                 break;
@@ -133,7 +133,7 @@
         let mut leave_by: BTreeMap<u64, u64> = BTreeMap::new();
         let mut gone = 0;
         for act in acts {
-            let expired = schedule.expired(at(now));
+            let expired = schedule.take_expired(at(now));
             gone += expired.len();
             for call in expired {
                 prop_assert!(leave_by.remove(&call).expect("waits") < now);
@@ -157,8 +157,8 @@
                     under_way.push(peer);
                 }
                 Act::End(answered) if !under_way.is_empty() => {
-                    let end = if answered { CallEnd::Answered } else { CallEnd::Silent };
-                    schedule.ended(&under_way.remove(0), end);
+                    let end = if answered { CallOutcome::Responded } else { CallOutcome::Unreachable };
+                    schedule.finish(&under_way.remove(0), end);
                 }
                 Act::End(_) => {}
                 Act::Pass(millis) => now += millis,
@@ -167,11 +167,11 @@
         // All that is left can be taken once the calls under way have ended.
         let mut taken = 0;
         for peer in under_way.drain(..) {
-            schedule.ended(&peer, CallEnd::Silent);
+            schedule.finish(&peer, CallOutcome::Unreachable);
         }
         while let Some((peer, call)) = schedule.take() {
             prop_assert!(leave_by.remove(&call).is_some());
-            schedule.ended(&peer, CallEnd::Answered);
+            schedule.finish(&peer, CallOutcome::Responded);
             taken += 1;
         }
         prop_assert!(leave_by.is_empty(), "{} left of {}", leave_by.len(), pushed);
@@ -186,19 +186,19 @@
     for engine in 0..2 {
         schedule.push(&peer(engine), at(600), 0).expect("room");
         let (peer, _) = schedule.take().expect("ready");
-        schedule.ended(&peer, CallEnd::Silent);
+        schedule.finish(&peer, CallOutcome::Unreachable);
     }
     for engine in 0..2 {
         schedule.push(&peer(engine), at(600), 1).expect("room");
     }
     let (first, _) = schedule.take().expect("one silent engine at a time");
     assert!(schedule.take().is_none());
-    schedule.ended(&first, CallEnd::Answered);
+    schedule.finish(&first, CallOutcome::Responded);
     let (second, _) = schedule.take().expect("the other");
     schedule.push(&first, at(600), 2).expect("room");
     assert!(
         schedule.take().is_some(),
         "it answers, and waits for nobody"
     );
-    schedule.ended(&second, CallEnd::Silent);
+    schedule.finish(&second, CallOutcome::Unreachable);
 }
--- a/crates/millpass-control/tests/process.rs
+++ b/crates/millpass-control/tests/process.rs
@@ -104,7 +104,7 @@
     let mut settings = ControlProcessSettings::single(folder.path().join("new"));
     settings.bootstrap = false;
     let error = start(settings).err().expect("refused");
-    assert!(matches!(error, ControlError::NobodyToJoin));
+    assert!(matches!(error, ControlError::NoMembersToJoin));
     assert!(
         error.to_string().contains("millpass control init"),
         "{error}"
--- a/crates/millpass-control/tests/slow_gateway.rs
+++ b/crates/millpass-control/tests/slow_gateway.rs
@@ -27,7 +27,7 @@
 struct Calls(Arc<Mutex<Vec<AdministrationResponse>>>);
 
 impl ApiExtension for Calls {
-    fn answer(&self, request: &Request, calls: &dyn AdministrationCalls) -> Option<Response> {
+    fn handle(&self, request: &Request, calls: &dyn AdministrationCalls) -> Option<Response> {
         let path = request.uri.path();
         let version: u64 = path.strip_prefix("/test/put/")?.parse().ok()?;
         let put = AdministrationRequest::PutDocument(Box::new(PutDocument {
--- a/crates/millpass-gateway/src/answers.rs
+++ b/crates/millpass-gateway/src/answers.rs
@@ -88,7 +88,7 @@
     let mut response = Response::new(whole_body(Bytes::from(format!("{reason}\n"))));
     *response.status_mut() = status;
     let headers: &mut HeaderMap = response.headers_mut();
-    shared.interface.mark_answer(headers, attempt);
+    shared.interface.mark_response(headers, attempt);
     if let Some(time) = retry_after
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", time.as_secs_f64()))
     {
--- a/crates/millpass-gateway/src/events.rs
+++ b/crates/millpass-gateway/src/events.rs
@@ -19,7 +19,7 @@
 
 impl EventBuffer {
     /// Takes bytes and gives the whole events that they complete, possibly none.
-    pub fn take(&mut self, bytes: &[u8]) -> Bytes {
+    pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
         let Some(end) = last_end(&self.pending) else {
             return Bytes::new();
@@ -42,12 +42,12 @@
     }
 
     /// Drops the part of an event that never became whole.
-    pub fn discard_part(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
     /// Bytes behind the last whole event.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 }
--- a/crates/millpass-gateway/src/exchange.rs
+++ b/crates/millpass-gateway/src/exchange.rs
@@ -1,6 +1,6 @@
 //! Sends a request to an instance and reads the head of its answer.
 
-use crate::interface::{AnswerFacts, Interface, SendFacts};
+use crate::interface::{Interface, ResponseFacts, SendFacts};
 use crate::pool::{self, Connection};
 use crate::shared::Shared;
 use bytes::Bytes;
@@ -68,7 +68,7 @@
     pub(crate) head: http::response::Parts,
     pub(crate) body: Incoming,
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) facts: ResponseFacts,
 }
 
 /// Removes the headers that concern one connection only.
@@ -118,7 +118,9 @@
     *request.headers_mut() = template.headers.clone();
     // The length is stated anew from the body that was read.
     request.headers_mut().remove(CONTENT_LENGTH);
-    shared.interface.state_send(request.headers_mut(), facts);
+    shared
+        .interface
+        .set_send_headers(request.headers_mut(), facts);
 
     let mut connection = shared.pool.take(facts.instance);
     loop {
@@ -129,7 +131,7 @@
         match used.sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, body) = response.into_parts();
-                let facts = shared.interface.read_answer(head.status, &head.headers);
+                let facts = shared.interface.read_response(head.status, &head.headers);
                 return Ok(Received {
                     head,
                     body,
--- a/crates/millpass-gateway/src/forward.rs
+++ b/crates/millpass-gateway/src/forward.rs
@@ -3,7 +3,7 @@
 use crate::answers::{NOT_CONFIGURED_WAIT, own_answer, unidentified, unrouted};
 use crate::credit::{CreditHold, CreditRefusal};
 use crate::exchange::{self, Received, SendFailure, Template, remove_hop_headers};
-use crate::interface::{AnswerFacts, SendFacts};
+use crate::interface::{ResponseFacts, SendFacts};
 use crate::metrics::millis;
 use crate::relay::{Relay, RelayBody, relay, whole_body};
 use crate::shared::{ActiveSend, Shared};
@@ -460,7 +460,7 @@
 }
 
 /// How a send ended that the instance says did not run.
-fn turned_away(facts: &AnswerFacts, instance: &InstanceId) -> SendOutcome {
+fn turned_away(facts: &ResponseFacts, instance: &InstanceId) -> SendOutcome {
     let other_run = facts
         .instance
         .as_ref()
--- a/crates/millpass-gateway/src/interface.rs
+++ b/crates/millpass-gateway/src/interface.rs
@@ -22,7 +22,7 @@
 
 /// What an instance's answer says beside its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseFacts {
     /// Attempt that it answers.
     pub attempt: Option<String>,
     /// The instance states that the request did not run.
@@ -51,11 +51,11 @@
     fn strip_reserved(&self, headers: &mut HeaderMap);
 
     /// States the facts of a send in the headers that go to the instance.
-    fn state_send(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
+    fn set_send_headers(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
 
     /// Reads what an answer's head says.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseFacts;
 
     /// Marks an answer of the gateway's own with the attempt it is for.
-    fn mark_answer(&self, headers: &mut HeaderMap, attempt: &str);
+    fn mark_response(&self, headers: &mut HeaderMap, attempt: &str);
 }
--- a/crates/millpass-gateway/src/lib.rs
+++ b/crates/millpass-gateway/src/lib.rs
@@ -45,7 +45,7 @@
 mod statements;
 
 pub use events::EventBuffer;
-pub use interface::{AnswerFacts, Interface, SendFacts};
+pub use interface::{Interface, ResponseFacts, SendFacts};
 pub use process::{Gateway, GatewayError};
 pub use report_schedule::ReportSchedule;
 pub use settings::{GatewaySettings, MemberSource};
--- a/crates/millpass-gateway/src/link.rs
+++ b/crates/millpass-gateway/src/link.rs
@@ -248,7 +248,7 @@
             // Behind the report, by which the leader knows the gateway.
             let crashes = shared.core().crash_report();
             messages.extend(crashes.map(RouterToControl::Crashes));
-            schedule.sent(now);
+            schedule.record_sent(now);
         }
         let credit = shared.core().credit_request(now, due);
         messages.extend(credit.map(RouterToControl::Credit));
@@ -261,8 +261,8 @@
         }
         // The pause between reports holds an urgent one back, but no credit that comes to be needed.
         let urgent = shared.core().is_report_urgent();
-        let next_look = schedule.next_look(now, urgent);
-        shared.wait_for_change(urged, next_look).await;
+        let next_check = schedule.next_check(now, urgent);
+        shared.wait_for_change(urged, next_check).await;
     }
 }
 
@@ -324,7 +324,7 @@
 /// it is waited for longer, as coming back to it would cost it more than what it is late with.
 async fn silent<T>(shared: &Shared, address: SocketAddr) -> Result<T, CodecError> {
     let heard_at = shared.now();
-    let longest = shared.settings.leader_silence;
+    let longest = shared.settings.leader_timeout;
     let mut asked = false;
     loop {
         Timer::after(SILENCE_LOOK).await;
--- a/crates/millpass-gateway/src/relay.rs
+++ b/crates/millpass-gateway/src/relay.rs
@@ -99,7 +99,7 @@
                         self.finish();
                     }
                     let passed = match &mut self.events {
-                        Some(events) => events.take(&bytes),
+                        Some(events) => events.push(&bytes),
                         None => bytes,
                     };
                     if !passed.is_empty() {
@@ -107,7 +107,7 @@
                     }
                 }
                 Part::End => {
-                    let rest = self.events.as_mut().map(EventBuffer::rest);
+                    let rest = self.events.as_mut().map(EventBuffer::take_remainder);
                     self.finish();
                     let rest = rest.filter(|rest| !rest.is_empty())?;
                     self.ended = true;
@@ -211,7 +211,7 @@
             active.end(SendOutcome::Broken);
         }
         if let Some(events) = &mut self.events {
-            events.discard_part();
+            events.discard_partial();
         }
         loop {
             let changed = self.shared.changed.listen();
--- a/crates/millpass-gateway/src/report_schedule.rs
+++ b/crates/millpass-gateway/src/report_schedule.rs
@@ -36,12 +36,12 @@
     }
 
     /// A report leaves.
-    pub fn sent(&mut self, now: Timestamp) {
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.last = Some(now);
     }
 
     /// When to look again, unless an answer or something urgent comes before.
-    pub fn next_look(&self, now: Timestamp, urgent: bool) -> Timestamp {
+    pub fn next_check(&self, now: Timestamp, urgent: bool) -> Timestamp {
         let Some(last) = self.last else {
             return now;
         };
--- a/crates/millpass-gateway/src/settings.rs
+++ b/crates/millpass-gateway/src/settings.rs
@@ -37,7 +37,7 @@
     /// Time between reports to the leader.
     pub report_interval: Duration,
     /// Silence of the leader after which another member is asked.
-    pub leader_silence: Duration,
+    pub leader_timeout: Duration,
     /// Longest wait for a connection to an instance.
     pub connect_timeout: Duration,
     /// Longest wait for a connection to a control member.
--- a/crates/millpass-gateway/src/statements.rs
+++ b/crates/millpass-gateway/src/statements.rs
@@ -1,6 +1,6 @@
 //! Notes what instances state of themselves in the heads of their answers.
 
-use crate::interface::AnswerFacts;
+use crate::interface::ResponseFacts;
 use crate::metrics::millis;
 use crate::shared::Shared;
 use millpass_dispatch::{StatementChange, Ticket};
@@ -13,7 +13,7 @@
     ticket: &Ticket,
     instance: &InstanceId,
     sent_at: Timestamp,
-    facts: &AnswerFacts,
+    facts: &ResponseFacts,
 ) {
     let speaker = facts.instance.as_ref();
     if speaker.is_some_and(|speaker| speaker.name() != instance.name()) {
--- a/crates/millpass-gateway/tests/events.rs
+++ b/crates/millpass-gateway/tests/events.rs
@@ -13,7 +13,7 @@
     let mut events = EventBuffer::default();
     let mut passed = Vec::new();
     for part in STREAM.chunks(size) {
-        let whole = events.take(part);
+        let whole = events.push(part);
         assert!(whole.is_empty() || whole.ends_with(b"\n\n"));
         passed.extend_from_slice(&whole);
     }
@@ -25,18 +25,18 @@
 #[test]
 fn a_part_of_an_event_is_held_back_and_can_be_dropped() {
     let mut events = EventBuffer::default();
-    let passed = events.take(b"id: 1\ndata: a\n\nid: 2\nda");
+    let passed = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(&passed[..], b"id: 1\ndata: a\n\n");
     assert_eq!(events.last_identity(), Some("1"));
     assert!(!events.is_at_boundary());
-    events.discard_part();
-    let passed = events.take(b"id: 2\ndata: b\n\n");
+    events.discard_partial();
+    let passed = events.push(b"id: 2\ndata: b\n\n");
     assert_eq!(&passed[..], b"id: 2\ndata: b\n\n");
 }
 
 #[test]
 fn what_stands_behind_the_last_event_is_given_at_the_end() {
     let mut events = EventBuffer::default();
-    events.take(b"id: 1\n\ntail");
-    assert_eq!(&events.rest()[..], b"tail");
+    events.push(b"id: 1\n\ntail");
+    assert_eq!(&events.take_remainder()[..], b"tail");
 }
--- a/crates/millpass-gateway/tests/report_schedule.rs
+++ b/crates/millpass-gateway/tests/report_schedule.rs
@@ -20,19 +20,19 @@
 #[test]
 fn a_report_that_nothing_urges_waits_for_the_answer_to_the_last() {
     let mut schedule = schedule();
-    schedule.sent(at(1_000));
+    schedule.record_sent(at(1_000));
     assert!(!schedule.is_due(at(1_299), true, false));
     assert!(schedule.is_due(at(1_300), true, false));
     assert!(!schedule.is_due(at(1_300), false, false));
-    assert_eq!(schedule.next_look(at(1_300), false), at(1_900));
+    assert_eq!(schedule.next_check(at(1_300), false), at(1_900));
     assert!(schedule.is_due(at(1_900), false, false));
 }
 
 #[test]
 fn what_is_urgent_waits_for_a_short_pause_alone() {
     let mut schedule = schedule();
-    schedule.sent(at(1_000));
+    schedule.record_sent(at(1_000));
     assert!(!schedule.is_due(at(1_004), false, true));
-    assert_eq!(schedule.next_look(at(1_004), true), at(1_005));
+    assert_eq!(schedule.next_check(at(1_004), true), at(1_005));
     assert!(schedule.is_due(at(1_005), false, true));
 }
