--- a/crates/millpass-gateway/src/pool.rs
+++ b/crates/millpass-gateway/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to instances. A connection is used for one request at a time and comes back only after
-//! a whole answer.
+//! Connection pool. A connection serves one request at a time and is returned to the pool only after a
+//! complete response.
 
 use async_executor::Executor;
 use async_io::{Async, Timer};
@@ -17,43 +17,44 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Most idle connections kept for one instance.
+/// Maximum number of idle connections per instance.
 const MAXIMUM_IDLE: usize = 8;
-/// Longest time an idle connection is kept when the instance states none.
-const IDLE_TIME: Duration = Duration::from_millis(2_500);
-/// Time before the stated end at which an idle connection is no longer used.
+/// Idle timeout if the instance states none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time before the stated idle timeout at which a connection is no longer reused.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Time for which a connection rests before it is used again: bytes that a faulty instance sends behind a
-/// whole answer come meanwhile, and end it.
-const REST_TIME: Duration = Duration::from_millis(3);
-/// Time after which unacknowledged bytes, or probes, end a connection.
+/// Delay before a connection is reused: excess bytes that a faulty instance sends after a response arrive
+/// meanwhile and close it.
+const REUSE_DELAY: Duration = Duration::from_millis(3);
+/// Time after which unacknowledged bytes or keep-alive probes end a connection.
 const USER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Time without a byte after which the other end is probed, and between probes. A connection that has gone silent
-/// after the request was taken has nothing left to acknowledge; without probes its request waits for the whole
-/// time of its route.
-const PROBE_TIME: Duration = Duration::from_millis(1_000);
+/// Idle time before a keep-alive probe, and between probes. They detect a dead peer while a response is
+/// pending, when no unacknowledged bytes are left.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Why there is no connection.
+/// Why a connection could not be made.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectError {
-    /// The address is none.
-    #[error("{0} is no address; the instance announced a wrong one")]
+    /// The address is invalid.
+    #[error(
+        "invalid instance address {0}; expected IP:port, correct the address that the instance announces"
+    )]
     Address(String),
-    /// It was refused or broke.
+    /// The connection was refused or broke.
     #[error("connect failed: {0}")]
     Failed(#[from] std::io::Error),
-    /// It took too long.
+    /// The connection timed out.
     #[error("connect timed out")]
     TimedOut,
-    /// HTTP could not be started on it.
-    #[error("connection unusable: {0}")]
+    /// The HTTP handshake failed.
+    #[error("HTTP handshake failed: {0}")]
     Http(#[from] hyper::Error),
 }
 
 impl ConnectError {
-    /// Whether nobody listens at the address. Timeouts and resets say less: a machine may be cut off, or take no
-    /// more connections.
+    /// Returns whether nothing listens at the address. Timeouts and resets do not prove that: the machine may be
+    /// partitioned or overloaded.
     pub(crate) fn is_refused(&self) -> bool {
         let refused = io::ErrorKind::ConnectionRefused;
         matches!(self, ConnectError::Failed(error) if error.kind() == refused)
@@ -68,8 +69,8 @@
 
 struct Idle {
     sender: SendRequest<Full<Bytes>>,
-    from: Timestamp,
-    until: Timestamp,
+    usable_from: Timestamp,
+    expires_at: Timestamp,
 }
 
 /// Idle connections by instance.
@@ -90,22 +91,22 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection that is surely still open, the one used last first.
+    /// Takes the most recently used idle connection that is still open.
     pub(crate) fn take(&self, instance: &InstanceId) -> Option<Connection> {
         let mut idle = self.lock();
         let connections = idle.get_mut(instance)?;
         let now = self.clock.now();
-        connections.retain(|idle| idle.until > now && !idle.sender.is_closed());
-        let rested = connections
+        connections.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
+        let position = connections
             .iter()
-            .rposition(|idle| idle.from <= now && idle.sender.is_ready())?;
+            .rposition(|idle| idle.usable_from <= now && idle.sender.is_ready())?;
         Some(Connection {
-            sender: connections.remove(rested).sender,
+            sender: connections.remove(position).sender,
             reused: true,
         })
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns a connection after a complete response.
     pub(crate) fn put(
         &self,
         instance: &InstanceId,
@@ -113,7 +114,9 @@
         keep_alive: Option<Duration>,
     ) {
         let time = keep_alive
-            .map_or(IDLE_TIME, |stated| stated.saturating_sub(IDLE_MARGIN))
+            .map_or(DEFAULT_IDLE_TIMEOUT, |stated| {
+                stated.saturating_sub(IDLE_MARGIN)
+            })
             .min(Duration::from_secs(30));
         if time.is_zero() || sender.is_closed() {
             return;
@@ -125,23 +128,22 @@
         if connections.len() < MAXIMUM_IDLE {
             connections.push(Idle {
                 sender,
-                from: now + REST_TIME,
-                until: now + time,
+                usable_from: now + REUSE_DELAY,
+                expires_at: now + time,
             });
         }
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections past their idle timeout.
     pub(crate) fn sweep(&self) {
         let now = self.clock.now();
         self.lock().retain(|_, connections| {
-            connections.retain(|idle| idle.until > now && !idle.sender.is_closed());
+            connections.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
             !connections.is_empty()
         });
     }
 }
 
-/// Opens a connection.
 pub(crate) async fn connect(
     executor: &'static Executor<'static>,
     address: &str,
@@ -161,21 +163,21 @@
     stream.get_ref().set_nodelay(true)?;
     let socket = SockRef::from(stream.get_ref());
     let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_TIME)
-        .with_interval(PROBE_TIME);
-    let _ = socket.set_tcp_keepalive(&probes);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
+    let _ = socket.set_tcp_keepalive(&keepalive);
     let (sender, connection) = http1::Builder::new()
         .preserve_header_case(true)
         .max_buf_size(64 * 1024)
         .handshake(FuturesIo::new(stream))
         .await?;
-    let served = async move {
+    let serving = async move {
         if let Err(error) = connection.await {
             log::debug!("event=instance_connection_ended error=\"{error}\"");
         }
     };
-    executor.spawn(served).detach();
+    executor.spawn(serving).detach();
     Ok(Connection {
         sender,
         reused: false,
--- a/crates/millpass-gateway/src/report_schedule.rs
+++ b/crates/millpass-gateway/src/report_schedule.rs
@@ -1,22 +1,21 @@
-//! When the next report to the leader leaves.
+//! Schedules reports to the leader.
 
 use millpass_proto::{Duration, Timestamp};
 
-/// Shortest pause between two reports.
-const MINIMUM_PAUSE: Duration = Duration::from_millis(5);
-/// Intervals for which a report that nothing urges waits for the answer to the one before: a leader of many gateways
-/// answers each of them less often, and is told as often as it answers.
-const UNANSWERED_INTERVALS: u32 = 3;
+/// Minimum time between two reports.
+const MINIMUM_INTERVAL: Duration = Duration::from_millis(5);
+/// Intervals for which a report that is not urgent waits for the response to the previous one, so that gateways
+/// report no faster than a busy leader responds.
+const UNACKNOWLEDGED_INTERVALS: u32 = 3;
 
-/// Reports of one connection. The first leaves at once, whatever became of those on connections before: by it the leader
-/// knows the gateway.
+/// Report schedule of one connection. The first report is due at once, as it registers the gateway with the leader.
 pub struct ReportSchedule {
     interval: Duration,
     last: Option<Timestamp>,
 }
 
 impl ReportSchedule {
-    /// Of a new connection, with reports at this interval.
+    /// Creates the schedule of a new connection.
     pub fn new(interval: Duration) -> Self {
         ReportSchedule {
             interval,
@@ -24,34 +23,34 @@
         }
     }
 
-    /// Whether a report is due, where the last one was answered or not, and something urges one or not.
-    pub fn is_due(&self, now: Timestamp, answered: bool, urgent: bool) -> bool {
+    /// Returns whether a report is due, given whether the last one was acknowledged and whether one is urgent.
+    pub fn is_due(&self, now: Timestamp, acknowledged: bool, urgent: bool) -> bool {
         let Some(last) = self.last else {
             return true;
         };
-        let since = now.since(last);
-        let awaited = !answered && since < self.interval * UNANSWERED_INTERVALS;
-        let periodic = since >= self.interval && !awaited;
-        periodic || (urgent && since >= MINIMUM_PAUSE)
+        let elapsed = now.since(last);
+        let awaiting_response = !acknowledged && elapsed < self.interval * UNACKNOWLEDGED_INTERVALS;
+        let periodic = elapsed >= self.interval && !awaiting_response;
+        periodic || (urgent && elapsed >= MINIMUM_INTERVAL)
     }
 
-    /// A report leaves.
-    pub fn sent(&mut self, now: Timestamp) {
+    /// Records that a report was sent.
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.last = Some(now);
     }
 
-    /// When to look again, unless an answer or something urgent comes before.
-    pub fn next_look(&self, now: Timestamp, urgent: bool) -> Timestamp {
+    /// Returns when to check again, unless a response or an urgent report comes earlier.
+    pub fn next_check(&self, now: Timestamp, urgent: bool) -> Timestamp {
         let Some(last) = self.last else {
             return now;
         };
         if urgent {
-            return last + MINIMUM_PAUSE;
+            return last + MINIMUM_INTERVAL;
         }
         let next = last + self.interval;
         match now < next {
             true => next,
-            false => last + self.interval * UNANSWERED_INTERVALS,
+            false => last + self.interval * UNACKNOWLEDGED_INTERVALS,
         }
     }
 }
--- a/crates/millpass-gateway/tests/report_schedule.rs
+++ b/crates/millpass-gateway/tests/report_schedule.rs
@@ -1,4 +1,4 @@
-//! When a gateway reports.
+//! Schedule of reports to the leader.
 
 use millpass_gateway::ReportSchedule;
 use millpass_proto::{Duration, Timestamp};
@@ -11,28 +11,28 @@
     ReportSchedule::new(Duration::from_millis(300))
 }
 
-/// After the loss of all members, gateways that had reported to members which did not lead found the leader 0.6 s late.
+/// Guards against a slow recovery after a leader change: a new connection must not wait for an older response.
 #[test]
-fn the_first_report_on_a_connection_waits_for_no_answer() {
+fn the_first_report_on_a_connection_is_due_at_once() {
     assert!(schedule().is_due(at(1_000), false, false));
 }
 
 #[test]
-fn a_report_that_nothing_urges_waits_for_the_answer_to_the_last() {
+fn a_periodic_report_waits_for_the_previous_response() {
     let mut schedule = schedule();
-    schedule.sent(at(1_000));
+    schedule.record_sent(at(1_000));
     assert!(!schedule.is_due(at(1_299), true, false));
     assert!(schedule.is_due(at(1_300), true, false));
     assert!(!schedule.is_due(at(1_300), false, false));
-    assert_eq!(schedule.next_look(at(1_300), false), at(1_900));
+    assert_eq!(schedule.next_check(at(1_300), false), at(1_900));
     assert!(schedule.is_due(at(1_900), false, false));
 }
 
 #[test]
-fn what_is_urgent_waits_for_a_short_pause_alone() {
+fn an_urgent_report_waits_only_for_the_minimum_interval() {
     let mut schedule = schedule();
-    schedule.sent(at(1_000));
+    schedule.record_sent(at(1_000));
     assert!(!schedule.is_due(at(1_004), false, true));
-    assert_eq!(schedule.next_look(at(1_004), true), at(1_005));
+    assert_eq!(schedule.next_check(at(1_004), true), at(1_005));
     assert!(schedule.is_due(at(1_005), false, true));
 }
