--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -385,7 +385,7 @@
             return;
         }
         for (router, incarnation) in self.sessions.expire(now, self.settings.router_lease) {
-            self.scheduler.forget_router(&router);
+            self.scheduler.remove_router(&router);
             let pairs = vec![
                 ("router", router.to_string()),
                 ("incarnation", incarnation.to_string()),
--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -311,7 +311,7 @@
         models
             .into_iter()
             .take(MAXIMUM_OUTLOOKS)
-            .map(|model| self.scheduler.outlook(now, &self.state, model))
+            .map(|model| self.scheduler.ready_estimate(now, &self.state, model))
             .collect()
     }
 
--- a/crates/millpass-experiment/src/simulation.rs
+++ b/crates/millpass-experiment/src/simulation.rs
@@ -308,7 +308,7 @@
         self.unplaceable_since.retain(|model, _| waits(model));
         for target in targets {
             let model = &self.catalog.models[target.0].name;
-            let outlook = self.scheduler.outlook(now, &self.state, model);
+            let outlook = self.scheduler.ready_estimate(now, &self.state, model);
             let ready = now + Duration::from_millis(outlook.ready_in_millis);
             let given_up = self.given_up(now, target.0, outlook.placeable);
             for number in self.routers.all_waiting(target) {
--- a/crates/millpass-gateway/src/link.rs
+++ b/crates/millpass-gateway/src/link.rs
@@ -11,7 +11,7 @@
 use millpass_proto::{
     ControlToRouter, CrashUpdate, Duration, GatewayUpdate, LinkMessage, RouterToControl,
 };
-use millpass_router::MemberChoice;
+use millpass_router::MemberSelector;
 use millpass_telemetry::event_line;
 use rand::RngExt;
 use socket2::SockRef;
@@ -47,7 +47,7 @@
     let mut members = Members::new(&shared);
     loop {
         wait_for_leader(&shared, &mut members).await;
-        let Some(address) = members.choice.turn() else {
+        let Some(address) = members.choice.next_member() else {
             Timer::after(LONG_PAUSE).await;
             continue;
         };
@@ -64,7 +64,7 @@
 /// The members that are known, whose turn it is, and how often none in a row was the leader.
 struct Members {
     known: Vec<SocketAddr>,
-    choice: MemberChoice,
+    choice: MemberSelector,
     asked: usize,
 }
 
@@ -72,7 +72,7 @@
     fn new(shared: &Shared) -> Self {
         let mut members = Members {
             known: Vec::new(),
-            choice: MemberChoice::new(Vec::new()),
+            choice: MemberSelector::new(Vec::new()),
             asked: 0,
         };
         members.replace(shared, shared.settings.members.clone());
@@ -81,7 +81,7 @@
 
     fn replace(&mut self, shared: &Shared, known: Vec<SocketAddr>) {
         shared.core().set_members(known.iter().copied().collect());
-        self.choice = MemberChoice::new(known.clone());
+        self.choice = MemberSelector::new(known.clone());
         self.known = known;
     }
 
@@ -95,7 +95,7 @@
         told.dedup();
         if told != self.known {
             self.replace(shared, told);
-            self.choice.lost(from);
+            self.choice.mark_unreachable(from);
         }
     }
 
@@ -123,7 +123,7 @@
             (core.leadership(now), core.lacks_news())
         };
         match leadership {
-            Leadership::Named(leader) => return members.choice.named(Some(leader)),
+            Leadership::Named(leader) => return members.choice.set_leader_hint(Some(leader)),
             Leadership::Vacant if !lacks_news && now < until => {
                 shared.wait_for_change(answered, until).await;
             }
@@ -137,15 +137,15 @@
     address: SocketAddr,
     end: LinkEnd,
     served: bool,
-    choice: &mut MemberChoice,
+    choice: &mut MemberSelector,
 ) {
     let change = match end {
         LinkEnd::NotLeader(leader) => {
-            choice.named(leader);
+            choice.set_leader_hint(leader);
             "not-leader"
         }
         LinkEnd::Lost(reason) => {
-            choice.lost(address);
+            choice.mark_unreachable(address);
             let pairs = [("member", address.to_string()), ("reason", reason)];
             if served {
                 log::warn!("{}", event_line("leader_lost", &pairs));
--- a/crates/millpass-router/src/backend.rs
+++ b/crates/millpass-router/src/backend.rs
@@ -116,7 +116,7 @@
         };
         let left = self.clock.left_until(dispatch.deadline) + self.timeouts.deadline_slack;
         let silence = match outgoing.stream {
-            true => left.min(self.timeouts.stream_read),
+            true => left.min(self.timeouts.stream_read_timeout),
             false => left,
         };
         let configured = agent.configure_request(request);
@@ -164,7 +164,7 @@
         let url = format!("http://{address}/engine/requests/{request_id}");
         let configured = self.pooled.delete(&url).config();
         let request = configured
-            .timeout_global(Some(self.timeouts.cancel))
+            .timeout_global(Some(self.timeouts.cancel_timeout))
             .build();
         if let Err(error) = request.call() {
             log::debug!("event=cancel_failed address={address} error=\"{error}\"");
@@ -182,7 +182,7 @@
         .user_agent("millpass-router")
         .accept("")
         .accept_encoding("")
-        .timeout_connect(Some(timeouts.connect))
+        .timeout_connect(Some(timeouts.connect_timeout))
         .max_idle_connections(idle_connections * 16)
         .max_idle_connections_per_host(idle_connections)
         .max_idle_age(timeouts.idle_time)
--- a/crates/millpass-router/src/lib.rs
+++ b/crates/millpass-router/src/lib.rs
@@ -13,7 +13,7 @@
 mod explain;
 mod handler;
 mod link;
-mod member_choice;
+mod member_selector;
 mod metrics;
 mod models;
 mod outbox;
@@ -26,7 +26,7 @@
 mod transport;
 mod watch;
 
-pub use member_choice::MemberChoice;
+pub use member_selector::MemberSelector;
 pub use process::{RouterHandle, start};
 pub use settings::{
     BackendTimeouts, CallerLimits, LinkSettings, RouterProcessSettings, WatchSettings,
--- a/crates/millpass-router/src/link.rs
+++ b/crates/millpass-router/src/link.rs
@@ -1,7 +1,7 @@
 //! Link to the leader of the control group: finds it, keeps one connection, and reconnects.
 
 use crate::driver::Driver;
-use crate::member_choice::MemberChoice;
+use crate::member_selector::MemberSelector;
 use crate::settings::LinkSettings;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use millpass_proto::codec::{CodecError, read_frame, write_frame};
@@ -73,14 +73,14 @@
 
     /// Body of the link's thread: members in turn, or the leader that one of them named.
     pub(crate) fn run(self) {
-        let mut choice = MemberChoice::new(self.members.clone());
-        let mut pause = self.settings.minimum_pause;
-        while let Some(address) = choice.turn() {
+        let mut choice = MemberSelector::new(self.members.clone());
+        let mut pause = self.settings.minimum_reconnect_delay;
+        while let Some(address) = choice.next_member() {
             let served = self.connect_and_serve(address, &mut choice);
             pause = if served {
-                self.settings.minimum_pause
+                self.settings.minimum_reconnect_delay
             } else {
-                (pause * 2).min(self.settings.maximum_pause)
+                (pause * 2).min(self.settings.maximum_reconnect_delay)
             };
             if self.is_stopped_within(jittered(pause)) {
                 return;
@@ -89,13 +89,13 @@
     }
 
     /// Serves one connection until it ends. Says whether the member answered as the leader.
-    fn connect_and_serve(&self, address: SocketAddr, choice: &mut MemberChoice) -> bool {
-        let stream = match TcpStream::connect_timeout(&address, self.settings.connect) {
+    fn connect_and_serve(&self, address: SocketAddr, choice: &mut MemberSelector) -> bool {
+        let stream = match TcpStream::connect_timeout(&address, self.settings.connect_timeout) {
             Ok(stream) => stream,
             Err(error) => {
                 log::debug!("event=link_connect_failed member={address} error=\"{error}\"");
                 self.driver.metrics.count_link("connect_failed");
-                choice.lost(address);
+                choice.mark_unreachable(address);
                 return false;
             }
         };
@@ -103,11 +103,11 @@
         match self.serve(stream, &mut served) {
             LinkEnd::NotLeader(leader) => {
                 self.driver.metrics.count_link("not_leader");
-                choice.named(leader);
+                choice.set_leader_hint(leader);
             }
             LinkEnd::Lost(error) => {
                 self.driver.metrics.count_link("lost");
-                choice.lost(address);
+                choice.mark_unreachable(address);
                 log::warn!("event=link_lost member={address} error=\"{error}\"");
             }
         }
@@ -135,8 +135,8 @@
 
     fn prepare(&self, stream: &TcpStream) -> std::io::Result<(TcpStream, TcpStream)> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(self.settings.connect))?;
-        stream.set_write_timeout(Some(self.settings.silence))?;
+        stream.set_read_timeout(Some(self.settings.connect_timeout))?;
+        stream.set_write_timeout(Some(self.settings.contact_timeout))?;
         let ends = (stream.try_clone()?, stream.try_clone()?);
         self.set_connection(Some(stream.try_clone()?));
         Ok(ends)
@@ -179,7 +179,7 @@
             };
             if !*served {
                 *served = true;
-                if let Err(error) = stream.set_read_timeout(Some(self.settings.silence)) {
+                if let Err(error) = stream.set_read_timeout(Some(self.settings.contact_timeout)) {
                     return LinkEnd::Lost(error.into());
                 }
                 self.driver.metrics.count_link("up");
--- a/crates/millpass-router/src/settings.rs
+++ b/crates/millpass-router/src/settings.rs
@@ -57,15 +57,15 @@
 #[derive(Clone, Debug)]
 pub struct BackendTimeouts {
     /// Time to connect.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Longest silence within a streamed answer.
-    pub stream_read: Duration,
+    pub stream_read_timeout: Duration,
     /// How long reads go on after the deadline. The decision core ends the attempt at the deadline,
     /// which closes its connection and so ends the read; one that times out first would look like a
     /// fault of the back end.
     pub deadline_slack: Duration,
     /// Time for a cancellation.
-    pub cancel: Duration,
+    pub cancel_timeout: Duration,
     /// Idle connections kept for each back end.
     pub idle_connections: usize,
     /// How long an idle connection is kept; less than a back end keeps its end open.
@@ -76,14 +76,14 @@
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
     /// Time to connect to a member, and then for its first answer.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Longest silence of a member before the next one is tried. Reports are answered, so it
     /// must be longer than the report interval.
-    pub silence: Duration,
+    pub contact_timeout: Duration,
     /// Shortest pause between two attempts to connect.
-    pub minimum_pause: Duration,
+    pub minimum_reconnect_delay: Duration,
     /// Longest pause between two attempts to connect.
-    pub maximum_pause: Duration,
+    pub maximum_reconnect_delay: Duration,
 }
 
 /// How back ends are watched.
@@ -96,7 +96,7 @@
     /// Time for one read.
     pub timeout: Duration,
     /// Consecutive failed reads after which a back end is reported unreachable.
-    pub failures: u32,
+    pub unreachable_after_failures: u32,
     /// Threads that read.
     pub threads: usize,
 }
@@ -151,10 +151,10 @@
 impl Default for BackendTimeouts {
     fn default() -> Self {
         BackendTimeouts {
-            connect: Duration::from_secs(1),
-            stream_read: Duration::from_secs(30),
+            connect_timeout: Duration::from_secs(1),
+            stream_read_timeout: Duration::from_secs(30),
             deadline_slack: Duration::from_secs(1),
-            cancel: Duration::from_secs(1),
+            cancel_timeout: Duration::from_secs(1),
             idle_connections: 128,
             idle_time: Duration::from_secs(5),
         }
@@ -164,10 +164,10 @@
 impl Default for LinkSettings {
     fn default() -> Self {
         LinkSettings {
-            connect: Duration::from_millis(500),
-            silence: Duration::from_millis(1_200),
-            minimum_pause: Duration::from_millis(20),
-            maximum_pause: Duration::from_millis(250),
+            connect_timeout: Duration::from_millis(500),
+            contact_timeout: Duration::from_millis(1_200),
+            minimum_reconnect_delay: Duration::from_millis(20),
+            maximum_reconnect_delay: Duration::from_millis(250),
         }
     }
 }
@@ -178,7 +178,7 @@
             interval: Duration::from_millis(250),
             busy_interval: Duration::from_millis(50),
             timeout: Duration::from_millis(500),
-            failures: 4,
+            unreachable_after_failures: 4,
             threads: 4,
         }
     }
--- a/crates/millpass-router/src/watch.rs
+++ b/crates/millpass-router/src/watch.rs
@@ -134,7 +134,7 @@
             .watch
             .put_back(backend, due, observation.is_none());
         let unreachable = || {
-            let silent = failures >= self.settings.failures.max(1);
+            let silent = failures >= self.settings.unreachable_after_failures.max(1);
             silent.then(|| BackendObservation::Unreachable(backend.backend.clone()))
         };
         if let Some(observation) = observation.or_else(unreachable) {
--- a/crates/millpass-router/tests/deadlines.rs
+++ b/crates/millpass-router/tests/deadlines.rs
@@ -51,7 +51,7 @@
     let control = Control::start();
     control.add_replica(1, engine.local_address());
     let mut settings = settings(vec![control.address()]);
-    settings.backends.cancel = Duration::from_secs(600);
+    settings.backends.cancel_timeout = Duration::from_secs(600);
     settings.backends.deadline_slack = Duration::from_secs(600);
     let router = start_with(&control, settings);
     let request = completion(&router).header("Millpass-Deadline-Ms", "200");
--- a/crates/millpass-router/tests/member_choice.rs
+++ b/crates/millpass-router/tests/member_choice.rs
@@ -1,7 +1,7 @@
 //! Which control member a router turns to when its leader is gone.
 
 use millpass_config::{parse_control, parse_router};
-use millpass_router::{LinkSettings, MemberChoice};
+use millpass_router::{LinkSettings, MemberSelector};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -9,42 +9,42 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, number))
 }
 
-fn five() -> MemberChoice {
-    MemberChoice::new((1..=5).map(member).collect())
+fn five() -> MemberSelector {
+    MemberSelector::new((1..=5).map(member).collect())
 }
 
 #[test]
 fn members_take_turns_and_the_named_leader_comes_first() {
     let mut choice = five();
-    assert_eq!(choice.turn(), Some(member(1)));
-    choice.named(Some(member(4)));
-    assert_eq!(choice.turn(), Some(member(4)));
-    assert_eq!(choice.turn(), Some(member(2)));
-    choice.named(None);
-    assert_eq!(choice.turn(), Some(member(3)));
+    assert_eq!(choice.next_member(), Some(member(1)));
+    choice.set_leader_hint(Some(member(4)));
+    assert_eq!(choice.next_member(), Some(member(4)));
+    assert_eq!(choice.next_member(), Some(member(2)));
+    choice.set_leader_hint(None);
+    assert_eq!(choice.next_member(), Some(member(3)));
 }
 
 #[test]
 fn a_lost_leader_that_others_still_name_is_passed_over() {
     let mut choice = five();
-    choice.lost(member(2));
+    choice.mark_unreachable(member(2));
     for _ in 0..4 {
-        let turn = choice.turn().expect("a member");
+        let turn = choice.next_member().expect("a member");
         assert_ne!(turn, member(2));
-        choice.named(Some(member(2)));
+        choice.set_leader_hint(Some(member(2)));
     }
-    choice.named(Some(member(5)));
-    assert_eq!(choice.turn(), Some(member(5)));
+    choice.set_leader_hint(Some(member(5)));
+    assert_eq!(choice.next_member(), Some(member(5)));
 }
 
 /// A cut that heals: the leader was lost and leads on.
 #[test]
 fn a_leader_that_is_back_is_followed_after_a_round() {
     let mut choice = five();
-    choice.lost(member(2));
+    choice.mark_unreachable(member(2));
     let back = (1..=20).find(|_| {
-        let found = choice.turn() == Some(member(2));
-        choice.named(Some(member(2)));
+        let found = choice.next_member() == Some(member(2));
+        choice.set_leader_hint(Some(member(2)));
         found
     });
     assert!(back.is_some_and(|turns| turns <= 6), "{back:?}");
@@ -53,17 +53,17 @@
 #[test]
 fn a_lost_member_gets_its_turn_again() {
     let mut choice = five();
-    choice.lost(member(2));
-    let turns: Vec<_> = (0..40).filter_map(|_| choice.turn()).collect();
+    choice.mark_unreachable(member(2));
+    let turns: Vec<_> = (0..40).filter_map(|_| choice.next_member()).collect();
     assert!(turns.contains(&member(2)));
 }
 
 #[test]
 fn the_only_member_is_tried_again_though_lost() {
-    let mut choice = MemberChoice::new(vec![member(1)]);
-    choice.lost(member(1));
-    assert_eq!(choice.turn(), Some(member(1)));
-    assert_eq!(MemberChoice::new(Vec::new()).turn(), None);
+    let mut choice = MemberSelector::new(vec![member(1)]);
+    choice.mark_unreachable(member(1));
+    assert_eq!(choice.next_member(), Some(member(1)));
+    assert_eq!(MemberSelector::new(Vec::new()).next_member(), None);
 }
 
 /// The times that a change of leader takes by default, one after the other, fit into a lease.
@@ -79,9 +79,9 @@
     // An election begins after one to two times the shortest time without a leader.
     let election = Duration::from_millis(control.consensus.election_timeout_ms) * 2;
     // A turn to a follower that names the new leader, and one to that.
-    let turns = link.maximum_pause * 2;
+    let turns = link.maximum_reconnect_delay * 2;
     assert!(last_answer + election + turns < lease);
     // A leader that is silent without ending its connection is given up in that time too.
-    let silent = last_answer + link.silence + turns;
+    let silent = last_answer + link.contact_timeout + turns;
     assert!(silent < lease);
 }
--- a/crates/millpass-scheduler/examples/slopes.rs
+++ b/crates/millpass-scheduler/examples/slopes.rs
@@ -229,7 +229,7 @@
     let begin = Instant::now();
     for model in 0..size.models {
         let model = format!("model-{model}").into();
-        std::hint::black_box(scheduler.outlook(now, &fixture.state, &model));
+        std::hint::black_box(scheduler.ready_estimate(now, &fixture.state, &model));
     }
     rate("outlooks", size.models, begin);
 }
--- a/crates/millpass-scheduler/src/arrivals.rs
+++ b/crates/millpass-scheduler/src/arrivals.rs
@@ -22,7 +22,7 @@
 
 /// What keeping a replica for another while is worth, by the model's history.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct KeepCosts {
+pub struct KeepAliveCosts {
     /// Seconds that a cold start takes.
     pub cold_start_seconds: f64,
     /// Accelerators that idle meanwhile.
@@ -35,15 +35,15 @@
 
 /// Gaps before arrivals of one model.
 #[derive(Clone, Debug)]
-pub struct Arrivals {
+pub struct ArrivalHistogram {
     counts: [u32; BUCKETS],
     total: u32,
     last_active: Option<Timestamp>,
 }
 
-impl Default for Arrivals {
+impl Default for ArrivalHistogram {
     fn default() -> Self {
-        Arrivals {
+        ArrivalHistogram {
             counts: [0; BUCKETS],
             total: 0,
             last_active: None,
@@ -51,7 +51,7 @@
     }
 }
 
-impl Arrivals {
+impl ArrivalHistogram {
     /// Notes that requests arrived.
     pub fn record_arrival(&mut self, now: Timestamp) {
         if let Some(last) = self.last_active {
@@ -95,7 +95,7 @@
     }
 
     /// Chance that the next arrival comes within `horizon`, given that none came for `idle`.
-    pub fn chance_within(&self, idle: Duration, horizon: Duration) -> f64 {
+    pub fn arrival_probability(&self, idle: Duration, horizon: Duration) -> f64 {
         let from = idle.as_secs_f64();
         let alive = self.mass_beyond(from);
         1.0 - self.mass_beyond(from + horizon.as_secs_f64()) / alive
@@ -103,7 +103,7 @@
 
     /// Greatest expected gain of keeping a replica after `idle`, over all times that it might be
     /// kept; not above zero when unloading it at once is best. The unit is that of the weights.
-    pub fn keep_gain(&self, idle: Duration, costs: &KeepCosts) -> f64 {
+    pub fn keep_alive_benefit(&self, idle: Duration, costs: &KeepAliveCosts) -> f64 {
         let start = idle.as_secs_f64();
         let alive = self.mass_beyond(start);
         let idle_cost_a_second = costs.idle_weight * costs.accelerators;
--- a/crates/millpass-scheduler/src/demand.rs
+++ b/crates/millpass-scheduler/src/demand.rs
@@ -3,7 +3,7 @@
 //! A report holds the whole demand of its router: what it does not name has none. Sums are kept
 //! up to date with each report, so that reading them does not depend on the number of routers.
 
-use crate::arrivals::Arrivals;
+use crate::arrivals::ArrivalHistogram;
 use millpass_proto::{
     AdapterName, Duration, Incarnation, ModelDemand, ModelName, RouterName, RouterReport,
     Timestamp, Urgency, ZoneName,
@@ -47,7 +47,7 @@
 struct ModelRecord {
     plain: TargetDemand,
     adapters: BTreeMap<AdapterName, TargetDemand>,
-    arrivals: Arrivals,
+    arrivals: ArrivalHistogram,
 }
 
 #[derive(Clone, Debug)]
@@ -126,7 +126,7 @@
         self.last_report = Some(now);
         let known = self.routers.get(router);
         if known.is_some_and(|known| known.incarnation != incarnation) {
-            self.forget_router(router);
+            self.remove_router(router);
         }
         if !self.routers.contains_key(router) {
             if self.routers.len() >= MAXIMUM_ROUTERS {
@@ -249,7 +249,7 @@
     }
 
     /// Forgets a router and its demand.
-    pub fn forget_router(&mut self, router: &RouterName) {
+    pub fn remove_router(&mut self, router: &RouterName) {
         let Some(record) = self.routers.remove(router) else {
             return;
         };
@@ -270,7 +270,7 @@
             .map(|(router, _)| router.clone())
             .collect();
         for router in silent {
-            self.forget_router(&router);
+            self.remove_router(&router);
         }
     }
 
@@ -318,7 +318,7 @@
     }
 
     /// History of a model.
-    pub fn arrivals(&self, model: &ModelName) -> Option<&Arrivals> {
+    pub fn arrivals(&self, model: &ModelName) -> Option<&ArrivalHistogram> {
         self.models.get(model).map(|record| &record.arrivals)
     }
 
--- a/crates/millpass-scheduler/src/evicting.rs
+++ b/crates/millpass-scheduler/src/evicting.rs
@@ -121,7 +121,7 @@
         let reload = self
             .loads
             .expected(&self.settings, tier, replica.weights_bytes);
-        let chance = self.chance_within(&view.name, idle, REUSE_HORIZON);
+        let chance = self.arrival_probability(&view.name, idle, REUSE_HORIZON);
         chance * reload.as_secs_f64()
     }
 }
--- a/crates/millpass-scheduler/src/lib.rs
+++ b/crates/millpass-scheduler/src/lib.rs
@@ -22,7 +22,7 @@
 mod settings;
 mod view;
 
-pub use arrivals::{Arrivals, KeepCosts};
+pub use arrivals::{ArrivalHistogram, KeepAliveCosts};
 pub use settings::{KeepAlive, SchedulerSettings};
 
 use demand::DemandTable;
@@ -102,8 +102,8 @@
     }
 
     /// Forgets a router whose lease ended.
-    pub fn forget_router(&mut self, router: &RouterName) {
-        self.demand.forget_router(router);
+    pub fn remove_router(&mut self, router: &RouterName) {
+        self.demand.remove_router(router);
     }
 
     /// Takes an engine's report: checkpoint tiers and load.
--- a/crates/millpass-scheduler/src/outlook.rs
+++ b/crates/millpass-scheduler/src/outlook.rs
@@ -54,7 +54,7 @@
 
 impl Scheduler {
     /// When a model is expected to serve.
-    pub fn outlook(&self, now: Timestamp, state: &State, model: &ModelName) -> LoadEstimate {
+    pub fn ready_estimate(&self, now: Timestamp, state: &State, model: &ModelName) -> LoadEstimate {
         let (wait, placeable) = self.expect(now, state, model);
         LoadEstimate {
             model: model.clone(),
--- a/crates/millpass-scheduler/src/prewarming.rs
+++ b/crates/millpass-scheduler/src/prewarming.rs
@@ -24,7 +24,12 @@
         }
         let cold = views.iter().filter(|view| self.may_prewarm(view));
         let mut likely: Vec<(f64, &ModelView<'a>)> = cold
-            .map(|view| (self.keep_gain(view, self.silence(round, view)), view))
+            .map(|view| {
+                (
+                    self.keep_alive_benefit(view, self.silence(round, view)),
+                    view,
+                )
+            })
             .filter(|(gain, view)| *gain > self.cold_start_cost(view) * LEAST_GAIN)
             .collect();
         likely.sort_by(|left, right| right.0.total_cmp(&left.0));
--- a/crates/millpass-scheduler/src/retiring.rs
+++ b/crates/millpass-scheduler/src/retiring.rs
@@ -2,7 +2,7 @@
 //! idle ones by the keep-alive strategy.
 
 use crate::Scheduler;
-use crate::arrivals::{Arrivals, KeepCosts};
+use crate::arrivals::{ArrivalHistogram, KeepAliveCosts};
 use crate::round::Round;
 use crate::settings::KeepAlive;
 use crate::view::ModelView;
@@ -107,7 +107,7 @@
         match self.settings.keep_alive {
             KeepAlive::LeastRecentlyUsed | KeepAlive::AlwaysLoaded => true,
             KeepAlive::Fixed(time) => idle < time,
-            KeepAlive::Adaptive => self.keep_gain(view, idle) > 0.0,
+            KeepAlive::Adaptive => self.keep_alive_benefit(view, idle) > 0.0,
         }
     }
 
@@ -118,8 +118,8 @@
         )
     }
 
-    /// Expected gain of keeping the model loaded after `idle`; see [`Arrivals::keep_gain`].
-    pub(crate) fn keep_gain(&self, view: &ModelView<'_>, idle: Duration) -> f64 {
+    /// Expected gain of keeping the model loaded after `idle`; see [`ArrivalHistogram::keep_alive_benefit`].
+    pub(crate) fn keep_alive_benefit(&self, view: &ModelView<'_>, idle: Duration) -> f64 {
         let Some(version) = view.version else {
             return f64::NEG_INFINITY;
         };
@@ -127,15 +127,15 @@
         let cold_start = self
             .loads
             .expected(&self.settings, tier, version.weights_bytes);
-        let costs = KeepCosts {
+        let costs = KeepAliveCosts {
             cold_start_seconds: cold_start.as_secs_f64(),
             accelerators: self.accelerator_share(view, version),
             cold_start_weight: f64::from(self.settings.cold_start_weight),
             idle_weight: f64::from(self.settings.idle_weight),
         };
-        let unknown = Arrivals::default();
+        let unknown = ArrivalHistogram::default();
         let arrivals = self.demand.arrivals(&view.name).unwrap_or(&unknown);
-        arrivals.keep_gain(idle, &costs)
+        arrivals.keep_alive_benefit(idle, &costs)
     }
 
     /// Accelerators that a replica takes, by the share of their memory that it fills: replicas are
@@ -148,15 +148,15 @@
     }
 
     /// Chance that a model is asked for within a time.
-    pub(crate) fn chance_within(
+    pub(crate) fn arrival_probability(
         &self,
         model: &ModelName,
         idle: Duration,
         horizon: Duration,
     ) -> f64 {
-        let unknown = Arrivals::default();
+        let unknown = ArrivalHistogram::default();
         let arrivals = self.demand.arrivals(model).unwrap_or(&unknown);
-        arrivals.chance_within(idle, horizon)
+        arrivals.arrival_probability(idle, horizon)
     }
 
     /// How long a replica has been idle, as far as this leader knows: since its model's last
@@ -180,7 +180,7 @@
     /// before.
     pub(crate) fn last_active(&self, model: &ModelName) -> Timestamp {
         let arrivals = self.demand.arrivals(model);
-        let active = arrivals.and_then(Arrivals::last_active);
+        let active = arrivals.and_then(ArrivalHistogram::last_active);
         let heard = self.first_report.unwrap_or(Timestamp::ZERO);
         active.unwrap_or(heard)
     }
--- a/crates/millpass-scheduler/tests/retiring.rs
+++ b/crates/millpass-scheduler/tests/retiring.rs
@@ -115,7 +115,7 @@
     let model = "wanted".into();
     let outlook = harness
         .scheduler
-        .outlook(harness.now, &harness.fixture.state, &model);
+        .ready_estimate(harness.now, &harness.fixture.state, &model);
     assert!(outlook.placeable, "{outlook:?}");
     harness.pass(61_000);
     harness.report("r1", vec![batch_since(61_000)]);
@@ -327,7 +327,9 @@
 
 fn outlook(harness: &Harness, model: &str) -> LoadEstimate {
     let state = &harness.fixture.state;
-    harness.scheduler.outlook(harness.now, state, &model.into())
+    harness
+        .scheduler
+        .ready_estimate(harness.now, state, &model.into())
 }
 
 #[test]
