--- a/crates/millpass-scheduler/src/adapters.rs
+++ b/crates/millpass-scheduler/src/adapters.rs
@@ -1,9 +1,9 @@
-//! Adapters beside loaded replicas: attached on demand, detached when memory or the catalog asks.
+//! Adapters of loaded replicas: attached on demand, detached to free memory or when deleted.
 
 use crate::Scheduler;
 use crate::demand::Demand;
 use crate::memory::EngineMemory;
-use crate::proposals::Subject;
+use crate::proposals::ProposalKey;
 use crate::round::Round;
 use crate::view::ModelView;
 use millpass_proto::{
@@ -12,24 +12,25 @@
 use millpass_state::{adapter_bytes_each, replica_bytes_each};
 
 impl Scheduler {
-    /// Adapters that requests wait for and that no replica has or is loading.
-    pub(crate) fn wanted_adapters<'v, 'a>(
+    /// Adapters with waiting requests that no replica has loaded or is loading.
+    pub(crate) fn missing_adapters<'v, 'a>(
         &self,
         views: &'v [ModelView<'a>],
     ) -> Vec<(Demand, &'v ModelView<'a>, AdapterName)> {
-        let mut wanted = Vec::new();
+        let mut missing = Vec::new();
         for view in views.iter().filter(|view| view.demand.waiting > 0) {
             for (adapter, demand) in self.demand.active_adapters(&view.name) {
-                if demand.waiting > 0 && !view_has(view, adapter) {
-                    wanted.push((demand, view, adapter.clone()));
+                if demand.waiting > 0 && !has_adapter(view, adapter) {
+                    missing.push((demand, view, adapter.clone()));
                 }
             }
         }
-        wanted
+        missing
     }
 
-    /// Attaches an adapter to the loaded replica where it serves soonest, or makes room for it.
-    pub(crate) fn attach_one<'a>(
+    /// Attaches an adapter to the loaded replica with the shortest load time, or frees memory for
+    /// it.
+    pub(crate) fn attach_adapter<'a>(
         &mut self,
         round: &mut Round<'a>,
         view: &ModelView<'a>,
@@ -42,8 +43,8 @@
         let bytes = adapter.bytes;
         let mut best: Option<((Duration, u64), &Replica, CheckpointTier)> = None;
         for replica in &view.replicas.loaded {
-            let subject = Subject::Adapter(replica.slot, name.clone());
-            if self.proposals.contains(&subject) {
+            let key = ProposalKey::Adapter(replica.slot, name.clone());
+            if self.proposals.contains(&key) {
                 return;
             }
             if !self.may_attach(round, replica, &name, bytes) {
@@ -53,20 +54,20 @@
             if tier == CheckpointTier::Remote && !self.permits.available() {
                 continue;
             }
-            let time = self.loads.expected(&self.settings, tier, bytes);
+            let time = self.loads.expected_time(&self.settings, tier, bytes);
             let rank = (time, replica.adapters.len() as u64);
             if best.as_ref().is_none_or(|(least, _, _)| rank < *least) {
                 best = Some((rank, replica, tier));
             }
         }
         let Some((rank, replica, tier)) = best else {
-            if !fits_somewhere(round, view, bytes) {
-                self.make_room(round, view, views, bytes);
+            if !fits_now(round, view, bytes) {
+                self.free_memory_for_adapter(round, view, views, bytes);
             }
             return;
         };
         if tier == CheckpointTier::Remote {
-            self.permits.take();
+            self.permits.acquire();
         }
         round.loads.add(&replica.backend, rank.0, Some(tier));
         let slot = replica.slot;
@@ -97,26 +98,31 @@
         fits && !retiring && round.state.check_attach(&decision).is_ok()
     }
 
-    /// Makes room for an adapter beside some loaded replica, unless that is under way already:
-    /// adapters that nothing asks for go first, then replicas that nothing asks for.
-    fn make_room<'a>(
+    /// Frees memory for an adapter at some loaded replica, unless pending unloads already do. Idle
+    /// adapters are detached first, then idle replicas are unloaded.
+    fn free_memory_for_adapter<'a>(
         &mut self,
         round: &mut Round<'a>,
         view: &ModelView<'a>,
         views: &[ModelView<'a>],
         bytes: u64,
     ) {
-        if !round.may_retire || room_is_coming(round, view, bytes) {
+        if !round.may_retire || fits_after_unloads(round, view, bytes) {
             return;
         }
-        if !self.detach_for(round, view, bytes) {
-            self.evict_beside(round, view, views, bytes);
+        if !self.detach_idle_adapters(round, view, bytes) {
+            self.evict_neighbor(round, view, views, bytes);
         }
     }
 
-    /// Detaches adapters that nothing asks for from the replica where that makes room. Says
-    /// whether some are detached, now or already.
-    fn detach_for(&mut self, round: &mut Round<'_>, view: &ModelView<'_>, bytes: u64) -> bool {
+    /// Detaches the fewest idle adapters that free enough memory at one replica. Returns true if
+    /// any are being detached.
+    fn detach_idle_adapters(
+        &mut self,
+        round: &mut Round<'_>,
+        view: &ModelView<'_>,
+        bytes: u64,
+    ) -> bool {
         let active = self.demand.active_adapters(&view.name);
         let active: Vec<&AdapterName> = active.into_iter().map(|(name, _)| name).collect();
         let mut plan: Option<(&Replica, Vec<AdapterName>)> = None;
@@ -129,7 +135,7 @@
             };
             if plan
                 .as_ref()
-                .is_none_or(|(_, least)| idle.len() < least.len())
+                .is_none_or(|(_, fewest)| idle.len() < fewest.len())
             {
                 plan = Some((replica, idle));
             }
@@ -139,17 +145,17 @@
         };
         for adapter in idle {
             let slot = replica.slot;
-            let subject = Subject::Adapter(slot, adapter.clone());
-            if !self.proposals.contains(&subject) {
+            let key = ProposalKey::Adapter(slot, adapter.clone());
+            if !self.proposals.contains(&key) {
                 round.detach(AdapterDecision { slot, adapter });
             }
         }
         true
     }
 
-    /// Unloads one replica that shares accelerators with a loaded one of the model: another of
-    /// the same model with nothing running, or one of a model that nothing asks for.
-    fn evict_beside<'a>(
+    /// Unloads one replica that shares accelerators with a loaded replica of the model: a spare
+    /// replica of the same model or a replica of an idle model.
+    fn evict_neighbor<'a>(
         &mut self,
         round: &mut Round<'a>,
         view: &ModelView<'a>,
@@ -158,14 +164,14 @@
     ) {
         let spare = view.replicas.loaded.len() > view.spec.minimum_replicas.max(1) as usize;
         let own = view.replicas.loaded.iter().copied();
-        let own = own.filter(|replica| spare && self.busy(replica) == 0);
+        let own = own.filter(|replica| spare && self.slot_requests(replica) == 0);
         let idle = self.idle_replicas(round, views);
         let candidates: Vec<&'a Replica> = own.chain(idle).collect();
         for kept in &view.replicas.loaded {
-            let makes_room = |other: &&&'a Replica| {
-                other.slot != kept.slot && frees_enough(round, kept, other, bytes)
+            let frees_enough = |other: &&&'a Replica| {
+                other.slot != kept.slot && unload_frees_enough(round, kept, other, bytes)
             };
-            let found = candidates.iter().find(makes_room).copied();
+            let found = candidates.iter().find(frees_enough).copied();
             if let Some(other) = found {
                 round.retire(other);
                 return;
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Idle adapters of a replica that together make room for these bytes; none if they do not.
+    /// Idle adapters of a replica that together free enough memory; `None` if they do not.
     fn detachable(
         &self,
         round: &Round<'_>,
@@ -187,21 +193,21 @@
         let each = adapter_bytes_each(bytes, count);
         let mut chosen = Vec::new();
         for attachment in &replica.adapters {
-            if trial.fits_soon(&replica.accelerators, each) {
+            if trial.fits_after_unloads(&replica.accelerators, each) {
                 break;
             }
             let idle = !active.contains(&&attachment.adapter);
             if idle && attachment.phase == AdapterPhase::Loaded {
                 let freed = adapter_bytes_each(attachment.bytes, count);
-                trial.free_soon(&replica.accelerators, freed);
+                trial.add_pending_free(&replica.accelerators, freed);
                 chosen.push(attachment.adapter.clone());
             }
         }
-        let fits = trial.fits_soon(&replica.accelerators, each);
+        let fits = trial.fits_after_unloads(&replica.accelerators, each);
         (fits && !chosen.is_empty()).then_some(chosen)
     }
 
-    /// Detaches adapters that are not in the catalog any more.
+    /// Detaches adapters that are no longer in the catalog.
     pub(crate) fn detach_removed<'a>(&mut self, round: &mut Round<'a>, views: &[ModelView<'a>]) {
         if !round.may_retire {
             return;
@@ -218,10 +224,10 @@
             return;
         }
         for attachment in &replica.adapters {
-            let gone = round.state.adapter(&attachment.adapter).is_none();
-            let subject = Subject::Adapter(replica.slot, attachment.adapter.clone());
-            let under_way = self.proposals.contains(&subject);
-            if gone && !under_way && attachment.phase != AdapterPhase::Unloading {
+            let removed = round.state.adapter(&attachment.adapter).is_none();
+            let key = ProposalKey::Adapter(replica.slot, attachment.adapter.clone());
+            let in_progress = self.proposals.contains(&key);
+            if removed && !in_progress && attachment.phase != AdapterPhase::Unloading {
                 round.detach(AdapterDecision {
                     slot: replica.slot,
                     adapter: attachment.adapter.clone(),
@@ -231,9 +237,9 @@
     }
 }
 
-/// Whether the adapter fits beside some loaded replica now: then only the store is awaited.
-fn fits_somewhere(round: &Round<'_>, view: &ModelView<'_>, bytes: u64) -> bool {
-    has_room(
+/// Returns true if the adapter fits at some loaded replica now, so that only the store limits it.
+fn fits_now(round: &Round<'_>, view: &ModelView<'_>, bytes: u64) -> bool {
+    fits_beside_any(
         round,
         view,
         |engine, replica, each| engine.fits_now(&replica.accelerators, each),
@@ -241,17 +247,17 @@
     )
 }
 
-/// Whether unloads under way make room beside some loaded replica.
-fn room_is_coming(round: &Round<'_>, view: &ModelView<'_>, bytes: u64) -> bool {
-    has_room(
+/// Returns true if the adapter fits at some loaded replica once pending unloads are done.
+fn fits_after_unloads(round: &Round<'_>, view: &ModelView<'_>, bytes: u64) -> bool {
+    fits_beside_any(
         round,
         view,
-        |engine, replica, each| engine.fits_soon(&replica.accelerators, each),
+        |engine, replica, each| engine.fits_after_unloads(&replica.accelerators, each),
         bytes,
     )
 }
 
-fn has_room(
+fn fits_beside_any(
     round: &Round<'_>,
     view: &ModelView<'_>,
     fits: impl Fn(&EngineMemory<'_>, &Replica, u64) -> bool,
@@ -266,8 +272,8 @@
     })
 }
 
-/// Whether the unload of another replica makes room for an adapter beside this one.
-fn frees_enough(round: &Round<'_>, kept: &Replica, other: &Replica, bytes: u64) -> bool {
+/// Returns true if unloading `other` frees enough memory for an adapter at `kept`.
+fn unload_frees_enough(round: &Round<'_>, kept: &Replica, other: &Replica, bytes: u64) -> bool {
     if other.backend != kept.backend || round.retiring.contains(&other.slot) {
         return false;
     }
@@ -275,19 +281,19 @@
         return false;
     };
     let mut trial = round.memory.engine(index).clone();
-    trial.free_soon(&other.accelerators, replica_bytes_each(other));
+    trial.add_pending_free(&other.accelerators, replica_bytes_each(other));
     let each = adapter_bytes_each(bytes, kept.accelerators.len());
-    trial.fits_soon(&kept.accelerators, each)
+    trial.fits_after_unloads(&kept.accelerators, each)
 }
 
-/// Whether some replica has the adapter, or is loading it.
-fn view_has(view: &ModelView<'_>, name: &AdapterName) -> bool {
+/// Returns true if some loaded replica has the adapter or is loading it.
+fn has_adapter(view: &ModelView<'_>, name: &AdapterName) -> bool {
     let replicas = view.replicas.loaded.iter();
     let mut adapters = replicas.flat_map(|replica| &replica.adapters);
-    adapters.any(|one| one.adapter == *name)
+    adapters.any(|attachment| attachment.adapter == *name)
 }
 
 fn is_detaching(replica: &Replica) -> bool {
     let mut adapters = replica.adapters.iter();
-    adapters.any(|one| one.phase == AdapterPhase::Unloading)
+    adapters.any(|attachment| attachment.phase == AdapterPhase::Unloading)
 }
--- a/crates/millpass-scheduler/src/arrivals.rs
+++ b/crates/millpass-scheduler/src/arrivals.rs
@@ -1,39 +1,38 @@
 //! Inter-arrival statistics of one model: a histogram of the idle gaps before arrivals.
 //!
-//! Gaps are counted in buckets whose bounds grow by the eighth root of two, fine enough to foresee
-//! a regular arrival to within a tenth of its period. Every bucket has a
-//! small share of a prior, so a model seen for the first time is treated as one whose next arrival
-//! is equally likely at any scale of time; a few real gaps outweigh it.
+//! Bucket bounds grow by the eighth root of two, which resolves a periodic arrival to within a
+//! tenth of its period. A small uniform prior over the buckets makes the next arrival of a new
+//! model equally likely at any time scale; a few observed gaps outweigh it.
 
 use millpass_proto::{Duration, Timestamp};
 
-/// Buckets; the last bound is near four days.
+/// Number of buckets; the last bound is about four days.
 const BUCKETS: usize = 164;
 /// Upper bound of the first bucket, in seconds.
 const FIRST_BOUND_SECONDS: f64 = 0.25;
-/// Ratio of neighbouring bounds: the eighth root of two.
+/// Ratio of adjacent bounds: the eighth root of two.
 const BOUND_RATIO: f64 = 1.090_507_732_665_257_7;
-/// Gaps that the prior counts for, over all buckets and the time beyond the last bound.
+/// Total weight of the prior, in gaps.
 const PRIOR_GAPS: f64 = 1.0;
-/// The prior's share in each bucket, and beyond the last.
-const PRIOR_SHARE: f64 = PRIOR_GAPS / (BUCKETS + 1) as f64;
-/// Counts are halved when this many gaps are held, so that old habits fade.
+/// Weight of the prior per bucket, and beyond the last bound.
+const PRIOR_PER_BUCKET: f64 = PRIOR_GAPS / (BUCKETS + 1) as f64;
+/// Counts are halved at this total, so that old gaps decay.
 const MAXIMUM_GAPS: u32 = 512;
 
-/// What keeping a replica for another while is worth, by the model's history.
+/// Inputs of [`ArrivalHistogram::keep_alive_benefit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeepAliveCosts {
-    /// Seconds that a cold start takes.
+    /// Duration of a cold start, in seconds.
     pub cold_start_seconds: f64,
-    /// Accelerators that idle meanwhile.
+    /// Accelerators that the idle replica occupies.
     pub accelerators: f64,
-    /// Cost of a second of cold start.
+    /// Cost of one second of cold start.
     pub cold_start_weight: f64,
-    /// Cost of an idle accelerator second.
+    /// Cost of one idle accelerator second.
     pub idle_weight: f64,
 }
 
-/// Gaps before arrivals of one model.
+/// Histogram of the gaps before arrivals of one model.
 #[derive(Clone, Debug)]
 pub struct ArrivalHistogram {
     counts: [u32; BUCKETS],
@@ -52,7 +51,7 @@
 }
 
 impl ArrivalHistogram {
-    /// Notes that requests arrived.
+    /// Records an arrival and the gap before it.
     pub fn record_arrival(&mut self, now: Timestamp) {
         if let Some(last) = self.last_active {
             self.record_gap(now.since(last));
@@ -60,17 +59,17 @@
         self.last_active = Some(now);
     }
 
-    /// Notes that requests wait or run: the idle time starts anew.
+    /// Records that requests wait or run, which restarts the idle time.
     pub fn record_activity(&mut self, now: Timestamp) {
         self.last_active = Some(now);
     }
 
-    /// When the model was last known to have requests.
+    /// Time of the last recorded arrival or activity; `None` before the first.
     pub fn last_active(&self) -> Option<Timestamp> {
         self.last_active
     }
 
-    /// Gaps held.
+    /// Number of recorded gaps, after decay.
     pub fn gap_count(&self) -> u32 {
         self.total
     }
@@ -78,7 +77,7 @@
     fn record_gap(&mut self, gap: Duration) {
         let seconds = gap.as_secs_f64();
         let bucket = bounds().position(|(_, upper)| seconds <= upper);
-        // A gap beyond the last bound says no more than the prior does.
+        // A gap beyond the last bound carries no more information than the prior.
         let Some(bucket) = bucket else { return };
         self.counts[bucket] += 1;
         self.total += 1;
@@ -94,57 +93,57 @@
         self.total = self.counts.iter().sum();
     }
 
-    /// Chance that the next arrival comes within `horizon`, given that none came for `idle`.
+    /// Probability of an arrival within `horizon`, given no arrival for `idle`.
     pub fn arrival_probability(&self, idle: Duration, horizon: Duration) -> f64 {
         let from = idle.as_secs_f64();
-        let alive = self.mass_beyond(from);
-        1.0 - self.mass_beyond(from + horizon.as_secs_f64()) / alive
+        let initial_mass = self.mass_beyond(from);
+        1.0 - self.mass_beyond(from + horizon.as_secs_f64()) / initial_mass
     }
 
-    /// Greatest expected gain of keeping a replica after `idle`, over all times that it might be
-    /// kept; not above zero when unloading it at once is best. The unit is that of the weights.
+    /// Maximum expected benefit of keeping a replica after `idle`, over all possible keep-alive
+    /// times; not positive when unloading at once is best. In the unit of the weights.
     pub fn keep_alive_benefit(&self, idle: Duration, costs: &KeepAliveCosts) -> f64 {
         let start = idle.as_secs_f64();
-        let alive = self.mass_beyond(start);
-        let idle_cost_a_second = costs.idle_weight * costs.accelerators;
+        let initial_mass = self.mass_beyond(start);
+        let idle_cost_per_second = costs.idle_weight * costs.accelerators;
         let cold_start_cost = costs.cold_start_weight * costs.cold_start_seconds;
         let mut best = f64::NEG_INFINITY;
         let mut idle_seconds = 0.0;
         let mut from = start;
-        let mut mass = alive;
+        let mut mass = initial_mass;
         for ((lower, upper), count) in bounds().zip(&self.counts) {
             if upper <= start {
                 continue;
             }
-            let left = mass - weight(*count) * share_beyond(lower, upper, start);
-            // Expected idle time: the integral of the mass that is still to come.
-            idle_seconds += (upper - from) * (mass + left) / 2.0;
+            let mass_after = mass - weight(*count) * fraction_beyond(lower, upper, start);
+            // Expected idle time: the integral of the remaining mass.
+            idle_seconds += (upper - from) * (mass + mass_after) / 2.0;
             from = upper;
-            mass = left;
-            let spared = cold_start_cost * (alive - mass);
-            let spent = idle_cost_a_second * idle_seconds;
-            best = best.max((spared - spent) / alive);
+            mass = mass_after;
+            let avoided_cost = cold_start_cost * (initial_mass - mass);
+            let idle_cost = idle_cost_per_second * idle_seconds;
+            best = best.max((avoided_cost - idle_cost) / initial_mass);
         }
         best
     }
 
-    /// Gaps, prior included, that last longer than this; never zero, as the prior reaches beyond
-    /// the last bound.
+    /// Weight of gaps longer than `seconds`, including the prior. Never zero, as the prior extends
+    /// beyond the last bound.
     fn mass_beyond(&self, seconds: f64) -> f64 {
         let within = bounds().zip(&self.counts);
         let within = within
-            .map(|((lower, upper), count)| weight(*count) * share_beyond(lower, upper, seconds));
-        PRIOR_SHARE + within.sum::<f64>()
+            .map(|((lower, upper), count)| weight(*count) * fraction_beyond(lower, upper, seconds));
+        PRIOR_PER_BUCKET + within.sum::<f64>()
     }
 }
 
-/// Weight of a bucket with this many gaps.
+/// Weight of a bucket, including the prior.
 fn weight(count: u32) -> f64 {
-    f64::from(count) + PRIOR_SHARE
+    f64::from(count) + PRIOR_PER_BUCKET
 }
 
-/// Share of a bucket that lies beyond a point; gaps are taken to be spread evenly in it.
-fn share_beyond(lower: f64, upper: f64, point: f64) -> f64 {
+/// Fraction of a bucket beyond `point`, assuming evenly distributed gaps.
+fn fraction_beyond(lower: f64, upper: f64, point: f64) -> f64 {
     ((upper - point) / (upper - lower)).clamp(0.0, 1.0)
 }
 
--- a/crates/millpass-scheduler/src/candidates.rs
+++ b/crates/millpass-scheduler/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The engine for a replica: where it serves soonest, then near its demand, then the tightest fit.
+//! Engine selection for a replica: shortest ready time, then zone of the demand, then tightest fit.
 
 use crate::Scheduler;
 use crate::memory::{Fit, MemoryTable};
@@ -8,52 +8,51 @@
 use millpass_state::version_bytes_each;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Adapters for which a placement leaves room where it can.
-const ADAPTERS_OF_HEADROOM: u64 = 4;
+/// Placements leave room for this many of the largest adapters where possible.
+const HEADROOM_ADAPTERS: u64 = 4;
 
-/// An engine that fits, with what decides between several.
+/// An engine that fits, with its rank.
 pub struct Candidate {
     /// Index in the round's memory table.
     pub index: usize,
-    /// Accelerators.
     pub fit: Fit,
-    /// Where its machine has the checkpoint.
+    /// Tier of the checkpoint on the engine's machine.
     pub tier: CheckpointTier,
     rank: Rank,
 }
 
-/// Compared field by field; the least is chosen.
+/// Compared field by field; the lowest rank wins.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// Replicas of one model are spread over engines.
+    /// Engines without a replica of the model are preferred.
     hosts_model: bool,
-    /// Loads that the engine was ordered to do, and this one.
+    /// Time until the engine's queued loads and this one complete.
     ready: Duration,
-    /// Not in the zone where most requests wait.
-    elsewhere: bool,
-    /// Bytes left over: large gaps are kept for large models.
-    left_over: u64,
+    /// Engines in the zone with the most waiting requests are preferred.
+    other_zone: bool,
+    /// The tightest fit is preferred, which keeps large gaps for large models.
+    remaining_bytes: u64,
 }
 
-/// What the search found.
-pub struct Choice {
-    /// The best engine that fits now and needs no permit that is lacking.
+/// Result of an engine search.
+pub struct EngineChoice {
+    /// Best engine that fits now and can start the load.
     pub best: Option<Candidate>,
-    /// Some engine fits and must wait for the store.
-    pub fits_behind_store: bool,
+    /// Some engine fits but has to wait for a store permit.
+    pub awaiting_store: bool,
 }
 
-/// What is known of engines by their index, looked up once for a whole search.
-struct Knowledge {
+/// Lookups by engine index, computed once per search.
+struct SearchContext {
     tiers: BTreeMap<usize, CheckpointTier>,
     hosts: BTreeSet<usize>,
     queued: BTreeMap<usize, Duration>,
     zone: Option<ZoneName>,
-    /// Time of the load from each tier, in the order of the tiers.
+    /// Load time from each tier, in tier order.
     transfer: [Duration; 3],
 }
 
-impl Knowledge {
+impl SearchContext {
     fn rank(&self, index: usize, zone: &ZoneName, fit: &Fit) -> (CheckpointTier, Rank) {
         let tier = self.tiers.get(&index).copied();
         let tier = tier.unwrap_or(CheckpointTier::Remote);
@@ -61,53 +60,53 @@
         let rank = Rank {
             hosts_model: self.hosts.contains(&index),
             ready: queued + self.transfer[tier as usize],
-            elsewhere: self.zone.as_ref().is_some_and(|near| near != zone),
-            left_over: fit.left_over,
+            other_zone: self.zone.as_ref().is_some_and(|busiest| busiest != zone),
+            remaining_bytes: fit.remaining_bytes,
         };
         (tier, rank)
     }
 }
 
 impl Scheduler {
-    /// Looks for the engine to place a replica on.
+    /// Selects an engine for a replica, with headroom for adapters where possible.
     pub(crate) fn choose_engine(
         &self,
         round: &Round<'_>,
         view: &ModelView<'_>,
         version: &VersionSpec,
-    ) -> Choice {
+    ) -> EngineChoice {
         let count = view.spec.accelerators_per_replica;
         let bytes = version_bytes_each(version, count);
-        let knowledge = self.knowledge(round, view, version);
-        let headroom = round.headroom * ADAPTERS_OF_HEADROOM;
-        let roomy = self.choose_with(round, &knowledge, count, bytes + headroom);
-        if headroom == 0 || roomy.best.is_some() || roomy.fits_behind_store {
-            return roomy;
+        let context = self.context(round, view, version);
+        let headroom = round.adapter_headroom * HEADROOM_ADAPTERS;
+        let with_headroom = self.choose_engine_with(round, &context, count, bytes + headroom);
+        if headroom == 0 || with_headroom.best.is_some() || with_headroom.awaiting_store {
+            return with_headroom;
         }
-        self.choose_with(round, &knowledge, count, bytes)
+        self.choose_engine_with(round, &context, count, bytes)
     }
 
-    /// Looks for the best engine with this much free on each accelerator.
-    fn choose_with(
+    /// Selects the best engine with `bytes` free on each accelerator.
+    fn choose_engine_with(
         &self,
         round: &Round<'_>,
-        knowledge: &Knowledge,
+        context: &SearchContext,
         count: u32,
         bytes: u64,
-    ) -> Choice {
+    ) -> EngineChoice {
         let store_open = self.permits.available();
-        let mut choice = Choice {
+        let mut choice = EngineChoice {
             best: None,
-            fits_behind_store: false,
+            awaiting_store: false,
         };
         for (index, engine) in round.memory.live() {
             let Some(fit) = engine.fit_now(count as usize, bytes) else {
                 continue;
             };
             let zone = &engine.backend.registration.zone;
-            let (tier, rank) = knowledge.rank(index, zone, &fit);
+            let (tier, rank) = context.rank(index, zone, &fit);
             if tier == CheckpointTier::Remote && !store_open {
-                choice.fits_behind_store = true;
+                choice.awaiting_store = true;
                 continue;
             }
             if choice.best.as_ref().is_none_or(|best| rank < best.rank) {
@@ -122,26 +121,26 @@
         choice
     }
 
-    fn knowledge(
+    fn context(
         &self,
         round: &Round<'_>,
         view: &ModelView<'_>,
         version: &VersionSpec,
-    ) -> Knowledge {
+    ) -> SearchContext {
         let memory = &round.memory;
         let sets = &view.replicas;
         let replicas = sets.loaded.iter().chain(&sets.loading);
-        let replicas = replicas.chain(&sets.outdated).chain(&sets.overdue);
+        let replicas = replicas.chain(&sets.stale).chain(&sets.overdue);
         let hosts = replicas.filter_map(|replica| memory.index_of(&replica.backend));
         let expected = |tier| {
             let bytes = version.weights_bytes;
-            self.loads.expected(&self.settings, tier, bytes)
+            self.loads.expected_time(&self.settings, tier, bytes)
         };
-        Knowledge {
+        SearchContext {
             tiers: by_index(memory, self.engines.holders(&version.checkpoint)),
             hosts: hosts.collect(),
             queued: by_index(memory, round.loads.queued.iter()),
-            zone: self.demand.zone_of(&view.name),
+            zone: self.demand.busiest_zone(&view.name),
             transfer: [
                 expected(CheckpointTier::Remote),
                 expected(CheckpointTier::Disk),
--- a/crates/millpass-scheduler/src/demand.rs
+++ b/crates/millpass-scheduler/src/demand.rs
@@ -1,7 +1,7 @@
-//! Demand as routers report it, summed per model and per model with adapter.
+//! Demand reported by routers, summed per model and per model with adapter.
 //!
-//! A report holds the whole demand of its router: what it does not name has none. Sums are kept
-//! up to date with each report, so that reading them does not depend on the number of routers.
+//! A report covers the whole demand of its router: targets that it omits have none. Sums are
+//! updated with each report, so reading them does not scale with the number of routers.
 
 use crate::arrivals::ArrivalHistogram;
 use millpass_proto::{
@@ -10,20 +10,20 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Models, and adapters of each, that demand is kept for; more are not taken in.
+/// Models with recorded demand; demand for further models is dropped.
 const MAXIMUM_MODELS: usize = 65_536;
-/// Adapters of one model that demand is kept for.
+/// Adapters with recorded demand, per model.
 const MAXIMUM_ADAPTERS_PER_MODEL: usize = 4_096;
-/// Routers that demand is kept for.
+/// Routers with recorded demand.
 const MAXIMUM_ROUTERS: usize = 16_384;
 
-/// Number of a router within the table; smaller than its name.
-type RouterNumber = u32;
+/// Compact identifier of a router within the table.
+type RouterId = u32;
 
-/// A model, or a model with an adapter.
+/// A model, optionally with an adapter.
 type Target = (ModelName, Option<AdapterName>);
 
-/// Demand of one target at one router.
+/// Demand for one target at one router.
 #[derive(Clone, Copy, Debug)]
 struct RouterDemand {
     waiting: u32,
@@ -33,30 +33,30 @@
     most_urgent: Urgency,
 }
 
-/// Demand of one target over all routers.
+/// Demand for one target over all routers.
 #[derive(Clone, Debug, Default)]
 struct TargetDemand {
-    by_router: BTreeMap<RouterNumber, RouterDemand>,
-    waiting_routers: BTreeSet<RouterNumber>,
+    by_router: BTreeMap<RouterId, RouterDemand>,
+    waiting_routers: BTreeSet<RouterId>,
     waiting: u64,
     in_flight: u64,
 }
 
-/// Demand and history of one model.
+/// Demand and arrival history of one model.
 #[derive(Clone, Debug, Default)]
 struct ModelRecord {
-    plain: TargetDemand,
+    without_adapter: TargetDemand,
     adapters: BTreeMap<AdapterName, TargetDemand>,
     arrivals: ArrivalHistogram,
 }
 
 #[derive(Clone, Debug)]
 struct RouterRecord {
-    number: RouterNumber,
+    id: RouterId,
     incarnation: Incarnation,
     sequence: u64,
     last_report: Timestamp,
-    /// Targets with requests waiting or running in the last report.
+    /// Targets with waiting or running requests in the last report.
     active: BTreeSet<Target>,
 }
 
@@ -65,16 +65,15 @@
 pub struct Demand {
     /// Requests waiting for a replica.
     pub waiting: u64,
-    /// Requests dispatched and not ended.
+    /// Requests dispatched and not completed.
     pub in_flight: u64,
-    /// Since when the oldest one waits; meaningless when none does.
+    /// Arrival time of the oldest waiting request; undefined when none waits.
     pub waiting_since: Timestamp,
-    /// Most urgent of those waiting.
+    /// Most urgent class among the waiting requests.
     pub most_urgent: Urgency,
 }
 
 impl Demand {
-    /// No demand.
     pub const NONE: Demand = Demand {
         waiting: 0,
         in_flight: 0,
@@ -103,19 +102,19 @@
     }
 }
 
-/// All demand known to a leader.
+/// All demand recorded by a leader.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTable {
     models: BTreeMap<ModelName, ModelRecord>,
     routers: BTreeMap<RouterName, RouterRecord>,
     zones: BTreeMap<RouterName, ZoneName>,
-    router_zones: BTreeMap<RouterNumber, ZoneName>,
-    next_number: RouterNumber,
+    router_zones: BTreeMap<RouterId, ZoneName>,
+    next_id: RouterId,
     last_report: Option<Timestamp>,
 }
 
 impl DemandTable {
-    /// Takes a report. Older ones of the same run are ignored.
+    /// Records a report. Stale reports of the same incarnation are ignored.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -124,8 +123,8 @@
         report: &RouterReport,
     ) {
         self.last_report = Some(now);
-        let known = self.routers.get(router);
-        if known.is_some_and(|known| known.incarnation != incarnation) {
+        let existing = self.routers.get(router);
+        if existing.is_some_and(|existing| existing.incarnation != incarnation) {
             self.remove_router(router);
         }
         if !self.routers.contains_key(router) {
@@ -133,22 +132,22 @@
                 return;
             }
             self.insert_router(now, router, incarnation);
-            self.take(now, router, report, true);
+            self.apply_report(now, router, report, true);
             return;
         }
         if self.routers[router].sequence < report.sequence {
-            self.take(now, router, report, false);
+            self.apply_report(now, router, report, false);
         }
     }
 
     fn insert_router(&mut self, now: Timestamp, router: &RouterName, incarnation: Incarnation) {
-        let number = self.next_number;
-        self.next_number = self.next_number.wrapping_add(1);
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
         if let Some(zone) = self.zones.get(router) {
-            self.router_zones.insert(number, zone.clone());
+            self.router_zones.insert(id, zone.clone());
         }
         let record = RouterRecord {
-            number,
+            id,
             incarnation,
             sequence: 0,
             last_report: now,
@@ -157,61 +156,67 @@
         self.routers.insert(router.clone(), record);
     }
 
-    fn take(&mut self, now: Timestamp, router: &RouterName, report: &RouterReport, first: bool) {
+    fn apply_report(
+        &mut self,
+        now: Timestamp,
+        router: &RouterName,
+        report: &RouterReport,
+        first: bool,
+    ) {
         let Some(record) = self.routers.get_mut(router) else {
             return;
         };
         record.sequence = report.sequence;
         record.last_report = now;
-        let number = record.number;
-        let mut before = std::mem::take(&mut record.active);
+        let id = record.id;
+        let mut previous = std::mem::take(&mut record.active);
         let mut active = BTreeSet::new();
         for demand in &report.demand {
             let target = (demand.model.clone(), demand.adapter.clone());
-            before.remove(&target);
-            let taken = self.take_demand(now, number, demand, first);
-            if taken && demand.waiting + demand.in_flight > 0 {
+            previous.remove(&target);
+            let applied = self.apply_demand(now, id, demand, first);
+            if applied && demand.waiting + demand.in_flight > 0 {
                 active.insert(target);
             }
         }
-        for target in before {
-            self.clear(now, number, &target);
+        for target in previous {
+            self.clear(now, id, &target);
         }
         if let Some(record) = self.routers.get_mut(router) {
             record.active = active;
         }
     }
 
-    /// Takes one line of a report; says whether there was room for it.
-    fn take_demand(
+    /// Records one entry of a report; returns false when the table is full.
+    fn apply_demand(
         &mut self,
         now: Timestamp,
-        number: RouterNumber,
+        id: RouterId,
         demand: &ModelDemand,
         first: bool,
     ) -> bool {
-        let Some(record) = self.record_for(demand) else {
+        let Some(record) = self.model_record(demand) else {
             return false;
         };
         let target = match &demand.adapter {
-            None => &mut record.plain,
+            None => &mut record.without_adapter,
             Some(adapter) => record.adapters.entry(adapter.clone()).or_default(),
         };
-        // The counter of a run starts at zero, but a leader that hears of the run for the first
-        // time cannot tell when its earlier arrivals came.
-        let known = target.by_router.get(&number).map(|known| known.arrivals);
-        let before = known.unwrap_or(if first { demand.arrivals } else { 0 });
-        let arrived = demand.arrivals > before || (first && demand.waiting > 0);
+        // The arrival counter starts at zero with the incarnation, but on the first report received
+        // the earlier arrivals cannot be dated.
+        let existing = target.by_router.get(&id).map(|existing| existing.arrivals);
+        let previous = existing.unwrap_or(if first { demand.arrivals } else { 0 });
+        let arrived = demand.arrivals > previous || (first && demand.waiting > 0);
         let age = Duration::from_millis(demand.oldest_wait_millis);
         let since = now.as_micros().saturating_sub(age.as_micros() as u64);
         let entry = RouterDemand {
             waiting: demand.waiting,
             in_flight: demand.in_flight,
-            arrivals: demand.arrivals.max(before),
+            arrivals: demand.arrivals.max(previous),
             waiting_since: Timestamp::from_micros(since),
             most_urgent: demand.most_urgent,
         };
-        target.set(number, entry);
+        target.set(id, entry);
         if arrived {
             record.arrivals.record_arrival(now);
         } else if demand.waiting + demand.in_flight > 0 {
@@ -220,12 +225,12 @@
         true
     }
 
-    fn record_for(&mut self, demand: &ModelDemand) -> Option<&mut ModelRecord> {
-        let known = self.models.get(&demand.model);
-        if known.is_none() && self.models.len() >= MAXIMUM_MODELS {
+    fn model_record(&mut self, demand: &ModelDemand) -> Option<&mut ModelRecord> {
+        let existing = self.models.get(&demand.model);
+        if existing.is_none() && self.models.len() >= MAXIMUM_MODELS {
             return None;
         }
-        if let (Some(record), Some(adapter)) = (known, &demand.adapter) {
+        if let (Some(record), Some(adapter)) = (existing, &demand.adapter) {
             let full = record.adapters.len() >= MAXIMUM_ADAPTERS_PER_MODEL;
             if full && !record.adapters.contains_key(adapter) {
                 return None;
@@ -234,80 +239,80 @@
         Some(self.models.entry(demand.model.clone()).or_default())
     }
 
-    fn clear(&mut self, now: Timestamp, number: RouterNumber, target: &Target) {
+    fn clear(&mut self, now: Timestamp, id: RouterId, target: &Target) {
         let Some(record) = self.models.get_mut(&target.0) else {
             return;
         };
         record.arrivals.record_activity(now);
         let demand = match &target.1 {
-            None => Some(&mut record.plain),
+            None => Some(&mut record.without_adapter),
             Some(adapter) => record.adapters.get_mut(adapter),
         };
         if let Some(demand) = demand {
-            demand.clear(number);
+            demand.clear(id);
         }
     }
 
-    /// Forgets a router and its demand.
+    /// Removes a router and its demand.
     pub fn remove_router(&mut self, router: &RouterName) {
         let Some(record) = self.routers.remove(router) else {
             return;
         };
-        self.router_zones.remove(&record.number);
+        self.router_zones.remove(&record.id);
         for model in self.models.values_mut() {
-            model.plain.remove(record.number);
+            model.without_adapter.remove(record.id);
             for demand in model.adapters.values_mut() {
-                demand.remove(record.number);
+                demand.remove(record.id);
             }
         }
     }
 
-    /// Forgets routers that were silent for longer than `silence`.
-    pub fn forget_silent(&mut self, now: Timestamp, silence: Duration) {
+    /// Removes routers without a report for longer than `timeout`.
+    pub fn remove_expired_routers(&mut self, now: Timestamp, timeout: Duration) {
         let routers = self.routers.iter();
-        let silent: Vec<RouterName> = routers
-            .filter(|(_, record)| now.since(record.last_report) > silence)
+        let expired: Vec<RouterName> = routers
+            .filter(|(_, record)| now.since(record.last_report) > timeout)
             .map(|(router, _)| router.clone())
             .collect();
-        for router in silent {
+        for router in expired {
             self.remove_router(&router);
         }
     }
 
-    /// Forgets models that are not in the catalog any more.
+    /// Removes models that are no longer in the catalog.
     pub fn retain_models(&mut self, exists: impl Fn(&ModelName) -> bool) {
         self.models.retain(|model, _| exists(model));
     }
 
-    /// States the zone of a router, so that replicas are placed near demand.
+    /// Sets the zone of a router.
     pub fn set_zone(&mut self, router: &RouterName, zone: &ZoneName) {
         if self.zones.len() >= MAXIMUM_ROUTERS && !self.zones.contains_key(router) {
             return;
         }
         self.zones.insert(router.clone(), zone.clone());
         if let Some(record) = self.routers.get(router) {
-            self.router_zones.insert(record.number, zone.clone());
+            self.router_zones.insert(record.id, zone.clone());
         }
     }
 
-    /// When any router reported last.
+    /// Time of the last report from any router.
     pub fn last_report(&self) -> Option<Timestamp> {
         self.last_report
     }
 
-    /// Demand of a model, with all its adapters.
-    pub fn of_model(&self, model: &ModelName) -> Demand {
+    /// Demand of a model, including all its adapters.
+    pub fn for_model(&self, model: &ModelName) -> Demand {
         let Some(record) = self.models.get(model) else {
             return Demand::NONE;
         };
-        let mut sum = record.plain.sum();
+        let mut sum = record.without_adapter.sum();
         for demand in record.adapters.values() {
             sum.add(demand.sum());
         }
         sum
     }
 
-    /// Adapters of a model that requests wait for or run with.
+    /// Adapters of a model with waiting or running requests.
     pub fn active_adapters(&self, model: &ModelName) -> Vec<(&AdapterName, Demand)> {
         let record = self.models.get(model);
         let adapters = record.into_iter().flat_map(|record| &record.adapters);
@@ -317,19 +322,18 @@
             .collect()
     }
 
-    /// History of a model.
     pub fn arrivals(&self, model: &ModelName) -> Option<&ArrivalHistogram> {
         self.models.get(model).map(|record| &record.arrivals)
     }
 
-    /// Zone in which most requests for a model wait.
-    pub fn zone_of(&self, model: &ModelName) -> Option<ZoneName> {
+    /// Zone with the most waiting requests for a model.
+    pub fn busiest_zone(&self, model: &ModelName) -> Option<ZoneName> {
         let record = self.models.get(model)?;
         let mut by_zone: BTreeMap<&ZoneName, u64> = BTreeMap::new();
-        for demand in std::iter::once(&record.plain).chain(record.adapters.values()) {
-            for number in &demand.waiting_routers {
-                if let Some(zone) = self.router_zones.get(number) {
-                    *by_zone.entry(zone).or_default() += u64::from(demand.waiting_at(*number));
+        for demand in std::iter::once(&record.without_adapter).chain(record.adapters.values()) {
+            for id in &demand.waiting_routers {
+                if let Some(zone) = self.router_zones.get(id) {
+                    *by_zone.entry(zone).or_default() += u64::from(demand.waiting_at(*id));
                 }
             }
         }
@@ -339,35 +343,35 @@
 }
 
 impl TargetDemand {
-    fn set(&mut self, number: RouterNumber, entry: RouterDemand) {
-        self.clear(number);
+    fn set(&mut self, id: RouterId, entry: RouterDemand) {
+        self.clear(id);
         self.waiting += u64::from(entry.waiting);
         self.in_flight += u64::from(entry.in_flight);
         if entry.waiting > 0 {
-            self.waiting_routers.insert(number);
+            self.waiting_routers.insert(id);
         }
-        self.by_router.insert(number, entry);
+        self.by_router.insert(id, entry);
     }
 
-    /// Takes a router's requests out and keeps its arrival counter.
-    fn clear(&mut self, number: RouterNumber) {
-        let Some(entry) = self.by_router.get_mut(&number) else {
+    /// Removes a router's requests but keeps its arrival counter.
+    fn clear(&mut self, id: RouterId) {
+        let Some(entry) = self.by_router.get_mut(&id) else {
             return;
         };
         self.waiting -= u64::from(entry.waiting);
         self.in_flight -= u64::from(entry.in_flight);
         entry.waiting = 0;
         entry.in_flight = 0;
-        self.waiting_routers.remove(&number);
+        self.waiting_routers.remove(&id);
     }
 
-    fn remove(&mut self, number: RouterNumber) {
-        self.clear(number);
-        self.by_router.remove(&number);
+    fn remove(&mut self, id: RouterId) {
+        self.clear(id);
+        self.by_router.remove(&id);
     }
 
-    fn waiting_at(&self, number: RouterNumber) -> u32 {
-        self.by_router.get(&number).map_or(0, |entry| entry.waiting)
+    fn waiting_at(&self, id: RouterId) -> u32 {
+        self.by_router.get(&id).map_or(0, |entry| entry.waiting)
     }
 
     fn sum(&self) -> Demand {
@@ -375,8 +379,8 @@
             in_flight: self.in_flight,
             ..Demand::NONE
         };
-        for number in &self.waiting_routers {
-            if let Some(entry) = self.by_router.get(number) {
+        for id in &self.waiting_routers {
+            if let Some(entry) = self.by_router.get(id) {
                 sum.add(Demand {
                     waiting: u64::from(entry.waiting),
                     in_flight: 0,
--- a/crates/millpass-scheduler/src/engines.rs
+++ b/crates/millpass-scheduler/src/engines.rs
@@ -1,13 +1,13 @@
-//! What engines report: where checkpoints are cached, and how busy each slot is.
+//! Engine reports: cached checkpoints and requests per slot.
 
 use millpass_proto::{
     BackendName, CheckpointReport, CheckpointTier, EngineReport, Incarnation, SlotId,
 };
 use std::collections::BTreeMap;
 
-/// Cached checkpoints taken in from one engine.
+/// Cached checkpoints recorded per engine.
 const MAXIMUM_CHECKPOINTS_PER_ENGINE: usize = 4_096;
-/// Engines kept.
+/// Engines recorded.
 const MAXIMUM_ENGINES: usize = 65_536;
 
 #[derive(Clone, Debug)]
@@ -16,10 +16,10 @@
     sequence: u64,
     checkpoints: Vec<CheckpointReport>,
     /// Requests running and waiting inside the engine, per slot.
-    busy: BTreeMap<SlotId, u32>,
+    requests: BTreeMap<SlotId, u32>,
 }
 
-/// Reports of all engines.
+/// Latest reports of all engines.
 #[derive(Clone, Debug, Default)]
 pub struct EngineTable {
     engines: BTreeMap<BackendName, EngineRecord>,
@@ -28,21 +28,22 @@
 }
 
 impl EngineTable {
-    /// Takes a report. Older ones of the same run are ignored.
+    /// Records a report. Stale reports of the same incarnation are ignored.
     pub fn observe(&mut self, report: &EngineReport) {
-        let known = self.engines.get(&report.backend);
-        match known {
-            Some(known)
-                if known.incarnation == report.incarnation && known.sequence >= report.sequence =>
+        let existing = self.engines.get(&report.backend);
+        match existing {
+            Some(existing)
+                if existing.incarnation == report.incarnation
+                    && existing.sequence >= report.sequence =>
             {
                 return;
             }
             None if self.engines.len() >= MAXIMUM_ENGINES => return,
             _ => {}
         }
-        let bound = report.checkpoints.len().min(MAXIMUM_CHECKPOINTS_PER_ENGINE);
-        let checkpoints = &report.checkpoints[..bound];
-        if known.is_none_or(|known| known.checkpoints != checkpoints) {
+        let limit = report.checkpoints.len().min(MAXIMUM_CHECKPOINTS_PER_ENGINE);
+        let checkpoints = &report.checkpoints[..limit];
+        if existing.is_none_or(|existing| existing.checkpoints != checkpoints) {
             self.replace_checkpoints(&report.backend, checkpoints);
         }
         let slots = report.slots.iter();
@@ -50,7 +51,7 @@
             incarnation: report.incarnation,
             sequence: report.sequence,
             checkpoints: checkpoints.to_vec(),
-            busy: slots
+            requests: slots
                 .map(|slot| (slot.slot, slot.running.saturating_add(slot.waiting)))
                 .collect(),
         };
@@ -81,17 +82,17 @@
         }
     }
 
-    /// Forgets engines that are no longer registered.
+    /// Removes engines that are no longer registered.
     pub fn retain(&mut self, exists: impl Fn(&BackendName) -> bool) {
         let names = self.engines.keys().filter(|name| !exists(name));
-        let ended: Vec<BackendName> = names.cloned().collect();
-        for name in ended {
+        let removed: Vec<BackendName> = names.cloned().collect();
+        for name in removed {
             self.drop_holder(&name);
             self.engines.remove(&name);
         }
     }
 
-    /// Where an engine's machine has a checkpoint.
+    /// Tier of a checkpoint on an engine's machine.
     pub fn tier(&self, backend: &BackendName, checkpoint: &str) -> CheckpointTier {
         let holders = self.holders.get(checkpoint);
         let tier = holders.and_then(|holders| holders.get(backend));
@@ -106,15 +107,15 @@
         self.holders.get(checkpoint).into_iter().flatten()
     }
 
-    /// Nearest place where any engine has a checkpoint.
+    /// Fastest tier of a checkpoint over all engines.
     pub fn best_tier(&self, checkpoint: &str) -> CheckpointTier {
         let tiers = self.holders(checkpoint).map(|(_, tier)| *tier);
         tiers.max().unwrap_or(CheckpointTier::Remote)
     }
 
-    /// Requests that an engine reported in a slot; none when it reported nothing of the slot.
-    pub fn busy(&self, backend: &BackendName, slot: SlotId) -> Option<u32> {
+    /// Requests reported in a slot; `None` when the engine has not reported the slot.
+    pub fn slot_requests(&self, backend: &BackendName, slot: SlotId) -> Option<u32> {
         let record = self.engines.get(backend)?;
-        record.busy.get(&slot).copied()
+        record.requests.get(&slot).copied()
     }
 }
--- a/crates/millpass-scheduler/src/lib.rs
+++ b/crates/millpass-scheduler/src/lib.rs
@@ -1,23 +1,23 @@
 //! Scheduling decisions of the leader: which replicas to place, keep and retire.
 //!
-//! The scheduler only proposes commands; the replicated state checks each again when it is
-//! applied. What it learned (demand, histories) is soft and is rebuilt after a leader change: a
-//! new leader retires nothing before it has listened to routers for a while.
+//! The scheduler only proposes commands; the replicated state validates each one when it is
+//! applied. Demand and arrival history are not replicated: a new leader rebuilds them from router
+//! reports and retires nothing until the learning period has elapsed.
 
 mod adapters;
 mod arrivals;
 mod candidates;
 mod demand;
 mod engines;
-mod evicting;
+mod eviction;
 mod loads;
 mod memory;
-mod outlook;
 mod permits;
-mod placing;
+mod placement;
 mod prewarming;
 mod proposals;
-mod retiring;
+mod ready_estimates;
+mod retirement;
 mod round;
 mod settings;
 mod view;
@@ -27,25 +27,25 @@
 
 use demand::DemandTable;
 use engines::EngineTable;
-use loads::{LoadTracker, LoadsUnderWay};
+use loads::{LoadTracker, LoadsInProgress};
 use millpass_proto::{
     BackendName, BackendState, Command, Duration, EngineReport, Incarnation, ModelName, RouterName,
     RouterReport, Timestamp, ZoneName,
 };
 use millpass_state::State;
-use outlook::Outlooks;
 use permits::StorePermits;
 use proposals::Proposals;
+use ready_estimates::ReadyEstimates;
 use round::Round;
 use std::collections::{BTreeMap, BTreeSet};
 use view::{ModelView, ViewSources};
 
-/// Silence after which a router's demand is forgotten; its lease ends long before.
-const ROUTER_SILENCE: Duration = Duration::from_secs(15);
-/// Time between clean-ups of what the catalog and the fleet no longer hold.
-const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(60);
+/// Contact timeout after which a router's demand is discarded; longer than any router lease.
+const ROUTER_CONTACT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval between removals of entries for deleted models and unregistered engines.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The scheduler of one leader.
+/// Scheduler of one leader.
 pub struct Scheduler {
     settings: SchedulerSettings,
     demand: DemandTable,
@@ -53,17 +53,17 @@
     loads: LoadTracker,
     permits: StorePermits,
     proposals: Proposals,
-    outlooks: Outlooks,
-    /// Since when models have had more replicas than they need.
+    ready_estimates: ReadyEstimates,
+    /// Time from which each model has had more replicas than desired.
     surplus_since: BTreeMap<ModelName, Timestamp>,
     /// Memory of the largest accelerator.
     accelerator_bytes: u64,
     first_report: Option<Timestamp>,
-    last_clean_up: Timestamp,
+    last_cleanup: Timestamp,
 }
 
 impl Scheduler {
-    /// Starts with no knowledge of demand.
+    /// Creates a scheduler without demand or history.
     pub fn new(settings: SchedulerSettings) -> Self {
         let permits = StorePermits::new(
             settings.store_loads_per_second,
@@ -76,20 +76,20 @@
             loads: LoadTracker::default(),
             permits,
             proposals: Proposals::default(),
-            outlooks: Outlooks::default(),
+            ready_estimates: ReadyEstimates::default(),
             surplus_since: BTreeMap::new(),
             accelerator_bytes: 0,
             first_report: None,
-            last_clean_up: Timestamp::ZERO,
+            last_cleanup: Timestamp::ZERO,
         }
     }
 
-    /// States the zone of a router, so that replicas are placed near demand.
+    /// Sets the zone of a router, which is used to place replicas near demand.
     pub fn set_router_zone(&mut self, router: &RouterName, zone: &ZoneName) {
         self.demand.set_zone(router, zone);
     }
 
-    /// Takes a router's report of demand.
+    /// Records a router's demand report.
     pub fn observe_router(
         &mut self,
         now: Timestamp,
@@ -101,46 +101,49 @@
         self.demand.observe(now, router, incarnation, report);
     }
 
-    /// Forgets a router whose lease ended.
+    /// Removes a router whose lease expired, and its demand.
     pub fn remove_router(&mut self, router: &RouterName) {
         self.demand.remove_router(router);
     }
 
-    /// Takes an engine's report: checkpoint tiers and load.
+    /// Records an engine's report of checkpoint tiers and load.
     pub fn observe_engine(&mut self, _now: Timestamp, report: &EngineReport) {
         self.engines.observe(report);
     }
 
-    /// Commands to propose now. Called a few times a second; commands proposed earlier and not
-    /// yet applied must not be proposed twice within a short time.
+    /// Returns the commands to propose now. A command is not proposed again until it was applied or
+    /// its proposal expired.
     pub fn decide(&mut self, now: Timestamp, state: &State) -> Vec<Command> {
-        self.clean_up(now, state);
-        self.demand.forget_silent(now, ROUTER_SILENCE);
+        self.remove_deleted(now, state);
+        self.demand
+            .remove_expired_routers(now, ROUTER_CONTACT_TIMEOUT);
         self.proposals.refresh(now, state);
         self.loads
             .refresh(now, state, &self.engines, &self.settings);
-        let under_way = self.loads_under_way(now, state);
-        self.permits.refill(now, under_way.from_store);
+        let in_progress = self.loads_in_progress(now, state);
+        self.permits.refill(now, in_progress.from_store);
         let views = self.views(now, state);
-        let may_retire = self.knows_demand(now);
-        let mut round = Round::new(now, state, under_way, &self.proposals, may_retire);
+        let may_retire = self.has_current_demand(now);
+        let mut round = Round::new(now, state, in_progress, &self.proposals, may_retire);
         self.accelerator_bytes = round.memory.largest_accelerator();
-        self.load_wanted(&mut round, &views);
+        self.propose_loads(&mut round, &views);
         self.detach_removed(&mut round, &views);
-        self.retire_unwanted(&mut round, &views);
+        self.propose_retirements(&mut round, &views);
         self.prewarm(&mut round, &views);
         round.finish(&mut self.proposals, self.settings.proposal_expiry)
     }
 
-    /// Loads that the state shows, and those that are proposed.
-    fn loads_under_way(&self, now: Timestamp, state: &State) -> LoadsUnderWay {
+    /// Returns loads in the state and loads that are only proposed.
+    fn loads_in_progress(&self, now: Timestamp, state: &State) -> LoadsInProgress {
         let settings = &self.settings;
-        let mut under_way = self.loads.under_way(now, settings, state, &self.engines);
+        let mut in_progress = self.loads.in_progress(now, settings, state, &self.engines);
         for place in self.proposals.placements() {
             if let Some(version) = state.version(&place.model, &place.version) {
                 let tier = self.engines.tier(&place.backend, &version.checkpoint);
-                let time = self.loads.expected(settings, tier, version.weights_bytes);
-                under_way.add(&place.backend, time, Some(tier));
+                let time = self
+                    .loads
+                    .expected_time(settings, tier, version.weights_bytes);
+                in_progress.add(&place.backend, time, Some(tier));
             }
         }
         for decision in self.proposals.attachments() {
@@ -148,11 +151,11 @@
             let adapter = state.adapter(&decision.adapter);
             if let (Some(replica), Some(adapter)) = (replica, adapter) {
                 let tier = self.engines.tier(&replica.backend, &adapter.checkpoint);
-                let time = self.loads.expected(settings, tier, adapter.bytes);
-                under_way.add(&replica.backend, time, Some(tier));
+                let time = self.loads.expected_time(settings, tier, adapter.bytes);
+                in_progress.add(&replica.backend, time, Some(tier));
             }
         }
-        under_way
+        in_progress
     }
 
     fn views<'a>(&self, now: Timestamp, state: &'a State) -> Vec<ModelView<'a>> {
@@ -161,7 +164,7 @@
             settings: &self.settings,
             demand: &self.demand,
             loads: &self.loads,
-            not_live: not_live_backends(state),
+            unavailable: unavailable_backends(state),
         };
         let models = state.models();
         models
@@ -169,20 +172,20 @@
             .collect()
     }
 
-    /// Whether this leader has listened to routers for long enough, and still hears them.
-    fn knows_demand(&self, now: Timestamp) -> bool {
-        let learned = self
+    /// Returns true once the learning period has elapsed, as long as routers keep reporting.
+    fn has_current_demand(&self, now: Timestamp) -> bool {
+        let learning_done = self
             .first_report
             .is_some_and(|first| now.since(first) >= self.settings.learning_period);
         let last = self.demand.last_report();
-        learned && last.is_some_and(|last| now.since(last) <= ROUTER_SILENCE)
+        learning_done && last.is_some_and(|last| now.since(last) <= ROUTER_CONTACT_TIMEOUT)
     }
 
-    fn clean_up(&mut self, now: Timestamp, state: &State) {
-        if now.since(self.last_clean_up) < CLEAN_UP_INTERVAL {
+    fn remove_deleted(&mut self, now: Timestamp, state: &State) {
+        if now.since(self.last_cleanup) < CLEANUP_INTERVAL {
             return;
         }
-        self.last_clean_up = now;
+        self.last_cleanup = now;
         self.demand
             .retain_models(|model| state.model(model).is_some());
         self.engines
@@ -192,8 +195,8 @@
     }
 }
 
-/// Back ends that take no new work; few, so that looking a replica's up in them is cheap.
-fn not_live_backends(state: &State) -> BTreeSet<&BackendName> {
+/// Returns back ends that accept no new replicas. Usually few, so the lookup per replica is cheap.
+fn unavailable_backends(state: &State) -> BTreeSet<&BackendName> {
     let backends = state.backends_with_memory().map(|(backend, _)| backend);
     backends
         .filter(|backend| backend.state != BackendState::Live)
--- a/crates/millpass-scheduler/src/loads.rs
+++ b/crates/millpass-scheduler/src/loads.rs
@@ -1,4 +1,4 @@
-//! Loads under way: when each was first seen, from which tier, and how long it should take.
+//! Loads in progress: first seen time, source tier and expected duration.
 
 use crate::engines::EngineTable;
 use crate::settings::SchedulerSettings;
@@ -8,18 +8,18 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// Weight of the newest load in the running ratio of measured to expected time.
-const NEWEST_SHARE: f64 = 0.25;
-/// Bounds of that ratio.
+/// Weight of the newest sample in the moving average of measured over expected load time.
+const SMOOTHING_FACTOR: f64 = 0.25;
+/// Bounds of a sample of that ratio.
 const RATIO_RANGE: (f64, f64) = (0.25, 16.0);
-/// Loads shorter than this say nothing of the rate.
-const SHORTEST_MEASURED: Duration = Duration::from_millis(100);
-/// A load is overdue after this many times its expected time, and not before `OVERDUE_FLOOR`.
+/// Shorter loads do not indicate the transfer rate.
+const MINIMUM_MEASURED_LOAD: Duration = Duration::from_millis(100);
+/// A load is overdue after this multiple of its expected time, but no sooner than
+/// `MINIMUM_OVERDUE_TIME`.
 const OVERDUE_FACTOR: u32 = 4;
-/// See `OVERDUE_FACTOR`.
-const OVERDUE_FLOOR: Duration = Duration::from_secs(30);
+const MINIMUM_OVERDUE_TIME: Duration = Duration::from_secs(30);
 
-/// A slot as this leader has seen it.
+/// Observations of one slot by this leader.
 #[derive(Clone, Copy, Debug)]
 struct SlotRecord {
     tier: CheckpointTier,
@@ -27,16 +27,17 @@
     loaded: Option<Timestamp>,
 }
 
-/// Slots seen, and how loads went.
+/// Observed slots and the measured speed of the store.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTracker {
     slots: BTreeMap<SlotId, SlotRecord>,
-    /// Measured over expected time of loads from the store; none before the first.
+    /// Moving average of measured over expected time of loads from the store; `None` before the
+    /// first load.
     store_ratio: Option<f64>,
 }
 
 impl LoadTracker {
-    /// Brings the records up to date with the state.
+    /// Updates the records from the state.
     pub fn refresh(
         &mut self,
         now: Timestamp,
@@ -48,7 +49,7 @@
         for replica in &replicas {
             self.refresh_slot(now, replica, engines, settings);
         }
-        // Every replica has a record now: more records than replicas means that some are over.
+        // Every replica has a record at this point, so a surplus belongs to removed replicas.
         if self.slots.len() > replicas.len() {
             self.slots.retain(|slot, _| state.replica(*slot).is_some());
         }
@@ -75,25 +76,25 @@
             return;
         }
         record.loaded = Some(now);
-        let took = now.since(record.first_seen);
-        if record.tier == CheckpointTier::Remote && took >= SHORTEST_MEASURED {
+        let elapsed = now.since(record.first_seen);
+        if record.tier == CheckpointTier::Remote && elapsed >= MINIMUM_MEASURED_LOAD {
             let expected = transfer_time(settings, CheckpointTier::Remote, replica.weights_bytes);
-            self.measure(took, expected);
+            self.record_load_time(elapsed, expected);
         }
     }
 
-    fn measure(&mut self, took: Duration, expected: Duration) {
-        let expected = expected.max(SHORTEST_MEASURED);
-        let ratio = took.as_secs_f64() / expected.as_secs_f64();
+    fn record_load_time(&mut self, elapsed: Duration, expected: Duration) {
+        let expected = expected.max(MINIMUM_MEASURED_LOAD);
+        let ratio = elapsed.as_secs_f64() / expected.as_secs_f64();
         let ratio = ratio.clamp(RATIO_RANGE.0, RATIO_RANGE.1);
         let smoothed = self.store_ratio.map_or(ratio, |old| {
-            old * (1.0 - NEWEST_SHARE) + ratio * NEWEST_SHARE
+            old * (1.0 - SMOOTHING_FACTOR) + ratio * SMOOTHING_FACTOR
         });
         self.store_ratio = Some(smoothed);
     }
 
-    /// Expected time of a load, by its tier, its size and how the store did of late.
-    pub fn expected(
+    /// Expected duration of a load, by tier, size and recent speed of the store.
+    pub fn expected_time(
         &self,
         settings: &SchedulerSettings,
         tier: CheckpointTier,
@@ -106,56 +107,61 @@
         }
     }
 
-    /// Expected time until a loading replica serves.
-    pub fn remaining(
+    /// Expected time until a loading replica is ready.
+    pub fn remaining_time(
         &self,
         now: Timestamp,
         settings: &SchedulerSettings,
         replica: &Replica,
     ) -> Duration {
         let Some(record) = self.slots.get(&replica.slot) else {
-            return self.expected(settings, CheckpointTier::Remote, replica.weights_bytes);
+            return self.expected_time(settings, CheckpointTier::Remote, replica.weights_bytes);
         };
-        let expected = self.expected(settings, record.tier, replica.weights_bytes);
+        let expected = self.expected_time(settings, record.tier, replica.weights_bytes);
         let elapsed = now.since(record.first_seen);
-        // A load past its time is taken to need a tenth more of what it has taken already.
+        // An overrunning load is expected to take another tenth of the elapsed time.
         expected.saturating_sub(elapsed).max(elapsed / 10)
     }
 
-    /// Whether a load takes so much longer than expected that it counts as failed.
-    pub fn overdue(&self, now: Timestamp, settings: &SchedulerSettings, replica: &Replica) -> bool {
+    /// Returns true if a load exceeds its expected time so far that it is considered failed.
+    pub fn is_overdue(
+        &self,
+        now: Timestamp,
+        settings: &SchedulerSettings,
+        replica: &Replica,
+    ) -> bool {
         if replica.phase != ReplicaPhase::Loading {
             return false;
         }
         let Some(record) = self.slots.get(&replica.slot) else {
             return false;
         };
-        let expected = self.expected(settings, record.tier, replica.weights_bytes);
-        let bound = (expected * OVERDUE_FACTOR).max(OVERDUE_FLOOR);
-        now.since(record.first_seen) > bound
+        let expected = self.expected_time(settings, record.tier, replica.weights_bytes);
+        let limit = (expected * OVERDUE_FACTOR).max(MINIMUM_OVERDUE_TIME);
+        now.since(record.first_seen) > limit
     }
 
-    /// When a slot was first seen loaded.
-    pub fn loaded_since(&self, slot: SlotId) -> Option<Timestamp> {
+    /// Time at which a slot was first seen loaded.
+    pub fn loaded_at(&self, slot: SlotId) -> Option<Timestamp> {
         self.slots.get(&slot)?.loaded
     }
 
-    /// Loads under way per engine, with their expected remaining time, and how many of all come
-    /// from the store.
-    pub fn under_way(
+    /// Loads in progress per engine with their expected remaining time, and the count of loads from
+    /// the store.
+    pub fn in_progress(
         &self,
         now: Timestamp,
         settings: &SchedulerSettings,
         state: &State,
         engines: &EngineTable,
-    ) -> LoadsUnderWay {
-        let mut under_way = LoadsUnderWay::default();
+    ) -> LoadsInProgress {
+        let mut in_progress = LoadsInProgress::default();
         for backend in state.engines_with_orders() {
             for replica in state.replicas_on(backend) {
-                self.add_loads_of(now, settings, replica, engines, &mut under_way);
+                self.add_loads_of(now, settings, replica, engines, &mut in_progress);
             }
         }
-        under_way
+        in_progress
     }
 
     fn add_loads_of(
@@ -164,34 +170,33 @@
         settings: &SchedulerSettings,
         replica: &Replica,
         engines: &EngineTable,
-        under_way: &mut LoadsUnderWay,
+        in_progress: &mut LoadsInProgress,
     ) {
         if replica.phase == ReplicaPhase::Loading {
-            let remaining = self.remaining(now, settings, replica);
+            let remaining = self.remaining_time(now, settings, replica);
             let tier = self.slots.get(&replica.slot).map(|record| record.tier);
-            under_way.add(&replica.backend, remaining, tier);
+            in_progress.add(&replica.backend, remaining, tier);
         }
         for attachment in &replica.adapters {
             if attachment.phase == AdapterPhase::Loading {
                 let tier = engines.tier(&replica.backend, &attachment.checkpoint);
-                let expected = self.expected(settings, tier, attachment.bytes);
-                under_way.add(&replica.backend, expected, Some(tier));
+                let expected = self.expected_time(settings, tier, attachment.bytes);
+                in_progress.add(&replica.backend, expected, Some(tier));
             }
         }
     }
 }
 
-/// Loads under way over all engines.
+/// Loads in progress over all engines.
 #[derive(Clone, Debug, Default)]
-pub struct LoadsUnderWay {
-    /// Expected time until each engine has done its loads; idle ones are left out.
+pub struct LoadsInProgress {
+    /// Expected time until each engine has completed its loads; engines without loads are absent.
     pub queued: BTreeMap<BackendName, Duration>,
-    /// Loads from the store.
+    /// Number of loads from the store.
     pub from_store: usize,
 }
 
-impl LoadsUnderWay {
-    /// Adds one load.
+impl LoadsInProgress {
     pub fn add(&mut self, backend: &BackendName, time: Duration, tier: Option<CheckpointTier>) {
         *self.queued.entry(backend.clone()).or_default() += time;
         if tier.unwrap_or(CheckpointTier::Remote) == CheckpointTier::Remote {
@@ -200,7 +205,7 @@
     }
 }
 
-/// Time to move these bytes from a tier at its stated rate.
+/// Time to transfer `bytes` from a tier at its configured rate.
 pub fn transfer_time(settings: &SchedulerSettings, tier: CheckpointTier, bytes: u64) -> Duration {
     let rate = match tier {
         CheckpointTier::Remote => settings.store_bytes_per_second,
--- a/crates/millpass-scheduler/src/memory.rs
+++ b/crates/millpass-scheduler/src/memory.rs
@@ -1,92 +1,91 @@
 //! Free memory of all engines during one scheduling round.
 //!
-//! Two views: what is free now, less what the round has proposed; and what will be free once the
-//! unloads under way are confirmed, less what is promised to models that wait for them.
+//! Tracks two values per accelerator: memory free now, less proposed loads, and memory free once
+//! pending unloads are confirmed, less reservations for models that wait for them.
 
 use millpass_proto::{BackendKind, BackendName, BackendState, ReplicaPhase};
 use millpass_state::{Backend, State, replica_bytes_each};
 
-/// One engine in the table.
+/// Memory of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineMemory<'a> {
-    /// The engine.
     pub backend: &'a Backend,
-    /// Whether it takes new work.
+    /// False if the engine accepts no new replicas.
     pub live: bool,
-    now: Vec<u64>,
-    soon: Vec<u64>,
+    free_now: Vec<u64>,
+    free_after_unloads: Vec<u64>,
 }
 
-/// Accelerators chosen on an engine.
+/// Accelerators selected on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fit {
-    /// Indices, ascending.
+    /// Indices in ascending order.
     pub accelerators: Vec<u32>,
-    /// Bytes left free on them, summed.
-    pub left_over: u64,
+    /// Total bytes left free on them.
+    pub remaining_bytes: u64,
 }
 
 impl EngineMemory<'_> {
-    /// Accelerators that fit now, the tightest ones.
+    /// Returns the tightest accelerators with enough memory free now.
     pub fn fit_now(&self, count: usize, bytes_each: u64) -> Option<Fit> {
-        fit(&self.now, count, bytes_each)
+        tightest_fit(&self.free_now, count, bytes_each)
     }
 
-    /// Accelerators that fit once the unloads under way are done.
-    pub fn fit_soon(&self, count: usize, bytes_each: u64) -> Option<Fit> {
-        fit(&self.soon, count, bytes_each)
+    /// Returns the tightest accelerators with enough memory once pending unloads are done.
+    pub fn fit_after_unloads(&self, count: usize, bytes_each: u64) -> Option<Fit> {
+        tightest_fit(&self.free_after_unloads, count, bytes_each)
     }
 
-    /// Whether these accelerators have this much free now.
+    /// Returns true if each of these accelerators has `bytes_each` free now.
     pub fn fits_now(&self, accelerators: &[u32], bytes_each: u64) -> bool {
-        accelerators.iter().all(|one| {
-            let free = self.now.get(*one as usize);
+        accelerators.iter().all(|index| {
+            let free = self.free_now.get(*index as usize);
             free.is_some_and(|free| *free >= bytes_each)
         })
     }
 
-    /// Whether these accelerators will have this much free soon.
-    pub fn fits_soon(&self, accelerators: &[u32], bytes_each: u64) -> bool {
-        accelerators.iter().all(|one| {
-            let free = self.soon.get(*one as usize);
+    /// Returns true if each of these accelerators has `bytes_each` free once pending unloads are
+    /// done.
+    pub fn fits_after_unloads(&self, accelerators: &[u32], bytes_each: u64) -> bool {
+        accelerators.iter().all(|index| {
+            let free = self.free_after_unloads.get(*index as usize);
             free.is_some_and(|free| *free >= bytes_each)
         })
     }
 
-    /// Number of accelerators.
     pub fn accelerator_count(&self) -> usize {
-        self.now.len()
+        self.free_now.len()
     }
 
-    /// Takes memory in both views: it is proposed, or promised to a model that waits.
+    /// Reserves memory in both views, for a proposed load or a model that waits for an unload.
     pub fn reserve(&mut self, accelerators: &[u32], bytes_each: u64) {
-        for view in [&mut self.now, &mut self.soon] {
-            for one in accelerators {
-                if let Some(free) = view.get_mut(*one as usize) {
+        for view in [&mut self.free_now, &mut self.free_after_unloads] {
+            for index in accelerators {
+                if let Some(free) = view.get_mut(*index as usize) {
                     *free = free.saturating_sub(bytes_each);
                 }
             }
         }
     }
 
-    /// Adds memory that an unload will free.
-    pub fn free_soon(&mut self, accelerators: &[u32], bytes_each: u64) {
-        for one in accelerators {
-            if let Some(free) = self.soon.get_mut(*one as usize) {
+    /// Adds memory that a pending unload will free.
+    pub fn add_pending_free(&mut self, accelerators: &[u32], bytes_each: u64) {
+        for index in accelerators {
+            if let Some(free) = self.free_after_unloads.get_mut(*index as usize) {
                 *free += bytes_each;
             }
         }
     }
 }
 
-/// All engines, by name.
+/// Memory of all engines, sorted by name.
 #[derive(Clone, Debug)]
 pub struct MemoryTable<'a> {
     engines: Vec<EngineMemory<'a>>,
 }
 
 impl<'a> MemoryTable<'a> {
-    /// Reads the engines' memory, with the unloads under way.
+    /// Reads the engines' free memory and pending unloads.
     pub fn new(state: &'a State) -> Self {
         let engines = state.backends_with_memory();
         let engines = engines
@@ -94,8 +93,8 @@
             .map(|(backend, free)| EngineMemory {
                 backend,
                 live: backend.state == BackendState::Live,
-                now: free.to_vec(),
-                soon: free.to_vec(),
+                free_now: free.to_vec(),
+                free_after_unloads: free.to_vec(),
             });
         let mut table = MemoryTable {
             engines: engines.collect(),
@@ -112,13 +111,12 @@
             for replica in state.replicas_on(backend) {
                 if replica.phase == ReplicaPhase::Unloading {
                     let bytes = replica_bytes_each(replica);
-                    self.engines[index].free_soon(&replica.accelerators, bytes);
+                    self.engines[index].add_pending_free(&replica.accelerators, bytes);
                 }
             }
         }
     }
 
-    /// Index of an engine.
     pub fn index_of(&self, name: &BackendName) -> Option<usize> {
         let found = self
             .engines
@@ -126,12 +124,11 @@
         found.ok()
     }
 
-    /// One engine.
     pub fn engine(&self, index: usize) -> &EngineMemory<'a> {
         &self.engines[index]
     }
 
-    /// One engine, to reserve on.
+    /// Returns an engine for reservations.
     pub fn engine_mut(&mut self, index: usize) -> &mut EngineMemory<'a> {
         &mut self.engines[index]
     }
@@ -143,17 +140,17 @@
         sizes.copied().max().unwrap_or(0)
     }
 
-    /// Engines that take new work, with their indices.
+    /// Engines that accept new replicas, with their indices.
     pub fn live(&self) -> impl Iterator<Item = (usize, &EngineMemory<'a>)> {
         let engines = self.engines.iter().enumerate();
         engines.filter(|(_, engine)| engine.live)
     }
 }
 
-/// The `count` accelerators with the least free memory that is enough.
-fn fit(free: &[u64], count: usize, bytes_each: u64) -> Option<Fit> {
+/// Selects the `count` accelerators with the least sufficient free memory.
+fn tightest_fit(free: &[u64], count: usize, bytes_each: u64) -> Option<Fit> {
     if count == 1 {
-        return fit_one(free, bytes_each);
+        return tightest_single(free, bytes_each);
     }
     let mut enough: Vec<(u64, u32)> = (0_u32..)
         .zip(free)
@@ -165,21 +162,21 @@
     }
     enough.sort_unstable();
     enough.truncate(count);
-    let left_over = enough.iter().map(|(free, _)| free - bytes_each).sum();
+    let remaining_bytes = enough.iter().map(|(free, _)| free - bytes_each).sum();
     let mut accelerators: Vec<u32> = enough.into_iter().map(|(_, index)| index).collect();
     accelerators.sort_unstable();
     Some(Fit {
         accelerators,
-        left_over,
+        remaining_bytes,
     })
 }
 
-/// The common case of one accelerator, without the list.
-fn fit_one(free: &[u64], bytes: u64) -> Option<Fit> {
+/// Allocation-free variant for one accelerator.
+fn tightest_single(free: &[u64], bytes: u64) -> Option<Fit> {
     let enough = (0_u32..).zip(free).filter(|(_, free)| **free >= bytes);
     let (index, free) = enough.min_by_key(|(_, free)| **free)?;
     Some(Fit {
         accelerators: vec![index],
-        left_over: free - bytes,
+        remaining_bytes: free - bytes,
     })
 }
--- a/crates/millpass-scheduler/src/proposals.rs
+++ b/crates/millpass-scheduler/src/proposals.rs
@@ -1,4 +1,5 @@
-//! Commands proposed and not yet seen in the state, so that none is proposed twice.
+//! Pending proposals: commands that are not yet visible in the state and must not be proposed
+//! again.
 
 use millpass_proto::{
     AdapterDecision, AdapterName, Command, ModelName, PlaceReplica, SlotId, Timestamp,
@@ -6,69 +7,65 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// What a proposal is about; there is at most one proposal under way for each.
+/// Subject of a proposal; at most one proposal per key is pending.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Subject {
-    /// One more replica of a model.
+pub enum ProposalKey {
+    /// Another replica of a model.
     Place(ModelName),
     /// The unload of a slot.
     Retire(SlotId),
-    /// An adapter beside a slot.
+    /// Attaching or detaching an adapter at a slot.
     Adapter(SlotId, AdapterName),
 }
 
-/// A proposal under way.
 #[derive(Clone, Debug)]
 struct Proposal {
     command: Command,
     expires: Timestamp,
 }
 
-/// The proposals under way.
 #[derive(Clone, Debug, Default)]
 pub struct Proposals {
-    under_way: BTreeMap<Subject, Proposal>,
+    pending: BTreeMap<ProposalKey, Proposal>,
 }
 
 impl Proposals {
-    /// Drops proposals that the state shows as applied, or that have expired.
+    /// Removes proposals that were applied, became invalid or expired.
     pub fn refresh(&mut self, now: Timestamp, state: &State) {
-        self.under_way
-            .retain(|_, proposal| proposal.expires > now && is_open(state, &proposal.command));
+        self.pending.retain(|_, proposal| {
+            proposal.expires > now && is_applicable(state, &proposal.command)
+        });
     }
 
-    /// Notes a proposal.
-    pub fn insert(&mut self, subject: Subject, command: Command, expires: Timestamp) {
-        self.under_way
-            .insert(subject, Proposal { command, expires });
+    pub fn insert(&mut self, key: ProposalKey, command: Command, expires: Timestamp) {
+        self.pending.insert(key, Proposal { command, expires });
     }
 
-    /// Whether a proposal about this is under way.
-    pub fn contains(&self, subject: &Subject) -> bool {
-        self.under_way.contains_key(subject)
+    pub fn contains(&self, key: &ProposalKey) -> bool {
+        self.pending.contains_key(key)
     }
 
-    /// Placements under way.
+    /// Pending placements.
     pub fn placements(&self) -> impl Iterator<Item = &PlaceReplica> {
-        let proposals = self.under_way.values();
+        let proposals = self.pending.values();
         proposals.filter_map(|proposal| match &proposal.command {
             Command::PlaceReplica(place) => Some(place),
             _ => None,
         })
     }
 
-    /// Slots whose unload is under way.
+    /// Slots with a pending unload.
     pub fn retirements(&self) -> impl Iterator<Item = SlotId> {
-        let subjects = self.under_way.keys();
-        subjects.filter_map(|subject| match subject {
-            Subject::Retire(slot) => Some(*slot),
+        let keys = self.pending.keys();
+        keys.filter_map(|key| match key {
+            ProposalKey::Retire(slot) => Some(*slot),
             _ => None,
         })
     }
 
-    /// Adapter loads under way.
+    /// Pending adapter loads.
     pub fn attachments(&self) -> impl Iterator<Item = &AdapterDecision> {
-        let proposals = self.under_way.values();
+        let proposals = self.pending.values();
         proposals.filter_map(|proposal| match &proposal.command {
             Command::AttachAdapter(decision) => Some(decision),
             _ => None,
@@ -76,13 +73,13 @@
     }
 }
 
-/// Whether a command could still take effect: the state would not refuse it as it stands.
-fn is_open(state: &State, command: &Command) -> bool {
+/// Returns true if the command would still take effect on this state.
+fn is_applicable(state: &State, command: &Command) -> bool {
     match command {
         Command::PlaceReplica(place) => state.check_place(place).is_ok(),
         Command::RetireReplica(retire) => {
             let replica = state.replica(retire.slot);
-            replica.is_some_and(|one| one.phase != millpass_proto::ReplicaPhase::Unloading)
+            replica.is_some_and(|replica| replica.phase != millpass_proto::ReplicaPhase::Unloading)
         }
         Command::AttachAdapter(decision) => state.check_attach(decision).is_ok(),
         Command::DetachAdapter(decision) => attached(state, decision),
@@ -93,7 +90,8 @@
 fn attached(state: &State, decision: &AdapterDecision) -> bool {
     let replica = state.replica(decision.slot);
     let mut adapters = replica.into_iter().flat_map(|replica| &replica.adapters);
-    adapters.any(|one| {
-        one.adapter == decision.adapter && one.phase != millpass_proto::AdapterPhase::Unloading
+    adapters.any(|attachment| {
+        attachment.adapter == decision.adapter
+            && attachment.phase != millpass_proto::AdapterPhase::Unloading
     })
 }
--- a/crates/millpass-scheduler/src/outlook.rs
+++ b/crates/millpass-scheduler/src/ready_estimates.rs
@@ -1,7 +1,7 @@
-//! When models that have waiting requests are expected to serve.
+//! Estimates of when models with waiting requests will be ready.
 
 use crate::Scheduler;
-use crate::placing::Placing;
+use crate::placement::PlacementOutcome;
 use crate::round::Round;
 use crate::view::ModelView;
 use millpass_proto::{
@@ -11,51 +11,51 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// When to come back, for a model that cannot be placed as things stand.
-const COME_BACK_LATER: Duration = Duration::from_secs(30);
-/// Expected time of an unload.
+/// Wait reported for a model that cannot be placed now.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Expected duration of an unload.
 const UNLOAD_TIME: Duration = Duration::from_secs(1);
-/// How long a finding of a scheduling round holds.
-const FINDING_LIFETIME: Duration = Duration::from_secs(5);
+/// Time for which the estimate of a round is used.
+const ESTIMATE_LIFETIME: Duration = Duration::from_secs(5);
 
-/// What a round found of a model that it could not serve yet.
+/// Estimate for a model that a round could not serve immediately.
 #[derive(Clone, Copy, Debug)]
-struct Finding {
-    found: Timestamp,
+struct RoundEstimate {
+    recorded_at: Timestamp,
     ready: Timestamp,
     placeable: bool,
 }
 
-/// Findings of the latest rounds.
+/// Estimates of recent rounds.
 #[derive(Clone, Debug, Default)]
-pub struct Outlooks {
-    findings: BTreeMap<ModelName, Finding>,
-    /// Models of this round that wait for the store.
+pub struct ReadyEstimates {
+    estimates: BTreeMap<ModelName, RoundEstimate>,
+    /// Models in this round that wait for the store.
     waiting_for_store: u32,
 }
 
-impl Outlooks {
-    /// Drops old findings.
+impl ReadyEstimates {
+    /// Removes expired estimates.
     pub fn begin_round(&mut self, now: Timestamp) {
         self.waiting_for_store = 0;
-        self.findings
-            .retain(|_, finding| now.since(finding.found) <= FINDING_LIFETIME);
+        self.estimates
+            .retain(|_, estimate| now.since(estimate.recorded_at) <= ESTIMATE_LIFETIME);
     }
 
-    fn note(&mut self, now: Timestamp, model: &ModelName, wait: Duration, placeable: bool) {
-        let finding = Finding {
-            found: now,
+    fn record(&mut self, now: Timestamp, model: &ModelName, wait: Duration, placeable: bool) {
+        let estimate = RoundEstimate {
+            recorded_at: now,
             ready: now + wait,
             placeable,
         };
-        self.findings.insert(model.clone(), finding);
+        self.estimates.insert(model.clone(), estimate);
     }
 }
 
 impl Scheduler {
-    /// When a model is expected to serve.
+    /// Estimates when a model will be ready to serve.
     pub fn ready_estimate(&self, now: Timestamp, state: &State, model: &ModelName) -> LoadEstimate {
-        let (wait, placeable) = self.expect(now, state, model);
+        let (wait, placeable) = self.expected_wait(now, state, model);
         LoadEstimate {
             model: model.clone(),
             ready_in_millis: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
@@ -63,25 +63,25 @@
         }
     }
 
-    fn expect(&self, now: Timestamp, state: &State, model: &ModelName) -> (Duration, bool) {
+    fn expected_wait(&self, now: Timestamp, state: &State, model: &ModelName) -> (Duration, bool) {
         if let Some(wait) = self.earliest_replica(now, state, model) {
             return (wait, true);
         }
         let spec = state.model(model);
         let version = spec.and_then(|spec| state.version(model, &spec.current_version));
         let Some(version) = version else {
-            return (COME_BACK_LATER, false);
+            return (DEFAULT_RETRY_AFTER, false);
         };
-        if let Some(finding) = self.outlooks.findings.get(model) {
-            return (finding.ready.since(now), finding.placeable);
+        if let Some(estimate) = self.ready_estimates.estimates.get(model) {
+            return (estimate.ready.since(now), estimate.placeable);
         }
-        // No round has looked at it yet: it would be loaded from the nearest tier at once.
+        // No round has considered the model yet; assume an immediate load from the fastest tier.
         let tier = self.engines.best_tier(&version.checkpoint);
         let bytes = version.weights_bytes;
-        (self.loads.expected(&self.settings, tier, bytes), true)
+        (self.loads.expected_time(&self.settings, tier, bytes), true)
     }
 
-    /// Time until the first replica there is, or is loading, serves.
+    /// Time until the first loaded or loading replica is ready.
     fn earliest_replica(
         &self,
         now: Timestamp,
@@ -101,49 +101,54 @@
         match replica.phase {
             ReplicaPhase::Loaded => Some(Duration::ZERO),
             ReplicaPhase::Unloading => None,
-            ReplicaPhase::Loading if self.loads.overdue(now, &self.settings, replica) => None,
+            ReplicaPhase::Loading if self.loads.is_overdue(now, &self.settings, replica) => None,
             ReplicaPhase::Loading => Some(self.loading_time(now, state, replica)),
         }
     }
 
-    /// Time of this load and of those that its engine was ordered to do before it.
+    /// Remaining time of this load and of those that its engine was ordered to do earlier.
     fn loading_time(&self, now: Timestamp, state: &State, replica: &Replica) -> Duration {
         let on_engine = state.replicas_on(&replica.backend).into_iter();
         let before = on_engine
             .filter(|other| other.phase == ReplicaPhase::Loading && other.fence <= replica.fence);
         before
-            .map(|other| self.loads.remaining(now, &self.settings, other))
+            .map(|other| self.loads.remaining_time(now, &self.settings, other))
             .sum()
     }
 
-    /// Notes what a round found of a model with waiting requests.
-    pub(crate) fn note_outlook(
+    /// Records the estimate for a model with waiting requests.
+    pub(crate) fn record_ready_estimate(
         &mut self,
         round: &Round<'_>,
         view: &ModelView<'_>,
-        placing: Placing,
+        outcome: PlacementOutcome,
     ) {
         let load = self.load_time(view);
         let now = round.now;
-        let (wait, placeable) = match placing {
-            Placing::Proposed(time) => (time, true),
-            Placing::WaitsForUnload => (UNLOAD_TIME + self.store_wait(view) + load, true),
-            Placing::WaitsForStore => (self.store_wait(view) + load, true),
-            // What may be unloaded is not known before demand is: then it cannot be told.
-            Placing::NoRoom if !round.may_retire => (COME_BACK_LATER, true),
-            Placing::Deferred => (COME_BACK_LATER, true),
-            Placing::NoRoom | Placing::Impossible => (COME_BACK_LATER, false),
+        let (wait, placeable) = match outcome {
+            PlacementOutcome::Proposed(time) => (time, true),
+            PlacementOutcome::AwaitingUnload => (UNLOAD_TIME + self.store_wait(view) + load, true),
+            PlacementOutcome::AwaitingStore => (self.store_wait(view) + load, true),
+            // Until demand is known, it is unknown what may be evicted.
+            PlacementOutcome::InsufficientMemory if !round.may_retire => {
+                (DEFAULT_RETRY_AFTER, true)
+            }
+            PlacementOutcome::Deferred => (DEFAULT_RETRY_AFTER, true),
+            PlacementOutcome::InsufficientMemory | PlacementOutcome::Unplaceable => {
+                (DEFAULT_RETRY_AFTER, false)
+            }
         };
-        self.outlooks.note(now, &view.name, wait, placeable);
+        self.ready_estimates
+            .record(now, &view.name, wait, placeable);
     }
 
-    /// Time until the store has a permit for the model, behind those before it in this round.
+    /// Time until the store has a permit for the model, after those ahead of it in this round.
     fn store_wait(&mut self, view: &ModelView<'_>) -> Duration {
         if self.nearest_tier(view) != CheckpointTier::Remote {
             return Duration::ZERO;
         }
-        self.outlooks.waiting_for_store += 1;
-        let position = self.outlooks.waiting_for_store;
+        self.ready_estimates.waiting_for_store += 1;
+        let position = self.ready_estimates.waiting_for_store;
         let by_rate = f64::from(position) / f64::from(self.settings.store_loads_per_second.max(1));
         let concurrent = self.settings.store_concurrent_loads.max(1) as usize;
         let ahead = self.permits.in_flight() + position as usize - 1;
--- a/crates/millpass-scheduler/src/round.rs
+++ b/crates/millpass-scheduler/src/round.rs
@@ -1,8 +1,8 @@
-//! One scheduling round: what it reads once, and the commands that it collects.
+//! One scheduling round: its inputs and the commands it collects.
 
-use crate::loads::LoadsUnderWay;
+use crate::loads::LoadsInProgress;
 use crate::memory::MemoryTable;
-use crate::proposals::{Proposals, Subject};
+use crate::proposals::{ProposalKey, Proposals};
 use millpass_proto::{
     AdapterDecision, Command, Duration, PlaceReplica, Replica, RetireReplica, SlotId, Timestamp,
 };
@@ -11,32 +11,30 @@
 
 /// A round in progress.
 pub struct Round<'a> {
-    /// Time.
     pub now: Timestamp,
-    /// State that the round reads.
     pub state: &'a State,
-    /// Free memory, less what is proposed.
+    /// Free memory, less proposed loads.
     pub memory: MemoryTable<'a>,
-    /// Loads under way, with those proposed.
-    pub loads: LoadsUnderWay,
-    /// Bytes of the largest adapter of the catalog.
-    pub headroom: u64,
-    /// Whether demand has been heard for long enough to retire anything.
+    /// Loads in progress, including proposed ones.
+    pub loads: LoadsInProgress,
+    /// Size of the largest adapter in the catalog.
+    pub adapter_headroom: u64,
+    /// True once demand is known well enough to retire replicas.
     pub may_retire: bool,
-    /// Slots that are, or are proposed to be, retired.
+    /// Slots retired or proposed for retirement.
     pub retiring: BTreeSet<SlotId>,
-    /// Idle replicas per engine that may be evicted; built when first needed.
-    pub evictable: Option<BTreeMap<usize, Vec<crate::evicting::Evictable<'a>>>>,
-    /// Commands to propose, in order, each with its subject.
-    commands: Vec<(Subject, Command)>,
+    /// Idle replicas that may be evicted, per engine index; computed on first use.
+    pub eviction_candidates: Option<BTreeMap<usize, Vec<crate::eviction::EvictionCandidate<'a>>>>,
+    /// Commands to propose, in order.
+    commands: Vec<(ProposalKey, Command)>,
 }
 
 impl<'a> Round<'a> {
-    /// Starts a round; memory of placements under way is reserved.
+    /// Starts a round and reserves memory for pending proposals.
     pub fn new(
         now: Timestamp,
         state: &'a State,
-        loads: LoadsUnderWay,
+        loads: LoadsInProgress,
         proposals: &Proposals,
         may_retire: bool,
     ) -> Self {
@@ -45,10 +43,10 @@
             state,
             memory: MemoryTable::new(state),
             loads,
-            headroom: state.largest_adapter_bytes(),
+            adapter_headroom: state.largest_adapter_bytes(),
             may_retire,
             retiring: BTreeSet::new(),
-            evictable: None,
+            eviction_candidates: None,
             commands: Vec::new(),
         };
         for place in proposals.placements() {
@@ -68,11 +66,11 @@
     /// Proposes a placement.
     pub fn place(&mut self, place: PlaceReplica) {
         self.reserve_placement(&place);
-        let subject = Subject::Place(place.model.clone());
-        self.commands.push((subject, Command::PlaceReplica(place)));
+        let key = ProposalKey::Place(place.model.clone());
+        self.commands.push((key, Command::PlaceReplica(place)));
     }
 
-    /// Proposes an unload.
+    /// Proposes an unload, unless one is already proposed.
     pub fn retire(&mut self, replica: &Replica) {
         let slot = replica.slot;
         if self.retiring.contains(&slot) {
@@ -80,30 +78,28 @@
         }
         self.mark_retiring(replica);
         let command = Command::RetireReplica(RetireReplica { slot });
-        self.commands.push((Subject::Retire(slot), command));
+        self.commands.push((ProposalKey::Retire(slot), command));
     }
 
-    /// Proposes an adapter beside a replica.
+    /// Proposes to attach an adapter to a replica.
     pub fn attach(&mut self, decision: AdapterDecision) {
         self.reserve_adapter(&decision);
-        let subject = Subject::Adapter(decision.slot, decision.adapter.clone());
-        self.commands
-            .push((subject, Command::AttachAdapter(decision)));
+        let key = ProposalKey::Adapter(decision.slot, decision.adapter.clone());
+        self.commands.push((key, Command::AttachAdapter(decision)));
     }
 
-    /// Proposes to unload an adapter.
+    /// Proposes to detach an adapter.
     pub fn detach(&mut self, decision: AdapterDecision) {
-        let subject = Subject::Adapter(decision.slot, decision.adapter.clone());
-        self.commands
-            .push((subject, Command::DetachAdapter(decision)));
+        let key = ProposalKey::Adapter(decision.slot, decision.adapter.clone());
+        self.commands.push((key, Command::DetachAdapter(decision)));
     }
 
-    /// Ends the round: notes the proposals and gives the commands.
+    /// Records the proposals and returns their commands.
     pub fn finish(self, proposals: &mut Proposals, expiry: Duration) -> Vec<Command> {
         let expires = self.now + expiry;
         let mut commands = Vec::with_capacity(self.commands.len());
-        for (subject, command) in self.commands {
-            proposals.insert(subject, command.clone(), expires);
+        for (key, command) in self.commands {
+            proposals.insert(key, command.clone(), expires);
             commands.push(command);
         }
         commands
@@ -114,7 +110,7 @@
         if let Some(index) = self.memory.index_of(&replica.backend) {
             let bytes = replica_bytes_each(replica);
             let engine = self.memory.engine_mut(index);
-            engine.free_soon(&replica.accelerators, bytes);
+            engine.add_pending_free(&replica.accelerators, bytes);
         }
     }
 
--- a/crates/millpass-scheduler/src/settings.rs
+++ b/crates/millpass-scheduler/src/settings.rs
@@ -2,50 +2,48 @@
 
 use millpass_proto::Duration;
 
-/// How idle replicas are kept. All but `Adaptive` are plain baselines for experiments.
+/// Keep-alive strategy for idle replicas. All but `Adaptive` are baselines for experiments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepAlive {
-    /// Kept while the expected cold start that it spares outweighs the idle time it costs.
+    /// Keeps a replica while the expected cold start cost it avoids exceeds its idle cost.
     Adaptive,
-    /// Kept for a fixed time after the last activity.
+    /// Keeps a replica for a fixed time after its last activity.
     Fixed(Duration),
-    /// Kept until memory is needed; the least recently used goes first.
+    /// Keeps replicas until memory is needed, then evicts the least recently used.
     LeastRecentlyUsed,
-    /// Never unloaded, not even when memory is needed.
+    /// Never unloads replicas, even when memory is needed.
     AlwaysLoaded,
 }
 
 /// Settings of the scheduler.
 ///
-/// The two weights state the trade between cold starts and idle accelerators: a second that a
-/// request waits for a cold model costs `cold_start_weight`, an idle accelerator second costs
-/// `idle_weight`. Only their ratio matters: with 10 and 1, a second of cold start is worth ten
-/// seconds of an idle accelerator.
+/// The two weights set the trade-off between cold starts and idle accelerators. Only their ratio
+/// matters: with 10 and 1, one second of cold start costs as much as ten idle accelerator seconds.
 #[derive(Clone, Debug)]
 pub struct SchedulerSettings {
-    /// Weight of a second of cold start against idle accelerator time; see above.
+    /// Cost of one second of cold start.
     pub cold_start_weight: u32,
-    /// Weight of an idle accelerator second.
+    /// Cost of one idle accelerator second.
     pub idle_weight: u32,
-    /// Loads the weight store allows a second.
+    /// Maximum loads started from the weight store per second.
     pub store_loads_per_second: u32,
-    /// Loads the weight store serves at once at full speed.
+    /// Maximum concurrent loads from the weight store.
     pub store_concurrent_loads: u32,
-    /// Bytes a second of one load at full speed, to estimate waits.
+    /// Rate of one load from the weight store, in bytes per second; used for estimates.
     pub store_bytes_per_second: u64,
-    /// Bytes a second of a load from the machine's disk, to estimate waits.
+    /// Rate of a load from the machine's disk, in bytes per second; used for estimates.
     pub disk_bytes_per_second: u64,
-    /// Bytes a second of a load from the machine's memory, to estimate waits.
+    /// Rate of a load from the machine's memory, in bytes per second; used for estimates.
     pub memory_bytes_per_second: u64,
-    /// How idle replicas are kept.
+    /// Keep-alive strategy for idle replicas.
     pub keep_alive: KeepAlive,
-    /// Whether models are loaded ahead of a likely arrival; with `KeepAlive::Adaptive` only.
+    /// Loads models ahead of likely arrivals; only with `KeepAlive::Adaptive`.
     pub prewarm: bool,
-    /// How long a new leader listens to routers before it retires anything.
+    /// Time for which a new leader collects router reports before it retires replicas.
     pub learning_period: Duration,
-    /// How long a replica must be superfluous before it is retired beside others that serve.
+    /// Time for which a replica must be surplus before it is retired.
     pub scale_down_delay: Duration,
-    /// How long a proposed command counts as under way when the state does not show it.
+    /// Time after which a proposed command that is not visible in the state may be proposed again.
     pub proposal_expiry: Duration,
 }
 
