--- a/crates/millpass-routing/tests/explain.rs
+++ b/crates/millpass-routing/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations: what is kept of each request, and for how many of them.
+//! Explanations of requests and the bounds of their history.
 
 mod common;
 
@@ -59,12 +59,12 @@
 fn what_a_request_waits_for_follows_what_is_known() {
     let mut driver = Driver::ready(vec![], vec![]);
     let (number, _) = driver.ask("t1", "m1");
-    let waiting_for = |driver: &Driver| explain(driver, number).waiting_for;
-    assert_eq!(waiting_for(&driver), Some(WaitReason::DemandReported));
+    let waiting_for = |driver: &Driver| explain(driver, number).wait_reason;
+    assert_eq!(waiting_for(&driver), Some(WaitReason::AwaitingEstimate));
     driver.outlook(800, true);
     let ready = WaitReason::ReadyIn(Duration::from_millis(800));
     assert_eq!(waiting_for(&driver), Some(ready));
-    // The next report is due, so that the leader has something new to answer.
+    // The leader can only respond to a new report.
     driver.tick(1_000);
     driver.outlook(800, false);
     assert_eq!(waiting_for(&driver), Some(WaitReason::Unplaceable));
@@ -82,7 +82,7 @@
     };
     for model in ["m1", "none", "m1"] {
         let (number, found) = ask(model);
-        // The first request goes on: a live one is what an operator asks about.
+        // The first request is still live, and a live request is preferred over an ended one.
         let expected = if model == "none" {
             RequestNumber(number.0 - 1)
         } else {
@@ -99,13 +99,13 @@
     let (refused, _) = driver.ask("t1", "none");
     let (first, _) = driver.ask("t1", "m1");
     driver.complete(first);
-    for _ in 0..EXPLANATIONS_KEPT {
+    for _ in 0..EXPLANATION_CAPACITY {
         let (number, _) = driver.ask("t1", "m1");
         driver.complete(number);
     }
     assert_eq!(driver.routing.explain(first, driver.now), None);
     assert!(driver.routing.explain(refused, driver.now).is_some());
-    for _ in 0..EXPLANATIONS_KEPT {
+    for _ in 0..EXPLANATION_CAPACITY {
         driver.ask("t1", "none");
     }
     assert_eq!(driver.routing.explain(refused, driver.now), None);
