--- a/crates/millpass-router/src/exchange.rs
+++ b/crates/millpass-router/src/exchange.rs
@@ -92,7 +92,7 @@
             deadline: self.deadline,
             idempotency: self.parsed.idempotency.take(),
         }));
-        self.register_hang_up_handler();
+        self.register_disconnect_handler();
         self.outcome = self.process_signals(&signals);
         self.finish_and_cancel();
     }
@@ -110,7 +110,7 @@
     }
 
     /// Notifies the core and this thread when the caller disconnects.
-    fn register_hang_up_handler(&self) {
+    fn register_disconnect_handler(&self) {
         let Some(gone) = self.caller.caller_gone() else {
             return;
         };
--- a/crates/millpass-router/tests/deadlines.rs
+++ b/crates/millpass-router/tests/deadlines.rs
@@ -16,7 +16,7 @@
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
-fn a_silent_back_end_ends_in_a_refusal_that_does_not_say_it_did_not_run(#[case] streamed: bool) {
+fn unresponsive_backend_causes_a_refusal_with_unknown_execution(#[case] streamed: bool) {
     let (keep, _kept) = unbounded();
     let engine = Engine::start(move |_, responder| keep.send(responder).unwrap());
     let control = Control::start();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_core_speaks_before_a_read_times_out() {
+fn core_refuses_before_a_read_times_out() {
     let slack = BackendTimeouts::default().deadline_slack;
     let tick = RouterProcessSettings::default().tick_interval;
     assert!(slack > tick * 4);
@@ -42,7 +42,7 @@
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
-fn a_refusal_waits_for_nothing_of_the_back_end(#[case] streamed: bool) {
+fn refusal_does_not_wait_for_the_backend(#[case] streamed: bool) {
     let (keep, _kept) = unbounded();
     let handler = move |_: Request, responder: Responder| keep.send(responder).unwrap();
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/millpass-router/tests/drain.rs
+++ b/crates/millpass-router/tests/drain.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_drain_lets_streams_finish_and_tells_the_control_group() {
+fn drain_lets_streams_finish_and_notifies_the_control_group() {
     let (engine, let_go) = start_held_engine();
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn new_requests_are_refused_while_a_drain_waits() {
+fn new_requests_are_refused_during_a_drain() {
     let (engine, let_go) = start_held_engine();
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_drain_of_an_idle_router_ends() {
+fn drain_of_an_idle_router_completes() {
     let control = Control::start();
     let router = start_router(&control);
     let refused = call(completion(&router).body("{}".to_owned()).unwrap());
--- a/crates/millpass-router/tests/explain.rs
+++ b/crates/millpass-router/tests/explain.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_served_request_tells_policy_back_end_and_times() {
+fn explanation_of_a_served_request_has_policy_backend_and_times() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn each_attempt_is_told_with_its_result() {
+fn explanation_lists_each_attempt_with_its_result() {
     let refusing = Engine::start(|_, responder| refuse(responder));
     let control = Control::start();
     control.add_replica(1, refusing.address());
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_waiting_request_tells_what_it_waits_for() {
+fn explanation_of_a_waiting_request_has_the_wait_reason() {
     let control = Control::start();
     let router = start_router(&control);
     let stream = send_raw(
@@ -106,7 +106,7 @@
 #[rstest]
 #[case::policy(r#"{"model":"secret","prompt":"a"}"#, "policy_denied", json!("acme"))]
 #[case::model(r#"{"model":"none","prompt":"a"}"#, "not_found", json!("acme"))]
-fn a_refused_request_tells_what_its_caller_was_told(
+fn explanation_of_a_refused_request_matches_the_response(
     #[case] body: &str,
     #[case] code: &str,
     #[case] tenant: Value,
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_wrong_key_is_explained_without_a_tenant() {
+fn explanation_of_an_unknown_key_has_no_tenant() {
     let control = Control::start();
     let router = start_router(&control);
     let request = post(&router, "/v1/completions")
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_unknown_request_id_says_where_to_look() {
+fn explanation_of_an_unknown_request_id_names_a_remedy() {
     let control = Control::start();
     let router = start_router(&control);
     let answer = observe(&router, "/v1/explain/never");
--- a/crates/millpass-router/tests/failures.rs
+++ b/crates/millpass-router/tests/failures.rs
@@ -22,7 +22,7 @@
 use std::thread;
 
 #[test]
-fn a_hang_up_while_streaming_cancels_at_the_engine() {
+fn disconnect_while_streaming_cancels_at_the_engine() {
     let (gone, told) = bounded(1);
     let engine = Engine::start(move |_, responder| {
         let mut body = open_stream(responder);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_hang_up_before_the_answer_cancels_at_the_engine() {
+fn disconnect_before_the_response_cancels_at_the_engine() {
     let (keep, kept) = unbounded();
     let engine = Engine::start(move |_, responder| keep.send(responder).unwrap());
     let control = Control::start();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_hang_up_while_waiting_reaches_no_engine() {
+fn disconnected_waiting_request_is_not_sent_to_an_engine() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     let router = start_router(&control);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_stream_that_cannot_go_on_ends_with_an_error_and_no_proper_end() {
+fn stream_that_cannot_resume_ends_with_an_error_event() {
     let engine = breaking_engine(100, 1, 8);
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_refusing_engine_is_not_the_end() {
+fn request_refused_by_one_engine_is_retried_on_another() {
     let first = Engine::start(|_, responder| refuse(responder));
     let second = Engine::start(|_, responder| answer_whole(responder, "second"));
     let control = Control::start();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_engine_that_cannot_be_reached_is_not_the_end() {
+fn request_to_an_unreachable_engine_is_retried_on_another() {
     let closed = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -229,7 +229,7 @@
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
-fn a_claimed_request_runs_once_and_its_answer_is_repeated(#[case] stream: bool) {
+fn claimed_request_runs_once_and_its_response_is_replayed(#[case] stream: bool) {
     let engine = Engine::start(move |request, responder| match stream {
         true => stream_tokens(request, responder, 3),
         false => answer_whole(responder, "once"),
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn one_key_for_two_requests_is_refused() {
+fn reuse_of_a_key_for_another_request_is_refused() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn two_at_once_with_one_key_run_once() {
+fn concurrent_requests_with_one_key_run_once() {
     let (keep, kept) = unbounded();
     let engine = Engine::start(move |_, responder| keep.send(responder).unwrap());
     let control = Control::start();
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_hang_up_does_not_stop_a_claimed_request_in_flight() {
+fn disconnect_does_not_cancel_a_claimed_request_in_flight() {
     let (keep, kept) = unbounded();
     let engine = Engine::start(move |_, responder| keep.send(responder).unwrap());
     let control = Control::start();
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn the_leader_that_a_member_names_is_followed() {
+fn leader_stated_by_a_member_is_followed() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let leader = Control::start();
     leader.add_replica(1, engine.address());
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn a_cut_link_is_made_anew_and_requests_go_on() {
+fn lost_link_is_reestablished_while_requests_are_served() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn watched_back_ends_are_reported_and_their_silence_too() {
+fn polled_backends_are_reported_including_unreachable_ones() {
     let web = Engine::start(|request, responder| {
         assert_eq!(request.uri.path(), "/web/report");
         let report = serde_json::json!({
--- a/crates/millpass-router/tests/malformed.rs
+++ b/crates/millpass-router/tests/malformed.rs
@@ -55,7 +55,7 @@
     400, "header_malformed")]
 #[case::basic_authorization("/v1/completions", &[("Authorization", "Basic abc")], GOOD,
     401, "authorization_malformed")]
-fn a_malformed_request_is_refused(
+fn malformed_request_is_refused(
     #[case] path: &str,
     #[case] headers: &[(&str, &str)],
     #[case] body: &str,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_body_on_a_method_without_one_is_refused() {
+fn body_is_refused_on_methods_without_a_body() {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
     let stream = common::send_method(&router, "DELETE", "/pages/1", "body");
     common::read_until(&stream, "body_not_allowed");
@@ -92,7 +92,7 @@
 #[rstest]
 #[case("/v1/completions")]
 #[case("/v1/chat/completions")]
-fn completions_take_only_post(#[case] path: &str) {
+fn completions_support_only_post(#[case] path: &str) {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
     let url = format!("http://{}{path}", router.address());
     let answer = read_answer(agent().get(&url).call().unwrap());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_body_too_large_gets_413() {
+fn oversized_body_returns_413() {
     let mut settings = settings(Vec::new());
     settings.limits.maximum_body_bytes = 1_000;
     let router = millpass_router::start(settings).unwrap();
@@ -115,7 +115,7 @@
 #[case::space("has space")]
 #[case::quote("a\"b")]
 #[case::long(&"x".repeat(200))]
-fn a_bad_request_id_is_replaced(#[case] id: &str) {
+fn malformed_request_id_is_replaced(#[case] id: &str) {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
     let request = post(&router, "/v1/completions").header("X-Request-Id", id);
     let answer = call(request.body("{}".to_owned()).unwrap());
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_port_in_use_says_what_to_do() {
+fn error_for_a_port_in_use_names_a_remedy() {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
     let mut second = settings(Vec::new());
     second.listen = router.address();
@@ -147,7 +147,7 @@
     "key of a tenant"
 )]
 #[case::unknown_path("/nowhere/at/all", Some(KEY), 404, "not_found", "check its name")]
-fn a_request_that_no_tenant_may_make_says_why(
+fn unauthorized_request_error_names_a_remedy(
     #[case] path: &str,
     #[case] key: Option<&str>,
     #[case] status: u16,
@@ -189,7 +189,7 @@
 #[rstest]
 #[case::none_listens(false)]
 #[case::silent(true)]
-fn without_the_control_group_a_request_is_refused_at_once(#[case] silent: bool) {
+fn request_without_a_control_group_is_refused_immediately(#[case] silent: bool) {
     let (_listener, member) = silent_member();
     let members = if silent {
         member
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_body_cut_short_reaches_no_engine() {
+fn truncated_body_is_not_sent_to_an_engine() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn one_connection_too_many_is_refused_with_when_to_come_back() {
+fn connection_above_the_limit_is_refused_with_retry_after() {
     let control = Control::start();
     let mut settings = settings(vec![control.address()]);
     settings.limits.maximum_connections = 1;
--- a/crates/millpass-router/tests/member_choice.rs
+++ b/crates/millpass-router/tests/member_choice.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn members_take_turns_and_the_named_leader_comes_first() {
+fn members_rotate_and_a_stated_leader_comes_first() {
     let mut choice = five();
     assert_eq!(choice.next_member(), Some(member(1)));
     choice.set_leader_hint(Some(member(4)));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_lost_leader_that_others_still_name_is_passed_over() {
+fn unreachable_leader_stated_by_others_is_skipped() {
     let mut choice = five();
     choice.mark_unreachable(member(2));
     for _ in 0..4 {
@@ -39,7 +39,7 @@
 
 /// A cut that heals: the leader was lost and leads on.
 #[test]
-fn a_leader_that_is_back_is_followed_after_a_round() {
+fn leader_reachable_again_is_followed_after_one_rotation() {
     let mut choice = five();
     choice.mark_unreachable(member(2));
     let back = (1..=20).find(|_| {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_lost_member_gets_its_turn_again() {
+fn unreachable_member_is_retried() {
     let mut choice = five();
     choice.mark_unreachable(member(2));
     let turns: Vec<_> = (0..40).filter_map(|_| choice.next_member()).collect();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_only_member_is_tried_again_though_lost() {
+fn only_member_is_retried_though_unreachable() {
     let mut choice = MemberSelector::new(vec![member(1)]);
     choice.mark_unreachable(member(1));
     assert_eq!(choice.next_member(), Some(member(1)));
@@ -68,7 +68,7 @@
 
 /// The times that a change of leader takes by default, one after the other, fit into a lease.
 #[test]
-fn a_router_finds_a_new_leader_before_its_lease_ends() {
+fn router_finds_a_new_leader_before_its_lease_expires() {
     let control = "[member]\nzone = \"a\"\ndata_folder = \"data\"\n";
     let control = parse_control("control.toml", control).expect("settings");
     let router = "[router]\nname = \"r\"\nzone = \"a\"\n[control]\nmembers = [\"127.0.0.1:1\"]\n";
--- a/crates/millpass-router/tests/serving.rs
+++ b/crates/millpass-router/tests/serving.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_streamed_completion_arrives_token_by_token() {
+fn streamed_completion_arrives_token_by_token() {
     let (go_on, may_go_on) = bounded::<()>(0);
     let engine = Engine::start(move |_, responder| {
         let mut body = open_stream(responder);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_request_reaches_the_engine_with_all_it_needs() {
+fn request_reaches_the_engine_with_all_headers() {
     let engine = Engine::start(|request, responder| stream_tokens(request, responder, 2));
     let control = Control::start();
     control.add_replica(4, engine.address());
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn two_requests_of_one_request_id_differ_at_the_engine() {
+fn requests_with_the_same_id_differ_at_the_engine() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -90,7 +90,7 @@
     "/v1/chat/completions",
     r#"{"model":"writer","messages":[{"role":"user","content":"x"}]}"#
 )]
-fn a_whole_answer_is_passed_on_as_it_is(#[case] path: &'static str, #[case] body: &str) {
+fn buffered_response_is_forwarded_unchanged(#[case] path: &'static str, #[case] body: &str) {
     let engine = Engine::start(move |request, responder| {
         assert_eq!(request.uri.path(), path);
         answer_whole(responder, "the answer");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_engines_complaint_about_the_request_is_passed_on() {
+fn client_error_from_the_engine_is_forwarded() {
     let engine = Engine::start(|_, responder| {
         responder.send(Response::text(StatusCode::BAD_REQUEST, "bad temperature"));
     });
@@ -124,7 +124,7 @@
 #[case::unknown_model(KEY, "nothing", 404, "not_found")]
 #[case::unknown_adapter(KEY, "writer:poetry", 404, "not_found")]
 #[case::denied(KEY, "secret", 403, "policy_denied")]
-fn a_refusal_has_all_its_fields(
+fn refusal_has_all_fields(
     #[case] key: &str,
     #[case] model: &str,
     #[case] status: u16,
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn without_a_lease_requests_are_refused_with_when_to_come_back() {
+fn requests_without_a_lease_are_refused_with_retry_after() {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
     let answer = call(completion(&router).body(prompt(false)).unwrap());
     assert_eq!(answer.status, 503);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_served_is_refused_at_its_deadline() {
+fn unservable_request_is_refused_at_its_deadline() {
     let control = Control::start();
     let router = start_router(&control);
     let request = completion(&router).header("Millpass-Deadline-Ms", "50");
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_deadline_in_flight_is_refused_as_unknown_and_cancels() {
+fn request_in_flight_at_its_deadline_is_cancelled_with_unknown_execution() {
     let (keep, _kept) = crossbeam::channel::unbounded();
     let engine = Engine::start(move |_, responder| keep.send(responder).unwrap());
     let control = Control::start();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn the_models_a_tenant_may_use_are_listed() {
+fn models_allowed_for_the_tenant_are_listed() {
     let control = Control::start();
     let router = start_router(&control);
     let url = format!("http://{}/v1/models", router.address());
@@ -216,7 +216,7 @@
 /// taken away since, and answered 401 to keys that may have been added. Its requests were refused for lack of a lease all
 /// the while: the list alone was answered from a catalog of unknown age.
 #[test]
-fn without_a_lease_no_models_are_listed_and_no_key_is_called_unknown() {
+fn listing_models_without_a_lease_returns_503_for_any_key() {
     let control = Control::start();
     let router = start_router(&control);
     let url = format!("http://{}/v1/models", router.address());
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_web_path_goes_to_its_group() {
+fn web_path_is_routed_to_its_group() {
     let web = Engine::start(|request, responder| {
         let query = request.uri.query().unwrap_or_default();
         let answer = Response::text(StatusCode::CREATED, format!("page {query}"));
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_waiting_request_is_served_when_a_replica_comes() {
+fn waiting_request_is_served_when_a_replica_is_added() {
     let engine = Engine::start(|request, responder| stream_tokens(request, responder, 3));
     let control = Control::start();
     let router = start_router(&control);
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_stop_cuts_streams_without_a_proper_end() {
+fn stop_aborts_streams() {
     let (keep, _kept) = crossbeam::channel::unbounded();
     let engine = Engine::start(move |_, responder| {
         let mut body = open_stream(responder);
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn metrics_and_health_are_there() {
+fn metrics_and_health_are_served() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_deadline_above_the_maximum_is_shortened() {
+fn deadline_above_the_maximum_is_reduced() {
     let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
--- a/crates/millpass-router/tests/sse.rs
+++ b/crates/millpass-router/tests/sse.rs
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn event_above_the_maximum_size_is_rejected() {
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; 2 * 1024 * 1024]);
     assert_eq!(splitter.next_event(), Err(StreamError::EventTooLong));
 }
 
 #[test]
-fn the_events_do_not_depend_on_the_pieces() {
+fn events_are_independent_of_read_boundaries() {
     let text = b"data: {\"choices\":[{\"text\":\"a\"}]}\n\n: comment\n\ndata: x\r\n\r\n\
                  event: note\ndata: {\"choices\":[{\"text\":\"b\"}]}\n\ndata: [DONE]\n\n";
     let whole = events_of(&[text]);
--- a/crates/millpass-router/tests/standin.rs
+++ b/crates/millpass-router/tests/standin.rs
@@ -82,7 +82,7 @@
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
-fn an_answer_is_whole_and_runs_once(#[case] stream: bool) {
+fn response_is_complete_and_runs_once(#[case] stream: bool) {
     let (engine, _control, router) = start_served();
     let answer = call(completion(&router).body(body(12, stream)).unwrap());
     assert_eq!(answer.status, 200);
@@ -104,7 +104,7 @@
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
-fn a_hang_up_cancels_the_work_at_the_engine(#[case] stream: bool) {
+fn disconnect_cancels_the_request_at_the_engine(#[case] stream: bool) {
     let (engine, _control, router) = start_served();
     let caller = send_raw(&router, "/v1/completions", "", &body(ENDLESS, stream));
     if stream {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_deadline_in_flight_ends_the_work_at_the_engine() {
+fn deadline_in_flight_ends_the_request_at_the_engine() {
     let (engine, _control, router) = start_served();
     let request = completion(&router).header("Millpass-Deadline-Ms", "200");
     let answer = call(request.body(body(ENDLESS, false)).unwrap());
@@ -137,7 +137,7 @@
 #[case::unknown_model(completion_with, "{\"model\":\"none\",\"prompt\":\"a\"}", 404)]
 #[case::denied(completion_with, "{\"model\":\"secret\",\"prompt\":\"a\"}", 403)]
 #[case::wrong_key(wrong_key, "{\"model\":\"writer\",\"prompt\":\"a\"}", 401)]
-fn what_is_refused_never_starts_at_the_engine(
+fn refused_request_is_not_started_at_the_engine(
     #[case] request: fn(&RouterHandle) -> http::request::Builder,
     #[case] body: &str,
     #[case] status: u16,
--- a/crates/millpass-scheduler/examples/slopes.rs
+++ b/crates/millpass-scheduler/examples/slopes.rs
@@ -1,8 +1,8 @@
-//! Measures the state and the scheduler at a quarter, a half and all of the largest deployment:
-//! rates of `apply`, time of `decide` and of taking reports, snapshot and memory sizes.
+//! Benchmarks the state and the scheduler at a quarter, a half and all of the largest deployment:
+//! `apply`, `decide`, report handling, snapshots and memory.
 //!
-//! Run: `cargo run --release -p millpass-scheduler --example slopes`, or with `-- 4`, `-- 2` or
-//! `-- 1` for one size only: resident memory is exact only for the first size of a process.
+//! Run: `cargo run --release -p millpass-scheduler --example slopes`, optionally with `-- 4`, `--
+//! 2` or `-- 1` for a single size. Resident memory is exact only for the first size of a process.
 
 #[path = "../../millpass-state/tests/support/mod.rs"]
 mod support;
@@ -20,20 +20,16 @@
     engines: 6_800,
     routers: 490,
 };
-/// Accelerators of one engine.
 const ACCELERATORS: usize = 4;
-/// Memory of one accelerator.
 const ACCELERATOR_BYTES: u64 = 80 * GIB;
 /// Claims begun and finished.
 const CLAIMS: u64 = 200_000;
-/// Scheduling rounds measured.
 const ROUNDS: u64 = 50;
-/// One replica is placed for this many accelerators.
-const ACCELERATORS_PER_REPLICA_PLACED: usize = 4;
-/// Time after which the scheduler acts on what it has heard.
+/// Accelerators per placed replica.
+const ACCELERATORS_PER_PLACED_REPLICA: usize = 4;
+/// Exceeds the scheduler's learning period.
 const LEARNING_MILLIS: u64 = 11_000;
 
-/// Size of a deployment.
 #[derive(Clone, Copy)]
 struct Size {
     models: usize,
@@ -43,7 +39,7 @@
 }
 
 impl Size {
-    fn over(self, divisor: usize) -> Size {
+    fn divided_by(self, divisor: usize) -> Size {
         Size {
             models: self.models / divisor,
             adapters: self.adapters / divisor,
@@ -58,7 +54,7 @@
     let only = only.and_then(|divisor| divisor.parse::<usize>().ok());
     for divisor in [4, 2, 1] {
         if only.is_none_or(|only| only == divisor) {
-            measure(FULL.over(divisor));
+            measure(FULL.divided_by(divisor));
         }
     }
 }
@@ -119,7 +115,7 @@
 }
 
 fn place_replicas(fixture: &mut Fixture, size: Size) {
-    let replicas = size.engines * ACCELERATORS / ACCELERATORS_PER_REPLICA_PLACED;
+    let replicas = size.engines * ACCELERATORS / ACCELERATORS_PER_PLACED_REPLICA;
     let mut commands = Vec::new();
     let mut slots_of = vec![0_u32; size.models];
     for number in 0..replicas {
@@ -184,7 +180,7 @@
         attempt: number,
         at_unix_millis: number,
     };
-    let answer = RecordedAnswer {
+    let response = RecordedAnswer {
         status: 200,
         content_type: "application/json".to_owned(),
         body: vec![b'x'; 200].into(),
@@ -195,7 +191,7 @@
         router: begin.router.clone(),
         router_incarnation: begin.router_incarnation,
         attempt: begin.attempt,
-        conclusion: ClaimConclusion::Answered(answer),
+        conclusion: ClaimConclusion::Answered(response),
     };
     (Command::BeginClaim(begin), Command::FinishClaim(finish))
 }
@@ -264,8 +260,8 @@
     rate("engine_reports", backends.len(), begin);
 }
 
-/// Every router reports a tenth of the models; with `cold_every`, each such model has more waiting
-/// than its replicas take.
+/// Reports a tenth of the models from every router. Every `cold_every`-th model has a backlog
+/// beyond the concurrency of its replicas; zero disables backlogs.
 fn observe_routers(
     scheduler: &mut Scheduler,
     now: Timestamp,
@@ -335,8 +331,8 @@
     );
 }
 
-/// Resident memory of this process; zero where the system does not tell. The growth between two
-/// readings is an upper bound of what was kept: the allocator holds on to what was freed.
+/// Resident memory of this process, or zero if unavailable. The difference of two readings is an
+/// upper bound of retained memory, as the allocator keeps freed pages.
 fn resident_bytes() -> u64 {
     let statistics = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statistics.split_whitespace().nth(1);
--- a/crates/millpass-scheduler/tests/attaching.rs
+++ b/crates/millpass-scheduler/tests/attaching.rs
@@ -1,4 +1,4 @@
-//! Adapters that requests wait for get their turn at the store, and room beside their model.
+//! Adapter attachment: order at the store, and memory beside the model's replicas.
 
 mod harness;
 
@@ -22,10 +22,10 @@
     attach.collect()
 }
 
-/// One engine with this many accelerators of 16 GiB, a model that takes 8 GiB with an adapter of 1 GiB, and
-/// another model of that size.
+/// One engine with `accelerators` of 16 GiB, and two models of 8 GiB per replica; `m` has an
+/// adapter of 1 GiB.
 fn harness(settings: SchedulerSettings, accelerators: usize) -> Harness {
-    let mut harness = Harness::learned(settings);
+    let mut harness = Harness::after_learning(settings);
     harness.fixture.engine("e1", "z1", accelerators, 16 * GIB);
     harness.fixture.model("m", model_spec(1, 0, 2, 4), 7 * GIB);
     harness.fixture.model("n", model_spec(1, 0, 1, 4), 7 * GIB);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_adapter_that_waits_longest_is_not_behind_all_models() {
+fn longest_waiting_adapter_is_loaded_before_models() {
     let mut harness = harness(
         SchedulerSettings {
             store_loads_per_second: 1,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_model_that_waits_longest_is_not_behind_all_adapters() {
+fn longest_waiting_model_is_loaded_before_adapters() {
     let mut harness = harness(
         SchedulerSettings {
             store_loads_per_second: 1,
@@ -72,25 +72,25 @@
 }
 
 #[test]
-fn a_model_leaves_room_for_adapters_where_it_can() {
+fn placement_leaves_headroom_for_adapters() {
     let mut harness = harness(open_settings(), 2);
     harness.fixture.load("m", "e1");
-    harness.wants("r1", "n", 1);
+    harness.report_waiting("r1", "n", 1);
     let commands = harness.round();
-    // The tightest accelerator is 0, and would be full.
+    // Accelerator 0 is the tightest fit, but would have no headroom left.
     assert_eq!(placements(&commands)[0].accelerators, vec![1]);
 }
 
 #[test]
-fn a_model_takes_the_last_room_where_there_is_no_other() {
+fn placement_uses_headroom_if_nothing_else_fits() {
     let mut harness = harness(open_settings(), 1);
     harness.fixture.load("m", "e1");
-    harness.wants("r1", "n", 1);
+    harness.report_waiting("r1", "n", 1);
     assert_eq!(placements(&harness.round()).len(), 1);
 }
 
 #[test]
-fn an_idle_replica_makes_room_for_an_adapter() {
+fn idle_replica_is_evicted_for_an_adapter() {
     let mut harness = harness(open_settings(), 1);
     harness.fixture.load("m", "e1");
     let idle = harness.fixture.load("n", "e1");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_second_replica_makes_room_for_an_adapter_of_the_first() {
+fn spare_replica_is_evicted_for_an_adapter_of_the_same_model() {
     let mut harness = harness(open_settings(), 1);
     let first = harness.fixture.load("m", "e1");
     let second = harness.fixture.load("m", "e1");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_replica_with_running_requests_makes_no_room() {
+fn replica_with_running_requests_is_not_evicted_for_an_adapter() {
     let mut harness = harness(open_settings(), 1);
     harness.fixture.load("m", "e1");
     let busy = harness.fixture.load("n", "e1");
--- a/crates/millpass-scheduler/tests/harness/mod.rs
+++ b/crates/millpass-scheduler/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler beside a state, with reports and virtual time.
+//! A scheduler and a state with simulated reports and time.
 #![allow(dead_code)]
 
 #[path = "../../../millpass-state/tests/support/mod.rs"]
@@ -9,12 +9,11 @@
 use std::collections::BTreeMap;
 pub use support::*;
 
-/// Time between scheduling rounds.
+/// Interval between scheduling rounds.
 pub const ROUND_MILLIS: u64 = 200;
-/// When the learning period is over.
-pub const LEARNED_MILLIS: u64 = 10_000;
+/// Default learning period.
+pub const LEARNING_MILLIS: u64 = 10_000;
 
-/// Scheduler, state and clock.
 pub struct Harness {
     pub fixture: Fixture,
     pub scheduler: Scheduler,
@@ -36,19 +35,19 @@
         }
     }
 
-    /// A harness whose scheduler has listened to one idle router for long enough.
-    pub fn learned(settings: SchedulerSettings) -> Self {
+    /// A harness past the learning period, with one idle router.
+    pub fn after_learning(settings: SchedulerSettings) -> Self {
         let mut harness = Harness::new(settings);
         harness.report("listener", Vec::new());
-        harness.pass(LEARNED_MILLIS);
+        harness.advance(LEARNING_MILLIS);
         harness
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
     }
 
-    /// One report of a router with this demand.
+    /// Sends a report of a router.
     pub fn report(&mut self, router: &str, demand: Vec<ModelDemand>) {
         self.sequence += 1;
         let report = RouterReport {
@@ -63,8 +62,8 @@
             .observe_router(self.now, &router.into(), Incarnation(1), &report);
     }
 
-    /// A router reports this many requests waiting for a model, newly arrived.
-    pub fn wants(&mut self, router: &str, model: &str, waiting: u32) {
+    /// Reports newly arrived requests that wait for a model.
+    pub fn report_waiting(&mut self, router: &str, model: &str, waiting: u32) {
         let arrivals = self
             .arrivals
             .entry(format!("{router} {model}"))
@@ -75,7 +74,7 @@
         self.report(router, vec![demand]);
     }
 
-    /// An engine reports these checkpoints, and these requests in its slots.
+    /// Reports an engine's cached checkpoints and requests per slot.
     pub fn engine_report(
         &mut self,
         backend: &str,
@@ -114,13 +113,13 @@
         self.scheduler.observe_engine(self.now, &report);
     }
 
-    /// One round; its commands are not applied.
+    /// Runs a round without applying its commands.
     pub fn decide(&mut self) -> Vec<Command> {
-        self.pass(ROUND_MILLIS);
+        self.advance(ROUND_MILLIS);
         self.scheduler.decide(self.now, &self.fixture.state)
     }
 
-    /// One round; its commands are applied, and each must take effect.
+    /// Runs a round and applies its commands; each must take effect.
     pub fn round(&mut self) -> Vec<Command> {
         let commands = self.decide();
         for command in &commands {
@@ -129,8 +128,8 @@
         commands
     }
 
-    /// Rounds for this long, with an idle report in each; gives all commands.
-    pub fn idle_rounds(&mut self, millis: u64) -> Vec<Command> {
+    /// Runs rounds for this time with an idle report in each; returns all commands.
+    pub fn run_idle_rounds(&mut self, millis: u64) -> Vec<Command> {
         let mut commands = Vec::new();
         for _ in 0..millis / ROUND_MILLIS {
             self.report("listener", Vec::new());
@@ -139,7 +138,7 @@
         commands
     }
 
-    /// Settles every outstanding order as done.
+    /// Completes all outstanding orders.
     pub fn settle_all(&mut self) {
         for order in self.fixture.state.outstanding_orders() {
             self.fixture.must(settle_order(&order, None));
@@ -172,7 +171,7 @@
     }
 }
 
-/// Settings whose store and keep-alive do not get in the way.
+/// Settings without store limits, keep-alive expiry or prewarming.
 pub fn open_settings() -> SchedulerSettings {
     SchedulerSettings {
         store_loads_per_second: 1_000,
--- a/crates/millpass-scheduler/tests/placing.rs
+++ b/crates/millpass-scheduler/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Which replicas are placed, how many, where, and in what order.
+//! Placement: number, location and order of replicas.
 
 mod harness;
 
@@ -7,9 +7,8 @@
 use millpass_scheduler::SchedulerSettings;
 use rstest::rstest;
 
-/// Two engines in two zones, and a model of 8 GiB.
 fn harness(settings: SchedulerSettings) -> Harness {
-    let mut harness = Harness::learned(settings);
+    let mut harness = Harness::after_learning(settings);
     harness.fixture.engine("e1", "z1", 2, 16 * GIB);
     harness.fixture.engine("e2", "z2", 2, 16 * GIB);
     harness.fixture.model("m", model_spec(1, 0, 4, 4), 8 * GIB);
@@ -23,7 +22,7 @@
     for round in 0..20 {
         for router in 0..30 {
             if round < 10 {
-                harness.wants(&format!("r{router}"), "m", u32::from(router == 0));
+                harness.report_waiting(&format!("r{router}"), "m", u32::from(router == 0));
             }
         }
         commands.extend(harness.round());
@@ -34,9 +33,9 @@
 }
 
 #[test]
-fn a_proposal_is_not_repeated_before_it_expires() {
+fn proposal_is_not_repeated_before_it_expires() {
     let mut harness = harness(open_settings());
-    harness.wants("r1", "m", 1);
+    harness.report_waiting("r1", "m", 1);
     assert_eq!(placements(&harness.decide()).len(), 1);
     let expiry = SchedulerSettings::default().proposal_expiry;
     let rounds = expiry.as_millis() as u64 / ROUND_MILLIS;
@@ -47,14 +46,14 @@
 }
 
 #[test]
-fn more_replicas_follow_the_first_load_or_a_clear_backlog() {
+fn further_replicas_wait_for_the_first_load_or_a_large_backlog() {
     let mut harness = harness(open_settings());
-    harness.wants("r1", "m", 9);
+    harness.report_waiting("r1", "m", 9);
     assert_eq!(placements(&harness.round()).len(), 1);
     assert_eq!(harness.round(), []);
     harness.settle_all();
     assert_eq!(placements(&harness.round()).len(), 1);
-    harness.wants("r1", "m", 40);
+    harness.report_waiting("r1", "m", 40);
     assert_eq!(placements(&harness.round()).len(), 1);
 }
 
@@ -62,7 +61,7 @@
 #[case::memory_before_disk(CheckpointTier::Memory, CheckpointTier::Disk, "e1")]
 #[case::disk_before_remote(CheckpointTier::Remote, CheckpointTier::Disk, "e2")]
 #[case::zone_of_the_demand(CheckpointTier::Remote, CheckpointTier::Remote, "e2")]
-fn the_nearest_checkpoint_decides_then_the_zone(
+fn engine_choice_prefers_fastest_tier_then_zone_of_demand(
     #[case] first: CheckpointTier,
     #[case] second: CheckpointTier,
     #[case] chosen: &str,
@@ -73,17 +72,17 @@
     harness
         .scheduler
         .set_router_zone(&"r1".into(), &"z2".into());
-    harness.wants("r1", "m", 1);
+    harness.report_waiting("r1", "m", 1);
     let commands = harness.round();
     assert_eq!(placements(&commands)[0].backend, chosen.into());
 }
 
 #[test]
-fn the_tightest_accelerator_is_taken() {
+fn tightest_accelerator_is_selected() {
     let mut harness = harness(open_settings());
     harness.fixture.model("small", model_spec(1, 0, 1, 1), GIB);
     harness.fixture.load("small", "e2");
-    harness.wants("r1", "m", 1);
+    harness.report_waiting("r1", "m", 1);
     let commands = harness.round();
     let place = placements(&commands)[0].clone();
     assert_eq!((place.backend, place.accelerators), ("e2".into(), vec![0]));
@@ -93,13 +92,13 @@
 fn replicas_of_a_model_are_spread_over_engines() {
     let mut harness = harness(open_settings());
     harness.fixture.load("m", "e1");
-    harness.wants("r1", "m", 8);
+    harness.report_waiting("r1", "m", 8);
     let commands = harness.round();
     assert_eq!(placements(&commands)[0].backend, "e2".into());
 }
 
 #[test]
-fn the_store_gets_no_more_loads_at_once_than_allowed() {
+fn store_loads_respect_the_concurrency_limit() {
     let mut harness = harness(SchedulerSettings {
         store_concurrent_loads: 2,
         ..open_settings()
@@ -121,7 +120,7 @@
 }
 
 #[test]
-fn the_store_gets_no_more_loads_a_second_than_allowed() {
+fn store_loads_respect_the_rate_limit() {
     let mut harness = harness(SchedulerSettings {
         store_loads_per_second: 2,
         ..open_settings()
@@ -137,12 +136,12 @@
         harness.report("r1", demand.clone());
         placed += placements(&harness.round()).len();
     }
-    // One token to begin with, and two seconds at two a second.
+    // One initial token, plus two seconds at two per second.
     assert!((4..=5).contains(&placed), "{placed}");
 }
 
 #[test]
-fn urgent_demand_goes_first_then_the_longest_wait() {
+fn loads_are_ordered_by_urgency_then_wait() {
     let mut harness = harness(SchedulerSettings {
         store_concurrent_loads: 1,
         ..open_settings()
@@ -165,17 +164,17 @@
 }
 
 #[test]
-fn a_minimum_is_placed_without_demand() {
+fn minimum_replicas_are_placed_without_demand() {
     let mut harness = harness(open_settings());
     harness.fixture.model("kept", model_spec(1, 1, 2, 1), GIB);
     let commands = harness.round();
     assert_eq!(placements(&commands)[0].model, "kept".into());
     harness.settle_all();
-    assert_eq!(harness.idle_rounds(60_000), []);
+    assert_eq!(harness.run_idle_rounds(60_000), []);
 }
 
 #[test]
-fn an_adapter_is_attached_beside_the_loaded_replica() {
+fn adapter_is_attached_to_the_loaded_replica() {
     let mut harness = harness(open_settings());
     harness.fixture.adapter("a", "m", GIB);
     let mut demand = waiting_for("m", 1);
--- a/crates/millpass-scheduler/tests/properties.rs
+++ b/crates/millpass-scheduler/tests/properties.rs
@@ -1,5 +1,4 @@
-//! Whatever happens, the state takes each proposal, no idle time is lost to a second load, and the
-//! same inputs give the same commands.
+//! Property: every proposal applies to the state, and equal inputs produce equal commands.
 
 mod harness;
 
@@ -8,9 +7,7 @@
 use millpass_scheduler::{KeepAlive, SchedulerSettings};
 use proptest::prelude::*;
 
-/// Models in the random deployments.
 const MODELS: u8 = 5;
-/// Engines in the random deployments.
 const ENGINES: u8 = 3;
 
 #[derive(Clone, Debug)]
@@ -23,7 +20,7 @@
         in_flight: u32,
         urgency: Urgency,
     },
-    Quiet {
+    NoDemand {
         router: u8,
     },
     Report {
@@ -49,7 +46,7 @@
     SettleFirst {
         failed: bool,
     },
-    Pass {
+    Advance {
         seconds: u64,
     },
     Round,
@@ -74,7 +71,7 @@
         6 => (0..3_u8, 0..MODELS, any::<bool>(), 0..12_u32, 0..4_u32, urgency()).prop_map(
             |(router, model, adapter, waiting, in_flight, urgency)| Step::Demand {
                 router, model, adapter, waiting, in_flight, urgency }),
-        4 => (0..3_u8).prop_map(|router| Step::Quiet { router }),
+        4 => (0..3_u8).prop_map(|router| Step::NoDemand { router }),
         2 => (0..ENGINES, 0..MODELS, tier).prop_map(
             |(engine, model, tier)| Step::Report { engine, model, tier }),
         1 => (0..ENGINES, state).prop_map(|(engine, state)| Step::Mark { engine, state }),
@@ -84,7 +81,7 @@
             |(model, minimum, maximum, label)| Step::Model { model, minimum, maximum, label }),
         4 => Just(Step::Settle),
         2 => any::<bool>().prop_map(|failed| Step::SettleFirst { failed }),
-        2 => (1..30_u64).prop_map(|seconds| Step::Pass { seconds }),
+        2 => (1..30_u64).prop_map(|seconds| Step::Advance { seconds }),
         12 => Just(Step::Round),
     ]
 }
@@ -99,7 +96,7 @@
 }
 
 fn deployment(keep_alive: KeepAlive) -> Harness {
-    let mut harness = Harness::learned(SchedulerSettings {
+    let mut harness = Harness::after_learning(SchedulerSettings {
         keep_alive,
         cold_start_weight: 10,
         idle_weight: 1,
@@ -144,8 +141,8 @@
     harness.fixture.accept(command);
 }
 
-/// Takes one step; gives the commands that a round proposed, each of which took effect.
-fn take(harness: &mut Harness, step: &Step) -> Vec<Command> {
+/// Applies one step; returns the commands of a round, each of which took effect.
+fn apply_step(harness: &mut Harness, step: &Step) -> Vec<Command> {
     match step {
         Step::Demand {
             router,
@@ -161,7 +158,7 @@
             demand.most_urgent = *urgency;
             harness.report(&format!("r{router}"), vec![demand]);
         }
-        Step::Quiet { router } => harness.report(&format!("r{router}"), Vec::new()),
+        Step::NoDemand { router } => harness.report(&format!("r{router}"), Vec::new()),
         Step::Report {
             engine,
             model,
@@ -194,7 +191,7 @@
         }
         Step::Settle => harness.settle_all(),
         Step::SettleFirst { failed } => settle_first(harness, *failed),
-        Step::Pass { seconds } => harness.pass(seconds * 1_000),
+        Step::Advance { seconds } => harness.advance(seconds * 1_000),
         Step::Round => return harness.round(),
     }
     Vec::new()
@@ -214,16 +211,16 @@
 }
 
 #[test]
-fn the_state_takes_every_proposal_and_runs_repeat() {
+fn every_proposal_applies_and_decisions_are_deterministic() {
     let steps = prop::collection::vec(step(), 1..120);
     let seen = std::cell::Cell::new([0_usize; 3]);
     check_cases(192, (strategy(), steps), |(keep_alive, steps)| {
         let mut first = deployment(keep_alive);
         let mut second = deployment(keep_alive);
         for step in &steps {
-            // `Harness::round` fails the case when the state refuses a command.
-            let commands = take(&mut first, step);
-            prop_assert_eq!(&commands, &take(&mut second, step));
+            // `Harness::round` fails the case when the state rejects a command.
+            let commands = apply_step(&mut first, step);
+            prop_assert_eq!(&commands, &apply_step(&mut second, step));
             let mut counts = seen.get();
             for command in &commands {
                 match command {
@@ -236,7 +233,7 @@
         }
         Ok(())
     });
-    // The cases reach placements, unloads and adapters, or the property says nothing.
+    // Guards against cases that never reach placements, unloads and adapters.
     assert!(
         seen.get().iter().all(|count| *count > 50),
         "{:?}",
--- a/crates/millpass-scheduler/tests/retiring.rs
+++ b/crates/millpass-scheduler/tests/retiring.rs
@@ -1,4 +1,4 @@
-//! Which replicas are unloaded, when, and which never.
+//! Retirement: which replicas are unloaded, when, and which are kept.
 
 mod harness;
 
@@ -7,9 +7,9 @@
 use millpass_scheduler::{KeepAlive, SchedulerSettings};
 use rstest::rstest;
 
-/// One engine of one accelerator, full with two idle models of 8 GiB each.
+/// One accelerator of 20 GiB, filled by two idle models of 8 GiB each.
 fn full_harness(settings: SchedulerSettings) -> (Harness, SlotId, SlotId) {
-    let mut harness = Harness::learned(settings);
+    let mut harness = Harness::after_learning(settings);
     harness.fixture.engine("e1", "z1", 1, 20 * GIB);
     for name in ["old", "recent", "wanted"] {
         let spec = model_spec(1, 0, 2, 4);
@@ -21,7 +21,7 @@
 }
 
 fn serve_once(harness: &mut Harness, model: &str) {
-    harness.wants("r1", model, 1);
+    harness.report_waiting("r1", model, 1);
     harness.report("r1", Vec::new());
 }
 
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn the_least_recently_used_goes_for_a_waiting_request() {
+fn least_recently_used_replica_is_evicted_for_a_waiting_request() {
     let (mut harness, old, _) = full_harness(open_settings());
     serve_once(&mut harness, "old");
-    harness.idle_rounds(2_000);
+    harness.run_idle_rounds(2_000);
     serve_once(&mut harness, "recent");
-    harness.idle_rounds(2_000);
-    harness.wants("r1", "wanted", 1);
+    harness.run_idle_rounds(2_000);
+    harness.report_waiting("r1", "wanted", 1);
     assert_eq!(retired(&harness.round()), [old]);
     assert_eq!(harness.round(), []);
     harness.settle_all();
@@ -46,44 +46,44 @@
 }
 
 #[test]
-fn the_least_likely_to_be_asked_for_goes_first() {
+fn model_least_likely_to_be_requested_is_evicted_first() {
     let (mut harness, _, recent) = full_harness(SchedulerSettings {
         keep_alive: KeepAlive::Adaptive,
         ..open_settings()
     });
-    // `old` is asked for every 20 s, and last before `recent`, which is asked for once.
+    // `old` is requested every 20 s, last before `recent`, which is requested once.
     for _ in 0..10 {
         serve_once(&mut harness, "old");
-        harness.idle_rounds(20_000);
+        harness.run_idle_rounds(20_000);
     }
     serve_once(&mut harness, "recent");
-    harness.idle_rounds(200);
-    harness.wants("r1", "wanted", 1);
+    harness.run_idle_rounds(200);
+    harness.report_waiting("r1", "wanted", 1);
     assert_eq!(retired(&harness.round()), [recent]);
 }
 
 #[test]
-fn a_replica_with_traffic_is_never_evicted() {
+fn replica_with_traffic_is_never_evicted() {
     let (mut harness, old, recent) = full_harness(open_settings());
     let mut busy = waiting_for("old", 0);
     busy.in_flight = 1;
     harness.report("r1", vec![busy]);
     harness.engine_report("e1", &[], &[(recent, 1), (old, 0)]);
-    harness.wants("r2", "wanted", 1);
+    harness.report_waiting("r2", "wanted", 1);
     assert_eq!(harness.round(), []);
-    let outlook = outlook(&harness, "wanted");
-    assert!(!outlook.placeable);
-    assert!(outlook.ready_in_millis > 0);
+    let ready_estimate = ready_estimate(&harness, "wanted");
+    assert!(!ready_estimate.placeable);
+    assert!(ready_estimate.ready_in_millis > 0);
 }
 
 #[test]
-fn a_minimum_is_never_evicted() {
+fn minimum_replicas_are_never_evicted() {
     let (mut harness, old, recent) = full_harness(open_settings());
     for name in ["old", "recent"] {
         let spec = model_spec(1, 1, 2, 4);
         harness.fixture.accept(model_change(name, spec));
     }
-    harness.wants("r1", "wanted", 1);
+    harness.report_waiting("r1", "wanted", 1);
     assert_eq!(harness.round(), []);
     let spec = Some(ObjectSpec::Model(model_spec(1, 0, 2, 4)));
     let change = change(ObjectKind::Model, "old", 2, "third", spec);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn batch_demand_waits_and_evicts_nothing() {
+fn batch_demand_evicts_nothing_at_first() {
     let (mut harness, _, _) = full_harness(open_settings());
     let mut batch = waiting_for("wanted", 5);
     batch.most_urgent = Urgency::Batch;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn batch_demand_is_deferred_and_evicts_after_a_minute() {
+fn batch_demand_evicts_after_a_minute() {
     let (mut harness, _, _) = full_harness(open_settings());
     let batch_since = |millis| {
         let mut batch = waiting_for("wanted", 5);
@@ -113,11 +113,12 @@
     harness.report("r1", vec![batch_since(0)]);
     assert_eq!(harness.round(), []);
     let model = "wanted".into();
-    let outlook = harness
-        .scheduler
-        .ready_estimate(harness.now, &harness.fixture.state, &model);
-    assert!(outlook.placeable, "{outlook:?}");
-    harness.pass(61_000);
+    let ready_estimate =
+        harness
+            .scheduler
+            .ready_estimate(harness.now, &harness.fixture.state, &model);
+    assert!(ready_estimate.placeable, "{ready_estimate:?}");
+    harness.advance(61_000);
     harness.report("r1", vec![batch_since(61_000)]);
     assert_eq!(retired(&harness.round()).len(), 1);
 }
@@ -125,7 +126,7 @@
 #[rstest]
 #[case::always_loaded(KeepAlive::AlwaysLoaded, 0)]
 #[case::least_recently_used(KeepAlive::LeastRecentlyUsed, 1)]
-fn the_strategy_decides_whether_memory_is_taken_back(
+fn keep_alive_strategy_determines_evictions(
     #[case] keep_alive: KeepAlive,
     #[case] evictions: usize,
 ) {
@@ -133,12 +134,12 @@
         keep_alive,
         ..open_settings()
     });
-    harness.wants("r1", "wanted", 1);
+    harness.report_waiting("r1", "wanted", 1);
     assert_eq!(retired(&harness.round()).len(), evictions);
 }
 
 #[test]
-fn two_waiting_models_do_not_count_on_the_same_memory() {
+fn memory_to_be_freed_is_reserved_for_one_waiting_model() {
     let (mut harness, old, recent) = full_harness(open_settings());
     let spec = model_spec(1, 0, 2, 4);
     harness.fixture.model("other", spec, 8 * GIB);
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_new_leader_retires_nothing_before_it_has_listened() {
+fn new_leader_retires_nothing_during_the_learning_period() {
     let mut harness = Harness::new(SchedulerSettings {
         keep_alive: KeepAlive::Fixed(Duration::from_secs(1)),
         ..open_settings()
@@ -158,28 +159,28 @@
     harness.fixture.engine("e1", "z1", 1, 20 * GIB);
     harness.fixture.model("m", model_spec(1, 0, 1, 1), 8 * GIB);
     let slot = harness.fixture.load("m", "e1");
-    // It hears nothing at all, for as long as it may be.
+    // The leader receives no router report.
     for _ in 0..200 {
         assert_eq!(harness.round(), []);
     }
     let learning = SchedulerSettings::default().learning_period.as_millis() as u64;
-    assert_eq!(harness.idle_rounds(learning - ROUND_MILLIS), []);
-    assert_eq!(retired(&harness.idle_rounds(2_000)), [slot]);
+    assert_eq!(harness.run_idle_rounds(learning - ROUND_MILLIS), []);
+    assert_eq!(retired(&harness.run_idle_rounds(2_000)), [slot]);
 }
 
 #[test]
-fn a_leader_that_hears_no_router_any_more_retires_nothing() {
+fn leader_without_router_reports_retires_nothing() {
     let (mut harness, _, _) = full_harness(SchedulerSettings {
         keep_alive: KeepAlive::Fixed(Duration::from_secs(30)),
         ..open_settings()
     });
-    harness.idle_rounds(1_000);
-    harness.pass(60_000);
+    harness.run_idle_rounds(1_000);
+    harness.advance(60_000);
     assert_eq!(harness.round(), []);
 }
 
 #[test]
-fn a_leaving_engine_is_replaced_first_and_emptied_then() {
+fn replicas_of_a_leaving_engine_are_replaced_before_retirement() {
     let (mut harness, old, recent) = full_harness(open_settings());
     harness.fixture.engine("e2", "z1", 1, 20 * GIB);
     let mut busy = waiting_for("old", 0);
@@ -199,14 +200,14 @@
 }
 
 #[test]
-fn a_new_version_is_loaded_before_the_old_one_goes() {
+fn new_version_is_loaded_before_the_old_one_is_retired() {
     let (mut harness, old, _) = full_harness(open_settings());
     harness.fixture.engine("e2", "z1", 1, 20 * GIB);
     harness.fixture.version("old", "v2", 8 * GIB);
     let mut spec = model_spec(1, 0, 2, 4);
     spec.current_version = "v2".into();
     harness.fixture.accept(model_change("old", spec));
-    harness.wants("r1", "old", 1);
+    harness.report_waiting("r1", "old", 1);
     let commands = harness.round();
     assert_eq!(placements(&commands)[0].version, "v2".into());
     assert_eq!(retired(&commands), []);
@@ -216,31 +217,31 @@
 }
 
 #[test]
-fn with_one_slot_the_old_version_goes_first() {
+fn old_version_is_retired_first_if_the_maximum_is_one() {
     let (mut harness, old, _) = full_harness(open_settings());
     harness.fixture.version("old", "v2", 8 * GIB);
     let mut spec = model_spec(1, 0, 1, 4);
     spec.current_version = "v2".into();
     harness.fixture.accept(model_change("old", spec));
-    harness.wants("r1", "old", 1);
+    harness.report_waiting("r1", "old", 1);
     assert_eq!(retired(&harness.round()), [old]);
     harness.settle_all();
     assert_eq!(placements(&harness.round()).len(), 1);
 }
 
 #[test]
-fn an_idle_replica_goes_after_the_fixed_time() {
+fn idle_replica_is_retired_after_the_fixed_time() {
     let (mut harness, old, recent) = full_harness(SchedulerSettings {
         keep_alive: KeepAlive::Fixed(Duration::from_secs(60)),
         ..open_settings()
     });
-    assert_eq!(harness.idle_rounds(59_000), []);
-    let mut slots = retired(&harness.idle_rounds(3_000));
+    assert_eq!(harness.run_idle_rounds(59_000), []);
+    let mut slots = retired(&harness.run_idle_rounds(3_000));
     slots.sort();
     assert_eq!(slots, [old, recent]);
 }
 
-/// How long the adaptive strategy keeps an idle model of 8 GiB, in seconds, an hour at most.
+/// Time for which the adaptive strategy keeps an idle model of 8 GiB, in seconds; at most an hour.
 fn kept_seconds(cold_start_weight: u32, idle_weight: u32, period: u64) -> u64 {
     let (mut harness, old, _) = full_harness(SchedulerSettings {
         cold_start_weight,
@@ -250,11 +251,11 @@
     });
     for _ in 0..10 {
         serve_once(&mut harness, "old");
-        harness.pass(period);
+        harness.advance(period);
     }
     serve_once(&mut harness, "old");
     for second in 0..3_600 {
-        if retired(&harness.idle_rounds(1_000)).contains(&old) {
+        if retired(&harness.run_idle_rounds(1_000)).contains(&old) {
             return second;
         }
     }
@@ -262,20 +263,23 @@
 }
 
 #[test]
-fn the_weights_move_the_keep_alive_trade() {
+fn weights_change_the_keep_alive_time() {
     let period = 120_000;
-    let idle_dear = kept_seconds(1, 1, period);
-    let between = kept_seconds(60, 1, period);
-    let cold_dear = kept_seconds(1_000, 1, period);
-    assert!(idle_dear < 60, "{idle_dear}");
-    assert!(between >= 120, "{between}");
-    assert!(between < cold_dear, "{between} {cold_dear}");
+    let idle_expensive = kept_seconds(1, 1, period);
+    let balanced = kept_seconds(60, 1, period);
+    let cold_start_expensive = kept_seconds(1_000, 1, period);
+    assert!(idle_expensive < 60, "{idle_expensive}");
+    assert!(balanced >= 120, "{balanced}");
+    assert!(
+        balanced < cold_start_expensive,
+        "{balanced} {cold_start_expensive}"
+    );
 }
 
 #[test]
-fn a_likely_arrival_is_loaded_for_ahead() {
-    let mut harness = Harness::learned(SchedulerSettings {
-        // A second of cold start is worth ten idle seconds.
+fn likely_arrival_causes_prewarming() {
+    let mut harness = Harness::after_learning(SchedulerSettings {
+        // One second of cold start costs as much as ten idle seconds.
         cold_start_weight: 10,
         idle_weight: 1,
         keep_alive: KeepAlive::Adaptive,
@@ -287,18 +291,18 @@
     harness.fixture.model("hourly", spec, 12 * GIB);
     for _ in 0..10 {
         serve_once(&mut harness, "hourly");
-        harness.pass(600_000);
+        harness.advance(600_000);
     }
     serve_once(&mut harness, "hourly");
-    assert_eq!(harness.idle_rounds(400_000), []);
-    let commands = harness.idle_rounds(200_000);
+    assert_eq!(harness.run_idle_rounds(400_000), []);
+    let commands = harness.run_idle_rounds(200_000);
     assert_eq!(placements(&commands).len(), 1, "{commands:?}");
 }
 
 #[test]
-fn a_surplus_is_retired_after_its_delay_and_the_last_stays() {
+fn surplus_is_retired_after_the_delay_and_one_replica_remains() {
     let delay = SchedulerSettings::default().scale_down_delay;
-    let mut harness = Harness::learned(SchedulerSettings {
+    let mut harness = Harness::after_learning(SchedulerSettings {
         keep_alive: KeepAlive::Fixed(Duration::from_secs(3_600)),
         ..open_settings()
     });
@@ -307,12 +311,12 @@
     harness.fixture.load("m", "e1");
     let second = harness.fixture.load("m", "e1");
     let millis = delay.as_millis() as u64;
-    assert_eq!(harness.idle_rounds(millis), []);
-    assert_eq!(retired(&harness.idle_rounds(millis)), [second]);
+    assert_eq!(harness.run_idle_rounds(millis), []);
+    assert_eq!(retired(&harness.run_idle_rounds(millis)), [second]);
 }
 
 #[test]
-fn replicas_of_a_deleted_model_go() {
+fn replicas_of_a_deleted_model_are_retired() {
     let (mut harness, old, _) = full_harness(open_settings());
     let deletions = [
         change(ObjectKind::Version, "old@v1", 1, "d1", None),
@@ -325,7 +329,7 @@
     assert_eq!(retired(&harness.round()), [old]);
 }
 
-fn outlook(harness: &Harness, model: &str) -> LoadEstimate {
+fn ready_estimate(harness: &Harness, model: &str) -> LoadEstimate {
     let state = &harness.fixture.state;
     harness
         .scheduler
@@ -333,29 +337,29 @@
 }
 
 #[test]
-fn the_outlook_follows_the_load() {
-    let mut harness = Harness::learned(open_settings());
+fn ready_estimate_follows_the_load() {
+    let mut harness = Harness::after_learning(open_settings());
     harness.fixture.engine("e1", "z1", 1, 20 * GIB);
     harness.fixture.model("m", model_spec(1, 0, 1, 1), 8 * GIB);
-    assert!(!outlook(&harness, "unknown").placeable);
-    harness.wants("r1", "m", 1);
-    let before = outlook(&harness, "m");
+    assert!(!ready_estimate(&harness, "unknown").placeable);
+    harness.report_waiting("r1", "m", 1);
+    let before = ready_estimate(&harness, "m");
     assert!(before.placeable && before.ready_in_millis > 4_000);
     harness.round();
     harness.round();
-    harness.pass(2_000);
-    let halfway = outlook(&harness, "m").ready_in_millis;
+    harness.advance(2_000);
+    let halfway = ready_estimate(&harness, "m").ready_in_millis;
     assert!(halfway < before.ready_in_millis && halfway > 0);
     harness.settle_all();
-    assert_eq!(outlook(&harness, "m").ready_in_millis, 0);
+    assert_eq!(ready_estimate(&harness, "m").ready_in_millis, 0);
 }
 
 #[test]
-fn a_model_too_large_for_every_engine_is_not_placeable() {
-    let mut harness = Harness::learned(open_settings());
+fn model_too_large_for_every_engine_is_not_placeable() {
+    let mut harness = Harness::after_learning(open_settings());
     harness.fixture.engine("e1", "z1", 1, 4 * GIB);
     harness.fixture.model("m", model_spec(1, 0, 1, 1), 8 * GIB);
-    harness.wants("r1", "m", 1);
+    harness.report_waiting("r1", "m", 1);
     assert_eq!(harness.round(), []);
-    assert!(!outlook(&harness, "m").placeable);
+    assert!(!ready_estimate(&harness, "m").placeable);
 }
