--- a/crates/millpass-router/examples/router_bench/callers.rs
+++ b/crates/millpass-router/examples/router_bench/callers.rs
@@ -1,7 +1,7 @@
 //! Open-loop callers of short requests.
 //!
-//! Requests are due at fixed times, whatever became of earlier ones, and latency is counted from
-//! the time at which a request was due: a slow answer cannot slow the measurement down.
+//! Requests are due at fixed times, independent of earlier ones, and latency is measured from the
+//! due time, so slow responses do not reduce the load.
 
 use crate::common::completion_to;
 use anyhow::{Result, ensure};
@@ -13,24 +13,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Tokens of a short request; the engine gives them with the prefill.
+/// Tokens of a short request; the engine returns them with the prefill.
 const TOKENS: u32 = 1;
-/// Time between the last caller's readiness and the first request.
+/// Delay between the last caller's readiness and the first request.
 const START_DELAY: Duration = Duration::from_millis(20);
-/// Longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is sent.
+/// Load parameters.
 pub struct Load {
-    /// Requests a second over all targets.
+    /// Requests per second over all targets.
     pub rate: u64,
-    /// For how long.
+    /// Duration.
     pub time: Duration,
-    /// Threads; each has a connection to each target.
+    /// Number of threads; each has a connection to each target.
     pub callers: usize,
 }
 
-/// What came back from one target.
+/// Latencies of one target.
 pub struct Latencies {
     microseconds: Histogram<u64>,
     elapsed: Duration,
@@ -47,29 +46,27 @@
 }
 
 impl Latencies {
-    /// Latency at a quantile, in milliseconds.
+    /// Returns the latency at a quantile, in milliseconds.
     pub fn millis_at(&self, quantile: f64) -> f64 {
         self.microseconds.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Requests answered.
+    /// Number of responses.
     pub fn answered(&self) -> u64 {
         self.microseconds.len()
     }
 
-    /// Requests answered a second.
+    /// Responses per second.
     pub fn rate(&self) -> f64 {
         self.answered() as f64 / self.elapsed.as_secs_f64()
     }
 
-    /// Adds one.
     pub fn record(&mut self, latency: Duration) {
         let recorded = self.microseconds.record(latency.as_micros() as u64);
         recorded.expect("the histogram grows as needed");
     }
 }
 
-/// Prints the distribution of latencies.
 pub fn print_latency(name: &str, latencies: &Latencies) {
     println!(
         "{name}: {} requests, p50 {:.3} ms, p90 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms",
@@ -81,21 +78,20 @@
     );
 }
 
-/// An agent with a connection of its own.
+/// Creates an agent with its own connections.
 pub fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(true)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build()
         .into()
 }
 
-/// Prompt of a request, with a word of its own that the answer must repeat.
+/// Returns a prompt with a nonce that the response must repeat.
 pub fn prompt(number: u64) -> String {
     format!("describe the flat nonce=caller-{number}")
 }
 
-/// Body of a request.
 pub fn body(prompt: &str, tokens: u32, stream: bool) -> String {
     let body = serde_json::json!({
         "model": "writer", "prompt": prompt, "max_tokens": tokens, "stream": stream
@@ -103,26 +99,26 @@
     body.to_string()
 }
 
-/// Whether a text is the whole answer to a prompt.
-pub fn is_own(prompt: &str, tokens: u32, text: &str) -> bool {
+/// Returns true if `text` is the complete response to `prompt`.
+pub fn is_expected_response(prompt: &str, tokens: u32, text: &str) -> bool {
     let expected = Answer::new(&"writer".into(), &"v1".into(), None, prompt);
     expected.is_whole(0, tokens, text)
 }
 
-/// Sends a load over some targets in turn; the latencies of each.
+/// Sends a load over the targets in turn; returns the latencies of each.
 pub fn run(load: &Load, targets: &[SocketAddr]) -> Result<Vec<Latencies>> {
     let next = AtomicU64::new(0);
     let ready = Barrier::new(load.callers);
     let start = OnceLock::new();
     let mut totals: Vec<Latencies> = targets.iter().map(|_| Latencies::default()).collect();
     thread::scope(|scope| -> Result<()> {
-        let carry = || {
+        let run_caller = || {
             call(load, targets, &next, || {
                 ready.wait();
                 *start.get_or_init(|| Instant::now() + START_DELAY)
             })
         };
-        let callers: Vec<_> = (0..load.callers).map(|_| scope.spawn(carry)).collect();
+        let callers: Vec<_> = (0..load.callers).map(|_| scope.spawn(run_caller)).collect();
         for caller in callers {
             let one = caller.join().expect("a caller does not panic")?;
             for (total, one) in totals.iter_mut().zip(&one) {
@@ -137,7 +133,7 @@
     Ok(totals)
 }
 
-/// One caller: takes the next request that is due, until the time is over.
+/// Runs one caller, which sends the next due request until the duration has elapsed.
 fn call(
     load: &Load,
     targets: &[SocketAddr],
@@ -145,7 +141,7 @@
     wait_for_start: impl FnOnce() -> Instant,
 ) -> Result<Vec<Latencies>> {
     let agent = agent();
-    // Connections are opened, and threads started for them, before anything is measured.
+    // Opens connections and starts their threads before the measurement.
     let warm_up = targets
         .iter()
         .try_for_each(|target| send(&agent, *target, u64::MAX));
@@ -166,13 +162,16 @@
     }
 }
 
-/// Sends one request and checks its answer.
+/// Sends one request and verifies its response.
 fn send(agent: &ureq::Agent, target: SocketAddr, number: u64) -> Result<()> {
     let prompt = prompt(number);
     let request = completion_to(target).body(body(&prompt, TOKENS, false))?;
-    let mut answer = agent.run(request)?;
-    let answer: serde_json::Value = answer.body_mut().read_json()?;
-    let text = answer["choices"][0]["text"].as_str().unwrap_or_default();
-    ensure!(is_own(&prompt, TOKENS, text), "another answer: {answer}");
+    let mut response = agent.run(request)?;
+    let response: serde_json::Value = response.body_mut().read_json()?;
+    let text = response["choices"][0]["text"].as_str().unwrap_or_default();
+    ensure!(
+        is_expected_response(&prompt, TOKENS, text),
+        "unexpected response: {response}"
+    );
     Ok(())
 }
--- a/crates/millpass-router/examples/router_bench/main.rs
+++ b/crates/millpass-router/examples/router_bench/main.rs
@@ -1,10 +1,9 @@
-//! What a router adds: latency, throughput and memory, against callers that talk straight to the
-//! engine stand-in, side by side in one run.
+//! Benchmarks the latency, throughput and memory overhead of a router, compared with direct
+//! requests to the engine stand-in in the same run.
 //!
-//! `cargo run --release -p millpass-router --example router_bench`. Engine and router run as
-//! processes of their own (this program started with another role), so that each one's processor
-//! time and memory can be told apart; callers and a control member of one run in this process.
-//! Every answer is checked to be whole and its caller's own.
+//! Run: `cargo run --release -p millpass-router --example router_bench`. Engine and router run as
+//! child processes, so that processor time and memory are measured separately; callers and a
+//! control member run in this process. Every response is verified.
 
 mod callers;
 #[path = "../../tests/common/mod.rs"]
@@ -22,40 +21,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Times that each throughput measurement is made, in turn with the other side's.
-const TURNS: usize = 2;
+/// Number of throughput runs per target, in alternation.
+const THROUGHPUT_RUNS: usize = 2;
 
-/// Slot of the engine that answers short requests.
+/// Slot of the engine for short requests.
 const SHORT_SLOT: u64 = 1;
-/// Slot of the engine that streams.
+/// Slot of the engine for streams.
 const STREAM_SLOT: u64 = 2;
 
-/// Measures what a router adds.
+/// Benchmarks the overhead of a router.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct Options {
-    /// Role of a child process: `router`, with the control address
+    /// Run as the router, with this control address
     #[bpaf(hide)]
     router: Option<SocketAddr>,
-    /// Role of a child process: `engine`, with its slot and the microseconds of a token
+    /// Run as the engine, with this slot
     #[bpaf(hide)]
     engine: Option<u64>,
-    /// Microseconds of a token
+    /// Engine time per token, in microseconds
     #[bpaf(hide, fallback(0))]
     token_micros: u64,
-    /// Seconds of each measurement
+    /// Duration of each measurement, in seconds
     #[bpaf(fallback(5))]
     seconds: u64,
-    /// Requests a second of the latency measurement, half of them through the router
+    /// Requests per second of the latency measurement, half of them through the router
     #[bpaf(fallback(1_000))]
     rate: u64,
-    /// Requests a second of the throughput measurement
+    /// Requests per second of the throughput measurement
     #[bpaf(fallback(5_000))]
     throughput: u64,
-    /// Threads of callers, each with a connection
+    /// Number of caller threads, each with a connection
     #[bpaf(fallback(64))]
     callers: usize,
-    /// Streams at once
+    /// Number of concurrent streams
     #[bpaf(fallback(500))]
     streams: usize,
 }
@@ -107,7 +106,7 @@
     ])
 }
 
-/// Requests in turn to the engine and through the router, so that both meet the same machine.
+/// Alternates requests between engine and router, so that both run under the same conditions.
 fn latency(options: &Options, engine: &Role, router: &Role) -> Result<()> {
     println!("\nlatency at {} requests/s, in turn:", options.rate);
     let load = Load {
@@ -116,17 +115,17 @@
         callers: options.callers,
     };
     let results = callers::run(&load, &[engine.address, router.address])?;
-    let [straight, through] = &results[..] else {
+    let [direct, routed] = &results[..] else {
         anyhow::bail!("two targets give two results");
     };
-    print_latency("straight", straight);
-    print_latency("through the router", through);
-    let added = |quantile| through.millis_at(quantile) - straight.millis_at(quantile);
+    print_latency("straight", direct);
+    print_latency("through the router", routed);
+    let added = |quantile| routed.millis_at(quantile) - direct.millis_at(quantile);
     println!("added: p50 {:.3} ms, p99 {:.3} ms", added(0.5), added(0.99));
     Ok(())
 }
 
-/// Open loop at a high rate: engine, router, engine, router.
+/// Open loop at a high rate, alternating between engine and router.
 fn throughput(options: &Options, engine: &Role, router: &Role) -> Result<()> {
     println!("\nopen loop at {} requests/s:", options.throughput);
     let load = Load {
@@ -134,7 +133,7 @@
         time: Duration::from_secs(options.seconds),
         callers: options.callers,
     };
-    for _ in 0..TURNS {
+    for _ in 0..THROUGHPUT_RUNS {
         for (name, address) in [("straight", engine.address), ("through", router.address)] {
             let before = [engine.processor_time()?, router.processor_time()?];
             let results = callers::run(&load, &[address])?;
--- a/crates/millpass-router/examples/router_bench/processes.rs
+++ b/crates/millpass-router/examples/router_bench/processes.rs
@@ -1,4 +1,4 @@
-//! Child processes, and what they use.
+//! Child processes and their resource usage.
 
 use anyhow::{Context, Result};
 use std::io::{BufRead, BufReader};
@@ -6,10 +6,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// Clock ticks of processor time in `/proc`, a second.
+/// Unit of processor time in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A child process; it ends when dropped.
+/// A child process, stopped when dropped.
 pub struct Role {
     child: Child,
     pub address: SocketAddr,
@@ -30,7 +30,7 @@
         Ok(Role { child, address })
     }
 
-    /// A line of the process's status, in MiB.
+    /// Returns a memory value of the process status, in MiB.
     pub fn memory(&self, key: &str) -> Result<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find(|line| line.starts_with(key));
@@ -39,7 +39,7 @@
         Ok(kibibytes / 1024.0)
     }
 
-    /// Processor time used so far.
+    /// Returns the processor time used so far.
     pub fn processor_time(&self) -> Result<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let (_, rest) = stat.rsplit_once(')').context("a stat line")?;
@@ -56,7 +56,7 @@
     }
 }
 
-/// The machine's load averages over 1, 5 and 15 minutes.
+/// Returns the load averages over 1, 5 and 15 minutes.
 pub fn load_average() -> Result<String> {
     let text = std::fs::read_to_string("/proc/loadavg")?;
     let words: Vec<&str> = text.split_whitespace().take(3).collect();
--- a/crates/millpass-router/examples/router_bench/roles.rs
+++ b/crates/millpass-router/examples/router_bench/roles.rs
@@ -1,6 +1,6 @@
-//! What the child processes run.
+//! Main functions of the child processes.
 
-use crate::common::ENGINE_RUN;
+use crate::common::ENGINE_INCARNATION;
 use anyhow::{Result, ensure};
 use millpass_proto::{
     BackendName, EngineOrder, LoadModelOrder, LogPosition, OrderAction, OrderResponse, SlotId,
@@ -11,25 +11,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests at once that the engine takes, so that neither it nor the router queues any.
+/// Concurrency limit of the engine, high enough that requests are never queued.
 pub const CONCURRENCY: u32 = 4_096;
-/// Time for a token of the engine that streams.
+/// Time per token of the engine for streams.
 pub const STREAM_TOKEN_TIME: Duration = Duration::from_millis(20);
-/// Time for a token of the engine that answers short requests.
+/// Time per token of the engine for short requests.
 pub const SHORT_TOKEN_TIME: Duration = Duration::from_micros(1);
 
-/// Tells the parent the address, then runs until the parent closes standard input.
+/// Prints the address, then waits until the parent closes standard input.
 fn announce_and_wait(address: SocketAddr) -> Result<()> {
     println!("{address}");
     std::io::stdin().read_to_end(&mut Vec::new())?;
     Ok(())
 }
 
-/// An engine with the model in this slot, and this time for a token.
+/// Runs an engine with the model loaded in `slot`.
 pub fn run_engine(slot: SlotId, token_time: Duration) -> Result<()> {
     let mut settings = EngineSettings {
         backend: engine_name(slot),
-        incarnation: ENGINE_RUN,
+        incarnation: ENGINE_INCARNATION,
         ..EngineSettings::default()
     };
     settings.limits.batch_slots = CONCURRENCY as usize;
@@ -54,7 +54,7 @@
     let order = EngineOrder {
         fence: LogPosition { term: 1, index: 1 },
         backend: engine_name(slot),
-        incarnation: ENGINE_RUN,
+        incarnation: ENGINE_INCARNATION,
         action: OrderAction::LoadModel(LoadModelOrder {
             slot,
             model: "writer".into(),
@@ -66,10 +66,10 @@
         }),
     };
     let url = format!("http://{}/engine/orders", engine.address());
-    let answer: OrderResponse = ureq::post(&url).send_json(&order)?.body_mut().read_json()?;
+    let response: OrderResponse = ureq::post(&url).send_json(&order)?.body_mut().read_json()?;
     ensure!(
-        answer == OrderResponse::Accepted,
-        "the order got {answer:?}"
+        response == OrderResponse::Accepted,
+        "order rejected: {response:?}"
     );
     while engine.audit().model_loads == 0 {
         std::thread::sleep(Duration::from_millis(1));
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// A router with its settings as they come.
+/// Runs a router with default settings.
 pub fn run_router(control: SocketAddr) -> Result<()> {
     let router = millpass_router::start(RouterProcessSettings {
         control_members: vec![control],
--- a/crates/millpass-router/examples/router_bench/streams.rs
+++ b/crates/millpass-router/examples/router_bench/streams.rs
@@ -1,6 +1,6 @@
-//! Many streams at once.
+//! Concurrent streams.
 
-use crate::callers::{Latencies, agent, body, is_own, print_latency, prompt};
+use crate::callers::{Latencies, agent, body, is_expected_response, print_latency, prompt};
 use crate::common::completion_to;
 use crate::processes::Role;
 use crate::roles::STREAM_TOKEN_TIME;
@@ -11,16 +11,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Tokens of one stream.
 const TOKENS: u32 = 100;
-/// Stack of a caller's thread.
+/// Stack size of a caller's thread.
 const STACK_BYTES: usize = 128 * 1024;
-/// Buffer of a caller's reads.
+/// Read buffer size of a caller.
 const READ_BYTES: usize = 1024;
-/// Start of an event with a token.
+/// Prefix of an event with a token.
 const EVENT: &str = "data: {";
 
-/// Opens streams at once to one target, checks each, and prints what the router used.
+/// Opens streams to one target, verifies each, and prints the router's resource usage.
 pub fn measure(name: &str, count: usize, target: SocketAddr, router: &Role) -> Result<()> {
     println!("\n{count} streams at once of {TOKENS} tokens, one in {STREAM_TOKEN_TIME:?}, {name}:");
     let barrier = Barrier::new(count + 1);
@@ -31,9 +30,9 @@
         let mut callers = Vec::new();
         for number in 0..count as u64 {
             let barrier = &barrier;
-            let carry = move || stream(target, number, barrier);
+            let run_caller = move || stream(target, number, barrier);
             let builder = thread::Builder::new().stack_size(STACK_BYTES);
-            callers.push(builder.spawn_scoped(scope, carry)?);
+            callers.push(builder.spawn_scoped(scope, run_caller)?);
         }
         barrier.wait();
         thread::sleep(STREAM_TOKEN_TIME * TOKENS / 2);
@@ -57,15 +56,15 @@
     Ok(())
 }
 
-/// One stream: the times to its first token and to its end.
+/// Runs one stream; returns the times to its first token and to its end.
 fn stream(target: SocketAddr, number: u64, barrier: &Barrier) -> Result<(Duration, Duration)> {
     let prompt = prompt(number);
     let request = completion_to(target).body(body(&prompt, TOKENS, true))?;
     let agent = agent();
     barrier.wait();
     let started = Instant::now();
-    let answer = agent.run(request)?;
-    let lines = BufReader::with_capacity(READ_BYTES, answer.into_body().into_reader()).lines();
+    let response = agent.run(request)?;
+    let lines = BufReader::with_capacity(READ_BYTES, response.into_body().into_reader()).lines();
     let mut text = String::new();
     let mut first = None;
     let mut is_done = false;
@@ -79,8 +78,8 @@
         is_done |= line == "data: [DONE]";
     }
     ensure!(
-        is_done && is_own(&prompt, TOKENS, &text),
-        "not whole: {text}"
+        is_done && is_expected_response(&prompt, TOKENS, &text),
+        "incomplete stream: {text}"
     );
     Ok((first.unwrap_or_default(), started.elapsed()))
 }
--- a/crates/millpass-router/tests/common/control.rs
+++ b/crates/millpass-router/tests/common/control.rs
@@ -1,6 +1,6 @@
-//! A control group of one in-memory member, for tests: it answers reports and claims.
+//! In-memory control group of one member that responds to reports and claims.
 
-use super::{ENGINE_RUN, KEY, wait_until};
+use super::{ENGINE_INCARNATION, KEY, wait_until};
 use crossbeam::channel::{Receiver, Sender, unbounded};
 use millpass_proto::codec::{read_frame, write_frame};
 use millpass_proto::*;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 
-/// What the member knows.
+/// State of the member.
 #[derive(Default)]
 pub struct State {
     pub objects: Vec<StoredObject>,
@@ -19,17 +19,16 @@
     pub web: Vec<WebRoute>,
     pub placement: u64,
     pub watch: Vec<WatchedBackend>,
-    pub outlook: Vec<LoadEstimate>,
+    pub load_estimates: Vec<LoadEstimate>,
     pub claims: BTreeMap<ClaimKey, (String, Option<ClaimConclusion>)>,
-    /// Claims and ends of claims are not answered.
-    pub mute_claims: bool,
-    /// The member does not lead, and names this leader.
+    /// Drops claims and claim completions without a response.
+    pub ignore_claims: bool,
+    /// If set, the member is not the leader and states this address.
     pub leader_hint: Option<SocketAddr>,
     pub last_report: Option<RouterReport>,
     connections: Vec<TcpStream>,
 }
 
-/// The member.
 #[derive(Clone)]
 pub struct Control {
     address: SocketAddr,
@@ -38,8 +37,8 @@
 }
 
 impl Control {
-    /// A member with the tenant `acme`, the models `writer` and `idle`, the adapter `writer:legal`
-    /// and a policy that allows everything but the model `secret`.
+    /// Starts a member with the tenant `acme`, the models `writer` and `idle`, the adapter
+    /// `writer:legal` and a policy that allows everything but the model `secret`.
     pub fn start() -> Control {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -67,7 +66,7 @@
         self.state.lock().unwrap()
     }
 
-    /// Waits until the router reports the catalog and routes held here.
+    /// Waits until the router reports the member's catalog and routes.
     pub fn wait_until_applied(&self) {
         wait_until("catalog and routes applied", || {
             let state = self.lock();
@@ -83,7 +82,7 @@
         self.add_replica_for(slot, engine, 64);
     }
 
-    /// Adds such a replica that serves this many requests at once.
+    /// Adds such a replica with this concurrency.
     pub fn add_replica_for(&self, slot: u64, engine: SocketAddr, concurrency: u32) {
         let mut state = self.lock();
         state.replicas.push(ReplicaRoute {
@@ -91,7 +90,7 @@
             model: "writer".into(),
             version: "v1".into(),
             backend: format!("engine-{slot}").into(),
-            incarnation: ENGINE_RUN,
+            incarnation: ENGINE_INCARNATION,
             address: engine.to_string(),
             zone: "zone".into(),
             role: EngineRole::Mixed,
@@ -103,13 +102,13 @@
         state.placement += 1;
     }
 
-    /// Adds a web back end of the group `pages`.
+    /// Adds a web backend of the group `pages`.
     pub fn add_web(&self, name: &str, address: SocketAddr) {
         let mut state = self.lock();
         state.web.push(WebRoute {
             backend: name.into(),
             group: "pages".into(),
-            incarnation: ENGINE_RUN,
+            incarnation: ENGINE_INCARNATION,
             address: address.to_string(),
             zone: "zone".into(),
             leaving: false,
@@ -117,10 +116,10 @@
         state.placement += 1;
     }
 
-    /// The next observation that a router reports and that `wanted` picks.
+    /// Returns the next reported observation that matches `wanted`.
     pub fn observation(&self, wanted: impl Fn(&BackendObservation) -> bool) -> BackendObservation {
         loop {
-            let observation = self.observations.recv_timeout(super::PATIENCE);
+            let observation = self.observations.recv_timeout(super::TEST_TIMEOUT);
             let observation = observation.expect("an observation");
             if wanted(&observation) {
                 return observation;
@@ -128,8 +127,8 @@
         }
     }
 
-    /// Cuts every connection; the member goes on listening.
-    pub fn cut(&self) {
+    /// Closes every connection; the member keeps listening.
+    pub fn close_connections(&self) {
         for connection in self.lock().connections.drain(..) {
             let _ = connection.shutdown(Shutdown::Both);
         }
@@ -155,16 +154,16 @@
     let mut reader = BufReader::new(stream);
     let mut writer = stream;
     while let Ok(LinkMessage::Router(message)) = read_frame::<LinkMessage>(&mut reader) {
-        let answer = answer(&mut state.lock().unwrap(), message, observed);
-        if let Some(answer) = answer
-            && write_frame(&mut writer, &answer).is_err()
+        let response = respond(&mut state.lock().unwrap(), message, observed);
+        if let Some(response) = response
+            && write_frame(&mut writer, &response).is_err()
         {
             return;
         }
     }
 }
 
-fn answer(
+fn respond(
     state: &mut State,
     message: RouterToControl,
     observed: &Sender<BackendObservation>,
@@ -188,10 +187,10 @@
             state.last_report = Some(report);
             Some(ControlToRouter::Update(update))
         }
-        RouterToControl::Claim(request) if !state.mute_claims => {
+        RouterToControl::Claim(request) if !state.ignore_claims => {
             Some(ControlToRouter::Claim(begin_claim(state, request.claim)))
         }
-        RouterToControl::FinishClaim(finish) if !state.mute_claims => {
+        RouterToControl::FinishClaim(finish) if !state.ignore_claims => {
             match finish.conclusion {
                 ClaimConclusion::NotRun => {
                     state.claims.remove(&finish.key);
@@ -217,8 +216,8 @@
         }
         Some((digest, _)) if *digest != claim.digest => ClaimDecision::DigestMismatch,
         Some((_, None)) => ClaimDecision::InProgress,
-        Some((_, Some(ClaimConclusion::Answered(answer)))) => {
-            ClaimDecision::Answered(answer.clone())
+        Some((_, Some(ClaimConclusion::Answered(response)))) => {
+            ClaimDecision::Answered(response.clone())
         }
         Some(_) => ClaimDecision::MayHaveRun,
     };
@@ -255,7 +254,7 @@
         configuration: (report.configuration.0 < state.configuration).then_some(configuration),
         placement: (report.placement.0 < state.placement).then_some(placement),
         watch: Some(watch),
-        load_estimates: state.outlook.clone(),
+        load_estimates: state.load_estimates.clone(),
         claims_created_after_unix_millis: 1_000,
     }
 }
--- a/crates/millpass-router/tests/common/engine.rs
+++ b/crates/millpass-router/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! A scripted engine (or web back end) for tests: the test says how each request is answered.
+//! Engine or web backend with scripted responses.
 
 use bytes::Bytes;
 use crossbeam::channel::{Receiver, Sender, unbounded};
@@ -9,27 +9,27 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The engine.
+/// A scripted engine.
 pub struct Engine {
     server: ServerHandle,
-    /// Requests as they arrive, cancellations left out.
+    /// Requests as they arrive, except cancellations.
     pub requests: Receiver<Request>,
     /// Request ids of cancellations.
     pub cancelled: Receiver<String>,
 }
 
 impl Engine {
-    /// Starts an engine that answers with `script`.
+    /// Starts an engine that responds with `script`.
     pub fn start(script: impl Fn(&Request, Responder) + Send + Sync + 'static) -> Engine {
         let (arrived, requests) = unbounded();
         let (cancel, cancelled) = unbounded();
         let handler = move |request: Request, responder: Responder| {
             if request.method == Method::DELETE {
-                note_cancellation(&request, &cancel);
+                record_cancellation(&request, &cancel);
                 responder.send(Response::text(StatusCode::OK, ""));
                 return;
             }
-            // Nobody may want to know.
+            // Fails if the test does not keep the receiver.
             let _ = arrived.send(request.clone());
             script(&request, responder);
         };
@@ -42,8 +42,10 @@
         }
     }
 
-    /// Starts an engine that keeps no record of its requests.
-    pub fn start_quiet(script: impl Fn(&Request, Responder) + Send + Sync + 'static) -> Engine {
+    /// Starts an engine that does not record its requests.
+    pub fn start_unrecorded(
+        script: impl Fn(&Request, Responder) + Send + Sync + 'static,
+    ) -> Engine {
         let engine = Engine::start(script);
         Engine {
             requests: crossbeam::channel::never(),
@@ -55,32 +57,31 @@
         self.server.local_address()
     }
 
-    /// The next request.
+    /// Returns the next request.
     pub fn request(&self) -> Request {
-        let request = self.requests.recv_timeout(super::PATIENCE);
+        let request = self.requests.recv_timeout(super::TEST_TIMEOUT);
         request.expect("a request reaches the engine")
     }
 }
 
-fn note_cancellation(request: &Request, cancel: &Sender<String>) {
+fn record_cancellation(request: &Request, cancel: &Sender<String>) {
     let id = request.uri.path().strip_prefix("/engine/requests/");
     cancel.send(id.expect("a request id").to_owned()).unwrap();
 }
 
-/// A header's value as text.
+/// Returns a header's value, or an empty string.
 pub fn header<'a>(request: &'a Request, name: &str) -> &'a str {
     let value = request.headers.get(name);
     value.map_or("", |value| value.to_str().expect("text"))
 }
 
-/// Where the router wants the stream to go on.
+/// Returns the token position from which the router resumes the stream.
 pub fn resume_from(request: &Request) -> u64 {
     header(request, "millpass-resume-from")
         .parse()
         .expect("a position")
 }
 
-/// Opens an event stream.
 pub fn open_stream(responder: Responder) -> BodyWriter {
     let mut headers = HeaderMap::new();
     let event_stream = HeaderValue::from_static("text/event-stream");
@@ -88,18 +89,18 @@
     responder.stream(StatusCode::OK, headers)
 }
 
-/// The event of the token at a position.
+/// Returns the event of the token at a position.
 pub fn token(position: u64) -> Bytes {
     let chunk = serde_json::json!({"choices": [{"index": 0, "text": format!("t{position} ")}]});
     Bytes::from(format!("data: {chunk}\n\n"))
 }
 
-/// The end of a stream.
+/// Returns the final event of a stream.
 pub fn done() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
-/// Streams the tokens from the position asked for up to `end`, whole.
+/// Streams the tokens from the requested position up to `end`, and completes the stream.
 pub fn stream_tokens(request: &Request, responder: Responder, end: u64) {
     let mut body = open_stream(responder);
     for position in resume_from(request)..end {
@@ -109,20 +110,20 @@
     body.finish();
 }
 
-/// Refuses without running the request.
+/// Refuses a request without running it.
 pub fn refuse(responder: Responder) {
     let refusal = Response::text(StatusCode::SERVICE_UNAVAILABLE, "not loaded");
     let name = http::HeaderName::from_static("millpass-executed");
     responder.send(refusal.with_header(name, "no"));
 }
 
-/// A whole answer.
-pub fn answer_whole(responder: Responder, text: &str) {
+/// Sends a complete response.
+pub fn respond_buffered(responder: Responder, text: &str) {
     let body = serde_json::json!({"choices": [{"index": 0, "text": text}]});
     responder.send(Response::json(StatusCode::OK, &body));
 }
 
-/// Texts of the tokens `0..end`.
+/// Returns the texts of the tokens `0..end`.
 pub fn tokens(end: u64) -> Vec<String> {
     (0..end).map(|position| format!("t{position} ")).collect()
 }
--- a/crates/millpass-router/tests/common/mod.rs
+++ b/crates/millpass-router/tests/common/mod.rs
@@ -12,12 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait of a test for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for expected events.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// API key of the tenant `acme`.
 pub const KEY: &str = "acme-key";
 
-/// Settings of a test's router that follows these members.
+/// Returns settings of a router with these control members.
 pub fn settings(members: Vec<SocketAddr>) -> RouterProcessSettings {
     let mut settings = RouterProcessSettings {
         control_members: members,
@@ -29,29 +29,29 @@
     settings
 }
 
-/// Starts a router that follows `control`, and waits until it has its lease.
+/// Starts a router connected to `control`, and waits for its lease.
 pub fn start_router(control: &Control) -> RouterHandle {
     start_with(control, settings(vec![control.address()]))
 }
 
-/// Starts a router with these settings, and waits until it has its lease.
+/// Starts a router with these settings, and waits for its lease.
 pub fn start_with(control: &Control, settings: RouterProcessSettings) -> RouterHandle {
     let router = millpass_router::start(settings).expect("the router starts");
     control.wait_until_applied();
     router
 }
 
-/// An answer as a caller got it.
+/// Response as received by a caller.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CallerResponse {
     pub status: u16,
     pub headers: http::HeaderMap,
     pub body: String,
-    /// Whether the body had its proper end.
-    pub whole: bool,
+    /// False if the body was aborted.
+    pub complete: bool,
 }
 
-impl Answer {
+impl CallerResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
@@ -64,7 +64,7 @@
         self.json()["error"][field].clone()
     }
 
-    /// Texts of the tokens of a streamed answer.
+    /// Returns the token texts of a streamed response.
     pub fn tokens(&self) -> Vec<String> {
         let events = self.body.split("\n\n");
         let data = events.filter_map(|event| event.strip_prefix("data: "));
@@ -74,39 +74,39 @@
     }
 }
 
-/// A caller's agent.
+/// Returns an HTTP agent for a caller.
 pub fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(TEST_TIMEOUT))
         .build()
         .into()
 }
 
-/// Sends a request and reads its answer as far as it goes.
-pub fn call(request: http::Request<String>) -> Answer {
-    read_answer(agent().run(request).expect("an answer"))
+/// Sends a request and reads its response as far as possible.
+pub fn call(request: http::Request<String>) -> CallerResponse {
+    read_response(agent().run(request).expect("a response"))
 }
 
-/// Reads an answer as far as it goes.
-pub fn read_answer(answer: http::Response<ureq::Body>) -> Answer {
-    let (head, body) = answer.into_parts();
+/// Reads a response as far as possible.
+pub fn read_response(response: http::Response<ureq::Body>) -> CallerResponse {
+    let (head, body) = response.into_parts();
     let mut bytes = Vec::new();
-    let whole = body.into_reader().read_to_end(&mut bytes).is_ok();
-    Answer {
+    let complete = body.into_reader().read_to_end(&mut bytes).is_ok();
+    CallerResponse {
         status: head.status.as_u16(),
         headers: head.headers,
         body: String::from_utf8(bytes).expect("text"),
-        whole,
+        complete,
     }
 }
 
-/// A completion request of the tenant `acme`, still without its body.
+/// Builds a completion request of the tenant `acme`, without a body.
 pub fn completion(router: &RouterHandle) -> http::request::Builder {
     completion_to(router.address())
 }
 
-/// The same to any address.
+/// Builds a completion request to any address.
 pub fn completion_to(address: SocketAddr) -> http::request::Builder {
     http::Request::post(format!("http://{address}/v1/completions"))
         .header("Authorization", format!("Bearer {KEY}"))
@@ -116,7 +116,7 @@
     http::Request::post(format!("http://{}{path}", router.address()))
 }
 
-/// Body of a completion.
+/// Returns the body of a completion request.
 pub fn prompt(stream: bool) -> String {
     serde_json::json!({"model": "writer", "prompt": "hello", "stream": stream}).to_string()
 }
@@ -124,7 +124,9 @@
 /// Sends a request over a plain socket, which the test may close at any time.
 pub fn send_raw(router: &RouterHandle, path: &str, headers: &str, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(router.address()).expect("the router accepts");
-    stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("timeout");
     let length = body.len();
     let text = format!(
         "POST {path} HTTP/1.1\r\nHost: test\r\nAuthorization: Bearer {KEY}\r\n{headers}\
@@ -137,7 +139,9 @@
 /// Sends a request of any method with a body.
 pub fn send_method(router: &RouterHandle, method: &str, path: &str, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(router.address()).expect("the router accepts");
-    stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("timeout");
     let length = body.len();
     let text = format!(
         "{method} {path} HTTP/1.1\r\nHost: test\r\nConnection: close\r\n\
@@ -147,7 +151,7 @@
     stream
 }
 
-/// Reads up to and with the first `text`, and nothing beyond it.
+/// Reads up to and including the first occurrence of `text`, and nothing beyond it.
 pub fn read_until(stream: &TcpStream, text: &str) {
     let mut read = Vec::new();
     for byte in BufReader::with_capacity(1, stream).bytes() {
@@ -163,24 +167,24 @@
 }
 
 /// Reads a page of the observation API.
-pub fn observe(router: &RouterHandle, path: &str) -> Answer {
+pub fn observe(router: &RouterHandle, path: &str) -> CallerResponse {
     let url = format!("http://{}{path}", router.metrics_address());
-    read_answer(agent().get(&url).call().expect("an answer"))
+    read_response(agent().get(&url).call().expect("a response"))
 }
 
-/// A fresh idempotency key that says its birth itself.
+/// Returns a new idempotency key that contains its creation time.
 pub fn fresh_key() -> ClaimKey {
     uuid::Uuid::now_v7().to_string().into()
 }
 
-/// Run of every test engine.
-pub const ENGINE_RUN: Incarnation = Incarnation(7);
+/// Incarnation of every test engine.
+pub const ENGINE_INCARNATION: Incarnation = Incarnation(7);
 
 /// Waits until a condition holds.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < until, "never happened: {what}");
+        assert!(Instant::now() < until, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
--- a/crates/millpass-router/tests/deadlines.rs
+++ b/crates/millpass-router/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! What a caller gets when its back end says nothing.
+//! Responses to callers whose backend does not respond.
 
 mod common;
 
@@ -23,10 +23,14 @@
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     let request = completion(&router).header("Millpass-Deadline-Ms", "300");
-    let answer = call(request.body(prompt(streamed)).unwrap());
-    assert_eq!(answer.status, 504);
-    assert!(answer.body.contains("deadline_passed"), "{}", answer.body);
-    assert!(answer.body.contains("unknown"), "{}", answer.body);
+    let response = call(request.body(prompt(streamed)).unwrap());
+    assert_eq!(response.status, 504);
+    assert!(
+        response.body.contains("deadline_passed"),
+        "{}",
+        response.body
+    );
+    assert!(response.body.contains("unknown"), "{}", response.body);
 }
 
 #[test]
@@ -36,9 +40,8 @@
     assert!(slack > tick * 4);
 }
 
-/// An engine behind a cut takes requests and cancellations and answers neither. Were the refusal
-/// held until the cancellation is over, or until a read times out, the caller's patience would end
-/// first.
+/// An unreachable engine accepts requests and cancellations but responds to neither. Guards against
+/// a refusal that is delayed by the cancellation or a read timeout.
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
@@ -55,9 +58,9 @@
     settings.backends.deadline_slack = Duration::from_secs(600);
     let router = start_with(&control, settings);
     let request = completion(&router).header("Millpass-Deadline-Ms", "200");
-    let answer = call(request.body(prompt(streamed)).unwrap());
-    assert_eq!(answer.status, 504);
-    assert_eq!(answer.error("executed"), "unknown");
-    // Cuts the cancellation, which holds a thread of the router.
+    let response = call(request.body(prompt(streamed)).unwrap());
+    assert_eq!(response.status, 504);
+    assert_eq!(response.error("executed"), "unknown");
+    // Aborts the cancellation, which blocks a thread of the router.
     engine.stop();
 }
--- a/crates/millpass-router/tests/drain.rs
+++ b/crates/millpass-router/tests/drain.rs
@@ -1,12 +1,12 @@
-//! Planned stop of a router.
+//! Graceful stop of a router.
 
 mod common;
 
 use common::control::Control;
 use common::engine::{Engine, done, open_stream, token};
 use common::{
-    PATIENCE, agent, call, completion, completion_to, prompt, read_answer, read_until, send_raw,
-    settings, start_router, start_with, wait_until,
+    TEST_TIMEOUT, agent, call, completion, completion_to, prompt, read_response, read_until,
+    send_raw, settings, start_router, start_with, wait_until,
 };
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use millpass_http::{BodyWriter, DrainReport};
@@ -16,22 +16,22 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Streams in flight at once.
+/// Concurrent streams.
 const STREAMS: usize = 20;
 
-/// An engine that sends one token of each stream, and the rest once it is let go.
-fn start_held_engine() -> (Engine, Sender<()>) {
-    let (let_go, go_on) = bounded::<()>(0);
+/// An engine that sends one token of each stream, and the rest once the sender is dropped.
+fn start_blocked_engine() -> (Engine, Sender<()>) {
+    let (release, proceed) = bounded::<()>(0);
     let engine = Engine::start(move |_, responder| {
         let mut body = open_stream(responder);
         body.write(token(0)).unwrap();
-        // The test drops its end to let all streams go on.
-        let _ = go_on.recv_timeout(PATIENCE);
+        // The test drops its sender to resume all streams.
+        let _ = proceed.recv_timeout(TEST_TIMEOUT);
         body.write(token(1)).unwrap();
         body.write(done()).unwrap();
         body.finish();
     });
-    (engine, let_go)
+    (engine, release)
 }
 
 fn start_streams(router: &RouterHandle) -> Vec<TcpStream> {
@@ -51,7 +51,7 @@
 
 #[test]
 fn drain_lets_streams_finish_and_notifies_the_control_group() {
-    let (engine, let_go) = start_held_engine();
+    let (engine, release) = start_blocked_engine();
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = Arc::new(start_router(&control));
@@ -60,7 +60,7 @@
     wait_until("draining reported", || {
         control.lock().last_report.as_ref().unwrap().draining
     });
-    drop(let_go);
+    drop(release);
     for stream in &streams {
         read_until(stream, "t1 ");
         read_until(stream, "[DONE]");
@@ -71,16 +71,16 @@
 
 #[test]
 fn new_requests_are_refused_during_a_drain() {
-    let (engine, let_go) = start_held_engine();
+    let (engine, release) = start_blocked_engine();
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = Arc::new(start_router(&control));
     let address = router.address();
-    // An agent keeps its connection, as callers do.
+    // Reuses its connection, unlike the second agent.
     let kept = agent();
-    let ask = |agent: &ureq::Agent| {
+    let send = |agent: &ureq::Agent| {
         let request = completion_to(address).body(prompt(false)).unwrap();
-        read_answer(agent.run(request).unwrap())
+        read_response(agent.run(request).unwrap())
     };
     let models = format!("http://{address}/v1/models");
     kept.get(&models)
@@ -95,7 +95,7 @@
         control.lock().last_report.as_ref().unwrap().draining
     });
     for agent in [kept, agent()] {
-        let refused = ask(&agent);
+        let refused = send(&agent);
         assert_eq!(
             (refused.status, refused.error("code").as_str()),
             (503, Some("draining"))
@@ -104,7 +104,7 @@
         assert_eq!(refused.header("retry-after"), Some("1"));
     }
     assert_eq!(engine.requests.len(), STREAMS);
-    drop(let_go);
+    drop(release);
     streams
         .iter()
         .for_each(|stream| read_until(stream, "[DONE]"));
@@ -112,7 +112,7 @@
     assert!(TcpStream::connect(address).is_err());
 }
 
-/// An engine whose streams never end by themselves.
+/// An engine whose streams never end.
 fn start_endless_engine() -> (Engine, Receiver<BodyWriter>) {
     let (keep, kept) = unbounded();
     let engine = Engine::start(move |_, responder| {
--- a/crates/millpass-router/tests/explain.rs
+++ b/crates/millpass-router/tests/explain.rs
@@ -1,28 +1,28 @@
-//! `/v1/explain/{request id}`: why a request was served, waits, or was refused.
+//! `/v1/explain/{request id}`: explanations of served, waiting and refused requests.
 
 mod common;
 
 use common::control::Control;
-use common::engine::{Engine, answer_whole, refuse};
+use common::engine::{Engine, refuse, respond_buffered};
 use common::{call, completion, observe, post, prompt, send_raw, start_router, wait_until};
 use millpass_router::RouterHandle;
 use rstest::rstest;
 use serde_json::{Value, json};
 
 fn explain(router: &RouterHandle, request_id: &str) -> Value {
-    let answer = observe(router, &format!("/v1/explain/{request_id}"));
-    assert_eq!(answer.status, 200, "{answer:?}");
-    answer.json()
+    let response = observe(router, &format!("/v1/explain/{request_id}"));
+    assert_eq!(response.status, 200, "{response:?}");
+    response.json()
 }
 
-/// Fields of one JSON object, in this order.
+/// Returns fields of a JSON object in this order.
 fn fields(object: &Value, names: &[&str]) -> Vec<Value> {
     names.iter().map(|name| object[*name].clone()).collect()
 }
 
 #[test]
 fn explanation_of_a_served_request_has_policy_backend_and_times() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
@@ -64,11 +64,11 @@
     let router = start_router(&control);
     let request = completion(&router).header("X-Request-Id", "tried-1");
     let request = request.header("Millpass-Deadline-Ms", "3000");
-    let answer = call(request.body(prompt(false)).unwrap());
-    assert_eq!(answer.error("executed"), "no");
+    let response = call(request.body(prompt(false)).unwrap());
+    assert_eq!(response.error("executed"), "no");
     let explanation = explain(&router, "tried-1");
     assert_eq!(explanation["outcome"], "refused");
-    assert_eq!(explanation["refusal"], answer.json()["error"]);
+    assert_eq!(explanation["refusal"], response.json()["error"]);
     let attempts = explanation["attempts"].as_array().unwrap();
     assert_eq!(attempts.len(), refusing.requests.len());
     assert!(!attempts.is_empty());
@@ -90,7 +90,7 @@
         "X-Request-Id: waits-1\r\n",
         &prompt(false),
     );
-    wait_until("it waits", || {
+    wait_until("request waiting", || {
         observe(&router, "/v1/explain/waits-1").status == 200
     });
     let explanation = explain(&router, "waits-1");
@@ -98,7 +98,7 @@
     let reason = explanation["waiting_for"].as_str().unwrap();
     assert!(reason.contains("no replica is loaded"), "{reason}");
     drop(stream);
-    wait_until("its end is seen", || {
+    wait_until("disconnect observed", || {
         explain(&router, "waits-1")["outcome"] == "caller_gone"
     });
 }
@@ -114,12 +114,12 @@
     let control = Control::start();
     let router = start_router(&control);
     let request = completion(&router).header("X-Request-Id", "refused-1");
-    let answer = call(request.body(body.to_owned()).unwrap());
-    assert_eq!(answer.error("code"), code);
+    let response = call(request.body(body.to_owned()).unwrap());
+    assert_eq!(response.error("code"), code);
     let explanation = explain(&router, "refused-1");
     assert_eq!(
         fields(&explanation, &["outcome", "tenant", "refusal"]),
-        [json!("refused"), tenant, answer.json()["error"].clone()]
+        [json!("refused"), tenant, response.json()["error"].clone()]
     );
     assert_eq!(explanation["attempts"], json!([]));
 }
@@ -141,8 +141,8 @@
 fn explanation_of_an_unknown_request_id_names_a_remedy() {
     let control = Control::start();
     let router = start_router(&control);
-    let answer = observe(&router, "/v1/explain/never");
-    assert_eq!(answer.status, 404);
-    let message = answer.error("message");
+    let response = observe(&router, "/v1/explain/never");
+    assert_eq!(response.status, 404);
+    let message = response.error("message");
     assert!(message.as_str().unwrap().contains("query the router"));
 }
--- a/crates/millpass-router/tests/failures.rs
+++ b/crates/millpass-router/tests/failures.rs
@@ -1,14 +1,15 @@
-//! Hang-ups, broken streams, failing engines and claimed requests.
+//! Disconnects, interrupted streams, failing engines and claimed requests.
 
 mod common;
 
 use common::control::Control;
 use common::engine::{
-    Engine, answer_whole, header, open_stream, refuse, resume_from, stream_tokens, token, tokens,
+    Engine, header, open_stream, refuse, respond_buffered, resume_from, stream_tokens, token,
+    tokens,
 };
 use common::{
-    PATIENCE, call, completion, fresh_key, prompt, read_until, send_raw, settings, start_router,
-    wait_until,
+    TEST_TIMEOUT, call, completion, fresh_key, prompt, read_until, send_raw, settings,
+    start_router, wait_until,
 };
 use crossbeam::channel::{bounded, unbounded};
 use http::StatusCode;
@@ -23,13 +24,13 @@
 
 #[test]
 fn disconnect_while_streaming_cancels_at_the_engine() {
-    let (gone, told) = bounded(1);
+    let (gone, closed) = bounded(1);
     let engine = Engine::start(move |_, responder| {
         let mut body = open_stream(responder);
         body.write(token(0)).unwrap();
         let gone = gone.clone();
         body.caller_gone().on_gone(move || gone.send(()).unwrap());
-        // Nothing more is written: the engine must be told without it.
+        // The engine must be notified although it writes nothing more.
         while !body.is_caller_gone() {
             thread::yield_now();
         }
@@ -40,10 +41,11 @@
     let stream = send_raw(&router, "/v1/completions", "", &prompt(true));
     read_until(&stream, "t0 ");
     drop(stream);
-    told.recv_timeout(PATIENCE)
+    closed
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the connection is closed");
     let id = header(&engine.request(), "x-request-id").to_owned();
-    assert_eq!(engine.cancelled.recv_timeout(PATIENCE).unwrap(), id);
+    assert_eq!(engine.cancelled.recv_timeout(TEST_TIMEOUT).unwrap(), id);
 }
 
 #[test]
@@ -54,15 +56,17 @@
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     let stream = send_raw(&router, "/v1/completions", "", &prompt(false));
-    let responder = kept.recv_timeout(PATIENCE).unwrap();
+    let responder = kept.recv_timeout(TEST_TIMEOUT).unwrap();
     drop(stream);
-    wait_until("the engine sees it", || responder.is_caller_gone());
-    assert!(engine.cancelled.recv_timeout(PATIENCE).is_ok());
+    wait_until("disconnect seen by the engine", || {
+        responder.is_caller_gone()
+    });
+    assert!(engine.cancelled.recv_timeout(TEST_TIMEOUT).is_ok());
 }
 
 #[test]
 fn disconnected_waiting_request_is_not_sent_to_an_engine() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     let router = start_router(&control);
     let waiting = |count: u32| {
@@ -71,20 +75,20 @@
         demand.iter().map(|demand| demand.waiting).sum::<u32>() == count
     };
     let stream = send_raw(&router, "/v1/completions", "", &prompt(false));
-    wait_until("it waits", || waiting(1));
+    wait_until("request waiting", || waiting(1));
     drop(stream);
-    wait_until("it no longer waits", || waiting(0));
+    wait_until("request no longer waiting", || waiting(0));
     control.add_replica(1, engine.address());
-    let answer = call(completion(&router).body(prompt(false)).unwrap());
-    assert_eq!(answer.status, 200);
+    let response = call(completion(&router).body(prompt(false)).unwrap());
+    assert_eq!(response.status, 200);
     assert_eq!(engine.requests.len(), 1);
 }
 
-/// An engine that breaks its first streams off after `kept` tokens and gives later ones whole.
-fn breaking_engine(breaks: usize, kept: u64, end: u64) -> Engine {
+/// An engine that aborts its first streams after `kept` tokens and completes later ones.
+fn start_interrupting_engine(interruptions: usize, kept: u64, end: u64) -> Engine {
     let seen = AtomicUsize::new(0);
     Engine::start(move |request, responder| {
-        if seen.fetch_add(1, Ordering::SeqCst) >= breaks {
+        if seen.fetch_add(1, Ordering::SeqCst) >= interruptions {
             stream_tokens(request, responder, end);
             return;
         }
@@ -100,35 +104,35 @@
 #[rstest]
 #[case::once(1)]
 #[case::twice(2)]
-fn a_broken_stream_goes_on_with_no_token_lost_or_twice(#[case] breaks: usize) {
-    let engine = breaking_engine(breaks, 2, 8);
+fn a_broken_stream_goes_on_with_no_token_lost_or_twice(#[case] interruptions: usize) {
+    let engine = start_interrupting_engine(interruptions, 2, 8);
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
-    let answer = call(completion(&router).body(prompt(true)).unwrap());
-    assert_eq!(answer.tokens(), tokens(8));
-    assert!(answer.whole && answer.body.ends_with("data: [DONE]\n\n"));
-    let positions: Vec<u64> = (0..=breaks as u64).map(|turn| turn * 2).collect();
-    let asked: Vec<u64> = engine
+    let response = call(completion(&router).body(prompt(true)).unwrap());
+    assert_eq!(response.tokens(), tokens(8));
+    assert!(response.complete && response.body.ends_with("data: [DONE]\n\n"));
+    let positions: Vec<u64> = (0..=interruptions as u64).map(|turn| turn * 2).collect();
+    let requested: Vec<u64> = engine
         .requests
         .try_iter()
         .map(|request| resume_from(&request))
         .collect();
-    assert_eq!(asked, positions);
+    assert_eq!(requested, positions);
 }
 
 #[test]
 fn stream_that_cannot_resume_ends_with_an_error_event() {
-    let engine = breaking_engine(100, 1, 8);
+    let engine = start_interrupting_engine(100, 1, 8);
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     let request = completion(&router).header("Millpass-Deadline-Ms", "2000");
-    let answer = call(request.body(prompt(true)).unwrap());
-    assert_eq!(answer.status, 200);
-    assert!(!answer.whole);
-    assert!(!answer.body.contains("[DONE]"));
-    let (_, error) = answer
+    let response = call(request.body(prompt(true)).unwrap());
+    assert_eq!(response.status, 200);
+    assert!(!response.complete);
+    assert!(!response.body.contains("[DONE]"));
+    let (_, error) = response
         .body
         .split_once("event: error\ndata: ")
         .expect("an error event");
@@ -150,21 +154,21 @@
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     let request = completion(&router).header("Millpass-Deadline-Ms", "2000");
-    let answer = call(request.body(prompt(true)).unwrap());
-    assert!(!answer.whole && answer.body.contains("event: error"));
+    let response = call(request.body(prompt(true)).unwrap());
+    assert!(!response.complete && response.body.contains("event: error"));
 }
 
 #[test]
 fn request_refused_by_one_engine_is_retried_on_another() {
     let first = Engine::start(|_, responder| refuse(responder));
-    let second = Engine::start(|_, responder| answer_whole(responder, "second"));
+    let second = Engine::start(|_, responder| respond_buffered(responder, "second"));
     let control = Control::start();
     control.add_replica(1, first.address());
     control.add_replica(2, second.address());
     let router = start_router(&control);
     for _ in 0..4 {
-        let answer = call(completion(&router).body(prompt(false)).unwrap());
-        assert_eq!(answer.json()["choices"][0]["text"], "second");
+        let response = call(completion(&router).body(prompt(false)).unwrap());
+        assert_eq!(response.json()["choices"][0]["text"], "second");
     }
 }
 
@@ -174,37 +178,37 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let engine = Engine::start(|_, responder| answer_whole(responder, "there"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "there"));
     let control = Control::start();
     control.add_replica(1, closed);
     control.add_replica(2, engine.address());
     let router = start_router(&control);
-    let answer = call(completion(&router).body(prompt(false)).unwrap());
-    assert_eq!(answer.json()["choices"][0]["text"], "there");
+    let response = call(completion(&router).body(prompt(false)).unwrap());
+    assert_eq!(response.json()["choices"][0]["text"], "there");
 }
 
-/// Reads one request, then closes the connection without an answer.
-fn start_dying_engine() -> (std::net::SocketAddr, crossbeam::channel::Receiver<()>) {
+/// An engine that reads one request per connection and closes it without a response.
+fn start_failing_engine() -> (std::net::SocketAddr, crossbeam::channel::Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (reached, reaches) = unbounded();
+    let (request_seen, received) = unbounded();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut buffer = [0; 4096];
             let length = stream.unwrap().read(&mut buffer).unwrap_or(0);
             if length > 0 {
-                let _ = reached.send(());
+                let _ = request_seen.send(());
             }
         }
     });
-    (address, reaches)
+    (address, received)
 }
 
 #[test]
 fn a_claimed_request_whose_engine_dies_is_never_run_again() {
-    let (dying, reaches) = start_dying_engine();
+    let (failing, received) = start_failing_engine();
     let control = Control::start();
-    control.add_replica(1, dying);
+    control.add_replica(1, failing);
     let router = start_router(&control);
     let key = fresh_key();
     let send = || {
@@ -218,10 +222,10 @@
         (second.status, second.error("code").as_str()),
         (409, Some("may_have_run"))
     );
-    assert_eq!(reaches.len(), 1);
+    assert_eq!(received.len(), 1);
 }
 
-fn claimed(router: &RouterHandle, key: &str, body: &str) -> common::Answer {
+fn claimed(router: &RouterHandle, key: &str, body: &str) -> common::CallerResponse {
     let request = completion(router).header("Idempotency-Key", key);
     call(request.body(body.to_owned()).unwrap())
 }
@@ -232,7 +236,7 @@
 fn claimed_request_runs_once_and_its_response_is_replayed(#[case] stream: bool) {
     let engine = Engine::start(move |request, responder| match stream {
         true => stream_tokens(request, responder, 3),
-        false => answer_whole(responder, "once"),
+        false => respond_buffered(responder, "once"),
     });
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -240,7 +244,7 @@
     let key = fresh_key();
     let first = claimed(&router, key.as_str(), &prompt(stream));
     assert_eq!(first.status, 200);
-    wait_until("recorded", || {
+    wait_until("response recorded", || {
         control
             .lock()
             .claims
@@ -257,7 +261,7 @@
 
 #[test]
 fn reuse_of_a_key_for_another_request_is_refused() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
@@ -281,13 +285,13 @@
     let key = fresh_key();
     let header_line = format!("Idempotency-Key: {}\r\n", key.as_str());
     let first = send_raw(&router, "/v1/completions", &header_line, &prompt(false));
-    let responder = kept.recv_timeout(PATIENCE).unwrap();
+    let responder = kept.recv_timeout(TEST_TIMEOUT).unwrap();
     let second = claimed(&router, key.as_str(), &prompt(false));
     assert_eq!(
         (second.status, second.error("code").as_str()),
         (409, Some("in_progress"))
     );
-    answer_whole(responder, "once");
+    respond_buffered(responder, "once");
     read_until(&first, "once");
     assert_eq!(engine.requests.len(), 1);
 }
@@ -302,13 +306,13 @@
     let key = fresh_key();
     let header_line = format!("Idempotency-Key: {}\r\n", key.as_str());
     let first = send_raw(&router, "/v1/completions", &header_line, &prompt(false));
-    let responder = kept.recv_timeout(PATIENCE).unwrap();
+    let responder = kept.recv_timeout(TEST_TIMEOUT).unwrap();
     drop(first);
-    // A second request passes, so that the hang-up has been seen.
+    // The second request is handled after the disconnect was observed.
     let other = claimed(&router, key.as_str(), &prompt(false));
     assert_eq!(other.error("code"), "in_progress");
-    answer_whole(responder, "once");
-    wait_until("recorded", || {
+    respond_buffered(responder, "once");
+    wait_until("response recorded", || {
         control
             .lock()
             .claims
@@ -322,16 +326,16 @@
 
 #[test]
 fn without_an_answer_to_its_claim_a_request_is_refused_as_not_run() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
-    control.lock().mute_claims = true;
+    control.lock().ignore_claims = true;
     let mut settings = settings(vec![control.address()]);
     settings.routing.claim_timeout = std::time::Duration::from_millis(50);
     let router = common::start_with(&control, settings);
-    let answer = claimed(&router, fresh_key().as_str(), &prompt(false));
+    let response = claimed(&router, fresh_key().as_str(), &prompt(false));
     assert_eq!(
-        (answer.status, answer.error("executed").as_str()),
+        (response.status, response.error("executed").as_str()),
         (503, Some("no"))
     );
     assert_eq!(engine.requests.len(), 0);
@@ -339,7 +343,7 @@
 
 #[test]
 fn leader_stated_by_a_member_is_followed() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let leader = Control::start();
     leader.add_replica(1, engine.address());
     let follower = Control::start();
@@ -354,14 +358,14 @@
 
 #[test]
 fn lost_link_is_reestablished_while_requests_are_served() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     control.lock().last_report = None;
-    control.cut();
-    let answer = call(completion(&router).body(prompt(false)).unwrap());
-    assert_eq!(answer.status, 200);
+    control.close_connections();
+    let response = call(completion(&router).body(prompt(false)).unwrap());
+    assert_eq!(response.status, 200);
     control.wait_until_applied();
 }
 
--- a/crates/millpass-router/tests/malformed.rs
+++ b/crates/millpass-router/tests/malformed.rs
@@ -1,16 +1,16 @@
-//! Malformed requests: each gets a clear error that says what to do, and runs nowhere.
+//! Malformed requests get an error that names a remedy, and are not sent to a backend.
 
 mod common;
 
 use common::control::Control;
-use common::engine::{Engine, answer_whole};
-use common::{KEY, agent, call, post, read_answer, send_raw, settings, start_router, start_with};
+use common::engine::{Engine, respond_buffered};
+use common::{KEY, agent, call, post, read_response, send_raw, settings, start_router, start_with};
 use rstest::rstest;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-const GOOD: &str = r#"{"model":"writer","prompt":"hi"}"#;
-const AHEAD: &str = "99999999999999";
+const VALID: &str = r#"{"model":"writer","prompt":"hi"}"#;
+const FUTURE_MILLIS: &str = "99999999999999";
 
 #[rstest]
 #[case::not_json("/v1/completions", &[], "hello", 400, "body_malformed")]
@@ -27,33 +27,33 @@
 #[case::no_prompt("/v1/completions", &[], r#"{"model":"writer"}"#, 400, "input_missing")]
 #[case::null_prompt("/v1/completions", &[], r#"{"model":"writer","prompt":null}"#,
     400, "input_missing")]
-#[case::no_messages("/v1/chat/completions", &[], GOOD, 400, "input_missing")]
-#[case::zero_deadline("/v1/completions", &[("Millpass-Deadline-Ms", "0")], GOOD,
+#[case::no_messages("/v1/chat/completions", &[], VALID, 400, "input_missing")]
+#[case::zero_deadline("/v1/completions", &[("Millpass-Deadline-Ms", "0")], VALID,
     400, "deadline_malformed")]
-#[case::negative_deadline("/v1/completions", &[("Millpass-Deadline-Ms", "-5")], GOOD,
+#[case::negative_deadline("/v1/completions", &[("Millpass-Deadline-Ms", "-5")], VALID,
     400, "deadline_malformed")]
-#[case::word_deadline("/v1/completions", &[("Millpass-Deadline-Ms", "soon")], GOOD,
+#[case::word_deadline("/v1/completions", &[("Millpass-Deadline-Ms", "soon")], VALID,
     400, "deadline_malformed")]
 #[case::two_deadlines("/v1/completions",
-    &[("Millpass-Deadline-Ms", "5"), ("Millpass-Deadline-Ms", "9")], GOOD, 400, "header_malformed")]
-#[case::key_without_birth("/v1/completions", &[("Idempotency-Key", "abc")], GOOD,
+    &[("Millpass-Deadline-Ms", "5"), ("Millpass-Deadline-Ms", "9")], VALID, 400, "header_malformed")]
+#[case::key_without_birth("/v1/completions", &[("Idempotency-Key", "abc")], VALID,
     400, "idempotency_key_birth_missing")]
 #[case::key_of_version_4("/v1/completions",
-    &[("Idempotency-Key", "6a4c3f9e-7b1d-4a8e-9b52-1f0c8d7e6a55")], GOOD,
+    &[("Idempotency-Key", "6a4c3f9e-7b1d-4a8e-9b52-1f0c8d7e6a55")], VALID,
     400, "idempotency_key_birth_missing")]
 #[case::birth_word("/v1/completions",
-    &[("Idempotency-Key", "abc"), ("Idempotency-Key-Born", "today")], GOOD,
+    &[("Idempotency-Key", "abc"), ("Idempotency-Key-Born", "today")], VALID,
     400, "idempotency_key_birth_missing")]
 #[case::birth_ahead("/v1/completions",
-    &[("Idempotency-Key", "abc"), ("Idempotency-Key-Born", AHEAD)], GOOD,
+    &[("Idempotency-Key", "abc"), ("Idempotency-Key-Born", FUTURE_MILLIS)], VALID,
     400, "idempotency_key_born_ahead")]
-#[case::empty_key("/v1/completions", &[("Idempotency-Key", "")], GOOD,
+#[case::empty_key("/v1/completions", &[("Idempotency-Key", "")], VALID,
     400, "idempotency_key_malformed")]
-#[case::spaced_key("/v1/completions", &[("Idempotency-Key", "a b")], GOOD,
+#[case::spaced_key("/v1/completions", &[("Idempotency-Key", "a b")], VALID,
     400, "idempotency_key_malformed")]
-#[case::two_keys("/v1/completions", &[("Idempotency-Key", "a"), ("Idempotency-Key", "b")], GOOD,
+#[case::two_keys("/v1/completions", &[("Idempotency-Key", "a"), ("Idempotency-Key", "b")], VALID,
     400, "header_malformed")]
-#[case::basic_authorization("/v1/completions", &[("Authorization", "Basic abc")], GOOD,
+#[case::basic_authorization("/v1/completions", &[("Authorization", "Basic abc")], VALID,
     401, "authorization_malformed")]
 fn malformed_request_is_refused(
     #[case] path: &str,
@@ -70,16 +70,16 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let answer = call(request.body(body.to_owned()).unwrap());
+    let response = call(request.body(body.to_owned()).unwrap());
     assert_eq!(
-        (answer.status, answer.error("code").as_str()),
+        (response.status, response.error("code").as_str()),
         (status, Some(code))
     );
-    assert_eq!(answer.error("executed"), "no");
-    assert_eq!(answer.error("request_id"), "request-1");
-    assert!(!answer.error("message").as_str().unwrap().is_empty());
-    assert_eq!(answer.header("millpass-executed"), Some("no"));
-    assert_eq!(answer.header("x-request-id"), Some("request-1"));
+    assert_eq!(response.error("executed"), "no");
+    assert_eq!(response.error("request_id"), "request-1");
+    assert!(!response.error("message").as_str().unwrap().is_empty());
+    assert_eq!(response.header("millpass-executed"), Some("no"));
+    assert_eq!(response.header("x-request-id"), Some("request-1"));
 }
 
 #[test]
@@ -95,9 +95,9 @@
 fn completions_support_only_post(#[case] path: &str) {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
     let url = format!("http://{}{path}", router.address());
-    let answer = read_answer(agent().get(&url).call().unwrap());
-    assert_eq!(answer.status, 405);
-    assert_eq!(answer.error("code"), "method_not_allowed");
+    let response = read_response(agent().get(&url).call().unwrap());
+    assert_eq!(response.status, 405);
+    assert_eq!(response.error("code"), "method_not_allowed");
 }
 
 #[test]
@@ -106,9 +106,9 @@
     settings.limits.maximum_body_bytes = 1_000;
     let router = millpass_router::start(settings).unwrap();
     let body = format!(r#"{{"model":"writer","prompt":"{}"}}"#, "x".repeat(2_000));
-    let answer = call(post(&router, "/v1/completions").body(body).unwrap());
-    assert_eq!(answer.status, 413);
-    assert_eq!(answer.error("executed"), "no");
+    let response = call(post(&router, "/v1/completions").body(body).unwrap());
+    assert_eq!(response.status, 413);
+    assert_eq!(response.error("executed"), "no");
 }
 
 #[rstest]
@@ -118,8 +118,8 @@
 fn malformed_request_id_is_replaced(#[case] id: &str) {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
     let request = post(&router, "/v1/completions").header("X-Request-Id", id);
-    let answer = call(request.body("{}".to_owned()).unwrap());
-    let made = answer.header("x-request-id").unwrap();
+    let response = call(request.body("{}".to_owned()).unwrap());
+    let made = response.header("x-request-id").unwrap();
     assert!(uuid::Uuid::try_parse(made).is_ok(), "{made}");
 }
 
@@ -160,17 +160,17 @@
     if let Some(key) = key {
         request = request.header("Authorization", format!("Bearer {key}"));
     }
-    let answer = call(request.body(GOOD.to_owned()).unwrap());
+    let response = call(request.body(VALID.to_owned()).unwrap());
     assert_eq!(
-        (answer.status, answer.error("code").as_str()),
+        (response.status, response.error("code").as_str()),
         (status, Some(code))
     );
-    assert_eq!(answer.error("executed"), "no");
-    let message = answer.error("message").as_str().unwrap().to_owned();
+    assert_eq!(response.error("executed"), "no");
+    let message = response.error("message").as_str().unwrap().to_owned();
     assert!(message.contains(remedy), "{message}");
 }
 
-/// Addresses where nobody listens.
+/// Addresses without a listener.
 fn unreachable_members() -> Vec<SocketAddr> {
     let listeners: Vec<TcpListener> = (0..3)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
@@ -179,8 +179,8 @@
     addresses.collect::<Result<_, _>>().unwrap()
 }
 
-/// A member that accepts connections and never says a word.
-fn silent_member() -> (TcpListener, Vec<SocketAddr>) {
+/// A member that accepts connections but never responds.
+fn unresponsive_member() -> (TcpListener, Vec<SocketAddr>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     (listener, vec![address])
@@ -190,31 +190,31 @@
 #[case::none_listens(false)]
 #[case::silent(true)]
 fn request_without_a_control_group_is_refused_immediately(#[case] silent: bool) {
-    let (_listener, member) = silent_member();
+    let (_listener, member) = unresponsive_member();
     let members = if silent {
         member
     } else {
         unreachable_members()
     };
     let router = millpass_router::start(settings(members)).unwrap();
-    // Held to its deadline, it would outlast the patience of `call`.
+    // A request held until this deadline would exceed the timeout of `call`.
     let request = post(&router, "/v1/completions")
         .header("Authorization", format!("Bearer {KEY}"))
         .header("Millpass-Deadline-Ms", "600000");
-    let answer = call(request.body(GOOD.to_owned()).unwrap());
+    let response = call(request.body(VALID.to_owned()).unwrap());
     assert_eq!(
-        (answer.status, answer.error("code").as_str()),
+        (response.status, response.error("code").as_str()),
         (503, Some("no_lease"))
     );
-    assert_eq!(answer.error("executed"), "no");
-    assert!(answer.header("retry-after").is_some());
-    let message = answer.error("message").as_str().unwrap().to_owned();
+    assert_eq!(response.error("executed"), "no");
+    assert!(response.header("retry-after").is_some());
+    let message = response.error("message").as_str().unwrap().to_owned();
     assert!(message.contains("use another router"), "{message}");
 }
 
 #[test]
 fn truncated_body_is_not_sent_to_an_engine() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
@@ -224,12 +224,12 @@
          Transfer-Encoding: chunked\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).unwrap();
-    let chunk = format!("{:x}\r\n{GOOD}\r\n", GOOD.len());
+    let chunk = format!("{:x}\r\n{VALID}\r\n", VALID.len());
     stream.write_all(chunk.as_bytes()).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     common::read_until(&stream, "body_unreadable");
-    let answer = call(common::completion(&router).body(GOOD.to_owned()).unwrap());
-    assert_eq!(answer.status, 200);
+    let response = call(common::completion(&router).body(VALID.to_owned()).unwrap());
+    assert_eq!(response.status, 200);
     assert_eq!(engine.requests.len(), 1);
 }
 
@@ -239,17 +239,17 @@
     let mut settings = settings(vec![control.address()]);
     settings.limits.maximum_connections = 1;
     let router = start_with(&control, settings);
-    let held = send_raw(&router, "/v1/completions", "", GOOD);
-    common::wait_until("it waits", || {
+    let held = send_raw(&router, "/v1/completions", "", VALID);
+    common::wait_until("request waiting", || {
         let metrics = common::observe(&router, "/metrics").body;
         metrics.contains("millpass_router_in_flight 1")
     });
-    let answer = call(common::completion(&router).body(GOOD.to_owned()).unwrap());
+    let response = call(common::completion(&router).body(VALID.to_owned()).unwrap());
     assert_eq!(
-        (answer.status, answer.error("code").as_str()),
+        (response.status, response.error("code").as_str()),
         (503, Some("too_many_connections"))
     );
-    assert_eq!(answer.header("retry-after"), Some("1"));
-    assert_eq!(answer.header("millpass-executed"), Some("no"));
+    assert_eq!(response.header("retry-after"), Some("1"));
+    assert_eq!(response.header("millpass-executed"), Some("no"));
     drop(held);
 }
--- a/crates/millpass-router/tests/member_choice.rs
+++ b/crates/millpass-router/tests/member_choice.rs
@@ -1,4 +1,4 @@
-//! Which control member a router turns to when its leader is gone.
+//! Selection of a control member after the leader is lost.
 
 use millpass_config::{parse_control, parse_router};
 use millpass_router::{LinkSettings, MemberSelector};
@@ -9,13 +9,13 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, number))
 }
 
-fn five() -> MemberSelector {
+fn five_members() -> MemberSelector {
     MemberSelector::new((1..=5).map(member).collect())
 }
 
 #[test]
 fn members_rotate_and_a_stated_leader_comes_first() {
-    let mut choice = five();
+    let mut choice = five_members();
     assert_eq!(choice.next_member(), Some(member(1)));
     choice.set_leader_hint(Some(member(4)));
     assert_eq!(choice.next_member(), Some(member(4)));
@@ -26,7 +26,7 @@
 
 #[test]
 fn unreachable_leader_stated_by_others_is_skipped() {
-    let mut choice = five();
+    let mut choice = five_members();
     choice.mark_unreachable(member(2));
     for _ in 0..4 {
         let turn = choice.next_member().expect("a member");
@@ -37,22 +37,25 @@
     assert_eq!(choice.next_member(), Some(member(5)));
 }
 
-/// A cut that heals: the leader was lost and leads on.
+/// Guards against skipping a leader forever that was unreachable only temporarily.
 #[test]
 fn leader_reachable_again_is_followed_after_one_rotation() {
-    let mut choice = five();
+    let mut choice = five_members();
     choice.mark_unreachable(member(2));
-    let back = (1..=20).find(|_| {
+    let reconnected_after = (1..=20).find(|_| {
         let found = choice.next_member() == Some(member(2));
         choice.set_leader_hint(Some(member(2)));
         found
     });
-    assert!(back.is_some_and(|turns| turns <= 6), "{back:?}");
+    assert!(
+        reconnected_after.is_some_and(|turns| turns <= 6),
+        "{reconnected_after:?}"
+    );
 }
 
 #[test]
 fn unreachable_member_is_retried() {
-    let mut choice = five();
+    let mut choice = five_members();
     choice.mark_unreachable(member(2));
     let turns: Vec<_> = (0..40).filter_map(|_| choice.next_member()).collect();
     assert!(turns.contains(&member(2)));
@@ -66,7 +69,7 @@
     assert_eq!(MemberSelector::new(Vec::new()).next_member(), None);
 }
 
-/// The times that a change of leader takes by default, one after the other, fit into a lease.
+/// Guards the default timeouts: their sum over a leader change must be shorter than the lease.
 #[test]
 fn router_finds_a_new_leader_before_its_lease_expires() {
     let control = "[member]\nzone = \"a\"\ndata_folder = \"data\"\n";
@@ -76,12 +79,13 @@
     let link = LinkSettings::default();
     let lease = Duration::from_millis(control.routers.lease_ms);
     let last_answer = Duration::from_millis(router.reports.interval_ms);
-    // An election begins after one to two times the shortest time without a leader.
+    // An election starts after one to two times the election timeout.
     let election = Duration::from_millis(control.consensus.election_timeout_ms) * 2;
-    // A turn to a follower that names the new leader, and one to that.
+    // One connection to a follower that states the new leader, and one to the leader.
     let turns = link.maximum_reconnect_delay * 2;
     assert!(last_answer + election + turns < lease);
-    // A leader that is silent without ending its connection is given up in that time too.
+    // A leader that stops responding without closing the connection is also detected within the
+    // lease.
     let silent = last_answer + link.contact_timeout + turns;
     assert!(silent < lease);
 }
--- a/crates/millpass-router/tests/serving.rs
+++ b/crates/millpass-router/tests/serving.rs
@@ -1,11 +1,11 @@
-//! Requests that are answered, and refusals.
+//! Served requests and refusals.
 
 mod common;
 
 use common::control::Control;
-use common::engine::{Engine, answer_whole, header, open_stream, stream_tokens, token, tokens};
+use common::engine::{Engine, header, open_stream, respond_buffered, stream_tokens, token, tokens};
 use common::{
-    KEY, PATIENCE, agent, call, completion, observe, post, prompt, read_answer, read_until,
+    KEY, TEST_TIMEOUT, agent, call, completion, observe, post, prompt, read_response, read_until,
     send_raw, settings, start_router, start_with, wait_until,
 };
 use crossbeam::channel::bounded;
@@ -16,12 +16,12 @@
 
 #[test]
 fn streamed_completion_arrives_token_by_token() {
-    let (go_on, may_go_on) = bounded::<()>(0);
+    let (proceed, may_proceed) = bounded::<()>(0);
     let engine = Engine::start(move |_, responder| {
         let mut body = open_stream(responder);
         for position in 0..3 {
             body.write(token(position)).unwrap();
-            may_go_on.recv_timeout(PATIENCE).unwrap();
+            may_proceed.recv_timeout(TEST_TIMEOUT).unwrap();
         }
         body.write(common::engine::done()).unwrap();
         body.finish();
@@ -31,9 +31,9 @@
     let router = start_router(&control);
     let stream = send_raw(&router, "/v1/completions", "", &prompt(true));
     for position in 0..3 {
-        // The next token does not exist yet when this one arrives.
+        // The engine sends the next token only after this one was received.
         read_until(&stream, &format!("t{position} "));
-        go_on.send_timeout((), PATIENCE).unwrap();
+        proceed.send_timeout((), TEST_TIMEOUT).unwrap();
     }
     read_until(&stream, "[DONE]");
 }
@@ -49,11 +49,11 @@
         .header("Millpass-Deadline-Ms", "5000")
         .header("Millpass-Tenant", "somebody-else")
         .body(r#"{"model":"writer:legal","prompt":"hi","stream":true}"#.to_owned());
-    let answer = call(request.unwrap());
-    assert_eq!(answer.status, 200);
-    assert_eq!(answer.header("x-request-id"), Some("mine-1"));
-    assert_eq!(answer.tokens(), tokens(2));
-    assert!(answer.whole && answer.body.ends_with("data: [DONE]\n\n"));
+    let response = call(request.unwrap());
+    assert_eq!(response.status, 200);
+    assert_eq!(response.header("x-request-id"), Some("mine-1"));
+    assert_eq!(response.tokens(), tokens(2));
+    assert!(response.complete && response.body.ends_with("data: [DONE]\n\n"));
     let request = engine.request();
     assert_eq!(request.uri.path(), "/v1/completions");
     assert_eq!(header(&request, "millpass-tenant"), "acme");
@@ -69,7 +69,7 @@
 
 #[test]
 fn requests_with_the_same_id_differ_at_the_engine() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
@@ -93,15 +93,15 @@
 fn buffered_response_is_forwarded_unchanged(#[case] path: &'static str, #[case] body: &str) {
     let engine = Engine::start(move |request, responder| {
         assert_eq!(request.uri.path(), path);
-        answer_whole(responder, "the answer");
+        respond_buffered(responder, "the answer");
     });
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     let request = post(&router, path).header("Authorization", format!("Bearer {KEY}"));
-    let answer = call(request.body(body.to_owned()).unwrap());
-    assert_eq!(answer.status, 200);
-    assert_eq!(answer.json()["choices"][0]["text"], "the answer");
+    let response = call(request.body(body.to_owned()).unwrap());
+    assert_eq!(response.status, 200);
+    assert_eq!(response.json()["choices"][0]["text"], "the answer");
 }
 
 #[test]
@@ -112,9 +112,9 @@
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
-    let answer = call(completion(&router).body(prompt(true)).unwrap());
+    let response = call(completion(&router).body(prompt(true)).unwrap());
     assert_eq!(
-        (answer.status, answer.body.as_str()),
+        (response.status, response.body.as_str()),
         (400, "bad temperature")
     );
 }
@@ -136,26 +136,26 @@
         .header("Authorization", format!("Bearer {key}"))
         .header("X-Request-Id", "r-1");
     let body = serde_json::json!({"model": model, "prompt": "x"}).to_string();
-    let answer = call(request.body(body).unwrap());
+    let response = call(request.body(body).unwrap());
     assert_eq!(
-        (answer.status, answer.error("code").as_str()),
+        (response.status, response.error("code").as_str()),
         (status, Some(code))
     );
-    assert_eq!(answer.error("executed"), "no");
-    assert_eq!(answer.error("request_id"), "r-1");
-    assert!(!answer.error("message").as_str().unwrap().is_empty());
-    assert_eq!(answer.header("millpass-executed"), Some("no"));
-    assert_eq!(answer.header("x-request-id"), Some("r-1"));
+    assert_eq!(response.error("executed"), "no");
+    assert_eq!(response.error("request_id"), "r-1");
+    assert!(!response.error("message").as_str().unwrap().is_empty());
+    assert_eq!(response.header("millpass-executed"), Some("no"));
+    assert_eq!(response.header("x-request-id"), Some("r-1"));
 }
 
 #[test]
 fn requests_without_a_lease_are_refused_with_retry_after() {
     let router = millpass_router::start(settings(Vec::new())).unwrap();
-    let answer = call(completion(&router).body(prompt(false)).unwrap());
-    assert_eq!(answer.status, 503);
-    assert_eq!(answer.error("executed"), "no");
-    let retry_millis = answer.error("retry_after_ms").as_u64().unwrap();
-    let retry_seconds: u64 = answer.header("retry-after").unwrap().parse().unwrap();
+    let response = call(completion(&router).body(prompt(false)).unwrap());
+    assert_eq!(response.status, 503);
+    assert_eq!(response.error("executed"), "no");
+    let retry_millis = response.error("retry_after_ms").as_u64().unwrap();
+    let retry_seconds: u64 = response.header("retry-after").unwrap().parse().unwrap();
     assert_eq!(retry_seconds, retry_millis.div_ceil(1000));
     assert_eq!(observe(&router, "/healthz").status, 503);
 }
@@ -165,9 +165,12 @@
     let control = Control::start();
     let router = start_router(&control);
     let request = completion(&router).header("Millpass-Deadline-Ms", "50");
-    let answer = call(request.body(prompt(false)).unwrap());
-    assert!(answer.status == 503 || answer.status == 504, "{answer:?}");
-    assert_eq!(answer.error("executed"), "no");
+    let response = call(request.body(prompt(false)).unwrap());
+    assert!(
+        response.status == 503 || response.status == 504,
+        "{response:?}"
+    );
+    assert_eq!(response.error("executed"), "no");
 }
 
 #[test]
@@ -178,12 +181,12 @@
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     let request = completion(&router).header("Millpass-Deadline-Ms", "100");
-    let answer = call(request.body(prompt(false)).unwrap());
-    assert_eq!(answer.status, 504);
-    assert_eq!(answer.error("executed"), "unknown");
-    assert_eq!(answer.header("millpass-executed"), Some("unknown"));
+    let response = call(request.body(prompt(false)).unwrap());
+    assert_eq!(response.status, 504);
+    assert_eq!(response.error("executed"), "unknown");
+    assert_eq!(response.header("millpass-executed"), Some("unknown"));
     let id = header(&engine.request(), "x-request-id").to_owned();
-    assert_eq!(engine.cancelled.recv_timeout(PATIENCE).unwrap(), id);
+    assert_eq!(engine.cancelled.recv_timeout(TEST_TIMEOUT).unwrap(), id);
 }
 
 #[test]
@@ -194,9 +197,9 @@
     let request = agent()
         .get(&url)
         .header("Authorization", &format!("Bearer {KEY}"));
-    let answer = read_answer(request.call().unwrap());
-    assert_eq!(answer.status, 200);
-    let data = answer.json()["data"].clone();
+    let response = read_response(request.call().unwrap());
+    assert_eq!(response.status, 200);
+    let data = response.json()["data"].clone();
     let mut names: Vec<&str> = data
         .as_array()
         .unwrap()
@@ -205,16 +208,15 @@
         .collect();
     names.sort_unstable();
     assert_eq!(names, ["idle", "writer", "writer:legal"]);
-    let answer = read_answer(agent().get(&url).call().unwrap());
+    let response = read_response(agent().get(&url).call().unwrap());
     assert_eq!(
-        (answer.status, answer.error("code").as_str()),
+        (response.status, response.error("code").as_str()),
         (401, Some("unknown_key"))
     );
 }
 
-/// A router that heard of no leader any more went on listing the models of its last catalog, to keys that may have been
-/// taken away since, and answered 401 to keys that may have been added. Its requests were refused for lack of a lease all
-/// the while: the list alone was answered from a catalog of unknown age.
+/// Guards against listing models, or rejecting keys, from a catalog that may be stale without a
+/// lease.
 #[test]
 fn listing_models_without_a_lease_returns_503_for_any_key() {
     let control = Control::start();
@@ -224,18 +226,18 @@
         let request = agent()
             .get(&url)
             .header("Authorization", &format!("Bearer {key}"));
-        read_answer(request.call().unwrap())
+        read_response(request.call().unwrap())
     };
-    // The member answers no report any more.
+    // The member no longer responds to reports.
     control.lock().leader_hint = Some(control.address());
     for key in [KEY, "unknown"] {
-        wait_until("the list is refused", || list(key).status == 503);
-        let answer = list(key);
+        wait_until("model list refused", || list(key).status == 503);
+        let response = list(key);
         assert_eq!(
-            (answer.status, answer.error("code").as_str()),
+            (response.status, response.error("code").as_str()),
             (503, Some("no_lease"))
         );
-        assert!(answer.header("retry-after").is_some());
+        assert!(response.header("retry-after").is_some());
     }
 }
 
@@ -243,9 +245,9 @@
 fn web_path_is_routed_to_its_group() {
     let web = Engine::start(|request, responder| {
         let query = request.uri.query().unwrap_or_default();
-        let answer = Response::text(StatusCode::CREATED, format!("page {query}"));
+        let response = Response::text(StatusCode::CREATED, format!("page {query}"));
         let name = http::HeaderName::from_static("x-page");
-        responder.send(answer.with_header(name, "7"));
+        responder.send(response.with_header(name, "7"));
     });
     let control = Control::start();
     control.add_web("web-1", web.address());
@@ -254,9 +256,12 @@
     let request = agent()
         .get(&url)
         .header("Authorization", &format!("Bearer {KEY}"));
-    let answer = read_answer(request.call().unwrap());
-    assert_eq!((answer.status, answer.body.as_str()), (201, "page id=4"));
-    assert_eq!(answer.header("x-page"), Some("7"));
+    let response = read_response(request.call().unwrap());
+    assert_eq!(
+        (response.status, response.body.as_str()),
+        (201, "page id=4")
+    );
+    assert_eq!(response.header("x-page"), Some("7"));
     assert_eq!(header(&web.request(), "millpass-tenant"), "acme");
 }
 
@@ -286,17 +291,17 @@
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
-    let answer = agent()
+    let response = agent()
         .run(completion(&router).body(prompt(true)).unwrap())
         .unwrap();
     wait_until("engine reached", || !engine.requests.is_empty());
     router.stop();
-    assert!(!read_answer(answer).whole);
+    assert!(!read_response(response).complete);
 }
 
 #[test]
 fn metrics_and_health_are_served() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
@@ -320,7 +325,7 @@
 
 #[test]
 fn deadline_above_the_maximum_is_reduced() {
-    let engine = Engine::start(|_, responder| answer_whole(responder, "x"));
+    let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
     let mut settings = settings(vec![control.address()]);
--- a/crates/millpass-router/tests/sse.rs
+++ b/crates/millpass-router/tests/sse.rs
@@ -1,4 +1,4 @@
-//! The splitter of event streams.
+//! Splitting of event streams.
 
 use millpass_router::sse::{EventSplitter, StreamError, StreamEvent};
 use proptest::prelude::*;
