--- a/crates/millpass-control-plane/tests/watch.rs
+++ b/crates/millpass-control-plane/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Each back end has one watcher; what the platform's lagging list means.
+//! Assignment of back ends to watchers, and handling of the platform's lagging list.
 
 mod harness;
 
@@ -7,7 +7,7 @@
 use millpass_proto::*;
 use rstest::rstest;
 
-fn wide() -> Fleet {
+fn multi_zone_fleet() -> Fleet {
     let routers = [("r-1", "zone-1"), ("r-2", "zone-1"), ("r-3", "zone-2")];
     let engines = [
         ("e-1", "zone-1"),
@@ -22,59 +22,65 @@
     Fleet::new(&routers, &engines)
 }
 
-/// Each engine has one watcher, of its own zone if that has a router that can watch.
-fn assert_one_watcher_each(fleet: &Fleet, away: &str) {
+/// Asserts that each engine has one watcher, from its own zone if a router there can watch.
+fn assert_one_watcher_each(fleet: &Fleet, excluded: &str) {
     let watchers = fleet.watchers();
-    let able = |router: &&harness::TestRouter| router.name.0 != away;
+    let can_watch = |router: &&harness::TestRouter| router.name.0 != excluded;
     for (name, engine) in &fleet.world.engines {
         let found = watchers.get(name).cloned().unwrap_or_default();
         let [watcher] = found.as_slice() else {
             panic!("{name} is watched by {found:?}");
         };
-        let near = |router: &harness::TestRouter| router.zone == engine.zone;
-        let mut routers = fleet.routers.iter().filter(able);
+        let is_local = |router: &harness::TestRouter| router.zone == engine.zone;
+        let mut routers = fleet.routers.iter().filter(can_watch);
         let watching = routers.clone().find(|router| router.name == *watcher);
-        let watching = watching.unwrap_or_else(|| panic!("{watcher} is away"));
-        assert!(near(watching) || !routers.any(near), "{name}: {watcher}");
+        let watching = watching.unwrap_or_else(|| panic!("{watcher} is excluded"));
+        assert!(
+            is_local(watching) || !routers.any(is_local),
+            "{name}: {watcher}"
+        );
     }
 }
 
-/// How a router goes.
+/// How a router is lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Goes {
-    Silent,
+enum RouterLoss {
+    Unreachable,
     Draining,
 }
 
 #[rstest]
-fn the_share_of_a_router_that_goes_is_given_to_others(
-    #[values(Goes::Silent, Goes::Draining)] how: Goes,
+fn back_ends_of_a_lost_router_are_reassigned(
+    #[values(RouterLoss::Unreachable, RouterLoss::Draining)] loss: RouterLoss,
     #[values("r-1", "r-3")] name: &str,
 ) {
-    let mut fleet = wide();
+    let mut fleet = multi_zone_fleet();
     assert_one_watcher_each(&fleet, "nobody");
     let before = fleet.watchers();
-    let place = fleet
+    let position = fleet
         .routers
         .iter()
         .position(|router| router.name.0 == name);
-    let place = place.unwrap();
-    assert!(!fleet.routers[place].watch.is_empty());
-    let gone = if how == Goes::Draining {
-        fleet.routers[place].draining = true;
+    let position = position.unwrap();
+    assert!(!fleet.routers[position].watch.is_empty());
+    let removed = if loss == RouterLoss::Draining {
+        fleet.routers[position].draining = true;
         None
     } else {
-        Some(fleet.routers.remove(place))
+        Some(fleet.routers.remove(position))
     };
     fleet.rounds(10);
     assert_one_watcher_each(&fleet, name);
     for (engine, watcher) in fleet.watchers() {
         let moved = before[&engine] != watcher;
-        let of_gone = before[&engine][0].0 == name;
-        assert_eq!(moved, of_gone, "only the share of {name} moves: {engine}");
+        let was_assigned = before[&engine][0].0 == name;
+        assert_eq!(
+            moved, was_assigned,
+            "only back ends of {name} may move: {engine}"
+        );
     }
-    // It comes back.
-    fleet.routers.extend(gone);
+    // The router returns.
+    fleet.routers.extend(removed);
     for router in &mut fleet.routers {
         router.draining = false;
     }
@@ -83,8 +89,8 @@
 }
 
 #[rstest]
-fn only_the_watcher_is_heard_about_a_new_run() {
-    let mut fleet = wide();
+fn only_the_watcher_can_report_a_new_incarnation() {
+    let mut fleet = multi_zone_fleet();
     let engine = BackendName::from("e-5");
     fleet.engine("e-5").restart(2);
     for sequence in 1..4 {
@@ -107,7 +113,7 @@
 }
 
 #[rstest]
-fn a_list_older_than_one_already_seen_is_ignored() {
+fn stale_platform_list_is_ignored() {
     let mut fleet = Fleet::small(&["e-1", "e-2"]);
     let old = fleet.world.platform.clone();
     fleet.world.platform.sequence += 1;
@@ -126,18 +132,18 @@
         sequence: old.sequence - 1,
         machines: Vec::new(),
     };
-    fleet.world.give(leader, ControlInput::PlatformListed(old));
+    fleet.world.input(leader, ControlInput::PlatformListed(old));
     fleet.rounds(30);
     assert!(fleet.world.count_events("platform-list-stale") > 10);
     assert_eq!(state(&fleet), BackendState::Leaving);
-    assert_eq!(fleet.state().backends().len(), 2, "nothing is gone");
+    assert_eq!(fleet.state().backends().len(), 2, "no back end is gone");
 }
 
 #[rstest]
 #[case::for_less_than_the_delay(8, 8, false, true)]
 #[case::counted_anew_by_a_new_leader(8, 8, true, true)]
 #[case::for_longer(14, 0, false, false)]
-fn a_machine_missing_from_the_list_is_gone_only_after_the_delay(
+fn missing_machine_is_gone_only_after_the_delay(
     #[case] first: u32,
     #[case] second: u32,
     #[case] leader_changes: bool,
@@ -168,13 +174,13 @@
 }
 
 #[rstest]
-fn a_leaving_machine_gets_no_new_work_after_a_few_seconds() {
+fn leaving_machine_receives_no_new_work() {
     let mut fleet = Fleet::small(&["e-1", "e-2"]);
     fleet.world.platform.sequence += 1;
     fleet.world.platform.machines[0].state = BackendState::Leaving;
     fleet.rounds(5);
     let before = fleet.world.deliveries.len();
-    fleet.waiting(100);
+    fleet.set_waiting(100);
     for _ in 0..10 {
         fleet.rounds(2);
         fleet.engine("e-2").finish_loads();
@@ -190,7 +196,7 @@
 #[rstest]
 #[case::while_it_loads(false)]
 #[case::after_the_load(true)]
-fn the_replicas_of_a_reclaimed_machine_are_replaced(#[case] loaded: bool) {
+fn replicas_of_a_reclaimed_machine_are_replaced(#[case] loaded: bool) {
     let mut fleet = Fleet::small(&["e-1", "e-2"]);
     let old = if loaded { fleet.load() } else { fleet.place() };
     let engine = fleet.world.engines.remove(&old.backend).unwrap();
@@ -199,7 +205,7 @@
     platform
         .machines
         .retain(|machine| machine.backend != engine.backend);
-    fleet.waiting(1);
+    fleet.set_waiting(1);
     for _ in 0..20 {
         fleet.rounds(2);
         for engine in fleet.world.engines.values_mut() {
--- a/crates/millpass-gateway/src/relay.rs
+++ b/crates/millpass-gateway/src/relay.rs
@@ -1,12 +1,12 @@
-//! Passes an answer's body on as it comes, and lets a resumable stream go on at another instance when
-//! its own breaks. Dropping the body ends the work at the instance.
+//! Relays a response body as it arrives, and resumes a broken resumable stream at another instance.
+//! Dropping the body cancels the request at the instance.
 
 use crate::events::EventBuffer;
-use crate::exchange::{self, Received, Template};
-use crate::forward::{InFlight, is_stream, log_request, note_failure, note_turned_away};
+use crate::exchange::{self, ReceivedResponse, RequestTemplate};
+use crate::forward::{InFlight, is_stream, log_request, record_failure, record_rejection};
 use crate::interface::SendFacts;
 use crate::shared::{ActiveSend, Shared};
-use crate::statements::note_statement;
+use crate::statements::record_statement;
 use bytes::Bytes;
 use futures_lite::{future, stream};
 use http::StatusCode;
@@ -20,33 +20,33 @@
 use std::io;
 use std::sync::Arc;
 
-/// Body of any answer to a caller.
+/// Body of a response to a caller.
 pub(crate) type RelayBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A body that is there already.
-pub(crate) fn whole_body(bytes: Bytes) -> RelayBody {
+/// Creates a body from buffered bytes.
+pub(crate) fn full_body(bytes: Bytes) -> RelayBody {
     let never = |error: Infallible| match error {};
     Full::new(bytes).map_err(never).boxed_unsync()
 }
 
-/// An answer on its way.
+/// A response being relayed.
 pub(crate) struct Relay {
     shared: Arc<Shared>,
     ticket: Ticket,
-    template: Template,
+    template: RequestTemplate,
     active: Option<ActiveSend>,
     body: Incoming,
     sender: Option<SendRequest<Full<Bytes>>>,
     keep_alive: Option<Duration>,
-    took: Duration,
+    head_latency: Duration,
     status: StatusCode,
-    /// Present when the stream may go on elsewhere.
+    /// Present if the stream is resumable.
     events: Option<EventBuffer>,
     ended: bool,
     in_flight: Option<InFlight>,
 }
 
-enum Part {
+enum BodyRead {
     Bytes(Bytes),
     End,
     Broken(String),
@@ -58,10 +58,10 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         ticket: Ticket,
-        template: Template,
+        template: RequestTemplate,
         active: ActiveSend,
-        received: Received,
-        took: Duration,
+        received: ReceivedResponse,
+        head_latency: Duration,
         resumable: bool,
         in_flight: Option<InFlight>,
     ) -> Self {
@@ -74,14 +74,14 @@
             body: received.body,
             sender: Some(received.sender),
             keep_alive: received.facts.keep_alive,
-            took,
+            head_latency,
             status: received.head.status,
             events: resumable.then(EventBuffer::default),
             ended: false,
             in_flight,
         };
         if relay.events.is_none() && relay.body.is_end_stream() {
-            // An empty body is never asked for.
+            // hyper does not poll an empty body.
             relay.finish();
         }
         relay
@@ -93,47 +93,47 @@
         }
         loop {
             match self.read().await {
-                Part::Bytes(bytes) => {
-                    // The server of callers drops a body of stated length once it has its last byte.
+                BodyRead::Bytes(bytes) => {
+                    // hyper drops a body with a content length after its last byte, without polling for the end.
                     if self.events.is_none() && self.body.is_end_stream() {
                         self.finish();
                     }
-                    let passed = match &mut self.events {
-                        Some(events) => events.take(&bytes),
+                    let forwarded = match &mut self.events {
+                        Some(events) => events.push(&bytes),
                         None => bytes,
                     };
-                    if !passed.is_empty() {
-                        return Some((Ok(Frame::data(passed)), self));
+                    if !forwarded.is_empty() {
+                        return Some((Ok(Frame::data(forwarded)), self));
                     }
                 }
-                Part::End => {
-                    let rest = self.events.as_mut().map(EventBuffer::rest);
+                BodyRead::End => {
+                    let remainder = self.events.as_mut().map(EventBuffer::take_remainder);
                     self.finish();
-                    let rest = rest.filter(|rest| !rest.is_empty())?;
+                    let remainder = remainder.filter(|remainder| !remainder.is_empty())?;
                     self.ended = true;
-                    return Some((Ok(Frame::data(rest)), self));
+                    return Some((Ok(Frame::data(remainder)), self));
                 }
-                Part::Broken(reason) => {
+                BodyRead::Broken(reason) => {
                     if self.events.is_some() && self.resume(&reason).await {
                         continue;
                     }
-                    return Some(self.cut("broken", &reason).await);
+                    return Some(self.abort("broken", &reason).await);
                 }
-                Part::TimedOut => return Some(self.cut("timed-out", "").await),
+                BodyRead::TimedOut => return Some(self.abort("timed-out", "").await),
             }
         }
     }
 
-    async fn read(&mut self) -> Part {
+    async fn read(&mut self) -> BodyRead {
         let body = &mut self.body;
         let read = async {
             loop {
                 match body.frame().await {
-                    None => return Part::End,
-                    Some(Err(error)) => return Part::Broken(error.to_string()),
+                    None => return BodyRead::End,
+                    Some(Err(error)) => return BodyRead::Broken(error.to_string()),
                     Some(Ok(frame)) => {
                         if let Ok(bytes) = frame.into_data() {
-                            return Part::Bytes(bytes);
+                            return BodyRead::Bytes(bytes);
                         }
                     }
                 }
@@ -141,12 +141,12 @@
         };
         let timer = async {
             self.shared.sleep_until(self.ticket.expires_at).await;
-            Part::TimedOut
+            BodyRead::TimedOut
         };
         future::or(read, timer).await
     }
 
-    /// The whole answer was passed on: the connection may be used again.
+    /// Completes the response: the connection can be reused.
     fn finish(&mut self) {
         let Some(active) = self.active.take() else {
             return;
@@ -155,8 +155,8 @@
         if let Some(sender) = self.sender.take() {
             self.shared.pool.put(&instance, sender, self.keep_alive);
         }
-        active.end(SendOutcome::Responded(self.took));
-        if !self.note_end() {
+        active.end(SendOutcome::Responded(self.head_latency));
+        if !self.record_end() {
             return;
         }
         let status = self.status.as_str();
@@ -165,18 +165,18 @@
             &self.ticket,
             "answered",
             status,
-            Some(self.took),
+            Some(self.head_latency),
         );
     }
 
-    /// False if the end was logged before.
-    fn note_end(&mut self) -> bool {
-        self.in_flight.as_mut().is_some_and(InFlight::ended)
+    /// Marks the request as ended; false if it already was.
+    fn record_end(&mut self) -> bool {
+        self.in_flight.as_mut().is_some_and(InFlight::finish)
     }
 
-    /// Ends the answer short of its end, so that the caller sees that it is not whole. hyper drops
-    /// what it has not flushed when a body fails, so it first gets a turn to flush.
-    async fn cut(
+    /// Aborts the response, so that the caller detects the truncation. Yields first, as hyper discards
+    /// unflushed bytes when a body fails.
+    async fn abort(
         mut self,
         outcome: &'static str,
         reason: &str,
@@ -190,15 +190,21 @@
             };
             active.end(end);
         }
-        self.note_end();
-        log_request(&self.shared, &self.ticket, outcome, reason, Some(self.took));
+        self.record_end();
+        log_request(
+            &self.shared,
+            &self.ticket,
+            outcome,
+            reason,
+            Some(self.head_latency),
+        );
         future::yield_now().await;
         self.ended = true;
-        let error = io::Error::other(format!("the answer was cut: {outcome}"));
+        let error = io::Error::other(format!("response aborted: {outcome}"));
         (Err(error), self)
     }
 
-    /// Lets the stream go on at another instance, after the last whole event.
+    /// Resumes the stream at another instance after the last complete event; false if none can take it.
     async fn resume(&mut self, reason: &str) -> bool {
         self.sender = None;
         if let Some(active) = self.active.take() {
@@ -211,7 +217,7 @@
             active.end(SendOutcome::Broken);
         }
         if let Some(events) = &mut self.events {
-            events.discard_part();
+            events.discard_partial();
         }
         loop {
             let changed = self.shared.changed.listen();
@@ -219,7 +225,7 @@
             let choice = self.shared.choose(now, &mut self.ticket);
             match choice {
                 Choice::Send { instance, address } => {
-                    if self.send_again(instance, &address).await {
+                    if self.resume_at(instance, &address).await {
                         return true;
                     }
                 }
@@ -234,8 +240,8 @@
         }
     }
 
-    /// Whether the stream goes on at this instance; otherwise another may be tried.
-    async fn send_again(&mut self, instance: millpass_proto::InstanceId, address: &str) -> bool {
+    /// Tries to resume the stream at this instance; returns whether it did.
+    async fn resume_at(&mut self, instance: millpass_proto::InstanceId, address: &str) -> bool {
         let shared = self.shared.clone();
         let active = ActiveSend::new(shared.clone(), self.ticket.send_record(&instance));
         let last = self
@@ -251,25 +257,25 @@
             tenant: self.ticket.tenant.as_ref().map(|tenant| &tenant.name),
             last_event: last.as_deref(),
         };
-        let give_up = self.ticket.expires_at;
-        let sent = exchange::send(&shared, &self.template, address, &facts, give_up).await;
+        let expires_at = self.ticket.expires_at;
+        let sent = exchange::send(&shared, &self.template, address, &facts, expires_at).await;
         let received = match sent {
             Ok(received) => received,
             Err(failure) => {
-                note_failure(&shared, &mut self.ticket, active, &failure);
+                record_failure(&shared, &mut self.ticket, active, &failure);
                 return false;
             }
         };
         let stated = received.facts.attempt.as_deref();
-        let same = stated.is_none_or(|stated| stated == self.ticket.description.attempt);
-        if same {
-            note_statement(&shared, &self.ticket, &instance, sent_at, &received.facts);
+        let same_attempt = stated.is_none_or(|stated| stated == self.ticket.description.attempt);
+        if same_attempt {
+            record_statement(&shared, &self.ticket, &instance, sent_at, &received.facts);
         }
         if received.facts.not_executed || received.facts.misdirected {
-            note_turned_away(&shared, &self.ticket, active, &received);
+            record_rejection(&shared, &self.ticket, active, &received);
             return false;
         }
-        if !same || received.head.status != self.status {
+        if !same_attempt || received.head.status != self.status {
             active.end(SendOutcome::Failed);
             return false;
         }
@@ -287,7 +293,7 @@
     }
 }
 
-/// The body that a relay gives.
+/// Turns a relay into a response body.
 pub(crate) fn relay(state: Relay) -> RelayBody {
     let frames = stream::unfold(state, Relay::next);
     StreamBody::new(frames).boxed_unsync()
--- a/crates/millpass-router/src/process.rs
+++ b/crates/millpass-router/src/process.rs
@@ -196,8 +196,8 @@
 }
 
 impl RouterHandle {
-    /// Calls `act` once a thread that the router depends on has exited, by a panic or a stop.
-    /// Without it, the process would accept connections that it cannot serve.
+    /// Calls `act` once a thread that the router depends on has exited, by a panic or a stop. The
+    /// router then still accepts connections, but cannot serve them.
     pub fn on_thread_end(&self, act: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
         let exited = self.on_thread_end.clone();
         let watch = move || {
--- a/crates/millpass-scheduler/src/eviction.rs
+++ b/crates/millpass-scheduler/src/eviction.rs
@@ -33,8 +33,8 @@
 }
 
 impl Scheduler {
-    /// Proposes evictions for the model; returns false if no set of idle replicas frees enough
-    /// memory.
+    /// Proposes evictions for the model; returns false if evictions are not allowed or do not
+    /// free enough memory.
     pub(crate) fn propose_evictions<'a>(
         &self,
         round: &mut Round<'a>,
--- a/crates/millpass-scheduler/src/lib.rs
+++ b/crates/millpass-scheduler/src/lib.rs
@@ -195,7 +195,7 @@
     }
 }
 
-/// Returns back ends that accept no new replicas. Usually few, so the lookup per replica is cheap.
+/// Returns backends that accept no new replicas. Usually few, so the lookup per replica is cheap.
 fn unavailable_backends(state: &State) -> BTreeSet<&BackendName> {
     let backends = state.backends_with_memory().map(|(backend, _)| backend);
     backends
--- a/crates/millpass-scheduler/src/view.rs
+++ b/crates/millpass-scheduler/src/view.rs
@@ -55,7 +55,7 @@
     pub settings: &'s SchedulerSettings,
     pub demand: &'s DemandTable,
     pub loads: &'s LoadTracker,
-    /// Back ends that accept no new replicas.
+    /// Backends that accept no new replicas.
     pub unavailable: BTreeSet<&'s BackendName>,
 }
 
