--- a/crates/millpass-control-plane/src/administration.rs
+++ b/crates/millpass-control-plane/src/administration.rs
@@ -53,8 +53,8 @@
     /// lease has expired since. Earlier, committed departures may not be applied yet, and a late
     /// announcement would bring a departed instance back.
     pub(crate) fn is_established_leader(&self) -> bool {
-        let has_begun = self.fleet.as_ref().is_some_and(Fleet::has_started_leading);
-        self.role == Role::Leader && has_begun
+        let has_started_leading = self.fleet.as_ref().is_some_and(Fleet::has_started_leading);
+        self.role == Role::Leader && has_started_leading
     }
 
     fn change_object(
