--- a/crates/millpass-router/tests/member_choice.rs
+++ b/crates/millpass-router/tests/member_selector.rs
@@ -15,36 +15,36 @@
 
 #[test]
 fn members_rotate_and_a_stated_leader_comes_first() {
-    let mut choice = five_members();
-    assert_eq!(choice.next_member(), Some(member(1)));
-    choice.set_leader_hint(Some(member(4)));
-    assert_eq!(choice.next_member(), Some(member(4)));
-    assert_eq!(choice.next_member(), Some(member(2)));
-    choice.set_leader_hint(None);
-    assert_eq!(choice.next_member(), Some(member(3)));
+    let mut selector = five_members();
+    assert_eq!(selector.next_member(), Some(member(1)));
+    selector.set_leader_hint(Some(member(4)));
+    assert_eq!(selector.next_member(), Some(member(4)));
+    assert_eq!(selector.next_member(), Some(member(2)));
+    selector.set_leader_hint(None);
+    assert_eq!(selector.next_member(), Some(member(3)));
 }
 
 #[test]
 fn unreachable_leader_stated_by_others_is_skipped() {
-    let mut choice = five_members();
-    choice.mark_unreachable(member(2));
+    let mut selector = five_members();
+    selector.mark_unreachable(member(2));
     for _ in 0..4 {
-        let turn = choice.next_member().expect("a member");
-        assert_ne!(turn, member(2));
-        choice.set_leader_hint(Some(member(2)));
+        let next = selector.next_member().expect("a member");
+        assert_ne!(next, member(2));
+        selector.set_leader_hint(Some(member(2)));
     }
-    choice.set_leader_hint(Some(member(5)));
-    assert_eq!(choice.next_member(), Some(member(5)));
+    selector.set_leader_hint(Some(member(5)));
+    assert_eq!(selector.next_member(), Some(member(5)));
 }
 
 /// Guards against skipping a leader forever that was unreachable only temporarily.
 #[test]
 fn leader_reachable_again_is_followed_after_one_rotation() {
-    let mut choice = five_members();
-    choice.mark_unreachable(member(2));
+    let mut selector = five_members();
+    selector.mark_unreachable(member(2));
     let reconnected_after = (1..=20).find(|_| {
-        let found = choice.next_member() == Some(member(2));
-        choice.set_leader_hint(Some(member(2)));
+        let found = selector.next_member() == Some(member(2));
+        selector.set_leader_hint(Some(member(2)));
         found
     });
     assert!(
@@ -55,17 +55,17 @@
 
 #[test]
 fn unreachable_member_is_retried() {
-    let mut choice = five_members();
-    choice.mark_unreachable(member(2));
-    let turns: Vec<_> = (0..40).filter_map(|_| choice.next_member()).collect();
-    assert!(turns.contains(&member(2)));
+    let mut selector = five_members();
+    selector.mark_unreachable(member(2));
+    let members: Vec<_> = (0..40).filter_map(|_| selector.next_member()).collect();
+    assert!(members.contains(&member(2)));
 }
 
 #[test]
 fn only_member_is_retried_though_unreachable() {
-    let mut choice = MemberSelector::new(vec![member(1)]);
-    choice.mark_unreachable(member(1));
-    assert_eq!(choice.next_member(), Some(member(1)));
+    let mut selector = MemberSelector::new(vec![member(1)]);
+    selector.mark_unreachable(member(1));
+    assert_eq!(selector.next_member(), Some(member(1)));
     assert_eq!(MemberSelector::new(Vec::new()).next_member(), None);
 }
 
