--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -7,7 +7,7 @@
 use crate::plane::ControlPlane;
 use crate::proposals::{InternalKey, Waiter};
 use millpass_consensus::Role;
-use millpass_fleet::{CallAnswer, FleetOutput, GatewayContext};
+use millpass_fleet::{CallResult, FleetOutput, GatewayContext};
 use millpass_proto::{
     Command, ControlToRouter, CrashReport, Duration, EngineInstruction, GatewayReport,
     InstanceDeparture, InstanceId, InstanceRecord, InstructionIntent, LogPosition, PermitRequest,
@@ -81,7 +81,7 @@
         let draining = record.draining;
         record.draining |= departed.is_some();
         let instance = record.instance.clone();
-        fleet.announce(now, record, departed == Some(true));
+        fleet.handle_announcement(now, record, departed == Some(true));
         if draining && departed.is_none() {
             let departure = InstanceDeparture {
                 instance,
@@ -98,7 +98,7 @@
             return instance;
         }
         let latest = self.fleet.as_ref();
-        let latest = latest.and_then(|fleet| fleet.latest_run(&instance));
+        let latest = latest.and_then(|fleet| fleet.latest_incarnation(&instance));
         let recorded = || self.state.latest_noted_run(&instance).cloned();
         latest.or_else(recorded).unwrap_or(instance)
     }
@@ -128,7 +128,7 @@
     /// Records the current document in the history, if it changed.
     pub(crate) fn record_document(&mut self, now: Timestamp) {
         if let Some(document) = self.state.document() {
-            self.documents.applied(now, document);
+            self.documents.record(now, document);
         }
     }
 
@@ -139,8 +139,8 @@
         departure: &InstanceDeparture,
     ) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.departure_committed(now, at.index);
-            fleet.departed(&departure.instance, departure.ended);
+            fleet.record_departure_commit(now, at.index);
+            fleet.handle_departure(&departure.instance, departure.ended);
         }
     }
 
@@ -162,7 +162,7 @@
             }
         }
         match &mut self.fleet {
-            Some(fleet) => fleet.report(now, connection.0, report),
+            Some(fleet) => fleet.handle_report(now, connection.0, report),
             None => out.send_not_leader(connection, None),
         }
     }
@@ -170,7 +170,7 @@
     /// Records crashes that a gateway observed; updates are sent in the next run of the fleet.
     pub(crate) fn handle_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.crashes_reported(now, report);
+            fleet.handle_crash_report(now, report);
         }
     }
 
@@ -183,14 +183,14 @@
         out: &mut Outputs,
     ) {
         if let Some(fleet) = &mut self.fleet {
-            let response = fleet.permit_request(now, self.term, request);
+            let response = fleet.handle_permit_request(now, self.term, request);
             out.send_router(connection, ControlToRouter::Permits(response));
         }
     }
 
     pub(crate) fn quarantined_requests(&self, now: Timestamp) -> AdministrationResponse {
         let fleet = self.fleet.as_ref();
-        let quarantined = fleet.map_or_else(Vec::new, |fleet| fleet.held_requests(now));
+        let quarantined = fleet.map_or_else(Vec::new, |fleet| fleet.quarantined_requests(now));
         AdministrationResponse::QuarantinedRequests(quarantined)
     }
 
@@ -206,26 +206,30 @@
             return;
         }
         if let Some(fleet) = &mut self.fleet {
-            fleet.lift(&request);
+            fleet.lift_quarantine(&request);
         }
         let command = Command::LiftQuarantine(request);
         self.propose(now, Waiter::Call(call), command, out);
     }
 
-    pub(crate) fn handle_call_result(&mut self, now: Timestamp, result: &CallAnswer) {
+    pub(crate) fn handle_call_result(&mut self, now: Timestamp, result: &CallResult) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.answered(now, result);
+            fleet.handle_call_result(now, result);
         }
     }
 
     /// Initializes the fleet from the replicated state, once per leadership.
     pub(crate) fn start_fleet(&mut self, now: Timestamp) {
-        if let Some(fleet) = self.fleet.as_mut().filter(|fleet| !fleet.has_begun()) {
+        if let Some(fleet) = self
+            .fleet
+            .as_mut()
+            .filter(|fleet| !fleet.has_started_leading())
+        {
             let recorded = self.state.noted_instances().cloned();
             let quarantined = self.state.held_requests().cloned();
             let state = &self.state;
-            fleet.take_departures(&|instance| state.departed(instance));
-            fleet.begin(now, recorded, quarantined, &self.instructions);
+            fleet.apply_departures(&|instance| state.departed(instance));
+            fleet.start_leading(now, recorded, quarantined, &self.instructions);
         }
     }
 
@@ -253,19 +257,19 @@
         for output in fleet.run(now, self.term, self.state.document(), &context) {
             match output {
                 FleetOutput::Instruct(instruction) => instructions.push(instruction),
-                FleetOutput::Note(record) => {
+                FleetOutput::RecordInstances(record) => {
                     let command = Command::RecordInstances(record);
                     self.propose_internal(now, InternalKey::NoteInstances, command, out);
                 }
-                FleetOutput::NoteStoreCapacity(capacity) => {
+                FleetOutput::RecordStoreCapacity(capacity) => {
                     let command = Command::RecordStoreCapacity(capacity);
                     self.propose_internal(now, InternalKey::NoteStoreCapacity, command, out);
                 }
-                FleetOutput::NoteHeldRequest(record) => {
+                FleetOutput::QuarantineRequest(record) => {
                     let key = InternalKey::HeldRequest(record.request.clone());
                     self.propose_internal(now, key, Command::QuarantineRequest(record), out);
                 }
-                FleetOutput::LiftRequest(request) => {
+                FleetOutput::LiftQuarantine(request) => {
                     let key = InternalKey::HeldRequest(request.clone());
                     self.propose_internal(now, key, Command::LiftQuarantine(request), out);
                 }
@@ -290,10 +294,10 @@
                         call,
                     });
                 }
-                FleetOutput::DocumentReached(after) => {
+                FleetOutput::DocumentAcknowledged(after) => {
                     out.push(ControlOutput::DocumentReached(after));
                 }
-                FleetOutput::DepartureReached(after) => {
+                FleetOutput::DepartureAcknowledged(after) => {
                     out.push(ControlOutput::DepartureReached(after));
                 }
                 FleetOutput::Event(event) => out.event(event.name, event.pairs),
@@ -351,7 +355,9 @@
         let deadline = now + lifetime;
         for instruction in instructions {
             let fleet = self.fleet.as_ref();
-            if fleet.is_some_and(|fleet| fleet.awaits(&instruction.instance, instruction.call)) {
+            if fleet
+                .is_some_and(|fleet| fleet.awaits_response(&instruction.instance, instruction.call))
+            {
                 out.push(ControlOutput::Instruct {
                     instruction,
                     deadline,
--- a/crates/millpass-control-plane/src/interface.rs
+++ b/crates/millpass-control-plane/src/interface.rs
@@ -1,7 +1,7 @@
 //! Inputs, outputs and settings of a control member's decision core.
 
 use millpass_consensus::{ConsensusSettings, ConsensusStatus, MembershipChange, PersistRequest};
-use millpass_fleet::{CallAnswer, FleetSettings};
+use millpass_fleet::{CallResult, FleetSettings};
 use millpass_proto::{
     AuditRecord, BackendName, BackendState, CallId, ConfigurationRevision, ControlToRouter,
     Duration, EngineInstruction, EngineOrder, InstanceDeparture, InstanceId, InstanceRecord,
@@ -100,7 +100,7 @@
     /// Shut down gracefully: transfer leadership, then emit [`ControlOutput::Stopped`].
     Drain,
     /// Result of an instruction to an engine or of reading an engine's state.
-    EngineCallCompleted(CallAnswer),
+    EngineCallCompleted(CallResult),
     /// Another member reports its share of the instances.
     Share(ShareReport),
     /// Response to this member's share report.
--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -120,7 +120,7 @@
         let status = consensus.status();
         let mut documents = DocumentHistory::new();
         if let Some(document) = state.document() {
-            documents.applied(now, document);
+            documents.record(now, document);
         }
         let loads_per_second = settings.scheduler.store_loads_per_second;
         ControlPlane {
@@ -227,7 +227,7 @@
             ControlInput::RouterDisconnected(connection) => {
                 self.sessions.disconnected(connection);
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.disconnected(now, connection.0);
+                    fleet.handle_disconnect(now, connection.0);
                 }
             }
             ControlInput::RouterBacklog {
@@ -235,7 +235,7 @@
                 backlogged,
             } => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.backlog(now, connection.0, backlogged);
+                    fleet.set_backlogged(now, connection.0, backlogged);
                 }
             }
             ControlInput::OrderDelivered {
@@ -262,14 +262,14 @@
     fn detect_overload(&mut self, now: Timestamp) {
         let factor = self.overload.record_tick(now);
         if let Some(fleet) = &mut self.fleet {
-            fleet.set_pace(factor);
+            fleet.set_slowdown(factor);
         }
     }
 
     /// Records that the host refused announcements because its queue was full.
     pub fn announcements_refused(&mut self, now: Timestamp) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.announcements_refused(now);
+            fleet.record_refused_announcements(now);
         }
     }
 
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -118,9 +118,11 @@
                     Command::DepartInstance(departure) => {
                         self.departure_applied(now, at, departure);
                     }
-                    Command::RecordInstructionIntent(intent) => self.instructions.note(now, intent),
+                    Command::RecordInstructionIntent(intent) => {
+                        self.instructions.record(now, intent)
+                    }
                     Command::RecordStoreCapacity(capacity) => {
-                        self.instructions.note_store_capacity(*capacity);
+                        self.instructions.record_store_capacity(*capacity);
                     }
                     _ => {}
                 }
@@ -313,7 +315,7 @@
         self.repair.clear();
         self.scheduler = Scheduler::new(self.settings.scheduler.clone());
         if let Some(fleet) = &mut self.fleet {
-            fleet.clear();
+            fleet.reset();
         }
         self.credit = None;
     }
--- a/crates/millpass-fleet/src/activation.rs
+++ b/crates/millpass-fleet/src/activation.rs
@@ -1,51 +1,50 @@
-//! Which instances are active: told to gateways, and, where they are engines, read and steered.
+//! Selects the active instances of each service: those sent to gateways and, for engines, read and
+//! instructed.
 //!
-//! A service that has few instances uses all of them. Of more, as many are active as demand asks for, and some to spare:
-//! each model keeps replicas in different zones, a busy one as many as serve it well, and each zone some instances of every
-//! service. The others stand by and are called up when demand asks for them, without a load where they hold the model. So what
-//! gateways are told, and what a round of planning looks at, follows demand and the number of models, not that of the
+//! Small services keep all instances active. In larger ones, active instances follow demand: each
+//! model keeps replicas in several zones, and each zone keeps spare instances. The others stay on
+//! standby and are activated on demand, so updates and planning do not grow with the number of
 //! instances.
 
 use crate::demand::Load;
 use crate::fleet::Fleet;
-use crate::round::{self, COMFORTABLE_SHARE};
+use crate::round::{self, MAX_REPLICA_UTILIZATION};
 use millpass_proto::{
     DeploymentDocument, Duration, EngineModelSpec, InstanceId, InstanceRecord, ModelName,
     ServiceName, ServiceSpec, Timestamp, ZoneName,
 };
 use std::collections::BTreeMap;
 
-/// Instances up to which a service is used whole: telling gateways of all of them costs little.
-pub(crate) const WHOLE_SERVICE: usize = 256;
-/// Replicas of each model that are kept active where there are so many: one may be lost with its zone.
-const LEAST_REPLICAS: usize = 2;
-/// Zones that they are in at least, where there are so many.
-const LEAST_ZONES: usize = 2;
-/// Instances of each service kept active in each zone: some to spare where demand jumps, or a model has to be placed.
-const LEAST_IN_ZONE: usize = 8;
-/// Share of its places that a plain instance has in use at most, in the mean.
-const LIGHT_USE: f64 = 0.25;
-/// Most instances of a service called up in one look, so that none takes long.
-const MAXIMUM_CALLED_UP: usize = 64;
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time for which an instance that nobody needs stays active.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+/// Services with up to this many instances keep all of them active.
+pub(crate) const ALL_ACTIVE_LIMIT: usize = 256;
+/// Active replicas kept per model where available, so that the loss of a zone leaves one.
+const MIN_REPLICAS: usize = 2;
+/// Zones that the active replicas of a model are spread over, where available.
+const MIN_ZONES: usize = 2;
+/// Active instances kept per service and zone, as spare capacity for demand peaks and placements.
+const MIN_ACTIVE_PER_ZONE: usize = 8;
+/// Mean fraction of slots in use up to which plain instances are loaded.
+const TARGET_UTILIZATION: f64 = 0.25;
+/// Bounds the duration of a pass.
+const MAX_ACTIVATIONS_PER_PASS: usize = 64;
+const ACTIVATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without demand after which an active instance returns to standby.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Active instances of one service that take new work.
+/// Available active instances of one service.
 #[derive(Default)]
-struct Census {
+struct ActiveCounts {
     total: usize,
     zones: BTreeMap<ZoneName, usize>,
-    /// Replicas of each model, by zone.
+    /// By zone.
     replicas: BTreeMap<ModelName, BTreeMap<ZoneName, usize>>,
 }
 
-impl Census {
-    fn of<'a>(records: impl Iterator<Item = &'a InstanceRecord>) -> Census {
-        let mut census = Census::default();
-        records.for_each(|record| census.add(record));
-        census
+impl ActiveCounts {
+    fn of<'a>(records: impl Iterator<Item = &'a InstanceRecord>) -> ActiveCounts {
+        let mut counts = ActiveCounts::default();
+        records.for_each(|record| counts.add(record));
+        counts
     }
 
     fn add(&mut self, record: &InstanceRecord) {
@@ -59,15 +58,15 @@
 
     fn remove(&mut self, record: &InstanceRecord) {
         self.total -= 1;
-        let less = |count: Option<&mut usize>| count.into_iter().for_each(|count| *count -= 1);
-        less(self.zones.get_mut(&record.zone));
+        let decrement = |count: Option<&mut usize>| count.into_iter().for_each(|count| *count -= 1);
+        decrement(self.zones.get_mut(&record.zone));
         for held in &record.models {
             let zones = self.replicas.get_mut(&held.model);
-            less(zones.and_then(|zones| zones.get_mut(&record.zone)));
+            decrement(zones.and_then(|zones| zones.get_mut(&record.zone)));
         }
     }
 
-    fn in_zone(&self, zone: &ZoneName) -> usize {
+    fn count_in_zone(&self, zone: &ZoneName) -> usize {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
@@ -76,12 +75,12 @@
         zones.map_or(0, |zones| zones.values().sum())
     }
 
-    fn zones_of(&self, model: &ModelName) -> usize {
+    fn zone_count(&self, model: &ModelName) -> usize {
         let zones = self.replicas.get(model);
-        let held = |zones: &BTreeMap<ZoneName, usize>| {
+        let non_empty = |zones: &BTreeMap<ZoneName, usize>| {
             zones.values().filter(|replicas| **replicas > 0).count()
         };
-        zones.map_or(0, held)
+        zones.map_or(0, non_empty)
     }
 
     fn replicas_in(&self, model: &ModelName, zone: &ZoneName) -> usize {
@@ -93,119 +92,135 @@
     }
 }
 
-/// What a service is asked for.
-struct Wanted {
-    /// Instances over all.
+/// Number of instances a service needs active.
+struct ActivationTarget {
+    /// Over all models.
     total: usize,
-    /// Replicas of each model that is asked for; of the others, [`LEAST_REPLICAS`].
+    /// Replicas of each model in demand; [`MIN_REPLICAS`] for the others.
     replicas: BTreeMap<ModelName, usize>,
 }
 
-impl Wanted {
+impl ActivationTarget {
     fn replicas(&self, model: &ModelName) -> usize {
         let replicas = self.replicas.get(model).copied().unwrap_or_default();
-        replicas.max(LEAST_REPLICAS)
+        replicas.max(MIN_REPLICAS)
     }
 }
 
-/// Replicas that serve a model well.
-fn replicas_for(load: &Load, slots: f64) -> usize {
-    (round::business(load, slots) / COMFORTABLE_SHARE) as usize + 1
+/// Returns the number of replicas that keep utilization below the target.
+fn required_replicas(load: &Load, slots: f64) -> usize {
+    (round::offered_load(load, slots) / MAX_REPLICA_UTILIZATION) as usize + 1
 }
 
 impl Fleet {
-    /// Whether a service that gets one more instance is still used whole.
-    pub(crate) fn uses_whole(&self, service: &ServiceName) -> bool {
-        self.registry.count(service) + self.standby.count(service) < WHOLE_SERVICE
+    /// Returns whether all instances stay active if the service gains one more.
+    pub(crate) fn keeps_all_active(&self, service: &ServiceName) -> bool {
+        self.registry.count(service) + self.standby.count(service) < ALL_ACTIVE_LIMIT
     }
 
-    /// Calls up instances that demand asks for; lets those stand by that nobody has needed for long.
-    pub(crate) fn keep_active(&mut self, now: Timestamp, document: &DeploymentDocument) {
+    /// Activates instances that demand requires and returns idle ones to standby.
+    pub(crate) fn adjust_active_instances(
+        &mut self,
+        now: Timestamp,
+        document: &DeploymentDocument,
+    ) {
         if now < self.next_activation {
             return;
         }
-        self.next_activation = now + LOOK_INTERVAL;
+        self.next_activation = now + ACTIVATION_INTERVAL;
         for service in &document.services {
-            let stands_by = self.standby.count(&service.name);
-            if stands_by == 0 && self.registry.count(&service.name) <= WHOLE_SERVICE {
+            let standby_count = self.standby.count(&service.name);
+            if standby_count == 0 && self.registry.count(&service.name) <= ALL_ACTIVE_LIMIT {
                 continue;
             }
-            let mut census = Census::of(self.registry.taking(&service.name));
-            let wanted = self.wanted(now, service, &census);
-            self.call_up(now, service, &wanted, &mut census);
-            self.release_idle(now, service, &wanted, &mut census);
+            let mut counts = ActiveCounts::of(self.registry.available(&service.name));
+            let target = self.activation_target(now, service, &counts);
+            self.activate_for_demand(now, service, &target, &mut counts);
+            self.deactivate_idle(now, service, &target, &mut counts);
         }
     }
 
-    fn wanted(&self, now: Timestamp, service: &ServiceSpec, census: &Census) -> Wanted {
-        let whole = census.total + self.standby.count(&service.name) <= WHOLE_SERVICE;
+    fn activation_target(
+        &self,
+        now: Timestamp,
+        service: &ServiceSpec,
+        counts: &ActiveCounts,
+    ) -> ActivationTarget {
+        let keeps_all = counts.total + self.standby.count(&service.name) <= ALL_ACTIVE_LIMIT;
         let Some(engine) = &service.engine else {
-            let places = self.registry.taking(&service.name);
-            let slots = places.map(|record| record.slots).max().unwrap_or(1).max(1);
-            let in_flight = self.traffic.in_flight(self.registry.taking(&service.name));
-            let total = f64::from(in_flight) / (f64::from(slots) * LIGHT_USE);
-            return Wanted {
-                total: if whole { WHOLE_SERVICE } else { total as usize },
+            let records = self.registry.available(&service.name);
+            let slots = records.map(|record| record.slots).max().unwrap_or(1).max(1);
+            let in_flight = self
+                .traffic
+                .in_flight(self.registry.available(&service.name));
+            let total = f64::from(in_flight) / (f64::from(slots) * TARGET_UTILIZATION);
+            return ActivationTarget {
+                total: if keeps_all {
+                    ALL_ACTIVE_LIMIT
+                } else {
+                    total as usize
+                },
                 replicas: BTreeMap::new(),
             };
         };
         let slots = f64::from(engine.slots.max(1));
         let loads = self.demand.loads(now, &service.name).into_iter();
         let replicas = loads.map(|(model, load)| {
-            let replicas = replicas_for(&load, slots);
+            let replicas = required_replicas(&load, slots);
             (model, replicas)
         });
-        Wanted {
-            total: if whole { WHOLE_SERVICE } else { 0 },
+        ActivationTarget {
+            total: if keeps_all { ALL_ACTIVE_LIMIT } else { 0 },
             replicas: replicas.collect(),
         }
     }
 
-    fn call_up(
+    fn activate_for_demand(
         &mut self,
         now: Timestamp,
         service: &ServiceSpec,
-        wanted: &Wanted,
-        census: &mut Census,
+        target: &ActivationTarget,
+        counts: &mut ActiveCounts,
     ) {
-        let mut left = MAXIMUM_CALLED_UP;
+        let mut remaining = MAX_ACTIVATIONS_PER_PASS;
         let models = service.engine.iter().flat_map(|engine| &engine.models);
         for model in models {
-            while left > 0
-                && let Some(instance) = self.lacking_replica(service, model, wanted, census)
+            while remaining > 0
+                && let Some(instance) = self.missing_replica(service, model, target, counts)
             {
-                self.activate(now, &instance, "model", census);
-                left -= 1;
+                self.activate(now, &instance, "model", counts);
+                remaining -= 1;
             }
         }
-        while left > 0 {
-            let zones = self.standby.of_service(&service.name);
-            let emptiest = zones.min_by_key(|(zone, _)| census.in_zone(zone));
-            let lacks = |zone: &ZoneName| census.in_zone(zone) < LEAST_IN_ZONE;
-            let lacking = emptiest.filter(|(zone, _)| lacks(zone) || census.total < wanted.total);
-            let Some(instance) = lacking.map(|(_, instance)| instance.clone()) else {
+        while remaining > 0 {
+            let zones = self.standby.first_by_zone(&service.name);
+            let least_populated = zones.min_by_key(|(zone, _)| counts.count_in_zone(zone));
+            let below_minimum = |zone: &ZoneName| counts.count_in_zone(zone) < MIN_ACTIVE_PER_ZONE;
+            let candidate = least_populated
+                .filter(|(zone, _)| below_minimum(zone) || counts.total < target.total);
+            let Some(instance) = candidate.map(|(_, instance)| instance.clone()) else {
                 return;
             };
-            self.activate(now, &instance, "spare", census);
-            left -= 1;
+            self.activate(now, &instance, "spare", counts);
+            remaining -= 1;
         }
     }
 
-    /// A further replica of a model that has too few, or has them in too few zones.
-    fn lacking_replica(
+    /// Returns a standby instance that adds a missing replica or zone of a model.
+    fn missing_replica(
         &self,
         service: &ServiceSpec,
         model: &EngineModelSpec,
-        wanted: &Wanted,
-        census: &Census,
+        target: &ActivationTarget,
+        counts: &ActiveCounts,
     ) -> Option<InstanceId> {
         let model = &model.name;
-        let holding = self.standby.holding(&service.name, model);
-        let (zone, instance) = holding.min_by_key(|(zone, _)| census.replicas_in(model, zone))?;
-        let too_few = census.replicas(model) < wanted.replicas(model);
-        let spreads = census.replicas_in(model, zone) == 0;
-        let too_close = census.zones_of(model) < LEAST_ZONES && spreads;
-        (too_few || too_close).then(|| instance.clone())
+        let holders = self.standby.first_holders_by_zone(&service.name, model);
+        let (zone, instance) = holders.min_by_key(|(zone, _)| counts.replicas_in(model, zone))?;
+        let too_few = counts.replicas(model) < target.replicas(model);
+        let adds_zone = counts.replicas_in(model, zone) == 0;
+        let too_few_zones = counts.zone_count(model) < MIN_ZONES && adds_zone;
+        (too_few || too_few_zones).then(|| instance.clone())
     }
 
     fn activate(
@@ -213,64 +228,64 @@
         now: Timestamp,
         instance: &InstanceId,
         reason: &'static str,
-        census: &mut Census,
+        counts: &mut ActiveCounts,
     ) {
         let Some(record) = self.standby.remove(instance) else {
             return;
         };
-        census.add(&record);
+        counts.add(&record);
         let pairs = vec![
             ("instance", instance.0.clone()),
             ("reason", reason.to_owned()),
-            ("active", census.total.to_string()),
+            ("active", counts.total.to_string()),
             ("standby", self.standby.len().to_string()),
         ];
-        self.take_active(now, record);
+        self.record_active(now, record);
         self.active_revision += 1;
         self.event("instance-activated", pairs);
     }
 
-    /// Lets one instance stand by that nobody has needed for long.
-    fn release_idle(
+    /// Returns at most one idle instance to standby.
+    fn deactivate_idle(
         &mut self,
         now: Timestamp,
         service: &ServiceSpec,
-        wanted: &Wanted,
-        census: &mut Census,
+        target: &ActivationTarget,
+        counts: &mut ActiveCounts,
     ) {
         let mut released = None;
-        for record in self.registry.taking(&service.name) {
+        for record in self.registry.available(&service.name) {
             let models = &record.models;
-            let spare = census.total > WHOLE_SERVICE.max(wanted.total)
-                && census.in_zone(&record.zone) > LEAST_IN_ZONE
+            let is_idle = counts.total > ALL_ACTIVE_LIMIT.max(target.total)
+                && counts.count_in_zone(&record.zone) > MIN_ACTIVE_PER_ZONE
                 && models
                     .iter()
-                    .all(|held| census.replicas(&held.model) > wanted.replicas(&held.model))
-                && !self.traffic.is_used(&record.instance)
-                && self.engines.is_at_rest(&record.instance);
-            if !spare {
+                    .all(|held| counts.replicas(&held.model) > target.replicas(&held.model))
+                && !self.traffic.has_requests(&record.instance)
+                && self.engines.is_quiescent(&record.instance);
+            if !is_idle {
                 self.idle_since.remove(&record.instance);
                 continue;
             }
             let since = self.idle_since.entry(record.instance.clone());
-            if now.since(*since.or_insert(now)) >= IDLE_TIME {
+            if now.since(*since.or_insert(now)) >= IDLE_TIMEOUT {
                 released.get_or_insert_with(|| record.clone());
             }
         }
         if let Some(record) = released {
-            census.remove(&record);
-            self.stand_by(record);
+            counts.remove(&record);
+            self.deactivate(record);
         }
     }
 
-    fn stand_by(&mut self, record: InstanceRecord) {
+    fn deactivate(&mut self, record: InstanceRecord) {
         let instance = &record.instance.clone();
         let pairs = vec![("instance", instance.0.clone())];
         self.idle_since.remove(instance);
-        let announced = self.registry.announced(instance);
+        let announced = self.registry.last_announced(instance);
         self.engines.engines.remove(instance);
         self.registry.remove(instance);
-        self.standby.put(announced.unwrap_or(record));
+        self.standby.insert(announced.unwrap_or(record));
         self.active_revision += 1;
         self.dirty = true;
         self.event("instance-stands-by", pairs);
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -1,7 +1,8 @@
-//! Requests, and loads, that end the instances that run them.
+//! Quarantine of requests and loads that crash instances.
 //!
-//! Gateways say which runs ended and what of theirs was in flight there; the leader adds up the words of all of
-//! them. What it holds back is told to every gateway and, once certain, kept in the log.
+//! Gateways report ended process runs and the requests in flight there; the leader sums them up
+//! over all gateways. Quarantined requests are sent to every gateway and, once confirmed, recorded
+//! in the log.
 
 use crate::demand::ModelKey;
 use crate::fleet::Fleet;
@@ -12,38 +13,35 @@
 };
 use millpass_quarantine::{Quarantine, QuarantinedItem};
 
-/// Time from which an announcement shows that a run said to have ended is there. One that was under way when
-/// the run ended arrives before.
+/// Time after a reported crash from which an announcement proves that the instance is alive.
+/// Earlier ones may have been sent before the crash.
 const SURVIVAL_TIME: Duration = Duration::from_millis(400);
 
-/// What ends instances, as the leader knows it.
+/// Requests and loads to which crashes are attributed.
 #[derive(Default)]
-pub(crate) struct Crashes {
-    /// Requests, over all gateways.
+pub(crate) struct CrashTracker {
     requests: Quarantine<RequestFingerprint>,
     /// Loads of models and adapters.
     loads: Quarantine<ModelKey>,
 }
 
-impl Crashes {
+impl CrashTracker {
     pub(crate) fn revision(&self) -> u64 {
         self.requests.revision()
     }
 
-    /// Whether loads of this are held back.
-    pub(crate) fn holds_load(&self, now: Timestamp, key: &ModelKey) -> bool {
+    pub(crate) fn is_load_quarantined(&self, now: Timestamp, key: &ModelKey) -> bool {
         self.loads.quarantined_for(now, key).is_some()
     }
 
-    /// What gateways are told.
     fn update(&self, now: Timestamp, term: u64) -> CrashUpdate {
-        let held = self
+        let quarantined = self
             .requests
             .quarantined()
-            .filter(|(_, held)| !held.expired);
-        let held = held.map(|(request, held)| QuarantinedRequest {
+            .filter(|(_, item)| !item.expired);
+        let quarantined = quarantined.map(|(request, item)| QuarantinedRequest {
             request: request.clone(),
-            remaining_millis: held.until.since(now).as_millis().max(1) as u64,
+            remaining_millis: item.until.since(now).as_millis().max(1) as u64,
         });
         let suspects = self.requests.suspects().map(|request| QuarantinedRequest {
             request: request.clone(),
@@ -51,53 +49,55 @@
         });
         CrashUpdate {
             term,
-            requests: held.chain(suspects).collect(),
+            requests: quarantined.chain(suspects).collect(),
         }
     }
 }
 
 impl Fleet {
-    /// Begins with the requests that the log holds back.
-    pub(crate) fn restore_held(
+    /// Restores quarantined requests recorded in the log.
+    pub(crate) fn restore_quarantined(
         &mut self,
         now: Timestamp,
-        held: impl Iterator<Item = QuarantineRecord>,
+        records: impl Iterator<Item = QuarantineRecord>,
     ) {
-        for note in held {
+        for record in records {
             let requests = &mut self.crashes.requests;
-            requests.restore(now, note.request, note.crashes, note.expired);
+            requests.restore(now, record.request, record.crashes, record.expired);
         }
     }
 
-    /// Takes what a gateway saw of runs that ended. An instance that leaves ends as planned: that says nothing.
-    pub fn crashes_reported(&mut self, now: Timestamp, report: &CrashReport) {
+    /// Applies a gateway's report of ended process runs. The end of a draining instance is expected
+    /// and not attributed to its requests.
+    pub fn handle_crash_report(&mut self, now: Timestamp, report: &CrashReport) {
         for request in &report.served {
             if self.crashes.requests.release(request) {
-                self.log_lifted(request, "served");
-                self.out.push(FleetOutput::LiftRequest(request.clone()));
+                self.log_released(request, "served");
+                self.out.push(FleetOutput::LiftQuarantine(request.clone()));
             }
         }
-        for ended in &report.crashes {
-            let leaves = self.registry.get(&ended.instance);
-            if leaves.is_some_and(|record| record.draining) {
+        for crash in &report.crashes {
+            let record = self.registry.get(&crash.instance);
+            if record.is_some_and(|record| record.draining) {
                 continue;
             }
-            if self.crashes.requests.crashed_at(&ended.instance).is_none() {
+            if self.crashes.requests.crashed_at(&crash.instance).is_none() {
                 let pairs = vec![
-                    ("instance", ended.instance.0.clone()),
-                    ("requests", ended.requests.len().to_string()),
+                    ("instance", crash.instance.0.clone()),
+                    ("requests", crash.requests.len().to_string()),
                 ];
                 self.event("instance-ended", pairs);
-                self.load_ended(now, &ended.instance);
+                self.attribute_crash_to_load(now, &crash.instance);
             }
             let requests = &mut self.crashes.requests;
-            requests.record_crash(now, &ended.instance, &ended.requests);
-            self.log_held(now, &ended.requests);
+            requests.record_crash(now, &crash.instance, &crash.requests);
+            self.log_quarantined(now, &crash.requests);
         }
     }
 
-    /// An instance announces itself: it has not ended, whatever gateways took a refused connection for.
-    pub(crate) fn survived(&mut self, now: Timestamp, instance: &InstanceId) {
+    /// Withdraws the crash of an instance that announces itself: the gateway's connection was
+    /// refused for another reason.
+    pub(crate) fn record_survival(&mut self, now: Timestamp, instance: &InstanceId) {
         let ended_at = self.crashes.requests.crashed_at(instance);
         if ended_at.is_none_or(|at| now.since(at) < SURVIVAL_TIME) {
             return;
@@ -109,8 +109,8 @@
         self.crashes.loads.retract_crash(now, instance);
     }
 
-    /// An engine has ended: what it was loading may be the cause.
-    pub(crate) fn load_ended(&mut self, now: Timestamp, instance: &InstanceId) {
+    /// Attributes the end of an engine to the load it was carrying out.
+    pub(crate) fn attribute_crash_to_load(&mut self, now: Timestamp, instance: &InstanceId) {
         let Some(record) = self.registry.get(instance) else {
             return;
         };
@@ -127,10 +127,10 @@
             model: pending.model.clone(),
             adapter: pending.adapter.clone(),
         };
-        let held = self.crashes.holds_load(now, &key);
+        let was_quarantined = self.crashes.is_load_quarantined(now, &key);
         let loads = &mut self.crashes.loads;
         loads.record_crash(now, instance, std::slice::from_ref(&key));
-        if !held && self.crashes.holds_load(now, &key) {
+        if !was_quarantined && self.crashes.is_load_quarantined(now, &key) {
             let adapter = key.adapter.as_ref().map_or("none", |name| name.as_str());
             let pairs = vec![
                 ("service", key.service.0.clone()),
@@ -141,15 +141,18 @@
         }
     }
 
-    /// An engine holds these models: they can be loaded.
-    pub(crate) fn models_held(&mut self, service: &ServiceName, models: &[HeldModel]) {
+    /// Releases models and adapters that an engine has loaded.
+    pub(crate) fn release_held_models(&mut self, service: &ServiceName, models: &[HeldModel]) {
         if self.crashes.loads.is_empty() {
             return;
         }
-        for held in models {
-            let adapters = held.adapters.iter().map(|adapter| Some(adapter.clone()));
+        for held_model in models {
+            let adapters = held_model
+                .adapters
+                .iter()
+                .map(|adapter| Some(adapter.clone()));
             for adapter in std::iter::once(None).chain(adapters) {
-                let model = held.model.clone();
+                let model = held_model.model.clone();
                 let service = service.clone();
                 self.crashes.loads.release(&ModelKey {
                     service,
@@ -160,45 +163,47 @@
         }
     }
 
-    /// Lets a request go, as an operator asked. False if nothing was held against it.
-    pub fn lift(&mut self, request: &RequestFingerprint) -> bool {
-        let known = self.crashes.requests.release(request);
-        if known {
-            self.log_lifted(request, "operator");
+    /// Releases a request on an operator's behalf. Returns false if no crash is attributed to it.
+    pub fn lift_quarantine(&mut self, request: &RequestFingerprint) -> bool {
+        let was_quarantined = self.crashes.requests.release(request);
+        if was_quarantined {
+            self.log_released(request, "operator");
         }
-        known
+        was_quarantined
     }
 
-    /// Requests that are held back, and how much longer.
-    pub fn held_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
-        let held = self.crashes.requests.quarantined();
-        held.map(|(request, held)| (request.clone(), held.crashes, held.until.since(now)))
+    /// Returns the quarantined requests with the number of attributed crashes and the remaining
+    /// time.
+    pub fn quarantined_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
+        let quarantined = self.crashes.requests.quarantined();
+        quarantined
+            .map(|(request, item)| (request.clone(), item.crashes, item.until.since(now)))
             .collect()
     }
 
-    /// What is due by time: what became certain goes to the log, what has had its time is let go.
-    pub(crate) fn sweep_crashes(&mut self, now: Timestamp) {
-        let certain = self.settings.announce_interval * 3 / 2;
-        for (request, held) in self.crashes.requests.confirm(now, certain) {
-            self.note_held(request, &held);
+    /// Records confirmed requests in the log and releases those whose quarantine has expired.
+    pub(crate) fn expire_quarantine(&mut self, now: Timestamp) {
+        let confirmed_after = self.settings.announce_interval * 3 / 2;
+        for (request, item) in self.crashes.requests.confirm(now, confirmed_after) {
+            self.output_quarantined(request, &item);
         }
-        for (request, held) in self.crashes.requests.expire(now) {
-            self.log_lifted(&request, "time");
-            self.note_held(request, &held);
+        for (request, item) in self.crashes.requests.expire(now) {
+            self.log_released(&request, "time");
+            self.output_quarantined(request, &item);
         }
         self.crashes.loads.expire(now);
     }
 
-    fn note_held(&mut self, request: RequestFingerprint, held: &QuarantinedItem) {
+    fn output_quarantined(&mut self, request: RequestFingerprint, item: &QuarantinedItem) {
         self.out
-            .push(FleetOutput::NoteHeldRequest(QuarantineRecord {
+            .push(FleetOutput::QuarantineRequest(QuarantineRecord {
                 request,
-                crashes: held.crashes,
-                expired: held.expired,
+                crashes: item.crashes,
+                expired: item.expired,
             }));
     }
 
-    fn log_lifted(&mut self, request: &RequestFingerprint, reason: &str) {
+    fn log_released(&mut self, request: &RequestFingerprint, reason: &str) {
         let pairs = vec![
             ("fingerprint", request.to_string()),
             ("reason", reason.to_owned()),
@@ -206,27 +211,27 @@
         self.event("request-lifted", pairs);
     }
 
-    fn log_held(&mut self, now: Timestamp, requests: &[RequestFingerprint]) {
+    fn log_quarantined(&mut self, now: Timestamp, requests: &[RequestFingerprint]) {
         for request in requests {
-            let Some(left) = self.crashes.requests.quarantined_for(now, request) else {
+            let Some(remaining) = self.crashes.requests.quarantined_for(now, request) else {
                 continue;
             };
             let pairs = vec![
                 ("fingerprint", request.to_string()),
-                ("held_ms", left.as_millis().to_string()),
+                ("held_ms", remaining.as_millis().to_string()),
             ];
             self.event("request-held-back", pairs);
         }
     }
 
-    /// Tells gateways what is held back, when that has changed.
-    pub(crate) fn update_crashes(&mut self, now: Timestamp) {
+    /// Sends the quarantined requests to gateways if they have changed.
+    pub(crate) fn send_crash_updates(&mut self, now: Timestamp) {
         let revision = self.crashes.revision();
-        let interval = self.gateways.update_interval(self.pace);
+        let interval = self.gateways.update_interval(self.slowdown);
         let mut update = None;
         for (connection, session) in &mut self.gateways.sessions {
-            let behind = session.behind_since.is_some();
-            if behind || !session.crashes.send(now, interval, revision) {
+            let is_backlogged = session.backlogged_since.is_some();
+            if is_backlogged || !session.crashes.mark_sent_if_due(now, interval, revision) {
                 continue;
             }
             let update = update.get_or_insert_with(|| self.crashes.update(now, self.term));
--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -1,114 +1,112 @@
-//! Engines as the leader steers them: one call at a time for each, and what each holds, as far as that is proven.
+//! Engines as instructed by the leader: one call at a time each, and the recorded state of each.
 //!
-//! An engine carries out an order only at the count of orders that the order names. So what is believed to fill its memory
-//! and its places may never be less than what the engine holds at that count. Anything may add to it. Only these take away:
-//! a report of the engine's state that covers all orders which it has surely taken, in answer to the read that is awaited;
-//! and the engine's word that an unload, the order that is awaited, is done already. Announcements carry no count and may
-//! be seconds old: one that differs makes the state be read.
+//! An engine carries out an order only at the revision (count of accepted orders) that the order
+//! names. The recorded use of memory and adapter slots must therefore never be below the actual use
+//! at that revision. Any source may add to it. Only two may subtract: a state report that covers
+//! all orders known to be accepted, in response to the pending read; and the response that the
+//! pending unload is already done. Announcements carry no revision and may be seconds old: a
+//! difference triggers a read.
 
 mod announcements;
 mod calls;
 
-use crate::belief::Word;
-use crate::pending::Pending;
-pub(crate) use calls::Heard;
+use crate::observed_state::Evidence;
+use crate::pending::PendingInstruction;
+pub(crate) use calls::ResponseMatch;
 use millpass_proto::{
     AdapterName, CallId, Duration, HeldModel, InstanceId, InstructionOperation, ModelName,
     Timestamp, WeightsSource,
 };
 use std::collections::BTreeMap;
 
-/// How old a state may be that an engine reports.
+/// Expected maximum age of a reported state.
 const REPORT_LAG: Duration = Duration::from_millis(250);
-/// Time without an answer after which a call counts as lost inside this process: above the time that it may wait to leave
-/// and then to be answered.
-const CALL_LIMIT: Duration = Duration::from_millis(2_000);
+/// Time after which an unanswered call counts as lost within this process. Exceeds the longest
+/// queueing time plus the request timeout.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time after which a load that was not answered is not carried out any more: engines do so some seconds later at most
-/// (docs/PLATFORM.md).
-const LATE_LOAD_LIMIT: Duration = Duration::from_secs(15);
+/// Time after which an unanswered load can no longer be carried out: engines delay orders by at
+/// most a few seconds.
+const LATE_LOAD_WINDOW: Duration = Duration::from_secs(15);
 
-/// A read of the state under way.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct PendingRead {
     call: CallId,
-    since: Timestamp,
+    sent_at: Timestamp,
 }
 
-/// A load that may be carried out late.
+/// An unanswered load that the engine may still carry out.
 #[derive(Clone, Debug)]
-pub(crate) struct LostLoad {
+pub(crate) struct UnansweredLoad {
     pub(crate) model: ModelName,
     pub(crate) adapter: Option<AdapterName>,
-    at: Timestamp,
+    recorded_at: Timestamp,
 }
 
-impl LostLoad {
-    /// A load that was not answered by now.
+impl UnansweredLoad {
+    /// Creates a load that is unanswered as of `now`.
     pub(crate) fn new(now: Timestamp, model: &ModelName, adapter: Option<&AdapterName>) -> Self {
-        LostLoad {
+        UnansweredLoad {
             model: model.clone(),
             adapter: adapter.cloned(),
-            at: now,
+            recorded_at: now,
         }
     }
 }
 
-/// One engine.
 #[derive(Default)]
 pub(crate) struct Engine {
-    /// Orders it has taken; none while unknown.
+    /// Number of accepted orders; none if unknown.
     pub(crate) revision: Option<u64>,
-    /// Orders it has surely taken: a report of fewer is older than the last of them.
-    least_revision: u64,
-    /// When it accepted the last of them.
+    /// Number of orders known to be accepted: a report of fewer is stale.
+    min_revision: u64,
+    /// When the last of them was accepted.
     accepted_at: Timestamp,
-    pub(crate) pending: Option<Pending>,
+    pub(crate) pending: Option<PendingInstruction>,
     pub(crate) held: Vec<HeldModel>,
     pub(crate) in_memory: Vec<ModelName>,
     pub(crate) on_disk: Vec<ModelName>,
-    /// Adapters on their way; no announcement lists them.
-    coming: Vec<(ModelName, AdapterName)>,
-    /// Adapters among those held whose unload was accepted: they go once their runs are done.
-    leaving: Vec<(ModelName, AdapterName)>,
-    /// Loads that were not answered, and when that was noticed.
-    lost: Vec<LostLoad>,
-    /// Those of an earlier run of the same instance: they may be carried out by this one, at whatever count it has then.
-    may_come: Vec<LostLoad>,
-    /// When adapters last came, or began to leave.
+    /// Adapters being loaded; announcements do not list them.
+    loading_adapters: Vec<(ModelName, AdapterName)>,
+    /// Held adapters with an accepted unload: removed once their requests have completed.
+    unloading_adapters: Vec<(ModelName, AdapterName)>,
+    /// Unanswered loads of this incarnation.
+    unanswered_loads: Vec<UnansweredLoad>,
+    /// Unanswered loads of earlier incarnations, which this one may carry out at any revision.
+    inherited_loads: Vec<UnansweredLoad>,
+    /// When the set of held adapters last changed.
     adapters_changed_at: Timestamp,
-    /// Since when announcements differ from what is known in adapters.
-    differs_since: Option<Timestamp>,
-    /// An announcement says that the unload under way is done.
-    says_done: bool,
-    /// The same unload again, as a question: an engine answers one that is done with 200, at the count that it names, and
-    /// a report would show it a few hundred milliseconds later.
-    confirming: Option<CallId>,
-    /// When it was last read to be busy with an order that is not known here.
-    busy_elsewhere_at: Option<Timestamp>,
-    /// Its state could not be read: it serves nothing until it is heard of again.
+    /// Start of the period in which announced adapters differ from the recorded ones.
+    adapters_differ_since: Option<Timestamp>,
+    /// An announcement shows that the pending unload is done.
+    unload_announced: bool,
+    /// Repetition of the pending unload, which confirms it faster than a state report: the engine
+    /// responds that it is already done, at the revision named.
+    confirmation: Option<CallId>,
+    /// When a read last showed the engine busy with an unknown order.
+    unknown_order_seen_at: Option<Timestamp>,
+    /// Its state could not be read: serves no requests until its next announcement.
     pub(crate) unreachable: bool,
-    /// Model to load once what is under way makes room.
-    pub(crate) reserved: Option<ModelName>,
+    /// Model to load once the pending unload has freed memory.
+    pub(crate) reserved_model: Option<ModelName>,
     pub(crate) reserved_at: Timestamp,
-    loaded_at: BTreeMap<ModelName, Timestamp>,
-    reading: Option<Reading>,
-    read_after: Timestamp,
-    /// Reads that were not answered since it was last heard of.
-    silent_reads: u32,
-    /// Word that last set what it is believed to hold, and when that came.
-    basis: Option<(Word, Timestamp)>,
+    load_sent_at: BTreeMap<ModelName, Timestamp>,
+    pending_read: Option<PendingRead>,
+    next_read_at: Timestamp,
+    /// Unanswered reads since the last announcement or response.
+    unanswered_reads: u32,
+    /// Source of the recorded state, and when it arrived.
+    evidence: Option<(Evidence, Timestamp)>,
 }
 
 impl Engine {
-    /// The word that what it is believed to hold rests on, and when that came; none before its state was first read.
-    pub(crate) fn basis(&self) -> Option<(Word, Timestamp)> {
-        self.basis
+    /// Returns the source of the recorded state and when it arrived; none before the first read.
+    pub(crate) fn evidence(&self) -> Option<(Evidence, Timestamp)> {
+        self.evidence
     }
 
-    /// Notes the word that set what it is believed to hold.
-    pub(crate) fn rests_on(&mut self, now: Timestamp, word: Word) {
-        self.basis = Some((word, now));
+    pub(crate) fn set_evidence(&mut self, now: Timestamp, evidence: Evidence) {
+        self.evidence = Some((evidence, now));
     }
 
     fn add_adapter(&mut self, model: &ModelName, adapter: AdapterName) {
@@ -120,38 +118,39 @@
         }
     }
 
-    fn drop_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
+    fn remove_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
         for held in self.held.iter_mut().filter(|held| held.model == *model) {
             held.adapters.retain(|name| name != adapter);
         }
     }
 
-    /// Adapters of a model that is gone are neither on their way nor leaving.
-    fn forget_moving(&mut self, model: &ModelName) {
-        self.coming.retain(|(of, _)| of != model);
-        self.leaving.retain(|(of, _)| of != model);
+    /// Discards adapter transitions of a model that is gone.
+    fn discard_adapter_transitions(&mut self, model: &ModelName) {
+        self.loading_adapters.retain(|(of, _)| of != model);
+        self.unloading_adapters.retain(|(of, _)| of != model);
     }
 
-    /// The load from the weight store that it carries out, as far as it is known to have begun.
-    pub(crate) fn store_load(&self) -> Option<&Pending> {
+    /// Returns the load from the weight store that the engine has accepted.
+    pub(crate) fn store_load(&self) -> Option<&PendingInstruction> {
         self.pending
             .as_ref()
             .filter(|pending| pending.from_store && pending.accepted)
     }
 
-    /// Whether it may carry out a load from the weight store: one that was sent, is about to follow
-    /// the room made for it, or is of an earlier leader.
+    /// Returns whether it may be loading from the weight store: by a sent instruction, a
+    /// reservation or an order of an earlier leader.
     pub(crate) fn may_load_from_store(&self, now: Timestamp) -> bool {
-        let sent = self.pending.as_ref().is_some_and(|it| it.from_store);
-        let follows = self.reserved.as_ref();
-        let follows = follows.is_some_and(|model| self.source_of(model) == WeightsSource::Store);
-        sent || follows || self.is_busy_elsewhere(now)
+        let is_sent = self.pending.as_ref().is_some_and(|it| it.from_store);
+        let reservation = self.reserved_model.as_ref();
+        let reservation =
+            reservation.is_some_and(|model| self.weights_source(model) == WeightsSource::Store);
+        is_sent || reservation || self.has_unknown_order(now)
     }
 
-    /// Whether it carries out an order that is not known here.
-    pub(crate) fn is_busy_elsewhere(&self, now: Timestamp) -> bool {
-        self.busy_elsewhere_at
-            .is_some_and(|at| now.since(at) < CALL_LIMIT)
+    /// Returns whether it is carrying out an unknown order.
+    pub(crate) fn has_unknown_order(&self, now: Timestamp) -> bool {
+        self.unknown_order_seen_at
+            .is_some_and(|seen_at| now.since(seen_at) < CALL_TIMEOUT)
     }
 
     pub(crate) fn holds(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
@@ -160,18 +159,18 @@
         })
     }
 
-    /// What it serves new requests with: all that it holds, but for what is on its way out.
-    pub(crate) fn serving(&self) -> Vec<HeldModel> {
-        let mut serving = self.held.clone();
-        serving.retain(|held| !self.unloading(&held.model));
-        for HeldModel { model, adapters } in &mut serving {
-            adapters.retain(|adapter| !self.sends_away(model, adapter));
+    /// Returns what it serves to new requests: everything held that is not being unloaded.
+    pub(crate) fn served_models(&self) -> Vec<HeldModel> {
+        let mut served = self.held.clone();
+        served.retain(|held| !self.is_unloading(&held.model));
+        for HeldModel { model, adapters } in &mut served {
+            adapters.retain(|adapter| !self.is_unloading_adapter(model, adapter));
         }
-        serving
+        served
     }
 
-    /// Where a model's weights would come from.
-    pub(crate) fn source_of(&self, model: &ModelName) -> WeightsSource {
+    /// Returns where the model's weights would be loaded from.
+    pub(crate) fn weights_source(&self, model: &ModelName) -> WeightsSource {
         if self.in_memory.contains(model) {
             WeightsSource::Memory
         } else if self.on_disk.contains(model) {
@@ -181,99 +180,108 @@
         }
     }
 
-    /// Places that adapters take, over all models: those loaded, on their way, not proven to have left, and those that
-    /// may come.
+    /// Returns the adapter slots in use over all models, including adapters that are loading, not
+    /// confirmed as unloaded, or may still be loaded by a late order.
     pub(crate) fn adapter_count(&self) -> usize {
         let held: usize = self.held.iter().map(|held| held.adapters.len()).sum();
-        let may_come = self.may_come.iter().filter(|lost| lost.adapter.is_some());
-        held + self.coming.len() + may_come.count()
+        let inherited = self
+            .inherited_loads
+            .iter()
+            .filter(|load| load.adapter.is_some());
+        held + self.loading_adapters.len() + inherited.count()
     }
 
-    /// Loads of an earlier run that this one may carry out.
-    pub(crate) fn may_come(&self) -> &[LostLoad] {
-        &self.may_come
+    /// Returns unanswered loads of earlier incarnations that this one may carry out.
+    pub(crate) fn inherited_loads(&self) -> &[UnansweredLoad] {
+        &self.inherited_loads
     }
 
-    /// Loads that a later run of the instance may carry out: an engine checks the count of orders and its name, not which
-    /// run was meant.
-    pub(crate) fn left_to_later_runs(&self, now: Timestamp) -> Vec<LostLoad> {
-        let lately = |lost: &&LostLoad| now.since(lost.at) < LATE_LOAD_LIMIT;
-        let lost = self
-            .lost
+    /// Returns loads that a later incarnation may carry out: an engine checks the revision and its
+    /// name, but not the incarnation an order was meant for.
+    pub(crate) fn loads_to_inherit(&self, now: Timestamp) -> Vec<UnansweredLoad> {
+        let is_recent = |load: &&UnansweredLoad| now.since(load.recorded_at) < LATE_LOAD_WINDOW;
+        let loads = self
+            .unanswered_loads
             .iter()
-            .chain(&self.may_come)
-            .filter(lately)
+            .chain(&self.inherited_loads)
+            .filter(is_recent)
             .cloned();
         let pending = self.pending.iter().filter(|pending| !pending.accepted);
-        lost.chain(pending.filter_map(|pending| pending.lost(now)))
+        loads
+            .chain(pending.filter_map(|pending| pending.unanswered_load(now)))
             .collect()
     }
 
-    /// Takes over what earlier runs leave.
-    pub(crate) fn follows(&mut self, left: Vec<LostLoad>) {
-        self.may_come.extend(left);
+    /// Adds unanswered loads of earlier incarnations.
+    pub(crate) fn inherit_loads(&mut self, loads: Vec<UnansweredLoad>) {
+        self.inherited_loads.extend(loads);
     }
 
-    fn forget_late_loads(&mut self, now: Timestamp) {
-        let lately = |lost: &LostLoad| now.since(lost.at) < LATE_LOAD_LIMIT;
-        self.lost.retain(lately);
-        self.may_come.retain(lately);
+    fn expire_late_loads(&mut self, now: Timestamp) {
+        let is_recent = |load: &UnansweredLoad| now.since(load.recorded_at) < LATE_LOAD_WINDOW;
+        self.unanswered_loads.retain(is_recent);
+        self.inherited_loads.retain(is_recent);
     }
 
-    /// Whether an adapter is on its way out.
-    pub(crate) fn is_leaving(&self, model: &ModelName, adapter: &AdapterName) -> bool {
-        is_among(&self.leaving, model, adapter)
+    /// Returns whether the unload of the adapter has been accepted.
+    pub(crate) fn is_unload_accepted(&self, model: &ModelName, adapter: &AdapterName) -> bool {
+        contains_adapter(&self.unloading_adapters, model, adapter)
     }
 
-    /// Adapters on their way.
-    pub(crate) fn coming(&self) -> &[(ModelName, AdapterName)] {
-        &self.coming
+    /// Returns the adapters being loaded.
+    pub(crate) fn loading_adapters(&self) -> &[(ModelName, AdapterName)] {
+        &self.loading_adapters
     }
 
-    /// Whether nothing is under way at it, and nothing may come late.
-    fn is_at_rest(&self) -> bool {
-        let under_way = self.pending.is_some()
-            || self.reading.is_some()
-            || self.confirming.is_some()
-            || self.reserved.is_some();
-        let may_come = !self.lost.is_empty() || !self.may_come.is_empty();
-        let moves = !self.coming.is_empty() || !self.leaving.is_empty();
-        !(under_way || may_come || moves)
+    /// Returns whether nothing is pending and nothing may be carried out late.
+    fn is_quiescent(&self) -> bool {
+        let is_call_pending = self.pending.is_some()
+            || self.pending_read.is_some()
+            || self.confirmation.is_some()
+            || self.reserved_model.is_some();
+        let has_late_loads = !self.unanswered_loads.is_empty() || !self.inherited_loads.is_empty();
+        let has_adapter_transitions =
+            !self.loading_adapters.is_empty() || !self.unloading_adapters.is_empty();
+        !(is_call_pending || has_late_loads || has_adapter_transitions)
     }
 
-    /// Whether an instruction may be given now.
-    pub(crate) fn is_free(&self) -> bool {
-        self.pending.is_none() && self.reading.is_none() && self.revision.is_some()
+    /// Returns whether an instruction may be sent now.
+    pub(crate) fn can_be_instructed(&self) -> bool {
+        self.pending.is_none() && self.pending_read.is_none() && self.revision.is_some()
     }
 
-    /// Models whose load is under way or about to begin.
-    pub(crate) fn brought(&self) -> impl Iterator<Item = &ModelName> {
+    /// Returns models being loaded or about to be.
+    pub(crate) fn incoming_models(&self) -> impl Iterator<Item = &ModelName> {
         let load = InstructionOperation::Load;
         let pending = self.pending.as_ref();
         let loading = pending.filter(|it| it.operation == load && it.adapter.is_none());
         let loading = loading.map(|pending| &pending.model);
-        loading.into_iter().chain(&self.reserved)
+        loading.into_iter().chain(&self.reserved_model)
     }
 
-    /// Time until a model that is being brought, whose load takes `load`, is there. What is overdue is
-    /// expected to take as long again.
-    pub(crate) fn ready_in(&self, now: Timestamp, model: &ModelName, load: Duration) -> Duration {
+    /// Returns the time until an incoming model with load time `load` is ready. Overdue
+    /// instructions are expected to take as long again as they are overdue.
+    pub(crate) fn time_until_ready(
+        &self,
+        now: Timestamp,
+        model: &ModelName,
+        load: Duration,
+    ) -> Duration {
         let Some(pending) = &self.pending else {
             return load;
         };
-        let left = if now < pending.done_at {
-            pending.done_at.since(now)
+        let remaining = if now < pending.expected_end {
+            pending.expected_end.since(now)
         } else {
-            now.since(pending.done_at)
+            now.since(pending.expected_end)
         };
         if pending.operation == InstructionOperation::Load && pending.model == *model {
-            return left;
+            return remaining;
         }
-        left + load
+        remaining + load
     }
 
-    /// Whether the model is on its way out.
-    pub(crate) fn unloading(&self, model: &ModelName) -> bool {
+    pub(crate) fn is_unloading(&self, model: &ModelName) -> bool {
         self.pending.as_ref().is_some_and(|pending| {
             pending.operation == InstructionOperation::Unload
                 && pending.adapter.is_none()
@@ -281,31 +289,36 @@
         })
     }
 
-    /// Whether the model came in less than `age` ago.
-    pub(crate) fn is_fresh(&self, now: Timestamp, model: &ModelName, age: Duration) -> bool {
-        self.loaded_at
+    /// Returns whether a load of the model was sent less than `age` ago.
+    pub(crate) fn was_loaded_within(
+        &self,
+        now: Timestamp,
+        model: &ModelName,
+        age: Duration,
+    ) -> bool {
+        self.load_sent_at
             .get(model)
             .is_some_and(|at| now.since(*at) < age)
     }
 }
 
-/// Takes announced copies of weights: one that is there no more, and those that loads have left, of models that the engine
-/// holds. A copy that an older word names would count for a load that the weight store counts as well.
-fn take_copies(
-    known: &mut Vec<ModelName>,
+/// Applies announced weight copies: removes copies that are gone and adds those of held models.
+/// Other copies may be stale, and their loads would be counted as loads from the weight store as
+/// well.
+fn update_weight_copies(
+    copies: &mut Vec<ModelName>,
     announced: &[ModelName],
     holds: impl Fn(&ModelName) -> bool,
 ) {
-    known.retain(|model| announced.contains(model));
-    let left = announced.iter().filter(|model| holds(model));
-    let new: Vec<ModelName> = left
-        .filter(|model| !known.contains(model))
+    copies.retain(|model| announced.contains(model));
+    let usable = announced.iter().filter(|model| holds(model));
+    let new: Vec<ModelName> = usable
+        .filter(|model| !copies.contains(model))
         .cloned()
         .collect();
-    known.extend(new);
+    copies.extend(new);
 }
 
-/// Adapters of these models.
 fn adapters(held: &[HeldModel]) -> impl Iterator<Item = (&ModelName, &AdapterName)> {
     held.iter().flat_map(|held| {
         let adapters = held.adapters.iter();
@@ -313,33 +326,41 @@
     })
 }
 
-/// Whether an adapter is listed among these models.
-fn lists(held: &[HeldModel], model: &ModelName, adapter: &AdapterName) -> bool {
+fn lists_adapter(held: &[HeldModel], model: &ModelName, adapter: &AdapterName) -> bool {
     let mut held = held.iter();
     held.any(|held| held.model == *model && held.adapters.contains(adapter))
 }
 
-fn is_among(list: &[(ModelName, AdapterName)], model: &ModelName, adapter: &AdapterName) -> bool {
+fn contains_adapter(
+    list: &[(ModelName, AdapterName)],
+    model: &ModelName,
+    adapter: &AdapterName,
+) -> bool {
     list.iter().any(|(of, name)| of == model && name == adapter)
 }
 
-/// Whether all models of `held`, but for one, are among `others`.
-fn all_within(but: Option<&ModelName>, held: &[HeldModel], others: &[HeldModel]) -> bool {
+/// Returns whether all models of `held`, except one, are among `others`.
+fn is_subset_except(
+    exception: Option<&ModelName>,
+    held: &[HeldModel],
+    others: &[HeldModel],
+) -> bool {
     held.iter()
         .map(|held| &held.model)
-        .filter(|model| Some(*model) != but)
+        .filter(|model| Some(*model) != exception)
         .all(|model| others.iter().any(|other| other.model == *model))
 }
 
-/// Engines by run.
+/// Engines by incarnation.
 #[derive(Default)]
 pub(crate) struct Engines {
     pub(crate) engines: BTreeMap<InstanceId, Engine>,
 }
 
 impl Engines {
-    /// Whether nothing is under way at an engine, and nothing may come late. What is no engine, is.
-    pub(crate) fn is_at_rest(&self, instance: &InstanceId) -> bool {
-        self.engines.get(instance).is_none_or(Engine::is_at_rest)
+    /// Returns whether nothing is pending at an engine and nothing may be carried out late. True
+    /// for instances that are not engines.
+    pub(crate) fn is_quiescent(&self, instance: &InstanceId) -> bool {
+        self.engines.get(instance).is_none_or(Engine::is_quiescent)
     }
 }
--- a/crates/millpass-fleet/src/limits.rs
+++ b/crates/millpass-fleet/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that instances state on the requests they take from all gateways together, as gateways tell them.
+//! Limits that instances state on requests from all gateways together, as reported by gateways.
 
 use crate::fleet::Fleet;
 use crate::interface::FleetOutput;
@@ -6,8 +6,8 @@
 use millpass_proto::{PermitRequest, PermitResponse, Timestamp};
 
 impl Fleet {
-    /// Answers a gateway that tells of limits, or asks for permits.
-    pub fn permit_request(
+    /// Applies a gateway's limit reports and responds to its permit request.
+    pub fn handle_permit_request(
         &mut self,
         now: Timestamp,
         term: u64,
@@ -16,11 +16,11 @@
         for change in self.limits.record_limits(now, &request.observations) {
             self.log_limit(&request.gateway, &change);
         }
-        let (answer, exhausted) = self.limits.respond(now, term, request);
+        let (response, exhausted) = self.limits.respond(now, term, request);
         for event in exhausted {
             self.log_exhausted(&request.gateway, &event);
         }
-        answer
+        response
     }
 
     fn log_limit(&mut self, gateway: &str, change: &LimitChange) {
@@ -46,14 +46,14 @@
         self.event("permits-exhausted", pairs);
     }
 
-    /// Tells gateways of limits that have changed.
-    pub(crate) fn update_limits(&mut self, now: Timestamp) {
+    /// Sends changed limits to gateways.
+    pub(crate) fn send_limit_updates(&mut self, now: Timestamp) {
         let revision = self.limits.revision();
-        let interval = self.gateways.update_interval(self.pace);
+        let interval = self.gateways.update_interval(self.slowdown);
         let mut update = None;
         for (connection, session) in &mut self.gateways.sessions {
-            let behind = session.behind_since.is_some();
-            if behind || !session.limits.send(now, interval, revision) {
+            let is_backlogged = session.backlogged_since.is_some();
+            if is_backlogged || !session.limits.mark_sent_if_due(now, interval, revision) {
                 continue;
             }
             let update = update.get_or_insert_with(|| self.limits.update(now, self.term));
--- a/crates/millpass-fleet/src/standby.rs
+++ b/crates/millpass-fleet/src/standby.rs
@@ -1,14 +1,14 @@
-//! Instances that stand by: known, not told to gateways, and not steered.
+//! Standby instances: known, but neither sent to gateways nor instructed.
 //!
-//! A service needs as many instances as it is asked for, and there may be many times as many. The others cost a record
-//! each, found by zone and by the models that they hold, and nothing while they do not change.
+//! A service may have many more instances than it needs. Each costs one indexed record, and no
+//! further work while it does not change.
 
 use millpass_proto::{InstanceId, InstanceRecord, ModelName, ServiceName, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 
 type ByZone = BTreeMap<ZoneName, BTreeSet<InstanceId>>;
 
-/// Instances that stand by. Those that drain are known, and never found.
+/// Standby instances. Draining ones are recorded, but not indexed.
 #[derive(Default)]
 pub(crate) struct Standby {
     records: BTreeMap<InstanceId, InstanceRecord>,
@@ -17,8 +17,8 @@
 }
 
 impl Standby {
-    /// Adds an instance, or takes its newer record.
-    pub(crate) fn put(&mut self, record: InstanceRecord) {
+    /// Adds an instance or replaces its record.
+    pub(crate) fn insert(&mut self, record: InstanceRecord) {
         self.remove(&record.instance);
         if !record.draining {
             self.index(&record);
@@ -26,7 +26,6 @@
         self.records.insert(record.instance.clone(), record);
     }
 
-    /// Takes an instance out.
     pub(crate) fn remove(&mut self, instance: &InstanceId) -> Option<InstanceRecord> {
         let record = self.records.remove(instance)?;
         if !record.draining {
@@ -37,23 +36,23 @@
 
     fn index(&mut self, record: &InstanceRecord) {
         let service = self.by_service.entry(record.service.clone()).or_default();
-        insert(service, record);
+        insert_into_zone(service, record);
         let models = self.by_model.entry(record.service.clone()).or_default();
         for held in &record.models {
-            insert(models.entry(held.model.clone()).or_default(), record);
+            insert_into_zone(models.entry(held.model.clone()).or_default(), record);
         }
     }
 
     fn unindex(&mut self, record: &InstanceRecord) {
         if let Some(zones) = self.by_service.get_mut(&record.service) {
-            remove(zones, record);
+            remove_from_zone(zones, record);
         }
         let Some(models) = self.by_model.get_mut(&record.service) else {
             return;
         };
         for held in &record.models {
             if let Some(zones) = models.get_mut(&held.model) {
-                remove(zones, record);
+                remove_from_zone(zones, record);
                 if zones.is_empty() {
                     models.remove(&held.model);
                 }
@@ -65,15 +64,15 @@
         self.records.get(instance)
     }
 
-    /// A newer announcement without a change.
-    pub(crate) fn seen(&mut self, instance: &InstanceId, sequence: u64) {
+    /// Records a newer announcement without changes.
+    pub(crate) fn update_sequence(&mut self, instance: &InstanceId, sequence: u64) {
         if let Some(record) = self.records.get_mut(instance) {
             record.sequence = record.sequence.max(sequence);
         }
     }
 
-    /// Runs of an instance that stand by.
-    pub(crate) fn runs_of<'a>(
+    /// Returns standby incarnations of an instance.
+    pub(crate) fn incarnations_of<'a>(
         &'a self,
         instance: &InstanceId,
     ) -> impl Iterator<Item = &'a InstanceId> {
@@ -84,47 +83,46 @@
         self.records.keys()
     }
 
-    /// Instances that stand by, over all services.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Instances of a service that could become active.
+    /// Returns the number of instances of a service that can become active.
     pub(crate) fn count(&self, service: &ServiceName) -> usize {
         let zones = self.by_service.get(service);
         zones.map_or(0, |zones| zones.values().map(BTreeSet::len).sum())
     }
 
-    /// Zones in which instances of a service stand by, and the first of each.
-    pub(crate) fn of_service<'a>(
+    /// Returns the first standby instance of a service in each zone.
+    pub(crate) fn first_by_zone<'a>(
         &'a self,
         service: &ServiceName,
     ) -> impl Iterator<Item = (&'a ZoneName, &'a InstanceId)> + use<'a> {
-        firsts(self.by_service.get(service))
+        first_per_zone(self.by_service.get(service))
     }
 
-    /// The same of those that hold a model.
-    pub(crate) fn holding<'a>(
+    /// Returns the first standby instance in each zone that holds a model.
+    pub(crate) fn first_holders_by_zone<'a>(
         &'a self,
         service: &ServiceName,
         model: &ModelName,
     ) -> impl Iterator<Item = (&'a ZoneName, &'a InstanceId)> + use<'a> {
         let models = self.by_model.get(service);
-        firsts(models.and_then(|models| models.get(model)))
+        first_per_zone(models.and_then(|models| models.get(model)))
     }
 }
 
-fn firsts(zones: Option<&ByZone>) -> impl Iterator<Item = (&ZoneName, &InstanceId)> {
+fn first_per_zone(zones: Option<&ByZone>) -> impl Iterator<Item = (&ZoneName, &InstanceId)> {
     let zones = zones.into_iter().flatten();
     zones.filter_map(|(zone, instances)| Some((zone, instances.first()?)))
 }
 
-fn insert(zones: &mut ByZone, record: &InstanceRecord) {
+fn insert_into_zone(zones: &mut ByZone, record: &InstanceRecord) {
     let instances = zones.entry(record.zone.clone()).or_default();
     instances.insert(record.instance.clone());
 }
 
-fn remove(zones: &mut ByZone, record: &InstanceRecord) {
+fn remove_from_zone(zones: &mut ByZone, record: &InstanceRecord) {
     let Some(instances) = zones.get_mut(&record.zone) else {
         return;
     };
--- a/crates/millpass-fleet/src/updates.rs
+++ b/crates/millpass-fleet/src/updates.rs
@@ -1,4 +1,5 @@
-//! What gateways are told: what changed since their last update, and what is being loaded.
+//! Updates sent to gateways: changes since their last update, and ready estimates of incoming
+//! models.
 
 use crate::documents::DocumentHistory;
 use crate::engines::Engine;
@@ -11,49 +12,48 @@
     ModelName, ModelReadyEstimate, ServiceName, ServiceSpec, Timestamp,
 };
 
-/// How far an estimate may be off what gateways were told; beyond a tenth of the time that is left it counts too.
-/// One look for work apart, estimates differ by less.
-const OUTLOOK_TOLERANCE: Duration = Duration::from_millis(100);
+/// Difference between a published and a current ready time, below which gateways are not updated.
+/// For distant times, a tenth of the remaining time applies.
+const READY_TIME_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Records named in the first updates of one look, after which other gateways wait for the next: some 6 ms of the core. So
-/// gateways which come all at once, at the start or after a change of leader, do not keep it from its lease, and updates
-/// do not pile up before they are encoded.
-const GREETED_RECORDS: usize = 4_096;
-/// Records that a gateway holds already, and which are only compared, cost this part of those that are named, as its inverse.
-const COMPARED_SHARE: usize = 8;
+/// Bound of the records in the first updates of one pass, after which other gateways wait for the
+/// next. Keeps reconnecting gateways from delaying the renewal of the leader lease.
+const MAX_FIRST_UPDATE_RECORDS: usize = 4_096;
+/// Divisor for the cost of a compared record, relative to a sent one.
+const COMPARED_RECORD_DIVISOR: usize = 8;
 
-/// What the control plane knows beside the fleet, asked for when a gateway connects.
+/// Information from the control plane for updates, queried when a gateway connects.
 pub struct GatewayContext<'a> {
-    /// Addresses of the control members.
+    /// Returns the addresses of the control members.
     pub members: &'a dyn Fn() -> Vec<String>,
-    /// Instances that leave or have ended, as the log says after the index up to which a gateway was told.
+    /// Returns the instances that depart or have ended according to the log after this index.
     pub departed: &'a dyn Fn(u64) -> Vec<InstanceId>,
-    /// Log index up to which document and departures are applied here.
+    /// Log index up to which the document and departures are applied here.
     pub as_of: u64,
-    /// The last documents in force.
+    /// Recent documents.
     pub documents: &'a DocumentHistory,
 }
 
-/// Departed instances, but for those that the leader knows as leaving: their records say so.
-fn departed_elsewhere(
+/// Returns departed instances except those known to be draining, whose records state it.
+fn departed_unless_draining(
     registry: &Registry,
     context: &GatewayContext<'_>,
-    told: u64,
+    index: u64,
 ) -> Vec<InstanceId> {
-    let mut departed = (context.departed)(told);
+    let mut departed = (context.departed)(index);
     departed.retain(|instance| registry.get(instance).is_none_or(|record| !record.draining));
     departed
 }
 
 impl Fleet {
-    /// What is being loaded or `awaited`, for gateways to estimate waits.
-    pub(crate) fn refresh_outlook(
+    /// Refreshes the ready estimates of incoming and `waiting` models for gateways.
+    pub(crate) fn refresh_ready_estimates(
         &mut self,
         now: Timestamp,
         document: &DeploymentDocument,
-        awaited: Vec<ModelReadyEstimate>,
+        waiting: Vec<ModelReadyEstimate>,
     ) {
-        let mut outlook = Vec::new();
+        let mut estimates = Vec::new();
         for service in &document.services {
             for record in self.registry.records() {
                 if record.service != service.name {
@@ -62,80 +62,83 @@
                 let Some(engine) = self.engines.engines.get(&record.instance) else {
                     continue;
                 };
-                outlook.extend(outlook_of(now, service, engine));
+                estimates.extend(incoming_estimates(now, service, engine));
             }
         }
-        outlook.extend(awaited);
-        let same = outlook.len() == self.outlook.len()
-            && outlook
+        estimates.extend(waiting);
+        let is_same = estimates.len() == self.ready_estimates.len()
+            && estimates
                 .iter()
-                .zip(&self.outlook)
+                .zip(&self.ready_estimates)
                 .all(|(new, old)| new.model == old.model && new.adapter == old.adapter);
-        if !same {
-            self.outlook_revision += 1;
+        if !is_same {
+            self.ready_estimates_revision += 1;
         }
-        if !same || self.times_moved(now, &outlook) {
-            self.times_revision += 1;
-            let times = outlook.iter().map(|entry| ready_at(now, entry));
-            self.told_times = times.collect();
+        if !is_same || self.have_ready_times_moved(now, &estimates) {
+            self.ready_times_revision += 1;
+            let times = estimates.iter().map(|entry| ready_at(now, entry));
+            self.published_ready_times = times.collect();
         }
-        self.outlook = outlook;
+        self.ready_estimates = estimates;
     }
 
-    /// Whether an estimate is off what was told by more than gateways' waits can bear.
-    fn times_moved(&self, now: Timestamp, outlook: &[ModelReadyEstimate]) -> bool {
-        outlook.iter().zip(&self.told_times).any(|(entry, told)| {
-            let ready = ready_at(now, entry);
-            // What is past due serves now, for gateways as well.
-            let told = (*told).max(now);
-            let off = ready.since(told).max(told.since(ready));
-            off > OUTLOOK_TOLERANCE.max(ready.since(now) / 10)
-        })
+    /// Returns whether ready times differ from the published ones by more than the tolerance.
+    fn have_ready_times_moved(&self, now: Timestamp, estimates: &[ModelReadyEstimate]) -> bool {
+        estimates
+            .iter()
+            .zip(&self.published_ready_times)
+            .any(|(entry, published)| {
+                let ready = ready_at(now, entry);
+                // Gateways treat elapsed ready times as now.
+                let published = (*published).max(now);
+                let difference = ready.since(published).max(published.since(ready));
+                difference > READY_TIME_TOLERANCE.max(ready.since(now) / 10)
+            })
     }
 
-    /// Revision of the busiest instances' loads, which are gathered anew.
     fn refresh_loads(&mut self) {
         let loads = self.traffic.busiest();
-        if loads != self.told_loads {
+        if loads != self.published_loads {
             self.loads_revision += 1;
-            self.told_loads = loads;
+            self.published_loads = loads;
         }
     }
 
-    pub(crate) fn update_gateways(
+    pub(crate) fn send_gateway_updates(
         &mut self,
         now: Timestamp,
         document: Option<&DeploymentDocument>,
         context: &GatewayContext<'_>,
     ) {
-        if !self.gateways.is_look_due(now, self.pace) {
+        if !self.gateways.start_pass_if_due(now, self.slowdown) {
             return;
         }
         let complete = self.complete;
-        let due = self.gateways_due(now, document, complete);
+        let due = self.due_connections(now, document, complete);
         if due.is_empty() {
             return;
         }
         self.refresh_loads();
-        let compared = self.registry.len() / COMPARED_SHARE;
-        let mut greeted = 0;
+        let comparison_cost = self.registry.len() / COMPARED_RECORD_DIVISOR;
+        let mut sent_records = 0;
         for connection in due {
             let Some(mut session) = self.gateways.sessions.remove(&connection) else {
                 continue;
             };
-            let is_first = self.needs_all(&session);
-            if is_first && greeted >= GREETED_RECORDS {
-                // With one of the next looks.
+            let is_first = self.needs_full_update(&session);
+            if is_first && sent_records >= MAX_FIRST_UPDATE_RECORDS {
+                // Sent in a later pass.
                 self.gateways.sessions.insert(connection, session);
                 continue;
             }
-            let mut update = self.update_of(now, &mut session, document, complete, context);
+            let mut update = self.next_update(now, &mut session, document, complete, context);
             if is_first {
-                greeted += compared + update.instances.len();
+                sent_records += comparison_cost + update.instances.len();
             }
             self.gateways.sessions.insert(connection, session);
             if complete {
-                // Before that only some have found this leader, and each would take the others' shares.
+                // Set only when complete: until then some gateways have not connected yet, and the
+                // others would take over their portions of shared limits.
                 update.gateways = self.gateways.count();
             }
             self.out.push(FleetOutput::Update {
@@ -145,8 +148,8 @@
         }
     }
 
-    /// Connections of gateways to which something is to be sent now.
-    fn gateways_due(
+    /// Returns the connections of gateways that are due for an update.
+    fn due_connections(
         &self,
         now: Timestamp,
         document: Option<&DeploymentDocument>,
@@ -154,33 +157,33 @@
     ) -> Vec<u64> {
         let revision = self.registry.revision();
         let version = document.map_or(0, |document| document.version);
-        let interval = self.gateways.update_interval(self.pace);
-        let wants = |session: &GatewaySession| {
-            session.owed
-                || self.needs_all(session)
+        let interval = self.gateways.update_interval(self.slowdown);
+        let needs_update = |session: &GatewaySession| {
+            session.response_pending
+                || self.needs_full_update(session)
                 || (complete && !session.sent_complete)
                 || session.sent_revision < revision
-                || session.arriving_version() < version
-                || session.sent_outlook < self.outlook_revision
+                || session.expected_version() < version
+                || session.sent_estimates < self.ready_estimates_revision
         };
         let sessions = self.gateways.sessions.iter();
         sessions
-            // Behind what waits at a connection a second update would be old when it is taken: the difference grows
-            // here instead.
-            .filter(|(_, session)| session.behind_since.is_none())
-            .filter(|(_, session)| wants(session) && session.is_due(now, interval))
+            // An update behind a backlog would be stale on arrival; changes accumulate here
+            // instead.
+            .filter(|(_, session)| session.backlogged_since.is_none())
+            .filter(|(_, session)| needs_update(session) && session.is_due(now, interval))
             .map(|(connection, _)| *connection)
             .collect()
     }
 
-    /// Whether a gateway has to be told of all instances: nothing was sent yet, or what has left since the last update
-    /// is not remembered any more.
-    fn needs_all(&self, session: &GatewaySession) -> bool {
-        !session.greeted || !self.registry.remembers_since(session.sent_revision)
+    /// Returns whether a gateway needs a full update: nothing was sent yet, or removals since the
+    /// last update have been discarded.
+    fn needs_full_update(&self, session: &GatewaySession) -> bool {
+        !session.first_update_sent || !self.registry.has_removals_since(session.sent_revision)
     }
 
-    /// The next update of a gateway, which counts as sent.
-    fn update_of(
+    /// Returns the next update of a gateway and marks it as sent.
+    fn next_update(
         &mut self,
         now: Timestamp,
         session: &mut GatewaySession,
@@ -188,9 +191,9 @@
         complete: bool,
         context: &GatewayContext<'_>,
     ) -> GatewayUpdate {
-        let first = self.needs_all(session);
-        let outlook_same = !first && session.sent_times == self.times_revision;
-        let loads_same = !first && session.sent_loads == self.loads_revision;
+        let first = self.needs_full_update(session);
+        let estimates_unchanged = !first && session.sent_ready_times == self.ready_times_revision;
+        let loads_unchanged = !first && session.sent_loads == self.loads_revision;
         let mut update = GatewayUpdate {
             term: self.term,
             complete,
@@ -198,63 +201,63 @@
             document: None,
             instances: Vec::new(),
             removed: Vec::new(),
-            ready_estimates: kept_unless(outlook_same, &self.outlook),
+            ready_estimates: empty_if(estimates_unchanged, &self.ready_estimates),
             gateways: 0,
             members: Vec::new(),
             provisional: false,
-            loads: kept_unless(loads_same, &self.told_loads),
-            acknowledged_report: session.answers,
+            loads: empty_if(loads_unchanged, &self.published_loads),
+            acknowledged_report: session.last_report,
             as_of: context.as_of,
             document_change: None,
             unchanged_instance_digests: Vec::new(),
-            ready_estimates_unchanged: outlook_same,
-            loads_unchanged: loads_same,
+            ready_estimates_unchanged: estimates_unchanged,
+            loads_unchanged,
             document_version: document.map_or(0, |document| document.version),
         };
         if first {
             update.members = (context.members)();
-            self.greet(session, &mut update, context);
+            self.fill_first_update(session, &mut update, context);
         } else {
             update.instances = self.registry.changed_since(session.sent_revision);
             update.removed = self.registry.removed_since(session.sent_revision);
         }
         if let Some(document) = document {
-            self.put_document(now, session, &mut update, document, context);
+            self.add_document(now, session, &mut update, document, context);
         }
-        session.greeted = true;
+        session.first_update_sent = true;
         session.sent_complete |= complete;
         session.sent_revision = self.registry.revision();
-        session.sent_outlook = self.outlook_revision;
-        session.sent_times = self.times_revision;
+        session.sent_estimates = self.ready_estimates_revision;
+        session.sent_ready_times = self.ready_times_revision;
         session.sent_loads = self.loads_revision;
         session.sent_at = now;
-        session.owed = false;
+        session.response_pending = false;
         update
     }
 
-    /// Instances in the first update of a connection: those that the gateway lacks. Seventy gateways that come back at
-    /// once would otherwise take the leader's core for as long as its lease lasts.
-    fn greet(
+    /// Fills the first update of a connection with the instances that the gateway does not hold.
+    /// Full updates for many reconnecting gateways could delay the leader past its lease.
+    fn fill_first_update(
         &self,
         session: &mut GatewaySession,
         update: &mut GatewayUpdate,
         context: &GatewayContext<'_>,
     ) {
         let held = std::mem::take(&mut session.held_instances);
-        let lacking = self.registry.lacking(&held);
-        // A leader that does not know every instance yet says which it knows to be gone: the gateway would keep
-        // them. One that holds none but those named here has nothing to drop.
-        let holds_others = held.is_empty() || lacking.kept.len() < held.len();
+        let missing = self.registry.missing_records(&held);
+        // An incomplete leader lists the instances known to have ended, which the gateway would
+        // otherwise keep. A gateway that holds only the records kept here has nothing to drop.
+        let holds_others = held.is_empty() || missing.unchanged.len() < held.len();
         if !update.complete && holds_others {
-            update.removed = departed_elsewhere(&self.registry, context, session.as_of);
+            update.removed = departed_unless_draining(&self.registry, context, session.as_of);
         }
-        update.instances = lacking.records;
-        update.unchanged_instance_digests = lacking.kept;
+        update.instances = missing.records;
+        update.unchanged_instance_digests = missing.unchanged;
     }
 
-    /// The document, or what changed since the one that the gateway will have when this arrives. What was sent counts
-    /// as arrived only once the gateway reports it.
-    fn put_document(
+    /// Adds the document, or the change to it from the version that the gateway will have when the
+    /// update arrives. A sent version counts as arrived only once the gateway reports it.
+    fn add_document(
         &mut self,
         now: Timestamp,
         session: &mut GatewaySession,
@@ -262,61 +265,64 @@
         document: &DeploymentDocument,
         context: &GatewayContext<'_>,
     ) {
-        let base = session.arriving_version();
-        let overdue = session.is_version_overdue();
-        if base >= document.version && !overdue {
+        let base = session.expected_version();
+        let is_overdue = session.is_version_overdue();
+        if base >= document.version && !is_overdue {
             return;
         }
-        if !overdue {
+        if !is_overdue {
             update.document_change = self.changes.change(base, document, context.documents);
         }
         if update.document_change.is_none() {
             update.document = Some(document.clone());
         }
-        session.version_sent(now, document.version);
+        session.record_sent_version(now, document.version);
     }
 }
 
-/// An empty list where what was told still holds.
-fn kept_unless<T: Clone>(same: bool, items: &[T]) -> Vec<T> {
-    if same { Vec::new() } else { items.to_vec() }
+/// Returns an empty list if the last sent one is still valid.
+fn empty_if<T: Clone>(is_empty: bool, items: &[T]) -> Vec<T> {
+    if is_empty { Vec::new() } else { items.to_vec() }
 }
 
 fn ready_at(now: Timestamp, entry: &ModelReadyEstimate) -> Timestamp {
     now + Duration::from_millis(entry.ready_in_millis)
 }
 
-/// What an engine is bringing, and when it will be there.
-fn outlook_of(now: Timestamp, service: &ServiceSpec, engine: &Engine) -> Vec<ModelReadyEstimate> {
+/// Returns the ready estimates of models and adapters that an engine is loading.
+fn incoming_estimates(
+    now: Timestamp,
+    service: &ServiceSpec,
+    engine: &Engine,
+) -> Vec<ModelReadyEstimate> {
     let Some(specification) = &service.engine else {
         return Vec::new();
     };
     let loading = engine.pending.as_ref().and_then(|pending| {
         let adapter = pending.adapter.clone()?;
-        let left = pending.done_at.since(now);
-        let load = pending.operation == InstructionOperation::Load;
-        load.then(|| model_outlook(&service.name, &pending.model, Some(adapter), left))
+        let remaining = pending.expected_end.since(now);
+        let load_time = pending.operation == InstructionOperation::Load;
+        load_time.then(|| ready_estimate(&service.name, &pending.model, Some(adapter), remaining))
     });
-    let models = engine.brought().map(|model| {
-        let found = specification
+    let models = engine.incoming_models().map(|model| {
+        let model_spec = specification
             .models
             .iter()
-            .find(|found| found.name == *model);
-        let load = found.map_or(Duration::ZERO, |found| {
-            found.load_time(engine.source_of(model))
+            .find(|model_spec| model_spec.name == *model);
+        let load_time = model_spec.map_or(Duration::ZERO, |model_spec| {
+            model_spec.load_time(engine.weights_source(model))
         });
-        model_outlook(
+        ready_estimate(
             &service.name,
             model,
             None,
-            engine.ready_in(now, model, load),
+            engine.time_until_ready(now, model, load_time),
         )
     });
     loading.into_iter().chain(models).collect()
 }
 
-/// When a model, or adapter, will be ready.
-pub(crate) fn model_outlook(
+pub(crate) fn ready_estimate(
     service: &ServiceName,
     model: &ModelName,
     adapter: Option<AdapterName>,
--- a/crates/millpass-fleet/tests/agreement.rs
+++ b/crates/millpass-fleet/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! Leader and gateway agree on what a gateway holds, whatever happened before: a gateway that is up to date when its
-//! connection ends is told nothing of instances on the next one.
+//! A gateway that is up to date when its connection ends receives no instances or document on the
+//! next connection, whatever happened before.
 
 mod harness;
 
@@ -9,34 +9,34 @@
 use proptest::prelude::*;
 
 const INSTANCES: u64 = 6;
-/// Time between two steps: above the shortest time between two looks.
+/// Longer than the minimum interval between passes.
 const STEP_MILLIS: u64 = 150;
 
 #[derive(Clone, Debug)]
-enum Act {
-    /// An instance announces itself, with this many models; it may be draining or slow from its start.
+enum Action {
+    /// An instance announces itself: number, models held, draining, warm-up in milliseconds.
     Announce(u64, usize, bool, u64),
-    /// It leaves, or has ended.
+    /// An instance departs: number, whether it has ended.
     Depart(u64, bool),
-    /// An engine's state is read: what it holds is not what it announced.
+    /// An engine's state is read: number, models held, which may differ from the announced ones.
     Read(u64, usize),
     /// The document changes.
     Put,
-    /// A gateway's report.
+    /// The gateway sends a report.
     Report,
-    /// The gateway's connection ends and it connects again.
+    /// The gateway's connection ends and it reconnects.
     Reconnect,
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         4 => (0..INSTANCES, 0..3_usize, prop::bool::weighted(0.1), 0..2_u64)
-            .prop_map(|(number, models, draining, warmup)| Act::Announce(number, models, draining, warmup)),
-        1 => (0..INSTANCES, any::<bool>()).prop_map(|(number, ended)| Act::Depart(number, ended)),
-        1 => (0..INSTANCES, 0..3_usize).prop_map(|(number, models)| Act::Read(number, models)),
-        1 => Just(Act::Put),
-        3 => Just(Act::Report),
-        2 => Just(Act::Reconnect),
+            .prop_map(|(number, models, draining, warmup)| Action::Announce(number, models, draining, warmup)),
+        1 => (0..INSTANCES, any::<bool>()).prop_map(|(number, ended)| Action::Depart(number, ended)),
+        1 => (0..INSTANCES, 0..3_usize).prop_map(|(number, models)| Action::Read(number, models)),
+        1 => Just(Action::Put),
+        3 => Just(Action::Report),
+        2 => Just(Action::Reconnect),
     ]
 }
 
@@ -48,7 +48,7 @@
     (0..models).map(model).collect()
 }
 
-/// Leader and one gateway, whose messages arrive at once.
+/// A leader and a gateway that exchange messages without delay.
 struct Pair {
     leader: Leader,
     gateway: Dispatcher,
@@ -62,21 +62,21 @@
         let report = self.gateway.report(at(self.now));
         self.leader
             .fleet
-            .report(at(self.now), self.connection, &report);
+            .handle_report(at(self.now), self.connection, &report);
     }
 
-    /// The leader's next updates arrive; gives what the first of them says.
+    /// Delivers the leader's next updates and returns the first update of a connection, if any.
     fn exchange(&mut self) -> Option<GatewayUpdate> {
         let updates = self.leader.updates(self.now);
-        let mut greeting = None;
+        let mut first_update = None;
         for (_, update) in updates {
             if update.first {
-                greeting = Some(update.clone());
+                first_update = Some(update.clone());
             }
             let outcome = self.gateway.update(at(self.now), update);
             assert_eq!(outcome.mismatched_base, None);
         }
-        greeting
+        first_update
     }
 
     fn announce(&mut self, number: u64, models: usize, draining: bool, warmup_millis: u64) {
@@ -89,22 +89,24 @@
             ..record(number)
         };
         let ended = self.leader.departed.contains(&announced.instance);
-        self.leader.fleet.announce(at(self.now), announced, ended);
+        self.leader
+            .fleet
+            .handle_announcement(at(self.now), announced, ended);
     }
 
-    fn act(&mut self, act: &Act) {
-        match act {
-            Act::Announce(number, models, draining, warmup) => {
+    fn perform(&mut self, action: &Action) {
+        match action {
+            Action::Announce(number, models, draining, warmup) => {
                 self.announce(*number, *models, *draining, *warmup);
             }
-            Act::Depart(number, ended) => {
+            Action::Depart(number, ended) => {
                 let instance = record(*number).instance;
-                self.leader.fleet.departed(&instance, *ended);
+                self.leader.fleet.handle_departure(&instance, *ended);
                 if *ended {
                     self.leader.departed.push(instance);
                 }
             }
-            Act::Read(number, models) => {
+            Action::Read(number, models) => {
                 let state = InstructionResult::State(EngineState {
                     revision: 1,
                     busy: false,
@@ -114,30 +116,41 @@
                     loading_adapters: Vec::new(),
                 });
                 let instance = record(*number).instance;
-                self.leader.answered(self.now, &instance, &state);
+                self.leader.respond(self.now, &instance, &state);
             }
-            Act::Put => self.leader.put(self.now),
-            Act::Report => self.report(),
-            Act::Reconnect => self.reconnect(),
+            Action::Put => self.leader.commit_next_version(self.now),
+            Action::Report => self.report(),
+            Action::Reconnect => self.reconnect(),
         }
     }
 
     fn reconnect(&mut self) {
-        // What is under way arrives first: the gateway is up to date.
+        // Delivers pending updates, so that the gateway is up to date.
         self.exchange();
-        let before = self.gateway.instance_count();
+        let instance_count = self.gateway.instance_count();
         self.leader
             .fleet
-            .disconnected(at(self.now), self.connection);
+            .handle_disconnect(at(self.now), self.connection);
         self.gateway.connection_ended();
         self.connection += 1;
         self.now += STEP_MILLIS;
         self.report();
-        let greeting = self.exchange().expect("a first update");
-        assert!(greeting.instances.is_empty(), "{:?}", greeting.instances);
-        assert!(greeting.document.is_none() && greeting.document_change.is_none());
-        assert_eq!(greeting.unchanged_instance_digests.len(), before);
-        assert_eq!(self.gateway.instance_count(), before, "all count as named");
+        let first_update = self.exchange().expect("a first update");
+        assert!(
+            first_update.instances.is_empty(),
+            "{:?}",
+            first_update.instances
+        );
+        assert!(first_update.document.is_none() && first_update.document_change.is_none());
+        assert_eq!(
+            first_update.unchanged_instance_digests.len(),
+            instance_count
+        );
+        assert_eq!(
+            self.gateway.instance_count(),
+            instance_count,
+            "all instances are kept"
+        );
     }
 }
 
@@ -145,7 +158,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn a_gateway_that_was_up_to_date_is_told_nothing_of_instances(acts in prop::collection::vec(act(), 1..40)) {
+    fn reconnecting_up_to_date_gateway_is_sent_no_instances(actions in prop::collection::vec(action(), 1..40)) {
         let mut pair = Pair {
             leader: Leader::new(INSTANCES, 0),
             gateway: gateway(),
@@ -155,13 +168,13 @@
         };
         pair.report();
         pair.exchange();
-        for act in &acts {
+        for action in &actions {
             pair.now += STEP_MILLIS;
-            pair.act(act);
+            pair.perform(action);
             pair.exchange();
             let table = pair.gateway.table().expect("a document");
-            let leader_s = pair.leader.documents.document(pair.leader.version);
-            prop_assert_eq!(Some(table.document()), leader_s);
+            let leader_document = pair.leader.documents.document(pair.leader.version);
+            prop_assert_eq!(Some(table.document()), leader_document);
         }
     }
 }
--- a/crates/millpass-fleet/tests/harness/mod.rs
+++ b/crates/millpass-fleet/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A leader with some instances, gateways that report to it, and a document that changes.
+//! A leader with instances, reporting gateways and a changing document.
 
 #![allow(dead_code)]
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A document of 100 routes to 20 services.
+/// Returns a document with [`ROUTES`] routes to 20 services.
 pub fn document(version: u64) -> DeploymentDocument {
     let service = |number: u64| ServiceSpec {
         name: format!("service-{number}").as_str().into(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// The leader's core and what it is given at each run.
+/// The leader's core and the context of its runs.
 pub struct Leader {
     pub fleet: Fleet,
     pub documents: DocumentHistory,
@@ -93,11 +93,11 @@
 }
 
 impl Leader {
-    /// In charge since long, with this many instances, and departed ones that the log remembers.
+    /// Creates a leader with this many instances, and departed ones in the log.
     pub fn new(instances: u64, departed: u64) -> Leader {
         let mut leader = Leader {
             fleet: Fleet::new(FleetSettings {
-                instance_silence: Duration::from_secs(3_600),
+                instance_timeout: Duration::from_secs(3_600),
                 ..FleetSettings::default()
             }),
             documents: DocumentHistory::new(),
@@ -108,32 +108,34 @@
             calls: Calls::default(),
             sequence: 0,
         };
-        leader.documents.applied(at(0), &document(1));
+        leader.documents.record(at(0), &document(1));
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
         let nothing = std::iter::empty;
         leader
             .fleet
-            .begin(at(0), nothing(), std::iter::empty(), &history);
+            .start_leading(at(0), nothing(), std::iter::empty(), &history);
         for number in 0..instances {
-            leader.fleet.announce(at(0), record(number), false);
+            leader
+                .fleet
+                .handle_announcement(at(0), record(number), false);
         }
         leader
     }
 
-    /// The next version is committed: one route has another time-out.
-    pub fn put(&mut self, now: u64) {
+    /// Commits the next version, in which one route has another timeout.
+    pub fn commit_next_version(&mut self, now: u64) {
         let mut next = self
             .documents
             .document(self.version)
             .cloned()
-            .expect("kept");
+            .expect("the current version is kept");
         self.version += 1;
         next.version = self.version;
         next.routes[7].timeout_millis += 1;
-        self.documents.applied(at(now), &next);
+        self.documents.record(at(now), &next);
     }
 
-    /// A report of gateway g-N on connection N.
+    /// Sends a report of gateway g-N on connection N.
     pub fn report(&mut self, now: u64, connection: u64, version: u64) {
         let gateway = format!("g-{connection}");
         self.report_of(now, connection, &gateway, version, Vec::new());
@@ -148,11 +150,11 @@
         known_instances: Vec<u64>,
     ) {
         let report = self.report_with(gateway, version, known_instances);
-        self.fleet.report(at(now), connection, &report);
+        self.fleet.handle_report(at(now), connection, &report);
     }
 
-    /// A report of gateway g-N, at which a request waits.
-    pub fn report_need(&mut self, now: u64, connection: u64) {
+    /// Sends a report of gateway g-N with unmet demand for an adapter.
+    pub fn report_unmet_demand(&mut self, now: u64, connection: u64) {
         let mut report = self.report_with(&format!("g-{connection}"), 1, Vec::new());
         report.demand.push(GatewayModelDemand {
             service: "service-3".into(),
@@ -164,14 +166,14 @@
             priority: 1,
             unread_tokens: 0,
         });
-        self.fleet.report(at(now), connection, &report);
+        self.fleet.handle_report(at(now), connection, &report);
     }
 
-    /// A report of gateway g-N, told up to this index of the log.
+    /// Sends a report of gateway g-N that has received the log up to this index.
     pub fn report_as_of(&mut self, now: u64, connection: u64, as_of: u64) {
         let mut report = self.report_with(&format!("g-{connection}"), 1, Vec::new());
         report.as_of = as_of;
-        self.fleet.report(at(now), connection, &report);
+        self.fleet.handle_report(at(now), connection, &report);
     }
 
     fn report_with(
@@ -204,22 +206,22 @@
         };
         let document = self.documents.document(self.version);
         let outputs = self.fleet.run(at(now), 3, document, &context);
-        self.calls.note(&outputs);
+        self.calls.record(&outputs);
         outputs
     }
 
-    /// The newest call to an engine is answered.
-    pub fn answered(&mut self, now: u64, instance: &InstanceId, answer: &InstructionResult) {
-        let answer = self.calls.answer(instance, answer);
-        self.fleet.answered(at(now), &answer);
+    /// Responds to the newest call to an engine.
+    pub fn respond(&mut self, now: u64, instance: &InstanceId, result: &InstructionResult) {
+        let result = self.calls.response(instance, result);
+        self.fleet.handle_call_result(at(now), &result);
     }
 
-    /// Number of the newest report.
+    /// Returns the sequence number of the newest report.
     pub fn newest_report(&self) -> u64 {
         self.sequence
     }
 
-    /// What the next run sends.
+    /// Returns the updates sent by the next run.
     pub fn updates(&mut self, now: u64) -> Vec<(u64, GatewayUpdate)> {
         let outputs = self.run(now).into_iter();
         let updates = outputs.filter_map(|output| match output {
@@ -230,14 +232,14 @@
     }
 }
 
-/// Size of an update on the wire, in bytes.
-pub fn bytes(update: &GatewayUpdate) -> usize {
+/// Returns the encoded size of an update, in bytes.
+pub fn encoded_size(update: &GatewayUpdate) -> usize {
     let message = ControlToRouter::Gateway(update.clone());
     let encoded = millpass_proto::codec::encode(&message);
-    encoded.expect("an update encodes").len()
+    encoded.expect("the update can be encoded").len()
 }
 
-/// A gateway's core without limits.
+/// Returns a gateway core without limits.
 pub fn gateway() -> Dispatcher {
     Dispatcher::new(DispatchSettings {
         name: "g".to_owned(),
--- a/crates/millpass-fleet/tests/harness/steering.rs
+++ b/crates/millpass-fleet/tests/harness/steering.rs
@@ -1,22 +1,22 @@
-//! A leader that steers one engine, which announces itself at another member.
+//! A leader that instructs one engine, which announces itself at another member.
 
 use super::at;
 use super::calls::Calls;
-use super::documents::{NOBODY, Room, engine_document, model};
+use super::documents::{EMPTY_CONTEXT, EngineCapacity, engine_document, model};
 use millpass_fleet::{Fleet, FleetOutput, FleetSettings, InstructionHistory};
 use millpass_proto::*;
 
-pub struct Steering {
+pub struct InstructingLeader {
     fleet: Fleet,
     document: DeploymentDocument,
     calls: Calls,
     number: u64,
-    known: u64,
+    revision: u64,
 }
 
-impl Steering {
-    pub fn new() -> Steering {
-        let room = Room {
+impl InstructingLeader {
+    pub fn new() -> InstructingLeader {
+        let capacity = EngineCapacity {
             weights_kilobytes: 130,
             adapter_slots: 2,
             milliloads_per_second: 2_000,
@@ -28,13 +28,13 @@
         });
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
         let nothing = std::iter::empty;
-        fleet.begin(at(0), nothing(), std::iter::empty(), &history);
-        Steering {
+        fleet.start_leading(at(0), nothing(), std::iter::empty(), &history);
+        InstructingLeader {
             fleet,
-            document: engine_document(models.to_vec(), &room),
+            document: engine_document(models.to_vec(), &capacity),
             calls: Calls::default(),
             number: 0,
-            known: 0,
+            revision: 0,
         }
     }
 
@@ -46,10 +46,10 @@
         models.iter().map(held).collect()
     }
 
-    fn report(&mut self, instances: Vec<InstanceRecord>, seen: Vec<InstanceHeartbeat>) {
+    fn report(&mut self, instances: Vec<InstanceRecord>, heartbeats: Vec<InstanceHeartbeat>) {
         self.number += 1;
-        let base = self.known;
-        self.known += u64::from(!instances.is_empty());
+        let base = self.revision;
+        self.revision += u64::from(!instances.is_empty());
         let member = MemberAddress {
             member: MemberId(2),
             zone: "z".into(),
@@ -61,18 +61,19 @@
             run: 7,
             number: self.number,
             base,
-            revision: self.known,
+            revision: self.revision,
             instances,
             expired: Vec::new(),
-            heartbeats: seen,
+            heartbeats,
             active_revision: 0,
         };
         let now = at(self.number);
-        self.fleet.take_share(now, &report, member, &|_| None);
+        self.fleet
+            .handle_share_report(now, &report, member, &|_| None);
     }
 
-    /// The engine announces a change at the other member.
-    pub fn tells(&mut self, sequence: u64, models: &[&str]) {
+    /// Reports a changed announcement received by the other member.
+    pub fn announce(&mut self, sequence: u64, models: &[&str]) {
         let record = InstanceRecord {
             instance: "e-1".into(),
             service: "text".into(),
@@ -82,35 +83,35 @@
             draining: false,
             warmup_millis: 0,
             sequence,
-            models: Steering::held(models),
+            models: InstructingLeader::held(models),
             in_memory: Vec::new(),
             on_disk: Vec::new(),
         };
         self.report(vec![record], Vec::new());
     }
 
-    /// It announces itself unchanged there.
-    pub fn sees(&mut self, sequence: u64) {
-        let seen = InstanceHeartbeat {
+    /// Reports an unchanged announcement received by the other member.
+    pub fn announce_unchanged(&mut self, sequence: u64) {
+        let heartbeat = InstanceHeartbeat {
             instance: "e-1".into(),
             sequence,
         };
-        self.report(Vec::new(), vec![seen]);
+        self.report(Vec::new(), vec![heartbeat]);
     }
 
     pub fn state(&self, revision: u64, models: &[&str]) -> InstructionResult {
         InstructionResult::State(EngineState {
             revision,
             busy: false,
-            models: Steering::held(models),
+            models: InstructingLeader::held(models),
             in_memory: Vec::new(),
             on_disk: Vec::new(),
             loading_adapters: Vec::new(),
         })
     }
 
-    /// A request waits for a model.
-    pub fn needs(&mut self, now: u64, model: &str) {
+    /// Reports a request that waits for a model.
+    pub fn report_demand(&mut self, now: u64, model: &str) {
         let report = GatewayReport {
             gateway: "g".to_owned(),
             zone: "z".into(),
@@ -131,14 +132,14 @@
             as_of: 0,
             known_instance_digests: Vec::new(),
         };
-        self.fleet.report(at(now), 1, &report);
+        self.fleet.handle_report(at(now), 1, &report);
     }
 
-    /// What is to be done at the engine.
+    /// Runs the leader and returns its calls to the engine.
     pub fn run(&mut self, now: u64) -> Vec<FleetOutput> {
         let document = Some(&self.document);
-        let mut outputs = self.fleet.run(at(now), 3, document, &NOBODY);
-        self.calls.note(&outputs);
+        let mut outputs = self.fleet.run(at(now), 3, document, &EMPTY_CONTEXT);
+        self.calls.record(&outputs);
         outputs.retain(|output| {
             matches!(
                 output,
@@ -148,9 +149,9 @@
         outputs
     }
 
-    /// The newest call is answered.
-    pub fn answers(&mut self, now: u64, answer: InstructionResult) {
-        let answer = self.calls.answer(&"e-1".into(), &answer);
-        self.fleet.answered(at(now), &answer);
+    /// Responds to the newest call.
+    pub fn respond(&mut self, now: u64, result: InstructionResult) {
+        let result = self.calls.response(&"e-1".into(), &result);
+        self.fleet.handle_call_result(at(now), &result);
     }
 }
--- a/crates/millpass-fleet/tests/rollout.rs
+++ b/crates/millpass-fleet/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! The way of a document's version from its commit to each gateway can be followed from events alone.
+//! Events and outputs show the propagation of a document version to each gateway.
 
 mod harness;
 
@@ -20,19 +20,19 @@
 
 fn reached(outputs: &[FleetOutput]) -> Vec<Duration> {
     let times = outputs.iter().filter_map(|output| match output {
-        FleetOutput::DocumentReached(after) => Some(*after),
+        FleetOutput::DocumentAcknowledged(after) => Some(*after),
         _ => None,
     });
     times.collect()
 }
 
 #[test]
-fn the_time_to_each_gateway_is_measured_and_the_last_one_named() {
+fn propagation_time_is_output_per_gateway_and_completion_logged() {
     let mut leader = Leader::new(0, 0);
     leader.report(1_000, 1, 1);
     leader.report(1_000, 2, 1);
     leader.run(1_010);
-    leader.put(1_100);
+    leader.commit_next_version(1_100);
     leader.run(1_100);
     leader.report(1_140, 1, 2);
     let first = leader.run(1_150);
@@ -47,22 +47,22 @@
     );
     leader.report(1_400, 2, 2);
     let later = leader.run(1_400);
-    assert!(reached(&later).is_empty(), "once for each gateway");
+    assert!(reached(&later).is_empty(), "output once per gateway");
     assert!(events(&later, "document-everywhere").is_empty());
 }
 
 #[test]
-fn gateways_that_lag_are_named_with_the_reason() {
+fn lagging_gateways_are_logged_with_reason() {
     let mut leader = Leader::new(0, 0);
     for connection in 1..=3 {
         leader.report(1_000, connection, 1);
     }
     leader.run(1_010);
-    leader.put(2_000);
+    leader.commit_next_version(2_000);
     leader.run(2_000);
     leader.report(2_100, 1, 2);
     leader.report(2_900, 2, 1);
-    leader.fleet.disconnected(at(2_500), 3);
+    leader.fleet.handle_disconnect(at(2_500), 3);
     assert!(events(&leader.run(2_990), "document-lags").is_empty());
     let lagging = events(&leader.run(3_000), "document-lags");
     assert_eq!(
@@ -75,31 +75,34 @@
     );
     assert!(
         events(&leader.run(3_900), "document-lags").is_empty(),
-        "the pause doubles"
+        "the interval doubles"
     );
     assert_eq!(events(&leader.run(4_000), "document-lags").len(), 2);
 }
 
-/// A gateway that a leader knows nothing of may have had the version for long: its report says nothing of how
-/// long the way took.
+/// A gateway unknown to this leader may have had the version for long, so no propagation time is
+/// output.
 #[test]
-fn what_a_gateway_brings_along_is_not_measured() {
+fn version_held_on_connect_is_not_measured() {
     let mut leader = Leader::new(0, 0);
     leader.run(1_000);
     leader.report(60_000, 1, 1);
     assert!(reached(&leader.run(60_000)).is_empty());
-    leader.fleet.disconnected(at(60_100), 1);
+    leader.fleet.handle_disconnect(at(60_100), 1);
     leader.report(60_200, 7, 1);
-    assert!(reached(&leader.run(60_200)).is_empty(), "known from before");
+    assert!(
+        reached(&leader.run(60_200)).is_empty(),
+        "its version is known from its previous connection"
+    );
 }
 
 #[test]
-fn the_names_of_many_that_lag_are_bounded() {
+fn number_of_logged_lagging_gateways_is_bounded() {
     let mut leader = Leader::new(0, 0);
     for connection in 0..100 {
         leader.report(1_000, connection, 1);
     }
-    leader.put(2_000);
+    leader.commit_next_version(2_000);
     leader.run(2_000);
     let lagging = events(&leader.run(3_000), "document-lags");
     assert_eq!(lagging.len(), 8);
@@ -107,29 +110,29 @@
 }
 
 #[test]
-fn the_time_of_a_departure_to_each_gateway_is_measured() {
-    let told = |leader: &mut Leader, now: u64| {
+fn propagation_time_of_departure_is_output_per_gateway() {
+    let propagation_times = |leader: &mut Leader, now: u64| {
         let outputs = leader.run(now).into_iter();
         let times = outputs.filter_map(|output| match output {
-            FleetOutput::DepartureReached(after) => Some(after.as_millis()),
+            FleetOutput::DepartureAcknowledged(after) => Some(after.as_millis()),
             _ => None,
         });
         times.collect::<Vec<_>>()
     };
     let mut leader = Leader::new(0, 0);
-    leader.fleet.departure_committed(at(900), 4);
+    leader.fleet.record_departure_commit(at(900), 4);
     leader.report_as_of(1_000, 1, 5);
     assert_eq!(
-        told(&mut leader, 1_000),
+        propagation_times(&mut leader, 1_000),
         [0; 0],
-        "what it brings along is not measured"
+        "what it received before it connected is not measured"
     );
-    leader.fleet.departure_committed(at(1_100), 7);
-    leader.fleet.departure_committed(at(1_120), 9);
+    leader.fleet.record_departure_commit(at(1_100), 7);
+    leader.fleet.record_departure_commit(at(1_120), 9);
     leader.report_as_of(1_150, 1, 7);
-    assert_eq!(told(&mut leader, 1_150), [50]);
+    assert_eq!(propagation_times(&mut leader, 1_150), [50]);
     leader.report_as_of(1_200, 1, 7);
-    assert_eq!(told(&mut leader, 1_200), [0; 0]);
+    assert_eq!(propagation_times(&mut leader, 1_200), [0; 0]);
     leader.report_as_of(1_250, 1, 12);
-    assert_eq!(told(&mut leader, 1_250), [130]);
+    assert_eq!(propagation_times(&mut leader, 1_250), [130]);
 }
