--- a/crates/millpass-control/src/administration/admission.rs
+++ b/crates/millpass-control/src/administration/admission.rs
@@ -33,15 +33,15 @@
 /// Compiles a policy and runs its examples, on a thread of its own: the compiler is recursive, and
 /// its bounds fit a usual stack but not the small one of the server's threads.
 fn check_policy(name: &PolicyName, policy: &PolicySpec) -> Result<(), Failure> {
-    let judged = std::thread::scope(|scope| {
+    let result = std::thread::scope(|scope| {
         let builder = Builder::new().name("policy-check".to_owned());
-        let judge = || millpass_policy::validate(name, policy);
+        let validate = || millpass_policy::validate(name, policy);
         let thread = builder
             .stack_size(POLICY_STACK_BYTES)
-            .spawn_scoped(scope, judge);
+            .spawn_scoped(scope, validate);
         thread.map(|thread| thread.join())
     });
-    match judged {
+    match result {
         Ok(Ok(Ok(()))) => Ok(()),
         Ok(Ok(Err(error))) => Err(Failure::policy_rejected(&error)),
         Ok(Err(_)) => Err(Failure::internal(
@@ -84,8 +84,8 @@
         return Ok(());
     }
     let others = operators.iter().filter(|object| object.key != *key);
-    let left: Vec<&ObjectSpec> = others.map(|object| &object.spec).chain(spec).collect();
-    if left.is_empty() || left.into_iter().any(is_administrator) {
+    let remaining: Vec<&ObjectSpec> = others.map(|object| &object.spec).chain(spec).collect();
+    if remaining.is_empty() || remaining.into_iter().any(is_administrator) {
         return Ok(());
     }
     Err(Failure::rejected(
--- a/crates/millpass-control/src/administration/authentication.rs
+++ b/crates/millpass-control/src/administration/authentication.rs
@@ -2,7 +2,7 @@
 
 use super::AdministrationCalls;
 use super::failure::Failure;
-use super::operations::not_answered;
+use super::operations::unexpected_response;
 use blake3::Hash;
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
@@ -11,11 +11,11 @@
 
 /// Name under which changes with the bootstrap key are audited.
 pub(crate) const BOOTSTRAP_OPERATOR: &str = "bootstrap";
-const SCHEME: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
 /// Who asks.
 #[derive(Clone, Debug)]
-pub(crate) struct Asker {
+pub(crate) struct Caller {
     /// Account.
     pub(crate) operator: OperatorName,
     /// What it may do.
@@ -27,14 +27,14 @@
     pub(crate) is_superseded: bool,
 }
 
-impl Asker {
+impl Caller {
     /// Refuses what the role does not allow.
-    pub(crate) fn check_role(&self, needed: OperatorRole) -> Result<(), Failure> {
-        if rank(self.role) >= rank(needed) {
+    pub(crate) fn check_role(&self, required: OperatorRole) -> Result<(), Failure> {
+        if rank(self.role) >= rank(required) {
             return Ok(());
         }
         Err(Failure::forbidden(format!(
-            "operator `{}` is {:?}; this needs {needed:?}",
+            "operator `{}` is {:?}; this requires {required:?}",
             self.operator, self.role
         )))
     }
@@ -53,15 +53,15 @@
     calls: &dyn AdministrationCalls,
     bootstrap: Option<Hash>,
     headers: &HeaderMap,
-) -> Result<Asker, Failure> {
-    let key_hash = blake3::hash(key(headers)?);
+) -> Result<Caller, Failure> {
+    let key_hash = blake3::hash(bearer_key(headers)?);
     let operators = match calls.call(AdministrationRequest::List(ObjectKind::Operator)) {
         AdministrationResponse::Objects(operators) => operators,
-        other => return Err(not_answered(other)),
+        other => return Err(unexpected_response(other)),
     };
-    let account = account_of(&operators, key_hash);
+    let account = find_account(&operators, key_hash);
     if let Some((operator, role)) = account {
-        return Ok(Asker {
+        return Ok(Caller {
             operator,
             role,
             operators,
@@ -75,7 +75,7 @@
         ));
     }
     let is_superseded = !operators.is_empty();
-    Ok(Asker {
+    Ok(Caller {
         operator: BOOTSTRAP_OPERATOR.into(),
         role: OperatorRole::Administrator,
         operators,
@@ -84,14 +84,14 @@
 }
 
 /// Refusal of the bootstrap key once there are accounts.
-pub(crate) fn superseded() -> Failure {
+pub(crate) fn superseded_key() -> Failure {
     Failure::unauthenticated(
         "the bootstrap key does not count any more: there are operator accounts",
         "send the key of an operator account",
     )
 }
 
-fn key(headers: &HeaderMap) -> Result<&[u8], Failure> {
+fn bearer_key(headers: &HeaderMap) -> Result<&[u8], Failure> {
     let remedy = "send one header `Authorization: Bearer KEY` with an operator's key";
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
@@ -100,7 +100,7 @@
             remedy,
         ));
     };
-    let key = value.as_bytes().strip_prefix(SCHEME.as_bytes());
+    let key = value.as_bytes().strip_prefix(BEARER_PREFIX.as_bytes());
     let key = key.filter(|key| !key.is_empty());
     key.ok_or_else(|| {
         Failure::unauthenticated("the Authorization header has no bearer key", remedy)
@@ -109,7 +109,10 @@
 
 /// Compares with every account, each in constant time. The first by name counts if two share a
 /// key.
-fn account_of(operators: &[StoredObject], key_hash: Hash) -> Option<(OperatorName, OperatorRole)> {
+fn find_account(
+    operators: &[StoredObject],
+    key_hash: Hash,
+) -> Option<(OperatorName, OperatorRole)> {
     let mut found = None;
     for object in operators {
         let ObjectSpec::Operator(operator) = &object.spec else {
--- a/crates/millpass-control/src/administration/failure.rs
+++ b/crates/millpass-control/src/administration/failure.rs
@@ -7,7 +7,7 @@
 use millpass_policy::PolicyError;
 
 /// Seconds after which to come back when that can help.
-const RETRY_SECONDS: &str = "1";
+const RETRY_AFTER_SECONDS: &str = "1";
 
 /// Why a request got no success: status and body.
 #[derive(Clone, Debug)]
@@ -178,7 +178,7 @@
         let json = serde_json::to_value(&body).unwrap_or_default();
         let mut response = Response::json(self.status, &json);
         if self.retry {
-            response = response.with_header(RETRY_AFTER, RETRY_SECONDS);
+            response = response.with_header(RETRY_AFTER, RETRY_AFTER_SECONDS);
         }
         if self.status == StatusCode::UNAUTHORIZED {
             response = response.with_header(WWW_AUTHENTICATE, "Bearer");
--- a/crates/millpass-control/src/administration/operations.rs
+++ b/crates/millpass-control/src/administration/operations.rs
@@ -2,7 +2,7 @@
 
 use super::AdministrationCalls;
 use super::admission;
-use super::authentication::{Asker, BOOTSTRAP_OPERATOR, superseded};
+use super::authentication::{BOOTSTRAP_OPERATOR, Caller, superseded_key};
 use super::failure::Failure;
 use super::routes::Route;
 use crate::api::{
@@ -21,7 +21,7 @@
 use serde_json::json;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Newest audit records among which a resend with the superseded bootstrap key is looked up. The
+/// Newest audit records among which a resend with the superseded_key bootstrap key is looked up. The
 /// state remembers more changes than these, so it recognizes the resend for certain.
 const BOOTSTRAP_RESEND_RECORDS: usize = millpass_state::MAXIMUM_REMEMBERED_CHANGES / 2;
 /// Remedy when the outcome of a change of an object is unknown.
@@ -31,9 +31,9 @@
 const RESEND_CALL: &str = "send it again until it is answered; a repeat does no harm";
 
 /// Carries out what an operator asks for.
-pub(crate) fn carry_out(
+pub(crate) fn execute(
     calls: &dyn AdministrationCalls,
-    asker: &Asker,
+    caller: &Caller,
     route: Route,
     body: &[u8],
 ) -> Result<Response, Failure> {
@@ -49,7 +49,7 @@
             change_id,
             spec: None,
         },
-        _ if asker.is_superseded => return Err(superseded()),
+        _ if caller.is_superseded => return Err(superseded_key()),
         Route::Get(key) => return get(calls, key),
         Route::List(kind) => return list(calls, kind),
         Route::Status => return status(calls),
@@ -59,7 +59,7 @@
         Route::QuarantinedRequests => return quarantined_requests(calls),
         Route::LiftQuarantine(request) => return lift_quarantine(calls, request),
     };
-    submit(calls, asker, change)
+    submit(calls, caller, change)
 }
 
 /// A change as an operator submits it.
@@ -84,17 +84,17 @@
 
 fn submit(
     calls: &dyn AdministrationCalls,
-    asker: &Asker,
+    caller: &Caller,
     change: Change,
 ) -> Result<Response, Failure> {
-    if asker.is_superseded {
+    if caller.is_superseded {
         check_bootstrap_resend(calls, &change)?;
     }
     if let Some(spec) = &change.spec {
         admission::check_spec(&change.key, spec)?;
     }
     admission::check_administrator_left(
-        &asker.operators,
+        &caller.operators,
         &change.key,
         change.expected_version,
         change.spec.as_ref(),
@@ -103,16 +103,16 @@
         key: change.key,
         expected_version: change.expected_version,
         change_id: ChangeId(change.change_id),
-        operator: asker.operator.clone(),
+        operator: caller.operator.clone(),
         at_unix_millis: unix_millis(),
         spec: change.spec,
     };
     match calls.call(AdministrationRequest::Change(change)) {
-        AdministrationResponse::Change(outcome) => change_answer(outcome),
+        AdministrationResponse::Change(outcome) => change_response(outcome),
         AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CHANGE)),
         // The core rejects the content of a change in its outcome; it refuses only for load.
         AdministrationResponse::Refused(reason) => Err(Failure::busy(reason)),
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -122,7 +122,7 @@
     let request = AdministrationRequest::Audit(ConfigurationRevision(0));
     let records = match calls.call(request) {
         AdministrationResponse::Audit(records) => records,
-        other => return Err(not_answered(other)),
+        other => return Err(unexpected_response(other)),
     };
     let newest = records.iter().rev().take(BOOTSTRAP_RESEND_RECORDS);
     let bootstrap = OperatorName::from(BOOTSTRAP_OPERATOR);
@@ -134,11 +134,11 @@
     if was_accepted {
         Ok(())
     } else {
-        Err(superseded())
+        Err(superseded_key())
     }
 }
 
-fn change_answer(outcome: ObjectChangeOutcome) -> Result<Response, Failure> {
+fn change_response(outcome: ObjectChangeOutcome) -> Result<Response, Failure> {
     match outcome {
         ObjectChangeOutcome::Accepted(accepted) => ok(&AcceptedBody::from(accepted)),
         ObjectChangeOutcome::VersionConflict(conflict) => {
@@ -157,7 +157,7 @@
             "the object does not exist",
             "list its kind for the names there are",
         )),
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -170,7 +170,7 @@
             let objects: Result<_, _> = objects.iter().map(object_body).collect();
             ok(&ObjectsBody { objects: objects? })
         }
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -185,7 +185,7 @@
 fn read_status(calls: &dyn AdministrationCalls) -> Result<Box<DeploymentStatus>, Failure> {
     match calls.call(AdministrationRequest::Status) {
         AdministrationResponse::Status(status) => Ok(status),
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -194,7 +194,7 @@
         AdministrationResponse::Audit(records) => ok(&AuditBody {
             records: records.iter().map(AuditRecordBody::from).collect(),
         }),
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -217,9 +217,9 @@
         AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
         AdministrationResponse::Refused(reason) => {
             let status = read_status(calls)?;
-            unless_done(reason, status.backends.contains(&(backend, state)))
+            ok_if_done(reason, status.backends.contains(&(backend, state)))
         }
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -231,9 +231,9 @@
         AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
         AdministrationResponse::Refused(reason) => {
             let status = read_status(calls)?;
-            unless_done(reason, body.holds(&status.consensus.membership))
+            ok_if_done(reason, body.is_satisfied_by(&status.consensus.membership))
         }
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -242,7 +242,7 @@
         AdministrationResponse::QuarantinedRequests(held) => {
             ok(&QuarantinedRequestsBody::from(held))
         }
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
@@ -253,12 +253,12 @@
     match calls.call(AdministrationRequest::LiftQuarantine(request)) {
         AdministrationResponse::Done => ok(&json!({})),
         AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CALL)),
-        other => Err(not_answered(other)),
+        other => Err(unexpected_response(other)),
     }
 }
 
 /// A repeat of a call without change id that finds its effect in place is answered as done.
-fn unless_done(reason: String, is_done: bool) -> Result<Response, Failure> {
+fn ok_if_done(reason: String, is_done: bool) -> Result<Response, Failure> {
     if is_done {
         ok(&json!({}))
     } else {
@@ -267,8 +267,8 @@
 }
 
 /// Failure for an answer that says nothing of what was asked.
-pub(crate) fn not_answered(answer: AdministrationResponse) -> Failure {
-    match answer {
+pub(crate) fn unexpected_response(response: AdministrationResponse) -> Failure {
+    match response {
         AdministrationResponse::NotLeader { leader_address } => Failure::not_leader(leader_address),
         AdministrationResponse::Unknown => Failure::outcome_unknown(RESEND_CALL),
         AdministrationResponse::Busy => {
--- a/crates/millpass-control/src/administration/routes.rs
+++ b/crates/millpass-control/src/administration/routes.rs
@@ -51,7 +51,7 @@
 
 impl Route {
     /// Least role that may ask for it.
-    pub(crate) fn needed_role(&self) -> OperatorRole {
+    pub(crate) fn required_role(&self) -> OperatorRole {
         match self {
             Route::Get(_)
             | Route::List(_)
@@ -120,8 +120,8 @@
         Method::PUT => Ok(Route::Put(key)),
         Method::DELETE => Ok(Route::Delete {
             key,
-            expected_version: needed(number(uri, "expected_version")?, "expected_version")?,
-            change_id: needed(parameter(uri, "change_id")?, "change_id")?,
+            expected_version: required(number(uri, "expected_version")?, "expected_version")?,
+            change_id: required(parameter(uri, "change_id")?, "change_id")?,
         }),
         _ => Err(Failure::method_not_allowed("GET, PUT, DELETE")),
     }
@@ -219,10 +219,10 @@
     Ok(Some(number))
 }
 
-fn needed<T>(value: Option<T>, name: &str) -> Result<T, Failure> {
+fn required<T>(value: Option<T>, name: &str) -> Result<T, Failure> {
     value.ok_or_else(|| {
         Failure::malformed(
-            format!("the query lacks `{name}`"),
+            format!("the query is missing `{name}`"),
             "add `?expected_version=N&change_id=ID`",
         )
     })
--- a/crates/millpass-control/src/administration/server.rs
+++ b/crates/millpass-control/src/administration/server.rs
@@ -3,7 +3,7 @@
 use super::AdministrationCalls;
 use super::authentication::authenticate;
 use super::failure::Failure;
-use super::operations::carry_out;
+use super::operations::execute;
 use super::routes::{self, OpenRoute};
 use crate::api::MAXIMUM_BODY_BYTES;
 use crate::interface::ApiExtension;
@@ -126,7 +126,7 @@
         extension,
     };
     let handler = move |request: Request, responder: Responder| {
-        responder.send(api.answer(&request));
+        responder.send(api.respond(&request));
     };
     Ok(AdministrationServer {
         handle: server.serve(Arc::new(handler)),
@@ -154,28 +154,28 @@
 }
 
 impl Api {
-    fn answer(&self, request: &Request) -> Response {
+    fn respond(&self, request: &Request) -> Response {
         let extension = self.extension.as_deref();
-        let answered = extension.and_then(|extension| extension.handle(request, &*self.calls));
-        if let Some(response) = answered {
+        let response = extension.and_then(|extension| extension.handle(request, &*self.calls));
+        if let Some(response) = response {
             return response;
         }
         if let Some(open) = routes::open_route(&request.method, &request.uri) {
-            return self.answer_open(open);
+            return self.respond_open(open);
         }
-        self.answer_operator(request)
+        self.respond_operator(request)
             .unwrap_or_else(Failure::into_response)
     }
 
     /// Nothing, not even which paths there are, is told before the key is known.
-    fn answer_operator(&self, request: &Request) -> Result<Response, Failure> {
-        let asker = authenticate(&*self.calls, self.bootstrap, &request.headers)?;
+    fn respond_operator(&self, request: &Request) -> Result<Response, Failure> {
+        let caller = authenticate(&*self.calls, self.bootstrap, &request.headers)?;
         let route = routes::route(&request.method, &request.uri)?;
-        asker.check_role(route.needed_role())?;
-        carry_out(&*self.calls, &asker, route, &request.body)
+        caller.check_role(route.required_role())?;
+        execute(&*self.calls, &caller, route, &request.body)
     }
 
-    fn answer_open(&self, route: OpenRoute) -> Response {
+    fn respond_open(&self, route: OpenRoute) -> Response {
         match route {
             OpenRoute::Health => Response::text(StatusCode::OK, "ok\n"),
             OpenRoute::Ready => self.ready(),
--- a/crates/millpass-control/src/api/kinds.rs
+++ b/crates/millpass-control/src/api/kinds.rs
@@ -17,7 +17,7 @@
 /// Word of a kind, as in object files.
 pub fn kind_name(kind: ObjectKind) -> &'static str {
     let known = KINDS.iter().find(|(known, ..)| *known == kind);
-    known.map_or("", |(_, word, _)| word)
+    known.map_or("", |(_, name, _)| name)
 }
 
 /// Plural of a kind, as in paths.
@@ -27,8 +27,8 @@
 }
 
 /// Kind of a word in the singular.
-pub fn kind_from_name(word: &str) -> Option<ObjectKind> {
-    let known = KINDS.iter().find(|(_, known, _)| *known == word);
+pub fn kind_from_name(name: &str) -> Option<ObjectKind> {
+    let known = KINDS.iter().find(|(_, known, _)| *known == name);
     known.map(|(kind, ..)| *kind)
 }
 
--- a/crates/millpass-control/src/api/membership.rs
+++ b/crates/millpass-control/src/api/membership.rs
@@ -36,7 +36,7 @@
 
 impl MembershipBody {
     /// Whether these members are what the change asks for, so that a resend has nothing to do.
-    pub(crate) fn holds(&self, membership: &Membership) -> bool {
+    pub(crate) fn is_satisfied_by(&self, membership: &Membership) -> bool {
         if !membership.outgoing_voters.is_empty() {
             return false;
         }
--- a/crates/millpass-control/src/api/specs.rs
+++ b/crates/millpass-control/src/api/specs.rs
@@ -44,28 +44,26 @@
 
 fn read<T: DeserializeOwned + Serialize>(json: &Value) -> Result<T, SpecError> {
     let content = T::deserialize(json)?;
-    let understood = serde_json::to_value(&content)?;
-    match unknown_field(json, &understood) {
+    let parsed = serde_json::to_value(&content)?;
+    match unknown_field(json, &parsed) {
         Some(field) => Err(SpecError::UnknownField(field)),
         None => Ok(content),
     }
 }
 
-/// First field of what was given that is not in what was understood.
-fn unknown_field(given: &Value, understood: &Value) -> Option<String> {
-    match (given, understood) {
-        (Value::Object(given), Value::Object(understood)) => {
-            given.iter().find_map(|(name, value)| {
-                let Some(known) = understood.get(name) else {
-                    return Some(name.clone());
-                };
-                unknown_field(value, known)
-            })
-        }
-        (Value::Array(given), Value::Array(understood)) => given
+/// First field of what was given that is not in what was parsed.
+fn unknown_field(given: &Value, parsed: &Value) -> Option<String> {
+    match (given, parsed) {
+        (Value::Object(given), Value::Object(parsed)) => given.iter().find_map(|(name, value)| {
+            let Some(known) = parsed.get(name) else {
+                return Some(name.clone());
+            };
+            unknown_field(value, known)
+        }),
+        (Value::Array(given), Value::Array(parsed)) => given
             .iter()
-            .zip(understood)
-            .find_map(|(given, understood)| unknown_field(given, understood)),
+            .zip(parsed)
+            .find_map(|(given, parsed)| unknown_field(given, parsed)),
         _ => None,
     }
 }
--- a/crates/millpass-control/src/api/status.rs
+++ b/crates/millpass-control/src/api/status.rs
@@ -102,7 +102,7 @@
 }
 
 /// State of a word.
-pub fn backend_state_from_name(word: &str) -> Option<BackendState> {
+pub fn backend_state_from_name(name: &str) -> Option<BackendState> {
     let states = [
         BackendState::Live,
         BackendState::Leaving,
@@ -110,10 +110,10 @@
     ];
     states
         .into_iter()
-        .find(|state| backend_state_name(*state) == word)
+        .find(|state| backend_state_name(*state) == name)
 }
 
-const fn phase_word(phase: ReplicaPhase) -> &'static str {
+const fn phase_name(phase: ReplicaPhase) -> &'static str {
     match phase {
         ReplicaPhase::Loading => "loading",
         ReplicaPhase::Loaded => "loaded",
@@ -197,7 +197,7 @@
             model: replica.model.0.clone(),
             version: replica.version.0.clone(),
             backend: replica.backend.0.clone(),
-            phase: phase_word(replica.phase).to_owned(),
+            phase: phase_name(replica.phase).to_owned(),
         }
     }
 }
--- a/crates/millpass-control/src/backlog.rs
+++ b/crates/millpass-control/src/backlog.rs
@@ -1,9 +1,9 @@
 //! What waits for the core, by priority.
 //!
 //! Each class has a bounded queue of its own, in order of arrival. A tick that is due comes before all
-//! else, then what consensus needs, then the other classes in order, each up to its share of a turn. So no
+//! else, then what consensus needs, then the other classes in order, each up to its quota of a turn. So no
 //! class waits for another for good: at most the shares of the less urgent classes are taken before an
-//! input of a class whose share is used up.
+//! input of a class whose quota is used up.
 
 use crate::priority::Priority;
 use std::collections::VecDeque;
@@ -28,7 +28,7 @@
     /// Inputs that may wait.
     length: usize,
     /// Inputs taken in one turn while others wait.
-    share: usize,
+    quota: usize,
 }
 
 /// A class is refused, or its sender waits, beyond `length`. What a member sends is bounded by its windows
@@ -39,14 +39,14 @@
 /// A turn without consensus takes 44 inputs. A step takes 0.1 to 1 ms, so a turn ends well within the wait
 /// that a sender of credit or announcements grants.
 fn bounds(class: Priority) -> Bounds {
-    let (length, share) = match class {
+    let (length, quota) = match class {
         Priority::Consensus => (2_048, 256),
         Priority::Promised => (1_024, 16),
         Priority::Credit => (4_096, 16),
         Priority::Reports => (4_096, 8),
         Priority::Announcements => (1_024, 4),
     };
-    Bounds { length, share }
+    Bounds { length, quota }
 }
 
 /// Inputs that wait, by class.
@@ -103,9 +103,9 @@
     }
 
     fn take(&mut self) -> Option<(Priority, T)> {
-        let class = self.most_urgent_within_share().or_else(|| {
+        let class = self.first_within_quota().or_else(|| {
             self.taken = [0; CLASSES];
-            self.most_urgent_within_share()
+            self.first_within_quota()
         })?;
         let index = class as usize;
         let input = self.waiting[index].pop_front()?;
@@ -117,10 +117,10 @@
         Some((class, input))
     }
 
-    fn most_urgent_within_share(&self) -> Option<Priority> {
+    fn first_within_quota(&self) -> Option<Priority> {
         Priority::ALL.into_iter().find(|class| {
             let index = *class as usize;
-            !self.waiting[index].is_empty() && self.taken[index] < bounds(*class).share
+            !self.waiting[index].is_empty() && self.taken[index] < bounds(*class).quota
         })
     }
 
--- a/crates/millpass-control/src/call_schedule.rs
+++ b/crates/millpass-control/src/call_schedule.rs
@@ -8,20 +8,20 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Share of the calls at once that silent peers may take: a quarter.
-const SILENT_SHARE: usize = 4;
+const UNREACHABLE_DIVISOR: usize = 4;
 /// Most silent peers that are remembered; beyond it all are given the benefit of the doubt.
-const MOST_SILENT: usize = 8_192;
+const MAXIMUM_UNREACHABLE: usize = 8_192;
 
 /// A call that waits.
-struct Waiting<T> {
-    leave_by: Timestamp,
+struct WaitingCall<T> {
+    expires_at: Timestamp,
     call: T,
 }
 
 /// Calls of one peer.
-struct Lane<T> {
-    waiting: VecDeque<Waiting<T>>,
-    is_under_way: bool,
+struct PeerQueue<T> {
+    waiting: VecDeque<WaitingCall<T>>,
+    in_progress: bool,
 }
 
 /// How a call ended, as far as it matters for those to come.
@@ -35,110 +35,111 @@
 
 /// Calls that wait, and those under way.
 pub struct CallSchedule<T> {
-    lanes: BTreeMap<String, Lane<T>>,
-    silent: BTreeSet<String>,
+    queues: BTreeMap<String, PeerQueue<T>>,
+    unreachable: BTreeSet<String>,
     /// Peers with a waiting call and none under way, the longest waiting first.
     ready: VecDeque<String>,
-    silent_ready: VecDeque<String>,
-    silent_under_way: usize,
-    most_silent_under_way: usize,
+    unreachable_ready: VecDeque<String>,
+    unreachable_in_progress: usize,
+    maximum_unreachable_in_progress: usize,
     waiting: usize,
-    most_waiting: usize,
+    maximum_waiting: usize,
 }
 
 impl<T> CallSchedule<T> {
     /// For so many calls at once, and so many that wait.
-    pub fn new(at_once: usize, most_waiting: usize) -> Self {
+    pub fn new(concurrency: usize, maximum_waiting: usize) -> Self {
         CallSchedule {
-            lanes: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            queues: BTreeMap::new(),
+            unreachable: BTreeSet::new(),
             ready: VecDeque::new(),
-            silent_ready: VecDeque::new(),
-            silent_under_way: 0,
-            most_silent_under_way: (at_once / SILENT_SHARE).max(1),
+            unreachable_ready: VecDeque::new(),
+            unreachable_in_progress: 0,
+            maximum_unreachable_in_progress: (concurrency / UNREACHABLE_DIVISOR).max(1),
             waiting: 0,
-            most_waiting,
+            maximum_waiting,
         }
     }
 
     /// Adds a call to a peer; gives it back if too many wait.
-    pub fn push(&mut self, peer: &str, leave_by: Timestamp, call: T) -> Result<(), T> {
-        if self.waiting >= self.most_waiting {
+    pub fn push(&mut self, peer: &str, expires_at: Timestamp, call: T) -> Result<(), T> {
+        if self.waiting >= self.maximum_waiting {
             return Err(call);
         }
         self.waiting += 1;
-        let lane = self.lanes.entry(peer.to_owned()).or_insert(Lane {
+        let queue = self.queues.entry(peer.to_owned()).or_insert(PeerQueue {
             waiting: VecDeque::new(),
-            is_under_way: false,
+            in_progress: false,
         });
-        lane.waiting.push_back(Waiting { leave_by, call });
-        if lane.waiting.len() == 1 && !lane.is_under_way {
+        queue.waiting.push_back(WaitingCall { expires_at, call });
+        if queue.waiting.len() == 1 && !queue.in_progress {
             self.make_ready(peer.to_owned());
         }
         Ok(())
     }
 
     fn make_ready(&mut self, peer: String) {
-        match self.silent.contains(&peer) {
-            true => self.silent_ready.push_back(peer),
+        match self.unreachable.contains(&peer) {
+            true => self.unreachable_ready.push_back(peer),
             false => self.ready.push_back(peer),
         }
     }
 
     /// Whether a call may be made now.
     pub fn has_ready(&self) -> bool {
-        !self.ready.is_empty() || self.may_call_silent()
+        !self.ready.is_empty() || self.may_call_unreachable()
     }
 
-    fn may_call_silent(&self) -> bool {
-        !self.silent_ready.is_empty() && self.silent_under_way < self.most_silent_under_way
+    fn may_call_unreachable(&self) -> bool {
+        !self.unreachable_ready.is_empty()
+            && self.unreachable_in_progress < self.maximum_unreachable_in_progress
     }
 
     /// The next call to make, and its peer; [`CallSchedule::finish`] is owed for it.
     pub fn take(&mut self) -> Option<(String, T)> {
         let peer = match self.ready.pop_front() {
             Some(peer) => peer,
-            None if self.may_call_silent() => self.silent_ready.pop_front()?,
+            None if self.may_call_unreachable() => self.unreachable_ready.pop_front()?,
             None => return None,
         };
-        let lane = self.lanes.get_mut(&peer)?;
-        let waiting = lane.waiting.pop_front()?;
-        lane.is_under_way = true;
+        let queue = self.queues.get_mut(&peer)?;
+        let waiting = queue.waiting.pop_front()?;
+        queue.in_progress = true;
         self.waiting -= 1;
-        if self.silent.contains(&peer) {
-            self.silent_under_way += 1;
+        if self.unreachable.contains(&peer) {
+            self.unreachable_in_progress += 1;
         }
         Some((peer, waiting.call))
     }
 
     /// The call under way to a peer has ended.
-    pub fn finish(&mut self, peer: &str, end: CallOutcome) {
-        if self.silent.remove(peer) {
-            self.silent_under_way -= 1;
+    pub fn finish(&mut self, peer: &str, outcome: CallOutcome) {
+        if self.unreachable.remove(peer) {
+            self.unreachable_in_progress -= 1;
         }
-        if end == CallOutcome::Unreachable {
-            if self.silent.len() >= MOST_SILENT {
-                self.forget_silent();
+        if outcome == CallOutcome::Unreachable {
+            if self.unreachable.len() >= MAXIMUM_UNREACHABLE {
+                self.forget_unreachable();
             }
-            self.silent.insert(peer.to_owned());
+            self.unreachable.insert(peer.to_owned());
         }
-        let Some(lane) = self.lanes.get_mut(peer) else {
+        let Some(queue) = self.queues.get_mut(peer) else {
             return;
         };
-        lane.is_under_way = false;
-        if lane.waiting.is_empty() {
-            self.lanes.remove(peer);
+        queue.in_progress = false;
+        if queue.waiting.is_empty() {
+            self.queues.remove(peer);
         } else {
             self.make_ready(peer.to_owned());
         }
     }
 
     /// Those with a call under way stay, as their ends are counted.
-    fn forget_silent(&mut self) {
-        let lanes = &self.lanes;
-        self.silent
-            .retain(|peer| lanes.get(peer).is_some_and(|lane| lane.is_under_way));
-        self.ready.append(&mut self.silent_ready);
+    fn forget_unreachable(&mut self) {
+        let queues = &self.queues;
+        self.unreachable
+            .retain(|peer| queues.get(peer).is_some_and(|queue| queue.in_progress));
+        self.ready.append(&mut self.unreachable_ready);
     }
 
     /// Takes out the calls whose time has passed.
@@ -147,27 +148,31 @@
             return Vec::new();
         }
         let mut expired = Vec::new();
-        self.lanes.retain(|_, lane| {
-            let waiting = std::mem::take(&mut lane.waiting);
+        self.queues.retain(|_, queue| {
+            let waiting = std::mem::take(&mut queue.waiting);
             for call in waiting {
-                match now > call.leave_by {
+                match now > call.expires_at {
                     true => expired.push(call.call),
-                    false => lane.waiting.push_back(call),
+                    false => queue.waiting.push_back(call),
                 }
             }
-            lane.is_under_way || !lane.waiting.is_empty()
+            queue.in_progress || !queue.waiting.is_empty()
         });
         self.waiting -= expired.len();
-        let lanes = &self.lanes;
-        let waits = |peer: &String| lanes.get(peer).is_some_and(|lane| !lane.waiting.is_empty());
+        let queues = &self.queues;
+        let waits = |peer: &String| {
+            queues
+                .get(peer)
+                .is_some_and(|queue| !queue.waiting.is_empty())
+        };
         self.ready.retain(waits);
-        self.silent_ready.retain(waits);
+        self.unreachable_ready.retain(waits);
         expired
     }
 
     /// When the next waiting call's time passes.
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        let waiting = self.lanes.values().flat_map(|lane| &lane.waiting);
-        waiting.map(|waiting| waiting.leave_by).min()
+        let waiting = self.queues.values().flat_map(|queue| &queue.waiting);
+        waiting.map(|waiting| waiting.expires_at).min()
     }
 }
--- a/crates/millpass-control/src/calls.rs
+++ b/crates/millpass-control/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of the administration API that wait for the core's answer.
 
 use crate::administration::{AdministrationCalls, RefusedAnnouncement};
-use crate::inputs::{Inputs, NotTaken};
+use crate::inputs::{Inputs, SendError};
 use crate::metrics::Metrics;
 use crate::priority::Priority;
 use crate::throttle::Throttle;
@@ -20,17 +20,17 @@
 const MAXIMUM_CALLS: usize = 1_024;
 /// Most announcements and reads that wait, three quarters of the API's handler threads: the others are left
 /// to changes and departures, which would else wait behind them for a thread.
-const MAXIMUM_LESS_URGENT_CALLS: usize = 192;
+const MAXIMUM_ANNOUNCEMENT_CALLS: usize = 192;
 
 /// Time between two log lines about refused announcements: whoever sends them may send many. All are counted.
-pub(crate) const REFUSAL_INTERVAL: Duration = Duration::from_secs(1);
+pub(crate) const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Most characters of the reason in such a line, which may quote what was sent.
 const MAXIMUM_REFUSAL_CHARACTERS: usize = 200;
 
 /// A call under way.
 struct WaitingCall {
     class: Priority,
-    answer: Sender<AdministrationResponse>,
+    response: Sender<AdministrationResponse>,
 }
 
 /// The calls under way. Its lock is held alone, never together with another.
@@ -42,33 +42,33 @@
 
 impl CallTable {
     /// Adds a call and gives it a number; none if too many of its class wait.
-    fn admit(&self, class: Priority, answer: Sender<AdministrationResponse>) -> Option<u64> {
+    fn admit(&self, class: Priority, response: Sender<AdministrationResponse>) -> Option<u64> {
         let mut waiting = self.lock();
-        let alike = waiting.values().filter(|call| call.class == class).count();
-        if alike >= maximum(class) {
+        let same_class = waiting.values().filter(|call| call.class == class).count();
+        if same_class >= maximum_calls(class) {
             return None;
         }
         let call = self.next.fetch_add(1, Ordering::Relaxed);
-        waiting.insert(call, WaitingCall { class, answer });
+        waiting.insert(call, WaitingCall { class, response });
         Some(call)
     }
 
     /// Answers a call; nothing happens if nobody waits any more.
-    pub(crate) fn answer(&self, call: u64, answer: AdministrationResponse) {
-        if let Some(waiting) = self.forget(call) {
-            let _ = waiting.answer.send(answer);
+    pub(crate) fn respond(&self, call: u64, response: AdministrationResponse) {
+        if let Some(waiting) = self.remove(call) {
+            let _ = waiting.response.send(response);
         }
     }
 
-    fn forget(&self, call: u64) -> Option<WaitingCall> {
+    fn remove(&self, call: u64) -> Option<WaitingCall> {
         self.lock().remove(&call)
     }
 
     /// The core has ended: whoever waits learns that the outcome is unknown.
-    pub(crate) fn give_up(&self) {
+    pub(crate) fn fail_all(&self) {
         let waiting = std::mem::take(&mut *self.lock());
         for call in waiting.into_values() {
-            let _ = call.answer.send(AdministrationResponse::Unknown);
+            let _ = call.response.send(AdministrationResponse::Unknown);
         }
     }
 
@@ -77,9 +77,9 @@
     }
 }
 
-fn maximum(class: Priority) -> usize {
+fn maximum_calls(class: Priority) -> usize {
     match class {
-        Priority::Announcements => MAXIMUM_LESS_URGENT_CALLS,
+        Priority::Announcements => MAXIMUM_ANNOUNCEMENT_CALLS,
         _ => MAXIMUM_CALLS,
     }
 }
@@ -90,11 +90,11 @@
     pub(crate) table: Arc<CallTable>,
     pub(crate) metrics: Arc<Metrics>,
     /// For log lines about refused announcements. Its lock is held alone.
-    pub(crate) refusals: Mutex<Throttle>,
+    pub(crate) refusal_log: Mutex<Throttle>,
 }
 
 /// The error, which may quote what was sent, in a bounded length.
-fn shortened(error: &dyn Display) -> String {
+fn truncated(error: &dyn Display) -> String {
     error
         .to_string()
         .chars()
@@ -104,32 +104,35 @@
 
 impl AdministrationCalls for CoreCalls {
     fn call(&self, request: AdministrationRequest) -> AdministrationResponse {
-        let (sender, answer) = bounded(1);
+        let (sender, receiver) = bounded(1);
         let class = Priority::of_call(&request);
         let Some(call) = self.table.admit(class, sender) else {
             self.metrics.refused_calls.inc();
             return AdministrationResponse::Busy;
         };
         let input = ControlInput::Administration { call, request };
-        if let Err(reason) = self.inputs.offer(input) {
-            self.table.forget(call);
-            return not_taken(reason);
+        if let Err(reason) = self.inputs.try_submit(input) {
+            self.table.remove(call);
+            return refused_response(reason);
         }
-        let answered = answer.recv_timeout(CALL_TIMEOUT);
-        self.table.forget(call);
-        answered.unwrap_or(AdministrationResponse::Unknown)
+        let response = receiver.recv_timeout(CALL_TIMEOUT);
+        self.table.remove(call);
+        response.unwrap_or(AdministrationResponse::Unknown)
     }
 
     fn announcement_refused(&self, reason: RefusedAnnouncement, error: &dyn Display) {
-        self.metrics.announcement_refused(reason.name());
-        let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        if !refusals.is_due() {
+        self.metrics.count_refused_announcement(reason.name());
+        let mut refusal_log = self
+            .refusal_log
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if !refusal_log.is_due() {
             return;
         }
-        drop(refusals);
+        drop(refusal_log);
         let pairs = [
             ("reason", reason.name().to_owned()),
-            ("error", shortened(error)),
+            ("error", truncated(error)),
         ];
         log::warn!("{}", event_line("announcement_refused", &pairs));
     }
@@ -140,10 +143,10 @@
 }
 
 /// Nothing was done in either case.
-fn not_taken(reason: NotTaken) -> AdministrationResponse {
+fn refused_response(reason: SendError) -> AdministrationResponse {
     match reason {
-        NotTaken::Full => AdministrationResponse::Busy,
-        NotTaken::Ended => AdministrationResponse::NotLeader {
+        SendError::Full => AdministrationResponse::Busy,
+        SendError::Ended => AdministrationResponse::NotLeader {
             leader_address: None,
         },
     }
--- a/crates/millpass-control/src/client/mod.rs
+++ b/crates/millpass-control/src/client/mod.rs
@@ -26,16 +26,16 @@
 /// Deadline of a call when none is set.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(15);
 /// Longest wait for one member: longer than the core's own deadline of a change.
-const TRY_TIMEOUT: Duration = Duration::from_secs(7);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(7);
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle connections are used again only this long; members close them somewhat later.
 const MAXIMUM_IDLE_AGE: Duration = Duration::from_secs(5);
-/// Pause after the first failed try; it doubles up to [`LONGEST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after the first failed try; it doubles up to [`MAXIMUM_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAXIMUM_BACKOFF: Duration = Duration::from_millis(500);
 /// Largest answer read, in bytes.
-const MAXIMUM_ANSWER_BYTES: u64 = 256 * 1024 * 1024;
+const MAXIMUM_RESPONSE_BYTES: u64 = 256 * 1024 * 1024;
 
 /// A client of the administration API.
 #[derive(Clone, Debug)]
@@ -45,21 +45,21 @@
     /// Address asked next: one of the list, or a leader that was named.
     current: String,
     /// Place in the list of the address to ask when no leader is named.
-    next_place: usize,
+    next_index: usize,
     key: String,
     deadline: Duration,
 }
 
 /// What one try met.
-enum Tried {
+enum Attempt {
     /// The answer.
-    Answered(Vec<u8>),
+    Success(Vec<u8>),
     /// An answer that trying again would not alter.
     Failed(ClientError),
     /// Another member leads; nothing was done.
-    Elsewhere(Option<String>),
+    NotLeader(Option<String>),
     /// It was not taken; nothing was done.
-    NotTaken(String),
+    NotExecuted(String),
     /// It may have been done.
     Lost(String),
 }
@@ -77,7 +77,7 @@
         AdministrationClient {
             agent: config.into(),
             current: addresses.first().cloned().unwrap_or_default(),
-            next_place: 1,
+            next_index: 1,
             addresses,
             key: key.into(),
             deadline: DEFAULT_DEADLINE,
@@ -183,50 +183,50 @@
             return Err(ClientError::NoAddress);
         }
         let end = Instant::now() + self.deadline;
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         let mut may_have_run = false;
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            let last = match self.send(&call, left.min(TRY_TIMEOUT)) {
-                Tried::Answered(body) => return understand(&body),
-                Tried::Failed(error) => return Err(error),
-                Tried::Elsewhere(leader) => {
+            let last = match self.send(&call, left.min(ATTEMPT_TIMEOUT)) {
+                Attempt::Success(body) => return parse_body(&body),
+                Attempt::Failed(error) => return Err(error),
+                Attempt::NotLeader(leader) => {
                     let last = format!("{} does not lead", self.current);
-                    self.turn_to(leader);
+                    self.select_next(leader);
                     last
                 }
-                Tried::NotTaken(reason) => {
-                    self.turn_to(None);
+                Attempt::NotExecuted(reason) => {
+                    self.select_next(None);
                     reason
                 }
-                Tried::Lost(reason) => {
+                Attempt::Lost(reason) => {
                     may_have_run |= call.changes;
-                    self.turn_to(None);
+                    self.select_next(None);
                     reason
                 }
             };
             let left = end.saturating_duration_since(Instant::now());
-            if left <= pause {
-                return Err(over(may_have_run, last));
+            if left <= backoff {
+                return Err(deadline_error(may_have_run, last));
             }
-            std::thread::sleep(pause);
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            std::thread::sleep(backoff);
+            backoff = (backoff * 2).min(MAXIMUM_BACKOFF);
         }
     }
 
     /// Asks the leader next if one was named, else the next address of the list. The list goes on
     /// where it was: a follower that names an unreachable leader must not hide the others.
-    fn turn_to(&mut self, leader: Option<String>) {
+    fn select_next(&mut self, leader: Option<String>) {
         // Only an address as members state it is followed, never any other text.
         let leader = leader.filter(|address| address.parse::<SocketAddr>().is_ok());
         self.current = leader.unwrap_or_else(|| {
-            let place = self.next_place % self.addresses.len();
-            self.next_place = place + 1;
-            self.addresses[place].clone()
+            let index = self.next_index % self.addresses.len();
+            self.next_index = index + 1;
+            self.addresses[index].clone()
         });
     }
 
-    fn send(&self, call: &Call, timeout: Duration) -> Tried {
+    fn send(&self, call: &Call, timeout: Duration) -> Attempt {
         let request = http::Request::builder()
             .method(call.method.clone())
             .uri(format!("http://{}{}", self.current, call.path))
@@ -235,69 +235,72 @@
             .body(call.body.as_slice());
         let request = match request {
             Ok(request) => request,
-            Err(error) => return Tried::Failed(unsendable(&error)),
+            Err(error) => return Attempt::Failed(invalid_request(&error)),
         };
         let agent = &self.agent;
         let configured = agent.configure_request(request);
         let request = configured.timeout_global(Some(timeout)).build();
-        let mut answer = match agent.run(request) {
-            Ok(answer) => answer,
+        let mut response = match agent.run(request) {
+            Ok(response) => response,
             Err(
                 ureq::Error::ConnectionFailed
                 | ureq::Error::HostNotFound
                 | ureq::Error::Timeout(ureq::Timeout::Connect),
             ) => {
-                return Tried::NotTaken(format!("{}: no connection", self.current));
+                return Attempt::NotExecuted(format!("{}: no connection", self.current));
             }
             Err(ureq::Error::Io(error))
                 if error.kind() == std::io::ErrorKind::ConnectionRefused =>
             {
-                return Tried::NotTaken(format!("{}: {error}", self.current));
+                return Attempt::NotExecuted(format!("{}: {error}", self.current));
             }
-            Err(error) => return Tried::Lost(format!("{}: {error}", self.current)),
+            Err(error) => return Attempt::Lost(format!("{}: {error}", self.current)),
         };
-        let status = answer.status();
-        let body = answer.body_mut().with_config().limit(MAXIMUM_ANSWER_BYTES);
+        let status = response.status();
+        let body = response
+            .body_mut()
+            .with_config()
+            .limit(MAXIMUM_RESPONSE_BYTES);
         match body.read_to_vec() {
-            Ok(body) => judge(status, body),
-            Err(error) => Tried::Lost(format!("{}: {error}", self.current)),
+            Ok(body) => classify(status, body),
+            Err(error) => Attempt::Lost(format!("{}: {error}", self.current)),
         }
     }
 }
 
 /// What an answer means for the call.
-fn judge(status: StatusCode, body: Vec<u8>) -> Tried {
+fn classify(status: StatusCode, body: Vec<u8>) -> Attempt {
     if status.is_success() {
-        return Tried::Answered(body);
+        return Attempt::Success(body);
     }
     let parsed: Result<ErrorBody, _> = serde_json::from_slice(&body);
     let Ok(ErrorBody { error: detail }) = parsed else {
-        return Tried::Lost(format!("{status} without a body of this interface"));
+        return Attempt::Lost(format!("{status} without a body of this interface"));
     };
     let (message, remedy) = (detail.message.clone(), detail.remedy.clone());
     match (status, detail.kind.as_str()) {
-        (StatusCode::MISDIRECTED_REQUEST, _) => Tried::Elsewhere(detail.leader_address),
-        (_, "busy" | "too_many_connections" | "body_timeout") => Tried::NotTaken(message),
+        (StatusCode::MISDIRECTED_REQUEST, _) => Attempt::NotLeader(detail.leader_address),
+        (_, "busy" | "too_many_connections" | "body_timeout") => Attempt::NotExecuted(message),
         (StatusCode::UNAUTHORIZED, _) => {
-            Tried::Failed(ClientError::Unauthenticated { message, remedy })
+            Attempt::Failed(ClientError::Unauthenticated { message, remedy })
         }
-        (StatusCode::FORBIDDEN, _) => Tried::Failed(ClientError::Forbidden { message, remedy }),
-        (StatusCode::CONFLICT, _) => Tried::Failed(ClientError::Conflict {
+        (StatusCode::FORBIDDEN, _) => Attempt::Failed(ClientError::Forbidden { message, remedy }),
+        (StatusCode::CONFLICT, _) => Attempt::Failed(ClientError::Conflict {
             current_version: detail.current_version.unwrap_or(0),
         }),
-        _ if status.is_server_error() => Tried::Lost(message),
-        _ => Tried::Failed(ClientError::Rejected {
+        _ if status.is_server_error() => Attempt::Lost(message),
+        _ => Attempt::Failed(ClientError::Rejected {
             status: status.as_u16(),
             detail: Box::new(detail),
         }),
     }
 }
 
-fn understand<T: DeserializeOwned>(body: &[u8]) -> Result<T, ClientError> {
+fn parse_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, ClientError> {
     serde_json::from_slice(body).map_err(|error| ClientError::UnexpectedResponse(error.to_string()))
 }
 
-fn over(may_have_run: bool, last: String) -> ClientError {
+fn deadline_error(may_have_run: bool, last: String) -> ClientError {
     if may_have_run {
         ClientError::OutcomeUnknown { last }
     } else {
@@ -306,7 +309,7 @@
 }
 
 /// A key or address that does not fit into a request; nothing was sent.
-fn unsendable(error: &http::Error) -> ClientError {
+fn invalid_request(error: &http::Error) -> ClientError {
     ClientError::Unavailable {
         last: format!("the request cannot be written: {error}"),
     }
--- a/crates/millpass-control/src/connections.rs
+++ b/crates/millpass-control/src/connections.rs
@@ -2,7 +2,7 @@
 //!
 //! One thread serves all of them, as tasks: a thread for each, or two, would be thousands where a gateway runs on each of
 //! a thousand machines. A router that does not read is disconnected when its queue is full, and comes back. Of a gateway's
-//! updates one at most waits behind the one that is being written: the core hears of it, and sends the next when both are
+//! updates one at most backlogged behind the one that is being written: the core hears of it, and sends the next when both are
 //! written.
 
 use crate::frames::{read_frame, write_frame};
@@ -31,12 +31,12 @@
 /// there and back, more than a megabyte a second.
 const SEND_BUFFER_BYTES: usize = 64 * 1024;
 /// Pause after an accept failed, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for the acceptor's wake-up connection.
 const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before an input is offered again for whose class the core has no room: what follows it on its connection
-/// waits in the socket.
-const ROOM_PAUSE: Duration = Duration::from_millis(5);
+/// backlogged in the socket.
+const FULL_QUEUE_DELAY: Duration = Duration::from_millis(5);
 
 struct Connection {
     stream: Arc<Async<TcpStream>>,
@@ -104,7 +104,7 @@
                 Ok(stream) => self.admit(stream),
                 Err(error) => {
                     log::warn!("event=accept_failed error=\"{error}\"");
-                    thread::sleep(ACCEPT_PAUSE);
+                    thread::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
         }
@@ -116,31 +116,31 @@
         drop(TcpStream::connect_timeout(&self.address, WAKE_TIMEOUT));
         let open = std::mem::take(&mut *self.lock());
         for connection in open.into_values() {
-            shut_down(&connection.stream);
+            shutdown(&connection.stream);
         }
         self.stop.close();
     }
 
-    /// Sends to a router, which is disconnected if it does not read. Never waits. True when a gateway's update begins
+    /// Sends to a router, which is disconnected if it does not read. Never backlogged. True when a gateway's update begins
     /// to wait behind another.
     pub(crate) fn send(&self, connection: ConnectionId, message: ControlToRouter) -> bool {
         let mut open = self.lock();
-        let Some(found) = open.get(&connection) else {
+        let Some(entry) = open.get(&connection) else {
             return false;
         };
-        let Some(messages) = &found.messages else {
+        let Some(messages) = &entry.messages else {
             return false;
         };
-        let waits = is_update(&message) && found.backlog.queued();
+        let backlogged = is_update(&message) && entry.backlog.queued();
         if messages.try_send(message).is_err() {
             self.metrics.dropped_messages.inc();
             log::warn!("event=router_not_reading connection={}", connection.0);
-            if let Some(lost) = open.remove(&connection) {
-                shut_down(&lost.stream);
+            if let Some(removed) = open.remove(&connection) {
+                shutdown(&removed.stream);
             }
             return false;
         }
-        waits
+        backlogged
     }
 
     fn admit(self: &Arc<Self>, stream: TcpStream) {
@@ -181,21 +181,21 @@
 
     async fn read(self: &Arc<Self>, connection: ConnectionId, stream: &Arc<Async<TcpStream>>) {
         let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, &**stream);
-        let mut router_speaks = false;
+        let mut is_router = false;
         let end = loop {
             let reading = read_frame::<LinkMessage>(&mut reader);
-            let reading = self.within_silence(router_speaks, reading).await;
+            let reading = self.with_timeout(is_router, reading).await;
             let message = match reading {
                 Ok(message) => message,
                 Err(error) => break error,
             };
-            if matches!(message, LinkMessage::Router(_)) && !router_speaks {
-                router_speaks = true;
-                if let Err(error) = self.expect_router(connection, stream) {
+            if matches!(message, LinkMessage::Router(_)) && !is_router {
+                is_router = true;
+                if let Err(error) = self.start_writer(connection, stream) {
                     break error.into();
                 }
             }
-            if !self.take(input_of(connection, message)).await {
+            if !self.submit(input_of(connection, message)).await {
                 break CodecError::Io(std::io::ErrorKind::ConnectionAborted.into());
             }
         };
@@ -204,15 +204,15 @@
             connection.0
         );
         self.lock().remove(&connection);
-        shut_down(stream);
-        if router_speaks {
-            self.take(ControlInput::RouterDisconnected(connection))
+        shutdown(stream);
+        if is_router {
+            self.submit(ControlInput::RouterDisconnected(connection))
                 .await;
         }
     }
 
     /// Gives a router the allowed silence; it reports several times in it. A member may be silent.
-    async fn within_silence<T>(
+    async fn with_timeout<T>(
         &self,
         is_router: bool,
         work: impl Future<Output = Result<T, CodecError>>,
@@ -220,39 +220,39 @@
         if !is_router {
             return work.await;
         }
-        let silence = async {
+        let timer = async {
             Timer::after(self.limits.connection_timeout).await;
             Err(CodecError::Io(std::io::ErrorKind::TimedOut.into()))
         };
-        future::or(work, silence).await
+        future::or(work, timer).await
     }
 
-    /// Hands an input to the core, and waits for room. False once the core has ended.
-    async fn take(&self, mut input: ControlInput) -> bool {
+    /// Hands an input to the core, and backlogged for room. False once the core has ended.
+    async fn submit(&self, mut input: ControlInput) -> bool {
         loop {
             match self.inputs.try_send(input) {
-                Ok(taken) => return taken,
+                Ok(accepted) => return accepted,
                 Err(refused) => input = *refused,
             }
-            Timer::after(ROOM_PAUSE).await;
+            Timer::after(FULL_QUEUE_DELAY).await;
         }
     }
 
-    fn expect_router(
+    fn start_writer(
         self: &Arc<Self>,
         connection: ConnectionId,
         stream: &Arc<Async<TcpStream>>,
     ) -> std::io::Result<()> {
-        // What waits in the socket is out of reach: it would be taken before anything newer.
+        // What backlogged in the socket is out of reach: it would be taken before anything newer.
         SockRef::from(stream.get_ref()).set_send_buffer_size(SEND_BUFFER_BYTES)?;
         let (sender, messages) = bounded(self.limits.router_queue);
         let backlog = {
             let mut open = self.lock();
-            let Some(found) = open.get_mut(&connection) else {
+            let Some(entry) = open.get_mut(&connection) else {
                 return Ok(());
             };
-            found.messages = Some(sender);
-            found.backlog.clone()
+            entry.messages = Some(sender);
+            entry.backlog.clone()
         };
         let connections = self.clone();
         let stream = stream.clone();
@@ -260,7 +260,7 @@
             connections
                 .write_all(connection, &stream, &messages, &backlog)
                 .await;
-            shut_down(&stream);
+            shutdown(&stream);
         };
         self.tasks.spawn(writing).detach();
         Ok(())
@@ -276,15 +276,15 @@
     ) {
         while let Ok(message) = messages.recv().await {
             let writing = write_frame(stream, &message);
-            if let Err(error) = self.within_silence(true, writing).await {
+            if let Err(error) = self.with_timeout(true, writing).await {
                 log::debug!("event=router_write_failed error=\"{error}\"");
                 return;
             }
             if is_update(&message) && backlog.written() {
-                let waits = false;
-                self.take(ControlInput::RouterBacklog {
+                let backlogged = false;
+                self.submit(ControlInput::RouterBacklog {
                     connection,
-                    backlogged: waits,
+                    backlogged: backlogged,
                 })
                 .await;
             }
@@ -306,7 +306,7 @@
         LinkMessage::MemberHello(address) => ControlInput::MemberHello(address),
         LinkMessage::Join(address) => ControlInput::Join(address),
         LinkMessage::Share(report) => ControlInput::Share(report),
-        LinkMessage::ShareResponse(answer) => ControlInput::ShareResponse(answer),
+        LinkMessage::ShareResponse(response) => ControlInput::ShareResponse(response),
     }
 }
 
@@ -314,7 +314,7 @@
     matches!(message, ControlToRouter::Gateway(_))
 }
 
-fn shut_down(stream: &Async<TcpStream>) {
+fn shutdown(stream: &Async<TcpStream>) {
     // Fails only on a connection that has ended already.
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -22,11 +22,11 @@
 use std::thread;
 
 /// Time without a call after which a thread ends. Calls come in bursts, when demand moves or servers are out of reach.
-const IDLE_LIFETIME: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Stack of a thread that makes calls: they are made by a client without deep recursion.
 const STACK_BYTES: usize = 256 * 1024;
 /// An order that has less time left than this does not leave: a connection may have to be made.
-const LEAST_SENDING_TIME: Duration = Duration::from_millis(20);
+const MINIMUM_SEND_TIME: Duration = Duration::from_millis(20);
 
 /// A call to make.
 pub(crate) enum Delivery {
@@ -100,10 +100,10 @@
 struct Shared {
     state: Mutex<State>,
     /// Idle threads wait here.
-    pushed: Condvar,
+    queued: Condvar,
     /// Who starts threads waits here.
-    lacking: Condvar,
-    most_threads: usize,
+    thread_demand: Condvar,
+    maximum_threads: usize,
     clock: ProcessClock,
 }
 
@@ -128,18 +128,18 @@
         limits: &ProcessLimits,
         engines: Option<Arc<dyn EngineCalls>>,
     ) -> (Deliveries, DeliveryPool) {
-        let most_threads = limits.delivery_threads.max(1);
+        let maximum_threads = limits.delivery_threads.max(1);
         let state = State {
-            schedule: CallSchedule::new(most_threads, limits.delivery_queue),
+            schedule: CallSchedule::new(maximum_threads, limits.delivery_queue),
             threads: 0,
             idle: 0,
             is_closed: false,
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
-            pushed: Condvar::new(),
-            lacking: Condvar::new(),
-            most_threads,
+            queued: Condvar::new(),
+            thread_demand: Condvar::new(),
+            maximum_threads,
             clock,
         });
         let pool = DeliveryPool {
@@ -161,8 +161,8 @@
     /// Hands a call over. It waits for a thread as long as it may last, or, an instruction, as long as it may leave.
     pub(crate) fn submit(&self, delivery: Delivery) {
         let now = self.shared.clock.now();
-        let leave_by = match &delivery {
-            Delivery::Instruct(_, ends_by) => *ends_by,
+        let expires_at = match &delivery {
+            Delivery::Instruct(_, deadline) => *deadline,
             _ => now + self.call_timeout,
         };
         let peer = delivery.peer().to_owned();
@@ -171,17 +171,17 @@
             delivery,
         };
         let mut state = self.shared.lock();
-        if let Err(refused) = state.schedule.push(&peer, leave_by, waiting) {
+        if let Err(refused) = state.schedule.push(&peer, expires_at, waiting) {
             drop(state);
             if let Some(input) = refused.delivery.not_sent(Duration::ZERO) {
-                self.inputs.put(input);
+                self.inputs.send_unbounded(input);
             }
             return;
         }
         if state.idle > 0 {
-            self.shared.pushed.notify_one();
-        } else if state.threads < self.shared.most_threads {
-            self.shared.lacking.notify_one();
+            self.shared.queued.notify_one();
+        } else if state.threads < self.shared.maximum_threads {
+            self.shared.thread_demand.notify_one();
         }
     }
 }
@@ -189,8 +189,8 @@
 impl Drop for Deliveries {
     fn drop(&mut self) {
         self.shared.lock().is_closed = true;
-        self.shared.pushed.notify_all();
-        self.shared.lacking.notify_all();
+        self.shared.queued.notify_all();
+        self.shared.thread_demand.notify_all();
     }
 }
 
@@ -204,7 +204,7 @@
     pub(crate) fn run(self) {
         let worker = &self.worker;
         thread::scope(|scope| {
-            while worker.is_lacking() {
+            while worker.wait_for_demand() {
                 let builder = thread::Builder::new()
                     .name("control-delivery".to_owned())
                     .stack_size(STACK_BYTES);
@@ -212,7 +212,7 @@
                     log::error!("event=delivery_thread_failed error=\"{error}\"");
                     worker.shared.lock().threads -= 1;
                     // The threads that there are go on with the calls.
-                    thread::sleep(IDLE_LIFETIME);
+                    thread::sleep(IDLE_TIMEOUT);
                 }
             }
         });
@@ -225,10 +225,10 @@
 
 /// The agent of a pool whose calls take at most `timeout`. Engines of an announced fleet answer
 /// refusals by status.
-fn agent(timeout: Duration, statuses_are_answers: bool) -> ureq::Agent {
+fn agent(timeout: Duration, read_error_statuses: bool) -> ureq::Agent {
     ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
-        .http_status_as_error(!statuses_are_answers)
+        .http_status_as_error(!read_error_statuses)
         .input_buffer_size(BUFFER_BYTES)
         .output_buffer_size(BUFFER_BYTES)
         .build()
@@ -245,18 +245,18 @@
 
 impl DeliveryWorker {
     /// Waits until a further thread is needed, and counts it; false when the pool ends.
-    fn is_lacking(&self) -> bool {
+    fn wait_for_demand(&self) -> bool {
         let mut state = self.shared.lock();
         loop {
             if state.is_closed {
                 return false;
             }
-            let has_room = state.threads < self.shared.most_threads;
-            if has_room && state.idle == 0 && state.schedule.has_ready() {
+            let has_capacity = state.threads < self.shared.maximum_threads;
+            if has_capacity && state.idle == 0 && state.schedule.has_ready() {
                 state.threads += 1;
                 return true;
             }
-            let woken = self.shared.lacking.wait(state);
+            let woken = self.shared.thread_demand.wait(state);
             state = woken.unwrap_or_else(PoisonError::into_inner);
         }
     }
@@ -265,25 +265,25 @@
     /// would come again at the next leader.
     fn run(&self) {
         while let Some((peer, waiting)) = self.next() {
-            let carried_out = catch_unwind(AssertUnwindSafe(|| self.carry_out(waiting)));
-            let end = carried_out.unwrap_or_else(|_| {
+            let outcome = catch_unwind(AssertUnwindSafe(|| self.execute(waiting)));
+            let outcome = outcome.unwrap_or_else(|_| {
                 log::error!("event=delivery_panicked");
                 CallOutcome::Responded
             });
-            self.shared.lock().schedule.finish(&peer, end);
+            self.shared.lock().schedule.finish(&peer, outcome);
         }
     }
 
     /// The next call; none when there was none for some time, or the pool ends.
     fn next(&self) -> Option<(String, Waiting)> {
         let mut state = self.shared.lock();
-        let idle_until = self.shared.clock.now() + IDLE_LIFETIME;
+        let idle_until = self.shared.clock.now() + IDLE_TIMEOUT;
         loop {
             let now = self.shared.clock.now();
             let expired = state.schedule.take_expired(now);
             if !expired.is_empty() {
                 drop(state);
-                self.give_back(expired, now);
+                self.report_expired(expired, now);
                 state = self.shared.lock();
                 continue;
             }
@@ -300,7 +300,7 @@
             let until = state.schedule.next_expiry().unwrap_or(idle_until);
             let left = until.min(idle_until).since(now);
             state.idle += 1;
-            let woken = self.shared.pushed.wait_timeout(state, left);
+            let woken = self.shared.queued.wait_timeout(state, left);
             state = woken.unwrap_or_else(PoisonError::into_inner).0;
             state.idle -= 1;
         }
@@ -308,32 +308,32 @@
 
     fn wake_another(&self, state: &State) {
         if state.idle > 0 {
-            self.shared.pushed.notify_one();
-        } else if state.threads < self.shared.most_threads {
-            self.shared.lacking.notify_one();
+            self.shared.queued.notify_one();
+        } else if state.threads < self.shared.maximum_threads {
+            self.shared.thread_demand.notify_one();
         }
     }
 
     /// Calls whose time passed while they waited.
-    fn give_back(&self, expired: Vec<Waiting>, now: Timestamp) {
+    fn report_expired(&self, expired: Vec<Waiting>, now: Timestamp) {
         for waiting in expired {
             let waited = now.since(waiting.since);
             if let Some(input) = waiting.delivery.not_sent(waited) {
-                self.inputs.put(input);
+                self.inputs.send_unbounded(input);
             }
         }
     }
 
-    fn carry_out(&self, waiting: Waiting) -> CallOutcome {
+    fn execute(&self, waiting: Waiting) -> CallOutcome {
         let now = self.shared.clock.now();
         let waited = now.since(waiting.since);
         match waiting.delivery {
             Delivery::Order(address, order) => self.deliver(&address, &order),
             Delivery::ReadPlatform(address) => self.read_platform(&address),
-            Delivery::Instruct(instruction, ends_by) => {
-                let within = ends_by.since(now);
-                if within < LEAST_SENDING_TIME {
-                    let not_sent = Delivery::Instruct(instruction, ends_by).not_sent(waited);
+            Delivery::Instruct(instruction, deadline) => {
+                let within = deadline.since(now);
+                if within < MINIMUM_SEND_TIME {
+                    let not_sent = Delivery::Instruct(instruction, deadline).not_sent(waited);
                     self.inputs.send(not_sent.expect("the core awaits it"));
                     return CallOutcome::Responded;
                 }
@@ -356,10 +356,10 @@
         waited: Duration,
         make: impl FnOnce(&dyn EngineCalls) -> InstructionResult,
     ) -> CallOutcome {
-        let unanswered = InstructionResult::Unanswered;
-        let left_at = self.shared.clock.now();
-        let answer = self.engines.as_deref().map_or(unanswered, make);
-        let end = match answer {
+        let no_response = InstructionResult::Unanswered;
+        let started = self.shared.clock.now();
+        let answer = self.engines.as_deref().map_or(no_response, make);
+        let outcome = match answer {
             InstructionResult::Unanswered => CallOutcome::Unreachable,
             _ => CallOutcome::Responded,
         };
@@ -368,10 +368,10 @@
             call,
             answer,
             waited,
-            took: self.shared.clock.now().since(left_at),
+            took: self.shared.clock.now().since(started),
         };
         self.inputs.send(ControlInput::EngineCallCompleted(answer));
-        end
+        outcome
     }
 
     fn deliver(&self, address: &str, order: &EngineOrder) -> CallOutcome {
@@ -386,14 +386,14 @@
                 None
             }
         };
-        let end = ended(answer.is_some());
+        let outcome = outcome(answer.is_some());
         let (backend, fence) = (order.backend.clone(), order.fence);
         self.inputs.send(ControlInput::OrderDelivered {
             backend,
             fence,
             response: answer,
         });
-        end
+        outcome
     }
 
     fn post(&self, address: &str, order: &EngineOrder) -> Result<OrderResponse, ureq::Error> {
@@ -405,7 +405,7 @@
     /// A list that cannot be read is read again at the next interval.
     fn read_platform(&self, address: &str) -> CallOutcome {
         let read = self.get_machines(address);
-        let end = ended(read.is_ok());
+        let outcome = outcome(read.is_ok());
         match read {
             Ok(list) => {
                 self.inputs.send(ControlInput::PlatformListed(list));
@@ -415,7 +415,7 @@
                 log::warn!("event=platform_read_failed address={address} error={error:?}");
             }
         }
-        end
+        outcome
     }
 
     fn get_machines(&self, address: &str) -> Result<PlatformList, ureq::Error> {
@@ -424,8 +424,8 @@
     }
 }
 
-fn ended(is_answered: bool) -> CallOutcome {
-    match is_answered {
+fn outcome(responded: bool) -> CallOutcome {
+    match responded {
         true => CallOutcome::Responded,
         false => CallOutcome::Unreachable,
     }
--- a/crates/millpass-control/src/disk.rs
+++ b/crates/millpass-control/src/disk.rs
@@ -2,7 +2,7 @@
 //! each as persisted only after the sync. A failed write ends the member: what the disk holds is
 //! then not known any more.
 
-use crate::disk_watch::{DiskWatch, RoomWatch};
+use crate::disk_watch::{DiskWatch, SpaceWatch};
 use crate::inputs::Inputs;
 use crate::metrics::Metrics;
 use crate::throttle::Throttle;
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 /// Most writes under one sync.
-const BATCH: usize = 256;
+const MAXIMUM_BATCH_WRITES: usize = 256;
 /// Time after which the core is asked again for a snapshot that has not come.
-pub(crate) const SNAPSHOT_PATIENCE: Duration = Duration::from_secs(1);
+pub(crate) const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Work for the disk.
 pub(crate) enum DiskWork {
@@ -34,7 +34,7 @@
     pub(crate) inputs: Inputs,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) watch: Arc<DiskWatch>,
-    pub(crate) room: RoomWatch,
+    pub(crate) space: SpaceWatch,
     /// For asking the core for a snapshot, as the log is long.
     pub(crate) snapshot_requests: Throttle,
     /// Size of the newest snapshot's state, in bytes.
@@ -45,30 +45,30 @@
     /// Body of the thread; ends when the core drops its end of the queue, or on a failed write.
     pub(crate) fn run(mut self) {
         while let Ok(first) = self.work.recv() {
-            self.watch.begins();
-            let carried_out = self.carry_out(first);
-            self.watch.ends();
-            if let Err(error) = carried_out {
+            self.watch.begin();
+            let result = self.execute(first);
+            self.watch.end();
+            if let Err(error) = result {
                 log::error!("event=disk_failed error={:?}", error.to_string());
                 return self.inputs.disk_failed(error);
             }
-            self.look_around();
+            self.check_storage();
         }
     }
 
-    fn carry_out(&mut self, first: DiskWork) -> Result<(), StorageError> {
+    fn execute(&mut self, first: DiskWork) -> Result<(), StorageError> {
         let mut writes = Vec::new();
         let mut snapshot = None;
         let mut next = Some(first);
         while let Some(work) = next {
             match work {
                 DiskWork::Persist(request) => writes.push(request),
-                DiskWork::Snapshot(taken) => {
-                    snapshot = Some(taken);
+                DiskWork::Snapshot(work) => {
+                    snapshot = Some(work);
                     break;
                 }
             }
-            if writes.len() == BATCH {
+            if writes.len() == MAXIMUM_BATCH_WRITES {
                 break;
             }
             next = self.work.try_recv().ok();
@@ -84,15 +84,15 @@
     }
 
     /// What a write leaves to be said or asked for.
-    fn look_around(&mut self) {
+    fn check_storage(&mut self) {
         for note in self.storage.take_notes() {
             log::warn!("event=disk_repaired {note}");
         }
         if self.storage.wants_snapshot() && self.snapshot_requests.is_due() {
-            self.inputs.want_snapshot();
+            self.inputs.request_snapshot();
         }
-        self.room
-            .look(&self.storage, self.state_bytes, &self.metrics);
+        self.space
+            .check(&self.storage, self.state_bytes, &self.metrics);
     }
 
     fn persist(&mut self, requests: &[PersistRequest]) -> Result<(), StorageError> {
@@ -102,7 +102,7 @@
         let writes: Vec<StorageWrite<'_>> = requests.iter().map(write_of).collect();
         let started = Instant::now();
         self.storage.write_batch(&writes)?;
-        self.metrics.sync_took(started.elapsed());
+        self.metrics.observe_sync(started.elapsed());
         for request in requests {
             let write = request.write;
             self.inputs.send(ControlInput::Persisted { write });
--- a/crates/millpass-control/src/disk_wait.rs
+++ b/crates/millpass-control/src/disk_wait.rs
@@ -18,9 +18,9 @@
 
 /// Pause between two tries. A try on a full disk costs a few failing calls; after the pause and a start, which takes
 /// some 30 ms, the member votes.
-const TRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time between two log lines about a disk that still has no room.
-const REPORT_INTERVAL: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Like [`start_extended`], but waits for a disk that is full or fails, for as long as `may_wait` allows.
 pub fn start_when_disk_available(
@@ -30,16 +30,16 @@
 ) -> Result<ControlHandle, ControlError> {
     let mut wait = DiskWait {
         since: None,
-        reports: Throttle::new(REPORT_INTERVAL),
+        log_throttle: Throttle::new(LOG_INTERVAL),
     };
     loop {
         match start_extended(settings.clone(), extensions.clone()) {
             Err(ControlError::Storage(error)) if error.is_passing() && may_wait() => {
-                wait.refused(&error);
-                thread::sleep(TRY_PAUSE);
+                wait.record_failure(&error);
+                thread::sleep(RETRY_DELAY);
             }
             started => {
-                wait.over();
+                wait.finish();
                 return started;
             }
         }
@@ -49,13 +49,13 @@
 /// Since when a start waits, and when it last said so.
 struct DiskWait {
     since: Option<Instant>,
-    reports: Throttle,
+    log_throttle: Throttle,
 }
 
 impl DiskWait {
-    fn refused(&mut self, error: &StorageError) {
+    fn record_failure(&mut self, error: &StorageError) {
         let since = *self.since.get_or_insert_with(Instant::now);
-        if !self.reports.is_due() {
+        if !self.log_throttle.is_due() {
             return;
         }
         let pairs = [
@@ -65,7 +65,7 @@
         log::error!("{}", event_line("disk_waited_for", &pairs));
     }
 
-    fn over(&self) {
+    fn finish(&self) {
         if let Some(since) = self.since {
             let pairs = [("waited_ms", since.elapsed().as_millis().to_string())];
             log::warn!("{}", event_line("disk_wait_over", &pairs));
--- a/crates/millpass-control/src/disk_watch.rs
+++ b/crates/millpass-control/src/disk_watch.rs
@@ -9,13 +9,13 @@
 
 /// Time in one write from which a disk counts as stalled: a sync takes milliseconds, a full batch on a slow disk some
 /// tenths of a second.
-const STALLED: Duration = Duration::from_millis(1_000);
-/// Time between two looks at how full the disk is.
-const LOOK_INTERVAL: Duration = Duration::from_secs(5);
+const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
+/// Time between two checks at how full the disk is.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 /// Time between two log lines about one that may become too full.
 const WARNING_INTERVAL: Duration = Duration::from_secs(60);
 
-/// When the write under way began, and when the log next says that it lasts.
+/// When the write under way began, and when the log next says that it elapsed.
 #[derive(Clone, Copy)]
 struct Writing {
     since: Instant,
@@ -34,70 +34,70 @@
     }
 
     /// The disk's thread begins a write.
-    pub(crate) fn begins(&self) {
+    pub(crate) fn begin(&self) {
         *self.lock() = Some(Writing {
             since: Instant::now(),
-            next_report: STALLED,
+            next_report: STALL_THRESHOLD,
         });
     }
 
     /// The write has come to an end.
-    pub(crate) fn ends(&self) {
+    pub(crate) fn end(&self) {
         let Some(writing) = self.lock().take() else {
             return;
         };
         let took = writing.since.elapsed();
-        if took >= STALLED {
+        if took >= STALL_THRESHOLD {
             log::warn!("event=disk_stall_over took_ms={}", took.as_millis());
         }
     }
 
     /// How long the write under way has lasted; none where there is none. Said in the log from a second on, each time that
     /// it has doubled.
-    pub(crate) fn look(&self) -> Option<Duration> {
+    pub(crate) fn check(&self) -> Option<Duration> {
         let mut state = self.lock();
         let writing = state.as_mut()?;
-        let lasts = writing.since.elapsed();
-        let is_due = lasts >= writing.next_report;
+        let elapsed = writing.since.elapsed();
+        let is_due = elapsed >= writing.next_report;
         if is_due {
-            writing.next_report = lasts * 2;
+            writing.next_report = elapsed * 2;
         }
         drop(state);
         if is_due {
-            log::warn!("event=disk_stalled for_ms={}", lasts.as_millis());
+            log::warn!("event=disk_stalled for_ms={}", elapsed.as_millis());
         }
-        Some(lasts)
+        Some(elapsed)
     }
 }
 
 /// Looks now and then at how full the disk is.
-pub(crate) struct RoomWatch {
-    most_bytes: u64,
+pub(crate) struct SpaceWatch {
+    maximum_bytes: u64,
     largest_state_bytes: u64,
-    looks: Throttle,
+    checks: Throttle,
     warnings: Throttle,
 }
 
-impl RoomWatch {
+impl SpaceWatch {
     /// For a storage with these options.
     pub(crate) fn new(options: &StorageOptions) -> Self {
-        RoomWatch {
-            most_bytes: options.most_bytes(),
+        SpaceWatch {
+            maximum_bytes: options.most_bytes(),
             largest_state_bytes: options.largest_state_bytes,
-            looks: Throttle::new(LOOK_INTERVAL),
+            checks: Throttle::new(CHECK_INTERVAL),
             warnings: Throttle::new(WARNING_INTERVAL),
         }
     }
 
     /// Looks, when it is time to.
-    pub(crate) fn look(&mut self, storage: &Storage, state_bytes: u64, metrics: &Metrics) {
-        if !self.looks.is_due() {
+    pub(crate) fn check(&mut self, storage: &Storage, state_bytes: u64, metrics: &Metrics) {
+        if !self.checks.is_due() {
             return;
         }
         let bytes = storage.bytes().unwrap_or(0);
         let free = storage.free_bytes();
-        metrics.show_disk(bytes, self.most_bytes, free, state_bytes);
-        let Some(reason) = self.reason(bytes, free, state_bytes) else {
+        metrics.record_disk(bytes, self.maximum_bytes, free, state_bytes);
+        let Some(reason) = self.warning_reason(bytes, free, state_bytes) else {
             return;
         };
         if !self.warnings.is_due() {
@@ -107,7 +107,7 @@
         let pairs = [
             ("reason", reason.to_owned()),
             ("bytes", bytes.to_string()),
-            ("may_need", self.most_bytes.to_string()),
+            ("may_need", self.maximum_bytes.to_string()),
             ("free", free),
             ("state_bytes", state_bytes.to_string()),
         ];
@@ -115,14 +115,19 @@
     }
 
     /// Why it may become full, if so.
-    fn reason(&self, bytes: u64, free: Option<u64>, state_bytes: u64) -> Option<&'static str> {
+    fn warning_reason(
+        &self,
+        bytes: u64,
+        free: Option<u64>,
+        state_bytes: u64,
+    ) -> Option<&'static str> {
         if state_bytes.saturating_mul(4) > self.largest_state_bytes.saturating_mul(3) {
             return Some("state-large");
         }
-        if bytes > self.most_bytes {
+        if bytes > self.maximum_bytes {
             return Some("beyond-bound");
         }
-        let has_room = free.is_none_or(|free| free.saturating_add(bytes) >= self.most_bytes);
-        (!has_room).then_some("others-take-it")
+        let has_space = free.is_none_or(|free| free.saturating_add(bytes) >= self.maximum_bytes);
+        (!has_space).then_some("others-take-it")
     }
 }
--- a/crates/millpass-control/src/freshness.rs
+++ b/crates/millpass-control/src/freshness.rs
@@ -55,9 +55,9 @@
         let mut bytes = [0; MAXIMUM_REQUEST_BYTES];
         while !self.closing.load(Ordering::Acquire) {
             match self.socket.recv_from(&mut bytes) {
-                Ok((length, from)) => self.answer(&bytes[..length], from),
+                Ok((length, from)) => self.respond(&bytes[..length], from),
                 // What an earlier answer met on its way, or a signal: the next question may be well.
-                Err(error) if is_passing(error.kind()) => {}
+                Err(error) if is_transient(error.kind()) => {}
                 Err(error) => {
                     log::error!("event=freshness_port_failed error=\"{error}\"");
                     thread::sleep(FAILURE_PAUSE);
@@ -66,7 +66,7 @@
         }
     }
 
-    fn answer(&self, bytes: &[u8], from: SocketAddr) {
+    fn respond(&self, bytes: &[u8], from: SocketAddr) {
         let Ok(request) = decode::<FreshnessRequest>(bytes) else {
             return log::debug!("event=freshness_question_malformed from={from}");
         };
@@ -77,7 +77,7 @@
             round: request.round,
             ..published
         };
-        self.metrics.freshness_answers.inc();
+        self.metrics.freshness_responses.inc();
         let sent = encode(&response).map(|bytes| self.socket.send_to(&bytes, from));
         if let Ok(Err(error)) = sent {
             log::debug!("event=freshness_answer_failed to={from} error=\"{error}\"");
@@ -99,7 +99,7 @@
     }
 }
 
-fn is_passing(kind: ErrorKind) -> bool {
+fn is_transient(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::ConnectionRefused
--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -12,15 +12,15 @@
 use std::time::Instant;
 
 /// What the core's thread does next.
-pub(crate) enum HostInput {
+pub(crate) enum CoreInput {
     /// A tick is due.
     Tick,
     /// Take this input up.
-    Core(WaitingInput),
+    Input(WaitingInput),
     /// A write failed: the member must not go on.
     DiskFailed(StorageError),
     /// The log on the disk is long: a snapshot would let a part of it go.
-    WantSnapshot,
+    SnapshotRequested,
     /// A thread that the member cannot do without has ended.
     ThreadEnded(&'static str),
     /// End without draining.
@@ -36,7 +36,7 @@
 
 /// Why an input was not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotTaken {
+pub(crate) enum SendError {
     /// Its class is full.
     Full,
     /// The core has ended.
@@ -48,7 +48,7 @@
     backlog: Backlog<Box<WaitingInput>>,
     disk_failure: Option<StorageError>,
     ended_thread: Option<&'static str>,
-    wants_snapshot: bool,
+    snapshot_requested: bool,
     is_halted: bool,
     /// The core takes nothing more.
     has_ended: bool,
@@ -112,13 +112,13 @@
     }
 
     /// Refuses at once when the class is full: for what its sender repeats.
-    pub(crate) fn offer(&self, input: ControlInput) -> Result<(), NotTaken> {
+    pub(crate) fn try_submit(&self, input: ControlInput) -> Result<(), SendError> {
         self.push(&mut self.shared.lock(), input)
     }
 
     /// Adds what the core's thread itself causes: it cannot wait for room, and bounds it by what it has
     /// under way.
-    pub(crate) fn put(&self, input: ControlInput) {
+    pub(crate) fn send_unbounded(&self, input: ControlInput) {
         let waiting = waiting(input);
         self.shared
             .lock()
@@ -126,13 +126,13 @@
             .push_unbounded(waiting.class, waiting);
     }
 
-    fn push(&self, state: &mut State, input: ControlInput) -> Result<(), NotTaken> {
+    fn push(&self, state: &mut State, input: ControlInput) -> Result<(), SendError> {
         if state.has_ended {
-            return Err(NotTaken::Ended);
+            return Err(SendError::Ended);
         }
         let waiting = waiting(input);
         let pushed = state.backlog.push(waiting.class, waiting);
-        pushed.map_err(|_| NotTaken::Full)?;
+        pushed.map_err(|_| SendError::Full)?;
         self.shared.filled.notify_one();
         Ok(())
     }
@@ -144,8 +144,8 @@
     }
 
     /// Asks for a snapshot, as the log on the disk is long.
-    pub(crate) fn want_snapshot(&self) {
-        self.shared.lock().wants_snapshot = true;
+    pub(crate) fn request_snapshot(&self) {
+        self.shared.lock().snapshot_requested = true;
         self.shared.filled.notify_one();
     }
 
@@ -164,27 +164,27 @@
 
 impl InputQueue {
     /// Waits for what to do next, at most until the tick is due.
-    pub(crate) fn next(&self, tick_due: Instant) -> HostInput {
+    pub(crate) fn next(&self, tick_due: Instant) -> CoreInput {
         let mut state = self.shared.lock();
         loop {
             if let Some(error) = state.disk_failure.take() {
-                return HostInput::DiskFailed(error);
+                return CoreInput::DiskFailed(error);
             }
             if state.is_halted {
-                return HostInput::Halt;
+                return CoreInput::Halt;
             }
-            if std::mem::take(&mut state.wants_snapshot) {
-                return HostInput::WantSnapshot;
+            if std::mem::take(&mut state.snapshot_requested) {
+                return CoreInput::SnapshotRequested;
             }
             if let Some(name) = state.ended_thread.take() {
-                return HostInput::ThreadEnded(name);
+                return CoreInput::ThreadEnded(name);
             }
             let now = Instant::now();
             match state.backlog.next(now, tick_due) {
-                Next::Tick => return HostInput::Tick,
+                Next::Tick => return CoreInput::Tick,
                 Next::Input(class, waiting) => {
                     self.shared.emptied[class as usize].notify_one();
-                    return HostInput::Core(*waiting);
+                    return CoreInput::Input(*waiting);
                 }
                 Next::Idle => {}
             }
--- a/crates/millpass-control/src/lateness.rs
+++ b/crates/millpass-control/src/lateness.rs
@@ -7,7 +7,7 @@
 /// of 600 ms, so that a line comes before a lease is lost.
 pub const LATENESS_THRESHOLD: Duration = Duration::from_millis(150);
 /// Shortest time between two lines: a member that is late for long says so once a second.
-const LINE_INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The worst lateness of a span of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct LatenessWatch {
     worst: Option<Lateness>,
-    told_at: Option<Instant>,
+    logged_at: Option<Instant>,
 }
 
 impl LatenessWatch {
@@ -39,13 +39,13 @@
             self.add(class, age);
         }
         let is_too_soon = self
-            .told_at
-            .is_some_and(|at| now.saturating_duration_since(at) < LINE_INTERVAL);
+            .logged_at
+            .is_some_and(|at| now.saturating_duration_since(at) < LOG_INTERVAL);
         if is_too_soon {
             return None;
         }
         let worst = self.worst.take()?;
-        self.told_at = Some(now);
+        self.logged_at = Some(now);
         Some(worst)
     }
 
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -10,7 +10,7 @@
 use crate::disk_watch::DiskWatch;
 use crate::error::ControlError;
 use crate::freshness::FreshnessPort;
-use crate::inputs::{HostInput, InputQueue, WaitingInput};
+use crate::inputs::{CoreInput, InputQueue, WaitingInput};
 use crate::lateness::LatenessWatch;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -27,16 +27,16 @@
 use std::time::{Duration, Instant};
 
 /// Time between two ticks of the core.
-const TICK: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// Time between two looks at what changes slowly: metrics, and whether to ask to join.
-const HOUSEKEEPING: Duration = Duration::from_millis(500);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 /// Time without a leader after which a member asks to join: it may have been replaced while it was
 /// cut off, and nobody tells it.
-pub(crate) const LEADERLESS: Duration = Duration::from_secs(2);
+pub(crate) const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest time an instance waits for the answer to its announcement before it calls another member. The
 /// protocol between servers and members sets it (docs/PLATFORM.md); work on an older one would be in vain.
-const ANNOUNCEMENT_PATIENCE: Duration = Duration::from_secs(1);
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The core with everything it acts through.
 pub(crate) struct Member {
@@ -60,7 +60,7 @@
     pub(crate) metrics: Arc<Metrics>,
     /// Since when no leader is known.
     pub(crate) leaderless_since: Option<Timestamp>,
-    /// How long that lasts when the log next says so.
+    /// How long that elapsed when the log next says so.
     pub(crate) next_leaderless_report: Duration,
     pub(crate) suspensions: SuspensionWatch,
     pub(crate) heartbeat: Heartbeat,
@@ -68,7 +68,7 @@
     /// Calls refused up to the last look, as too many waited.
     pub(crate) refused_calls: i64,
     /// Connections at which an update begins to wait, of which the core has not heard yet.
-    pub(crate) behind: Vec<ConnectionId>,
+    pub(crate) backlogged: Vec<ConnectionId>,
 }
 
 /// Why the core's thread ended.
@@ -88,7 +88,7 @@
         if let Some(port) = &self.freshness {
             port.close();
         }
-        self.calls.give_up();
+        self.calls.fail_all();
         match end {
             End::Halted => Ok(()),
             End::Failed(error) => Err(error),
@@ -107,40 +107,40 @@
         loop {
             self.heartbeat.beat();
             let has_stopped = match self.queue.next(next_tick) {
-                HostInput::Core(waiting) => self.take_up(waiting),
-                HostInput::Tick => {
-                    self.show_lateness(None, next_tick);
+                CoreInput::Input(waiting) => self.handle_input(waiting),
+                CoreInput::Tick => {
+                    self.record_lateness(None, next_tick);
                     let has_stopped = self.step(ControlInput::Tick);
                     // From the end of the step: ticks that take long must leave time for inputs.
-                    next_tick = Instant::now() + TICK;
+                    next_tick = Instant::now() + TICK_INTERVAL;
                     has_stopped
                 }
-                HostInput::WantSnapshot => {
+                CoreInput::SnapshotRequested => {
                     self.core.request_snapshot();
                     false
                 }
-                HostInput::DiskFailed(error) => return End::Failed(error.into()),
-                HostInput::ThreadEnded(name) => {
+                CoreInput::DiskFailed(error) => return End::Failed(error.into()),
+                CoreInput::ThreadEnded(name) => {
                     log::error!("event=control_thread_ended thread={name}");
                     return End::Failed(ControlError::ThreadEnded(name));
                 }
-                HostInput::Halt => return End::Halted,
+                CoreInput::Halt => return End::Halted,
             };
             if has_stopped {
                 return End::Stopped;
             }
             if Instant::now() >= next_housekeeping {
-                next_housekeeping = Instant::now() + HOUSEKEEPING;
-                self.keep_house();
+                next_housekeeping = Instant::now() + HOUSEKEEPING_INTERVAL;
+                self.run_housekeeping();
             }
         }
     }
 
-    fn take_up(&mut self, waiting: WaitingInput) -> bool {
-        self.show_lateness(Some(waiting.class), waiting.since);
-        if let Some(call) = outdated_announcement(&waiting) {
-            self.metrics.outdated_announcements.inc();
-            self.calls.answer(call, AdministrationResponse::Busy);
+    fn handle_input(&mut self, waiting: WaitingInput) -> bool {
+        self.record_lateness(Some(waiting.class), waiting.since);
+        if let Some(call) = expired_announcement(&waiting) {
+            self.metrics.expired_announcements.inc();
+            self.calls.respond(call, AdministrationResponse::Busy);
             self.core.announcements_refused(self.clock.now());
             return false;
         }
@@ -148,12 +148,12 @@
     }
 
     /// Shows how long an input of a class waited, or how much later than due a tick comes.
-    fn show_lateness(&mut self, class: Option<Priority>, since: Instant) {
+    fn record_lateness(&mut self, class: Option<Priority>, since: Instant) {
         let now = Instant::now();
         let age = now.saturating_duration_since(since);
         match class {
-            Some(class) => self.metrics.input_waited(class, age),
-            None => self.metrics.tick_late(age),
+            Some(class) => self.metrics.observe_input_wait(class, age),
+            None => self.metrics.observe_tick_lateness(age),
         }
         if let Some(late) = self.lateness.record(now, class, age) {
             let class = late.class.map_or("tick", Priority::name);
@@ -174,14 +174,14 @@
         self.publish(now);
         let mut stopped = false;
         for output in outputs {
-            stopped |= self.carry_out(output);
+            stopped |= self.execute(output);
         }
         // Before any other input: the word that a connection has caught up may be in the queue already.
-        while let Some(connection) = self.behind.pop() {
-            let waits = true;
+        while let Some(connection) = self.backlogged.pop() {
+            let backlogged = true;
             stopped |= self.step(ControlInput::RouterBacklog {
                 connection,
-                backlogged: waits,
+                backlogged,
             });
         }
         stopped
@@ -192,14 +192,14 @@
         let Some(port) = &self.freshness else {
             return;
         };
-        let mark = self.core.freshness_state(now);
-        if self.published.as_ref() != Some(&mark) {
-            port.publish(self.core.freshness_response(&mark));
-            self.published = Some(mark);
+        let state = self.core.freshness_state(now);
+        if self.published.as_ref() != Some(&state) {
+            port.publish(self.core.freshness_response(&state));
+            self.published = Some(state);
         }
     }
 
-    fn carry_out(&mut self, output: ControlOutput) -> bool {
+    fn execute(&mut self, output: ControlOutput) -> bool {
         match output {
             ControlOutput::SendPeer { address, envelope } => {
                 self.peers.send(&address, LinkMessage::Peer(envelope));
@@ -209,7 +209,7 @@
                 message,
             } => {
                 if self.connections.send(connection, *message) {
-                    self.behind.push(connection);
+                    self.backlogged.push(connection);
                 }
             }
             ControlOutput::DeliverOrder { address, order } => {
@@ -221,18 +221,15 @@
             ControlOutput::SendShare { address, report } => {
                 self.peers.send(&address, LinkMessage::Share(report));
             }
-            ControlOutput::SendShareResponse {
-                address,
-                response: answer,
-            } => {
+            ControlOutput::SendShareResponse { address, response } => {
                 self.peers
-                    .send(&address, LinkMessage::ShareResponse(answer));
+                    .send(&address, LinkMessage::ShareResponse(response));
             }
             ControlOutput::Instruct {
                 instruction,
-                deadline: ends_by,
+                deadline,
             } => {
-                let delivery = Delivery::Instruct(instruction, ends_by);
+                let delivery = Delivery::Instruct(instruction, deadline);
                 self.deliveries.submit(delivery);
             }
             ControlOutput::ReadEngine {
@@ -250,13 +247,12 @@
             ControlOutput::Persist(request) => self.write(DiskWork::Persist(request)),
             ControlOutput::SaveSnapshot(snapshot) => self.write(DiskWork::Snapshot(snapshot)),
             ControlOutput::ReadPlatform => self.read_platform(),
-            ControlOutput::AdministrationResponse {
-                call,
-                response: answer,
-            } => self.calls.answer(call, answer),
-            ControlOutput::DocumentReached(after) => self.metrics.document_reached(after),
-            ControlOutput::DepartureReached(after) => self.metrics.departure_reached(after),
-            ControlOutput::Event(event) => self.note(&event),
+            ControlOutput::AdministrationResponse { call, response } => {
+                self.calls.respond(call, response)
+            }
+            ControlOutput::DocumentReached(after) => self.metrics.observe_document_delay(after),
+            ControlOutput::DepartureReached(after) => self.metrics.observe_departure_delay(after),
+            ControlOutput::Event(event) => self.log_event(&event),
             ControlOutput::Stopped => return true,
         }
         false
@@ -275,33 +271,34 @@
         }
     }
 
-    fn note(&self, event: &ControlEvent) {
+    fn log_event(&self, event: &ControlEvent) {
         self.metrics.count_event(event.name);
         log::info!("{}", event_line(event.name, &event.pairs));
     }
 
-    fn keep_house(&mut self) {
+    fn run_housekeeping(&mut self) {
         if let Some(time) = self.suspensions.look() {
             let millis = time.as_millis();
             log::warn!("event=machine_suspended suspended_ms={millis}");
         }
-        self.metrics.show_disk_wait(self.disk_watch.look());
+        self.metrics.record_disk_write(self.disk_watch.check());
         let status = self.core.consensus_status();
-        self.metrics.show_consensus(&status);
-        self.metrics.show_missing(self.core.missing_voter_count());
+        self.metrics.record_consensus(&status);
+        self.metrics
+            .record_missing_voters(self.core.missing_voter_count());
         if let Some(sizes) = self.core.fleet_sizes() {
-            self.metrics.show_instances(&sizes);
+            self.metrics.record_instances(&sizes);
         }
-        self.show_queues();
+        self.record_queues();
         let leaderless = self.is_leaderless(status.leader.is_none());
         if leaderless || !status.membership.contains(self.address.member) {
-            self.ask_to_join(&status.membership);
+            self.request_join(&status.membership);
         }
     }
 
-    fn show_queues(&mut self) {
+    fn record_queues(&mut self) {
         for (class, length, refused) in self.queue.lengths() {
-            let new = self.metrics.show_queue(class, length, refused);
+            let new = self.metrics.record_queue(class, length, refused);
             if new > 0 {
                 let class = class.name();
                 log::warn!("event=inputs_refused class={class} count={new} waiting={length}");
@@ -318,29 +315,29 @@
     }
 
     /// Whether no leader has been known for long.
-    fn is_leaderless(&mut self, none_known: bool) -> bool {
-        if !none_known {
+    fn is_leaderless(&mut self, no_leader: bool) -> bool {
+        if !no_leader {
             self.leaderless_since = None;
-            self.next_leaderless_report = LEADERLESS;
+            self.next_leaderless_report = LEADERLESS_TIMEOUT;
             return false;
         }
         let now = self.clock.now();
         let since = *self.leaderless_since.get_or_insert(now);
-        let lasts = now.since(since);
-        if lasts >= self.next_leaderless_report {
-            self.next_leaderless_report = lasts * 2;
-            self.report_leaderless(lasts);
+        let elapsed = now.since(since);
+        if elapsed >= self.next_leaderless_report {
+            self.next_leaderless_report = elapsed * 2;
+            self.report_leaderless(elapsed);
         }
-        lasts >= LEADERLESS
+        elapsed >= LEADERLESS_TIMEOUT
     }
 
     /// Who answered this member's candidacies, and who did not, is told by `candidacy-ended`.
-    fn report_leaderless(&self, lasts: Duration) {
+    fn report_leaderless(&self, elapsed: Duration) {
         let status = self.core.consensus_status();
         let voters = status.membership.voters.iter();
         let voters: Vec<&str> = voters.map(|voter| voter.peer_address.as_str()).collect();
         let pairs = [
-            ("for_ms", lasts.as_millis().to_string()),
+            ("for_ms", elapsed.as_millis().to_string()),
             ("term", status.term.to_string()),
             ("last", status.last.to_string()),
             ("voters", voters.join(",")),
@@ -349,7 +346,7 @@
     }
 
     /// Asks the members that the settings name and those of the membership known here.
-    fn ask_to_join(&mut self, membership: &Membership) {
+    fn request_join(&mut self, membership: &Membership) {
         let known = membership.voters.iter().map(|member| &member.peer_address);
         let others: BTreeSet<String> = self
             .others
@@ -367,12 +364,12 @@
 
 /// The call of an announcement whose sender waits no more. One that says that its instance leaves is of a
 /// more urgent class and always taken up.
-fn outdated_announcement(waiting: &WaitingInput) -> Option<u64> {
+fn expired_announcement(waiting: &WaitingInput) -> Option<u64> {
     let ControlInput::Administration { call, request } = &waiting.input else {
         return None;
     };
-    let is_outdated = waiting.class == Priority::Announcements
+    let is_expired = waiting.class == Priority::Announcements
         && matches!(request, AdministrationRequest::Announce(_))
-        && waiting.since.elapsed() >= ANNOUNCEMENT_PATIENCE;
-    is_outdated.then_some(*call)
+        && waiting.since.elapsed() >= ANNOUNCEMENT_TIMEOUT;
+    is_expired.then_some(*call)
 }
--- a/crates/millpass-control/src/metrics.rs
+++ b/crates/millpass-control/src/metrics.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Upper bounds, in seconds, of the histogram of syncs.
-const SECONDS: [f64; 12] = [
+const SYNC_SECONDS: [f64; 12] = [
     0.0001, 0.000_2, 0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 2.0,
 ];
 
 /// Upper bounds, in seconds, of the histogram of documents on their way to gateways: from a round trip to a
 /// gateway that was away for a minute.
-const REACH_SECONDS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
+const DELIVERY_SECONDS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
 /// Upper bounds, in seconds, of the histograms of what waits for the core: from a step's time to beyond
 /// the election timeout.
 const WAIT_SECONDS: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
@@ -38,7 +38,7 @@
     /// By class.
     refused_inputs: IntCounterVec,
     /// Announcements answered as refused because they had waited too long.
-    pub(crate) outdated_announcements: IntCounter,
+    pub(crate) expired_announcements: IntCounter,
     /// Announcements that name no instance to use, by reason.
     refused_announcements: IntCounterVec,
     departure_seconds: Histogram,
@@ -50,7 +50,7 @@
     /// Messages to members and routers that were dropped because a queue was full.
     pub(crate) dropped_messages: IntGauge,
     /// Questions of gateways that were answered by datagram.
-    pub(crate) freshness_answers: IntGauge,
+    pub(crate) freshness_responses: IntGauge,
     /// Calls of the administration API refused because too many of their class waited.
     pub(crate) refused_calls: IntGauge,
     disk: DiskMetrics,
@@ -75,7 +75,7 @@
         let events = IntCounterVec::new(events, &["event"])?;
         registry.register(Box::new(events.clone()))?;
         let syncs = HistogramOpts::new("control_sync_seconds", "Time of a write with its sync");
-        let sync_seconds = Histogram::with_opts(syncs.buckets(SECONDS.to_vec()))?;
+        let sync_seconds = Histogram::with_opts(syncs.buckets(SYNC_SECONDS.to_vec()))?;
         registry.register(Box::new(sync_seconds.clone()))?;
         let help = "Time that an input waited for the core";
         let waits = HistogramOpts::new("control_input_wait_seconds", help);
@@ -94,8 +94,8 @@
         let refused_inputs = IntCounterVec::new(refused, &["class"])?;
         registry.register(Box::new(refused_inputs.clone()))?;
         let help = "Announcements refused because they had waited too long";
-        let outdated_announcements = IntCounter::new("control_outdated_announcements_total", help)?;
-        registry.register(Box::new(outdated_announcements.clone()))?;
+        let expired_announcements = IntCounter::new("control_outdated_announcements_total", help)?;
+        registry.register(Box::new(expired_announcements.clone()))?;
         let help = "Announcements that could not be understood or used";
         let refused = Opts::new("control_refused_announcements_total", help);
         let refused_announcements = IntCounterVec::new(refused, &["reason"])?;
@@ -103,8 +103,8 @@
         let states = Opts::new("control_instances", "Instances known here, by state");
         let instances = IntGaugeVec::new(states, &["state"])?;
         registry.register(Box::new(instances.clone()))?;
-        let reach = |name: &str, help: &str| -> prometheus::Result<Histogram> {
-            let options = HistogramOpts::new(name, help).buckets(REACH_SECONDS.to_vec());
+        let delivery = |name: &str, help: &str| -> prometheus::Result<Histogram> {
+            let options = HistogramOpts::new(name, help).buckets(DELIVERY_SECONDS.to_vec());
             let histogram = Histogram::with_opts(options)?;
             registry.register(Box::new(histogram.clone()))?;
             Ok(histogram)
@@ -122,13 +122,13 @@
             tick_late_seconds,
             queues,
             refused_inputs,
-            outdated_announcements,
+            expired_announcements,
             refused_announcements,
-            document_seconds: reach(
+            document_seconds: delivery(
                 "control_document_in_force_seconds",
                 "Time from a document's commit to a gateway's report of it, as the leader sees it",
             )?,
-            departure_seconds: reach(
+            departure_seconds: delivery(
                 "control_departure_told_seconds",
                 "Time from a departure's commit to a gateway's report that it was told",
             )?,
@@ -137,7 +137,7 @@
             leads: gauge("control_leads", "1 if this member believes to lead")?,
             connections: gauge("control_connections", "Open connections")?,
             dropped_messages: gauge("control_dropped_messages", "Messages dropped, queue full")?,
-            freshness_answers: gauge(
+            freshness_responses: gauge(
                 "control_freshness_answers",
                 "Questions of gateways answered",
             )?,
@@ -165,25 +165,25 @@
         self.events.with_label_values(&[name]).inc();
     }
 
-    pub(crate) fn sync_took(&self, time: Duration) {
+    pub(crate) fn observe_sync(&self, time: Duration) {
         self.sync_seconds.observe(time.as_secs_f64());
     }
 
-    pub(crate) fn document_reached(&self, after: millpass_proto::Duration) {
+    pub(crate) fn observe_document_delay(&self, after: millpass_proto::Duration) {
         self.document_seconds.observe(after.as_secs_f64());
     }
 
-    pub(crate) fn input_waited(&self, class: Priority, time: Duration) {
+    pub(crate) fn observe_input_wait(&self, class: Priority, time: Duration) {
         let histogram = self.input_wait_seconds.with_label_values(&[class.name()]);
         histogram.observe(time.as_secs_f64());
     }
 
-    pub(crate) fn tick_late(&self, time: Duration) {
+    pub(crate) fn observe_tick_lateness(&self, time: Duration) {
         self.tick_late_seconds.observe(time.as_secs_f64());
     }
 
     /// Shows a class's queue; returns how many inputs were refused since the last look.
-    pub(crate) fn show_queue(&self, class: Priority, waiting: usize, refused: u64) -> u64 {
+    pub(crate) fn record_queue(&self, class: Priority, waiting: usize, refused: u64) -> u64 {
         let queue = self.queues.with_label_values(&[class.name()]);
         queue.set(i64::try_from(waiting).unwrap_or(i64::MAX));
         let counter = self.refused_inputs.with_label_values(&[class.name()]);
@@ -192,32 +192,32 @@
         new
     }
 
-    pub(crate) fn announcement_refused(&self, reason: &str) {
+    pub(crate) fn count_refused_announcement(&self, reason: &str) {
         let counter = self.refused_announcements.with_label_values(&[reason]);
         counter.inc();
     }
 
-    pub(crate) fn departure_reached(&self, after: millpass_proto::Duration) {
+    pub(crate) fn observe_departure_delay(&self, after: millpass_proto::Duration) {
         self.departure_seconds.observe(after.as_secs_f64());
     }
 
-    pub(crate) fn show_disk(&self, bytes: u64, most: u64, free: Option<u64>, state: u64) {
+    pub(crate) fn record_disk(&self, bytes: u64, most: u64, free: Option<u64>, state: u64) {
         self.disk.bytes.set(signed(bytes));
         self.disk.most_bytes.set(signed(most));
         self.disk.free_bytes.set(signed(free.unwrap_or(0)));
         self.disk.state_bytes.set(signed(state));
     }
 
-    pub(crate) fn show_disk_wait(&self, writes_for: Option<Duration>) {
-        let millis = writes_for.map_or(0, |time| time.as_millis() as u64);
+    pub(crate) fn record_disk_write(&self, elapsed: Option<Duration>) {
+        let millis = elapsed.map_or(0, |time| time.as_millis() as u64);
         self.disk.write_millis.set(signed(millis));
     }
 
-    pub(crate) fn show_missing(&self, voters: usize) {
+    pub(crate) fn record_missing_voters(&self, voters: usize) {
         self.missing_voters.set(signed(voters as u64));
     }
 
-    pub(crate) fn show_instances(&self, sizes: &FleetSizes) {
+    pub(crate) fn record_instances(&self, sizes: &FleetSizes) {
         let states = [
             ("heard", sizes.heard),
             ("active", sizes.active),
@@ -230,7 +230,7 @@
         }
     }
 
-    pub(crate) fn show_consensus(&self, status: &ConsensusStatus) {
+    pub(crate) fn record_consensus(&self, status: &ConsensusStatus) {
         self.term.set(signed(status.term));
         self.commit.set(signed(status.commit));
         self.leads.set(i64::from(status.role == Role::Leader));
--- a/crates/millpass-control/src/peer_queue.rs
+++ b/crates/millpass-control/src/peer_queue.rs
@@ -15,7 +15,7 @@
 /// large document each (256 KiB as sent, twice that with what is derived from it).
 const MAXIMUM_BYTES: usize = 16 * 1024 * 1024;
 /// Assumed of a message or entry beside documents and snapshots.
-const SMALL_BYTES: usize = 512;
+const BASE_BYTES: usize = 512;
 
 /// Messages to one member, in order.
 #[derive(Debug)]
@@ -40,14 +40,14 @@
 
     /// Adds a message; false if there is no room and it is dropped. One alone always fits.
     pub fn push(&mut self, message: LinkMessage) -> bool {
-        let bytes = bytes_of(&message);
-        let has_room = self.waiting.len() < self.maximum_messages
+        let bytes = message_bytes(&message);
+        let has_capacity = self.waiting.len() < self.maximum_messages
             && self.bytes.saturating_add(bytes) <= MAXIMUM_BYTES;
-        if !has_room && !self.waiting.is_empty() {
+        if !has_capacity && !self.waiting.is_empty() {
             return false;
         }
         self.bytes += bytes;
-        if let Some(member) = requested(&message) {
+        if let Some(member) = append_target(&message) {
             *self.requests.entry(member).or_default() += 1;
         }
         self.waiting.push_back(message);
@@ -58,18 +58,18 @@
     pub fn pop(&mut self) -> Option<LinkMessage> {
         loop {
             let message = self.waiting.pop_front()?;
-            self.bytes = self.bytes.saturating_sub(bytes_of(&message));
-            let is_followed = self.is_request_followed(&message);
-            let is_outdated = is_heartbeat(&message) && is_followed;
-            if !is_outdated {
+            self.bytes = self.bytes.saturating_sub(message_bytes(&message));
+            let is_followed = self.remove_request(&message);
+            let is_superseded = is_heartbeat(&message) && is_followed;
+            if !is_superseded {
                 return Some(message);
             }
         }
     }
 
     /// Takes a request out of the count; whether one to the same member follows it.
-    fn is_request_followed(&mut self, message: &LinkMessage) -> bool {
-        let Some(member) = requested(message) else {
+    fn remove_request(&mut self, message: &LinkMessage) -> bool {
+        let Some(member) = append_target(message) else {
             return false;
         };
         let left = self.requests.get(&member).map_or(0, |count| count - 1);
@@ -93,7 +93,7 @@
 }
 
 /// The member that an append request is for.
-fn requested(message: &LinkMessage) -> Option<MemberId> {
+fn append_target(message: &LinkMessage) -> Option<MemberId> {
     let LinkMessage::Peer(envelope) = message else {
         return None;
     };
@@ -108,24 +108,24 @@
 }
 
 /// About as many bytes as the message takes.
-fn bytes_of(message: &LinkMessage) -> usize {
+fn message_bytes(message: &LinkMessage) -> usize {
     let envelope = match message {
         LinkMessage::Peer(envelope) => envelope,
-        LinkMessage::Share(report) => return SMALL_BYTES * (1 + report.instances.len()),
-        _ => return SMALL_BYTES,
+        LinkMessage::Share(report) => return BASE_BYTES * (1 + report.instances.len()),
+        _ => return BASE_BYTES,
     };
     let content = match &envelope.message {
-        PeerMessage::AppendRequest(request) => request.entries.iter().map(bytes_of_entry).sum(),
+        PeerMessage::AppendRequest(request) => request.entries.iter().map(entry_bytes).sum(),
         PeerMessage::SnapshotChunk(chunk) => chunk.data.len(),
         _ => 0,
     };
-    SMALL_BYTES + content
+    BASE_BYTES + content
 }
 
 /// A document is held as it was sent, and as what is derived from it.
-fn bytes_of_entry(entry: &LogEntry) -> usize {
+fn entry_bytes(entry: &LogEntry) -> usize {
     match &entry.payload {
-        EntryPayload::Command(Command::PutDocument(put)) => SMALL_BYTES + 2 * put.source.len(),
-        _ => SMALL_BYTES,
+        EntryPayload::Command(Command::PutDocument(put)) => BASE_BYTES + 2 * put.source.len(),
+        _ => BASE_BYTES,
     }
 }
--- a/crates/millpass-control/src/peers.rs
+++ b/crates/millpass-control/src/peers.rs
@@ -19,11 +19,11 @@
 /// spoken to only afterwards, so it is below the election timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest wait for room in a connection, and for bytes to be acknowledged.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+const SEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause after a connection could not be made; messages of that time are dropped.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// An address that nothing was sent to for so long is forgotten.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Stack of a sending thread, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
 
@@ -115,7 +115,7 @@
         // A thread that has ended, which only a panic does, would leave this member silent towards the other for good.
         let is_open = |peer: &Peer| !peer.sending.is_finished();
         if !self.peers.get(address).is_some_and(is_open) {
-            self.forget_idle();
+            self.remove_idle();
             if !self.open(address) {
                 return self.metrics.dropped_messages.inc();
             }
@@ -135,11 +135,11 @@
         };
         let queue = SharedQueue::new(self.queue_length);
         let sending = queue.clone();
-        let greeting = LinkMessage::MemberHello(self.own.clone());
+        let hello = LinkMessage::MemberHello(self.own.clone());
         let spawned = thread::Builder::new()
             .name("control-peer".to_owned())
             .stack_size(STACK_BYTES)
-            .spawn(move || send_all(target, &greeting, &sending));
+            .spawn(move || send_all(target, &hello, &sending));
         let Ok(sending) = spawned else {
             return false;
         };
@@ -152,8 +152,9 @@
         true
     }
 
-    fn forget_idle(&mut self) {
-        self.peers.retain(|_, peer| peer.used_at.elapsed() < IDLE);
+    fn remove_idle(&mut self) {
+        self.peers
+            .retain(|_, peer| peer.used_at.elapsed() < IDLE_TIMEOUT);
     }
 }
 
@@ -165,18 +166,18 @@
 }
 
 /// Body of a sending thread; ends when the queue is closed.
-fn send_all(target: SocketAddr, greeting: &LinkMessage, queue: &SharedQueue) {
+fn send_all(target: SocketAddr, hello: &LinkMessage, queue: &SharedQueue) {
     while let Some(first) = queue.pop() {
         match connect(target) {
             Ok(stream) => {
                 log::info!("event=peer_connected address={target}");
-                if let Err(error) = send_over(stream, greeting, first, queue) {
+                if let Err(error) = send_on(stream, hello, first, queue) {
                     log::warn!("event=peer_lost address={target} error=\"{error}\"");
                 }
             }
             Err(error) => {
                 log::debug!("event=peer_connect_failed address={target} error=\"{error}\"");
-                drop_for(queue, PAUSE);
+                discard_for(queue, RETRY_DELAY);
             }
         }
     }
@@ -185,21 +186,21 @@
 fn connect(target: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
-    stream.set_write_timeout(Some(TIMEOUT))?;
+    stream.set_write_timeout(Some(SEND_TIMEOUT))?;
     // Heartbeats alone never fill the buffer of a connection that has gone silent: without this, a leader would
     // speak into it for a quarter of an hour.
-    SockRef::from(&stream).set_tcp_user_timeout(Some(TIMEOUT))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(SEND_TIMEOUT))?;
     Ok(stream)
 }
 
-fn send_over(
+fn send_on(
     stream: TcpStream,
-    greeting: &LinkMessage,
+    hello: &LinkMessage,
     first: LinkMessage,
     queue: &SharedQueue,
 ) -> Result<(), CodecError> {
     let mut writer = BufWriter::new(stream);
-    write_frame(&mut writer, greeting)?;
+    write_frame(&mut writer, hello)?;
     let mut next = Some(first);
     while let Some(message) = next {
         write_frame(&mut writer, &message)?;
@@ -212,7 +213,7 @@
 }
 
 /// Drops what comes for some time, so that nothing outdated is sent once the target is back.
-fn drop_for(queue: &SharedQueue, time: Duration) {
+fn discard_for(queue: &SharedQueue, time: Duration) {
     thread::sleep(time);
     queue.lock().queue.clear();
 }
--- a/crates/millpass-control/src/priority.rs
+++ b/crates/millpass-control/src/priority.rs
@@ -54,7 +54,7 @@
             | ControlInput::Persisted { .. } => Priority::Consensus,
             ControlInput::Join(_) | ControlInput::Drain => Priority::Promised,
             ControlInput::Administration { request, .. } => Priority::of_call(request),
-            ControlInput::Router { message, .. } => of_router(message),
+            ControlInput::Router { message, .. } => router_priority(message),
             // With the reports, so that it follows the last one of its connection.
             ControlInput::RouterDisconnected(_)
             | ControlInput::RouterBacklog { .. }
@@ -94,7 +94,7 @@
 
 /// Credit, crashes and permits rest on no earlier message of their connection. A router's claims rest on its
 /// hello, and its reports too, so these stay in one class, in order.
-fn of_router(message: &RouterToControl) -> Priority {
+fn router_priority(message: &RouterToControl) -> Priority {
     match message {
         RouterToControl::Credit(_) | RouterToControl::Crashes(_) | RouterToControl::Permits(_) => {
             Priority::Credit
--- a/crates/millpass-control/src/process.rs
+++ b/crates/millpass-control/src/process.rs
@@ -1,22 +1,22 @@
 //! The process: its threads, from start to stop.
 
 use crate::administration::{self, AdministrationLimits, AdministrationServer};
-use crate::calls::{CallTable, CoreCalls, REFUSAL_INTERVAL};
+use crate::calls::{CallTable, CoreCalls, REFUSAL_LOG_INTERVAL};
 use crate::connections::Connections;
 use crate::deliveries::Deliveries;
-use crate::disk::{Disk, SNAPSHOT_PATIENCE};
-use crate::disk_watch::{DiskWatch, RoomWatch};
+use crate::disk::{Disk, SNAPSHOT_RETRY_INTERVAL};
+use crate::disk_watch::{DiskWatch, SpaceWatch};
 use crate::error::ControlError;
 use crate::freshness::FreshnessPort;
 use crate::inputs::Inputs;
 use crate::interface::Extensions;
 use crate::lateness::LatenessWatch;
-use crate::member::{LEADERLESS, Member};
+use crate::member::{LEADERLESS_TIMEOUT, Member};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::settings::ControlProcessSettings;
 use crate::startup::{self, ListenAddresses, OpenedMember};
-use crate::threads::{self, spawn, spawn_needed};
+use crate::threads::{self, spawn, spawn_critical};
 use crate::throttle::Throttle;
 use crossbeam::channel::{Receiver, bounded, unbounded};
 use millpass_control_plane::ControlInput;
@@ -27,7 +27,7 @@
 use std::thread::JoinHandle;
 
 /// Longest wait for the last answers of the administration API to go out.
-const ANSWER_GRACE: Duration = Duration::from_millis(500);
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 /// Ports that are picked until one is free for connections and for datagrams. Of some 28,000, a busy machine has
 /// hundreds in use.
 const MAXIMUM_PORT_TRIES: u32 = 8;
@@ -139,7 +139,7 @@
             inputs: inputs.clone(),
             table: calls.clone(),
             metrics: metrics.clone(),
-            refusals: Mutex::new(Throttle::new(REFUSAL_INTERVAL)),
+            refusal_log: Mutex::new(Throttle::new(REFUSAL_LOG_INTERVAL)),
         }),
         extensions.api,
     )?;
@@ -149,7 +149,7 @@
     };
     let opened = match opened {
         Some(opened) => opened,
-        None => startup::found_group(&settings, &listening)?,
+        None => startup::create_group(&settings, &listening)?,
     };
     for note in &opened.restored.notes {
         log::warn!("event=disk_repaired {note}");
@@ -166,26 +166,26 @@
         inputs: inputs.clone(),
         metrics: metrics.clone(),
         watch: disk_watch.clone(),
-        room: RoomWatch::new(&settings.storage),
-        snapshot_requests: Throttle::new(SNAPSHOT_PATIENCE),
+        space: SpaceWatch::new(&settings.storage),
+        snapshot_requests: Throttle::new(SNAPSHOT_RETRY_INTERVAL),
         state_bytes: 0,
     };
-    threads.push(spawn_needed("control-disk", &inputs, move || disk.run())?);
+    threads.push(spawn_critical("control-disk", &inputs, move || disk.run())?);
     let (deliveries, pool) =
         Deliveries::new(inputs.clone(), clock, &settings.limits, extensions.engines);
-    threads.push(spawn_needed("control-deliveries", &inputs, move || {
+    threads.push(spawn_critical("control-deliveries", &inputs, move || {
         pool.run()
     })?);
     let accepting = connections.clone();
-    threads.push(spawn_needed("control-accept", &inputs, move || {
+    threads.push(spawn_critical("control-accept", &inputs, move || {
         accepting.accept(&listener);
     })?);
     let serving = connections.clone();
-    threads.push(spawn_needed("control-links", &inputs, move || {
+    threads.push(spawn_critical("control-links", &inputs, move || {
         serving.run();
     })?);
     if let Some(port) = freshness.clone() {
-        threads.push(spawn_needed("control-freshness", &inputs, move || {
+        threads.push(spawn_critical("control-freshness", &inputs, move || {
             port.serve();
         })?);
     }
@@ -207,12 +207,12 @@
         calls,
         metrics,
         leaderless_since: None,
-        next_leaderless_report: LEADERLESS,
+        next_leaderless_report: LEADERLESS_TIMEOUT,
         suspensions: SuspensionWatch::default(),
         heartbeat: heartbeat.clone(),
         lateness: LatenessWatch::default(),
         refused_calls: 0,
-        behind: Vec::new(),
+        backlogged: Vec::new(),
     };
     let (running, core_ended) = bounded::<()>(0);
     let core = spawn("control-core", move || {
@@ -304,7 +304,7 @@
             .join()
             .unwrap_or_else(|_| Err(ControlError::Stopped("its thread panicked".to_owned())));
         // Whoever waits was answered when the core ended; the answers still have to go out.
-        self.administration.drain(ANSWER_GRACE);
+        self.administration.drain(RESPONSE_GRACE);
         threads::join_all(std::mem::take(&mut self.threads));
         ended
     }
--- a/crates/millpass-control/src/startup.rs
+++ b/crates/millpass-control/src/startup.rs
@@ -25,7 +25,7 @@
 pub fn initialize(settings: &ControlProcessSettings) -> Result<(), ControlError> {
     check(settings)?;
     let address = own_peer_address(settings);
-    let place = settings
+    let index = settings
         .initial_members
         .iter()
         .position(|member| member.peer_address == address)
@@ -34,9 +34,9 @@
         .initial_members
         .iter()
         .enumerate()
-        .map(|(place, member)| initial_address(place, member))
+        .map(|(index, member)| initial_address(index, member))
         .collect();
-    write_identity(settings, initial_identity(place), voters)
+    write_identity(settings, initial_identity(index), voters)
 }
 
 /// Refuses timings that would make the leader lease unsafe.
@@ -58,13 +58,13 @@
     advertised.unwrap_or_else(|| settings.peer_listen.clone())
 }
 
-fn initial_identity(place: usize) -> MemberId {
-    MemberId(place as u64 + 1)
+fn initial_identity(index: usize) -> MemberId {
+    MemberId(index as u64 + 1)
 }
 
-fn initial_address(place: usize, member: &InitialMember) -> MemberAddress {
+fn initial_address(index: usize, member: &InitialMember) -> MemberAddress {
     MemberAddress {
-        member: initial_identity(place),
+        member: initial_identity(index),
         zone: member.zone.clone(),
         peer_address: member.peer_address.clone(),
         administration_address: member.administration_address.clone(),
@@ -97,7 +97,7 @@
 }
 
 /// Opens the data folder; an empty one becomes that of a joiner under a fresh identity, or of one of the seeds that form
-/// the group. None for an empty one that is to become a group of one: [`found_group`] needs the addresses at which the
+/// the group. None for an empty one that is to become a group of one: [`create_group`] needs the addresses at which the
 /// process listens. Nothing listens yet: while a disk has no room, callers turn elsewhere at once.
 pub(crate) fn open(
     settings: &ControlProcessSettings,
@@ -107,8 +107,8 @@
         Err(ControlError::Storage(StorageError::NotInitialized { .. })) => {}
         opened => return opened.map(Some),
     }
-    if let Some(place) = place_among_seeds(settings) {
-        write_identity(settings, initial_identity(place), seed_voters(settings))?;
+    if let Some(index) = seed_index(settings) {
+        write_identity(settings, initial_identity(index), seed_voters(settings))?;
     } else if settings.bootstrap {
         return Ok(None);
     } else if others(settings).is_empty() {
@@ -120,7 +120,7 @@
 }
 
 /// Makes an empty data folder that of a group of one, which listens at these addresses.
-pub(crate) fn found_group(
+pub(crate) fn create_group(
     settings: &ControlProcessSettings,
     addresses: &ListenAddresses,
 ) -> Result<OpenedMember, ControlError> {
@@ -141,9 +141,9 @@
     Ok(OpenedMember { storage, restored })
 }
 
-/// This member's place among the seeds that form the group, in order of their addresses; none if
+/// This member's index among the seeds that form the group, in order of their addresses; none if
 /// the group is not to be formed from seeds, or this member is not one of them.
-fn place_among_seeds(settings: &ControlProcessSettings) -> Option<usize> {
+fn seed_index(settings: &ControlProcessSettings) -> Option<usize> {
     if !settings.form_from_seeds {
         return None;
     }
@@ -165,8 +165,8 @@
     sorted_seeds(settings)
         .into_iter()
         .enumerate()
-        .map(|(place, seed)| MemberAddress {
-            member: initial_identity(place),
+        .map(|(index, seed)| MemberAddress {
+            member: initial_identity(index),
             zone: "".into(),
             peer_address: seed.peer_address.clone(),
             administration_address: seed.administration_address.clone(),
