--- a/crates/millpass-control/src/administration/admission.rs
+++ b/crates/millpass-control/src/administration/admission.rs
@@ -1,7 +1,7 @@
-//! What an object must satisfy beyond what the replicated state checks.
+//! Validation of objects beyond the checks of the replicated state.
 //!
-//! Only what the same content always passes or fails is checked here, so that a resend of an
-//! accepted change still gets its first answer. The one exception says how it keeps to that.
+//! Checks must be deterministic in the content, so that a resend of an accepted change still gets the
+//! first response. [`check_administrator_left`] handles resends explicitly.
 
 use super::failure::Failure;
 use blake3::Hash;
@@ -10,10 +10,10 @@
 };
 use std::thread::Builder;
 
-/// Stack of the thread that checks a policy, in bytes.
+/// Stack size of the thread that validates a policy.
 const POLICY_STACK_BYTES: usize = 8 * 1024 * 1024;
 
-/// Checks content: policies compile and their examples hold; key hashes are hashes.
+/// Validates content: policies compile and pass their examples, key hashes are well-formed.
 pub(crate) fn check_spec(key: &ObjectKey, spec: &ObjectSpec) -> Result<(), Failure> {
     match spec {
         ObjectSpec::Policy(policy) => check_policy(&PolicyName(key.name.clone()), policy),
@@ -30,8 +30,8 @@
     }
 }
 
-/// Compiles a policy and runs its examples, on a thread of its own: the compiler is recursive, and
-/// its bounds fit a usual stack but not the small one of the server's threads.
+/// Compiles a policy and runs its examples on a separate thread: the recursive compiler needs a larger
+/// stack than the server's threads have.
 fn check_policy(name: &PolicyName, policy: &PolicySpec) -> Result<(), Failure> {
     let result = std::thread::scope(|scope| {
         let builder = Builder::new().name("policy-check".to_owned());
@@ -45,15 +45,15 @@
         Ok(Ok(Ok(()))) => Ok(()),
         Ok(Ok(Err(error))) => Err(Failure::policy_rejected(&error)),
         Ok(Err(_)) => Err(Failure::internal(
-            "checking the policy failed; it was not taken",
+            "validating the policy failed; it was not stored",
         )),
         Err(_) => Err(Failure::busy(
-            "no thread could be started to check the policy",
+            "no thread could be started to validate the policy",
         )),
     }
 }
 
-/// Routers compare hashes as text, so only the one usual spelling is accepted.
+/// Accepts only the canonical lower-case spelling, as routers compare hashes as text.
 fn check_hash(field: &str, text: &str) -> Result<(), Failure> {
     let is_hash = Hash::from_hex(text).is_ok_and(|hash| hash.to_hex().as_str() == text);
     if is_hash {
@@ -65,11 +65,10 @@
     )))
 }
 
-/// Refuses a change of operators that leaves accounts but no administrator, which nobody could
-/// undo.
+/// Rejects a change of operators that leaves accounts but no administrator, which could not be undone.
 ///
-/// A change that expects another version than the current one passes: it is a resend or a
-/// conflict, and the state knows which.
+/// A change that expects another version than the current one passes: it is a resend or a conflict,
+/// and the state tells them apart.
 pub(crate) fn check_administrator_left(
     operators: &[StoredObject],
     key: &ObjectKey,
--- a/crates/millpass-control/src/administration/authentication.rs
+++ b/crates/millpass-control/src/administration/authentication.rs
@@ -1,4 +1,4 @@
-//! Whose key a request carries, and what its role may do.
+//! Authentication by key and authorization by role.
 
 use super::AdministrationCalls;
 use super::failure::Failure;
@@ -13,22 +13,21 @@
 pub(crate) const BOOTSTRAP_OPERATOR: &str = "bootstrap";
 const BEARER_PREFIX: &str = "Bearer ";
 
-/// Who asks.
+/// Authenticated operator of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
-    /// Account.
+    /// Account name.
     pub(crate) operator: OperatorName,
-    /// What it may do.
+    /// Role of the account.
     pub(crate) role: OperatorRole,
-    /// All accounts, as they were read to find this one.
+    /// All accounts, as read for authentication.
     pub(crate) operators: Vec<StoredObject>,
-    /// The bootstrap key, although there are accounts now: good for resends of its own changes
-    /// only.
+    /// Whether this is the bootstrap key although accounts exist; it may then only resend its own changes.
     pub(crate) is_superseded: bool,
 }
 
 impl Caller {
-    /// Refuses what the role does not allow.
+    /// Fails if the role is below `required`.
     pub(crate) fn check_role(&self, required: OperatorRole) -> Result<(), Failure> {
         if rank(self.role) >= rank(required) {
             return Ok(());
@@ -48,7 +47,7 @@
     }
 }
 
-/// Finds the account of the key, in the catalog as the leader has it now.
+/// Finds the account of the key in the leader's current catalog.
 pub(crate) fn authenticate(
     calls: &dyn AdministrationCalls,
     bootstrap: Option<Hash>,
@@ -83,10 +82,10 @@
     })
 }
 
-/// Refusal of the bootstrap key once there are accounts.
+/// Rejection of the bootstrap key once accounts exist.
 pub(crate) fn superseded_key() -> Failure {
     Failure::unauthenticated(
-        "the bootstrap key does not count any more: there are operator accounts",
+        "the bootstrap key is no longer valid: operator accounts exist",
         "send the key of an operator account",
     )
 }
@@ -107,8 +106,8 @@
     })
 }
 
-/// Compares with every account, each in constant time. The first by name counts if two share a
-/// key.
+/// Compares the hash with every account, in constant time. If two accounts have the same key, the first by
+/// name is returned.
 fn find_account(
     operators: &[StoredObject],
     key_hash: Hash,
--- a/crates/millpass-control/src/administration/failure.rs
+++ b/crates/millpass-control/src/administration/failure.rs
@@ -1,4 +1,4 @@
-//! Answers that are not a success.
+//! Error responses.
 
 use crate::api::{ErrorBody, ErrorDetail};
 use http::StatusCode;
@@ -6,14 +6,14 @@
 use millpass_http::Response;
 use millpass_policy::PolicyError;
 
-/// Seconds after which to come back when that can help.
+/// Retry-After of failures that a retry can resolve.
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// Why a request got no success: status and body.
+/// An error response: status and body.
 #[derive(Clone, Debug)]
 pub(crate) struct Failure {
     status: StatusCode,
-    /// Boxed, so that results stay small.
+    /// Boxed to keep `Result`s small.
     detail: Box<ErrorDetail>,
     retry: bool,
     allowed_methods: Option<&'static str>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// With the time to come back.
+    /// Adds a Retry-After header.
     fn with_retry(mut self) -> Self {
         self.retry = true;
         self
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Valid JSON whose content is not accepted; nothing was changed.
+    /// Valid JSON with invalid content; nothing was changed.
     pub(crate) fn rejected(reason: impl Into<String>) -> Self {
         let (message, remedy) = split_remedy(reason.into());
         Failure::new(
@@ -83,7 +83,7 @@
         )
     }
 
-    /// A policy that is not accepted; the one in force stays.
+    /// An invalid policy; the current one stays in force.
     pub(crate) fn policy_rejected(error: &PolicyError) -> Self {
         let (message, remedy) = split_remedy(error.to_string());
         let mut failure = Failure::new(
@@ -136,7 +136,7 @@
         failure
     }
 
-    /// Whether the change was or will be made is not known.
+    /// It is unknown whether the change was or will be made.
     pub(crate) fn outcome_unknown(resend: &str) -> Self {
         let message = "no answer of a majority in time; it may have been done or may yet be";
         Failure::new(
@@ -148,7 +148,7 @@
         .with_retry()
     }
 
-    /// Too much is under way; nothing was done.
+    /// Overloaded; nothing was done.
     pub(crate) fn busy(message: impl Into<String>) -> Self {
         Failure::new(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -159,7 +159,7 @@
         .with_retry()
     }
 
-    /// A fault of this program.
+    /// A bug in this program.
     pub(crate) fn internal(message: impl Into<String>) -> Self {
         let message = message.into();
         log::error!("event=administration_fault message={message:?}");
@@ -190,7 +190,7 @@
     }
 }
 
-/// Typed errors of this system read `reason; remedy`.
+/// Splits an error message of the form `reason; remedy`.
 fn split_remedy(text: String) -> (String, String) {
     match text.rsplit_once("; ") {
         Some((reason, remedy)) => (reason.to_owned(), remedy.to_owned()),
--- a/crates/millpass-control/src/administration/mod.rs
+++ b/crates/millpass-control/src/administration/mod.rs
@@ -1,13 +1,13 @@
-//! The administration API's HTTP server.
+//! HTTP server of the administration API.
 //!
 //! | module | job |
 //! |---|---|
-//! | `server` | listening, and one request from its bytes to its answer |
-//! | `routes` | what a method and path ask for |
-//! | `authentication` | whose key it is, and what its role may do |
-//! | `admission` | what an object must satisfy beyond what the replicated state checks |
-//! | `operations` | calls to the core and their answers as bodies |
-//! | `failure` | answers that are not a success |
+//! | `server` | listens and handles requests |
+//! | `routes` | maps method and path to a route |
+//! | `authentication` | authentication by key, authorization by role |
+//! | `admission` | validates objects |
+//! | `operations` | calls the core and builds response bodies |
+//! | `failure` | error responses |
 
 mod admission;
 mod authentication;
@@ -22,31 +22,31 @@
 
 use millpass_control_plane::{AdministrationRequest, AdministrationResponse};
 
-/// What the administration API needs of the process around the core.
+/// Access of the administration API to the process around the core.
 pub trait AdministrationCalls: Send + Sync + 'static {
-    /// Takes one call to the core and waits for its answer; bounded by the core's own deadline.
+    /// Sends a request to the core and waits for the response, bounded by the core's own deadline.
     fn call(&self, request: AdministrationRequest) -> AdministrationResponse;
 
-    /// Takes note of an announcement that names no instance to use.
+    /// Records an announcement that was refused as invalid.
     fn announcement_refused(&self, reason: RefusedAnnouncement, error: &dyn std::fmt::Display);
 
-    /// Metrics in the Prometheus text format.
+    /// Returns the metrics in the Prometheus text format.
     fn metrics_text(&self) -> String;
 }
 
-/// Why an announcement was refused: other writers than instances may send anything.
+/// Why an announcement was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusedAnnouncement {
-    /// It cannot be read.
+    /// It cannot be decoded.
     Unreadable,
-    /// It is in a state that is not known.
+    /// It states an unknown state.
     UnknownState,
-    /// Nothing can be sent to its address.
+    /// Its address cannot be connected to.
     UnusableAddress,
 }
 
 impl RefusedAnnouncement {
-    /// Name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RefusedAnnouncement::Unreadable => "unreadable",
--- a/crates/millpass-control/src/administration/operations.rs
+++ b/crates/millpass-control/src/administration/operations.rs
@@ -1,4 +1,4 @@
-//! Calls to the core and their answers as bodies.
+//! Calls the core and builds response bodies.
 
 use super::AdministrationCalls;
 use super::admission;
@@ -21,16 +21,16 @@
 use serde_json::json;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Newest audit records among which a resend with the superseded_key bootstrap key is looked up. The
-/// state remembers more changes than these, so it recognizes the resend for certain.
+/// Number of newest audit records searched for a resend with the superseded bootstrap key. The state
+/// remembers more changes than that, so it is certain to recognize the resend.
 const BOOTSTRAP_RESEND_RECORDS: usize = millpass_state::MAXIMUM_REMEMBERED_CHANGES / 2;
 /// Remedy when the outcome of a change of an object is unknown.
 const RESEND_CHANGE: &str =
     "resend it with the same change id until it is answered; it takes effect once at most";
-/// Remedy when the outcome of a call without change id is unknown; a repeat changes nothing more.
+/// Remedy when the outcome of a call without change id is unknown; such calls are idempotent.
 const RESEND_CALL: &str = "send it again until it is answered; a repeat does no harm";
 
-/// Carries out what an operator asks for.
+/// Executes the route on behalf of the caller.
 pub(crate) fn execute(
     calls: &dyn AdministrationCalls,
     caller: &Caller,
@@ -110,14 +110,14 @@
     match calls.call(AdministrationRequest::Change(change)) {
         AdministrationResponse::Change(outcome) => change_response(outcome),
         AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CHANGE)),
-        // The core rejects the content of a change in its outcome; it refuses only for load.
+        // The core rejects invalid content in the outcome; it refuses a change only when overloaded.
         AdministrationResponse::Refused(reason) => Err(Failure::busy(reason)),
         other => Err(unexpected_response(other)),
     }
 }
 
-/// Whoever lost the answer to the change that made the first account still has only the bootstrap
-/// key. Its resend passes, which the state answers from memory; anything new does not.
+/// Allows only a resend of a change that the bootstrap key already made: the response to the change that
+/// created the first account may have been lost.
 fn check_bootstrap_resend(calls: &dyn AdministrationCalls, change: &Change) -> Result<(), Failure> {
     let request = AdministrationRequest::Audit(ConfigurationRevision(0));
     let records = match calls.call(request) {
@@ -257,7 +257,7 @@
     }
 }
 
-/// A repeat of a call without change id that finds its effect in place is answered as done.
+/// Succeeds for a repeated call whose effect is already in place.
 fn ok_if_done(reason: String, is_done: bool) -> Result<Response, Failure> {
     if is_done {
         ok(&json!({}))
@@ -266,7 +266,7 @@
     }
 }
 
-/// Failure for an answer that says nothing of what was asked.
+/// Converts a response that does not match the request into a failure.
 pub(crate) fn unexpected_response(response: AdministrationResponse) -> Failure {
     match response {
         AdministrationResponse::NotLeader { leader_address } => Failure::not_leader(leader_address),
@@ -275,15 +275,15 @@
             Failure::busy("too many changes are under way; none was done")
         }
         AdministrationResponse::Refused(reason) => Failure::busy(reason),
-        _ => Failure::internal("the core gave an answer to another question"),
+        _ => Failure::internal("the core returned a response of another type"),
     }
 }
 
 fn read_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, Failure> {
     serde_json::from_slice(body).map_err(|error| {
         Failure::malformed(
-            format!("the body does not fit: {error}"),
-            "send JSON as the page of the administration API has it for this path",
+            format!("the body is invalid: {error}"),
+            "send the JSON that the administration API reference defines for this path",
         )
     })
 }
--- a/crates/millpass-control/src/administration/routes.rs
+++ b/crates/millpass-control/src/administration/routes.rs
@@ -1,4 +1,4 @@
-//! What a method and path ask for.
+//! Maps method and path to a route.
 
 use super::failure::Failure;
 use crate::api;
@@ -9,48 +9,48 @@
 /// Paths that need no key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OpenRoute {
-    /// Whether the process runs.
+    /// Liveness check.
     Health,
-    /// Whether this member can take calls or name who does.
+    /// Readiness check: this member leads or can name the leader.
     Ready,
     /// Metrics.
     Metrics,
 }
 
-/// What operators may ask for.
+/// Routes for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Route {
-    /// One object.
+    /// Read one object.
     Get(ObjectKey),
-    /// Objects of a kind.
+    /// List the objects of a kind.
     List(ObjectKind),
-    /// Create or change an object; the body says how.
+    /// Create or change an object.
     Put(ObjectKey),
     /// Delete an object.
     Delete {
-        /// Object.
+        /// Key of the object.
         key: ObjectKey,
-        /// Version that the operator saw.
+        /// Version that the change is based on.
         expected_version: u64,
         /// Identity of the change.
         change_id: String,
     },
-    /// State of the deployment.
+    /// Read the state of the deployment.
     Status,
-    /// Audit records after a revision.
+    /// Read audit records after a revision.
     Audit(u64),
-    /// Set a back end's state.
+    /// Set the state of a back end.
     BackendState(String),
-    /// Change members.
+    /// Change the members of the control group.
     Members,
-    /// Requests that end the instances that run them.
+    /// List quarantined requests.
     QuarantinedRequests,
-    /// Let such a request go.
+    /// Lift the quarantine of a request.
     LiftQuarantine(RequestFingerprint),
 }
 
 impl Route {
-    /// Least role that may ask for it.
+    /// Returns the minimum role for this route.
     pub(crate) fn required_role(&self) -> OperatorRole {
         match self {
             Route::Get(_)
@@ -68,7 +68,7 @@
     }
 }
 
-/// Recognizes a path that needs no key.
+/// Matches a route that needs no key.
 pub(crate) fn open_route(method: &Method, uri: &Uri) -> Option<OpenRoute> {
     if method != Method::GET {
         return None;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Recognizes what an operator asks for.
+/// Matches a route for operators.
 pub(crate) fn route(method: &Method, uri: &Uri) -> Result<Route, Failure> {
     let segments = segments(uri.path())?;
     let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
@@ -155,8 +155,8 @@
 fn fingerprint(text: &str) -> Result<RequestFingerprint, Failure> {
     RequestFingerprint::from_hex(text).ok_or_else(|| {
         Failure::malformed(
-            format!("`{text}` is no fingerprint of a request"),
-            "take it from the list of held requests, or from `fingerprint=` in a gateway's log",
+            format!("`{text}` is not a request fingerprint"),
+            "use one from the list of held requests, or from `fingerprint=` in a gateway's log",
         )
     })
 }
@@ -166,11 +166,11 @@
         StatusCode::NOT_FOUND,
         "unknown_path",
         "there is nothing at this path",
-        "see the page of the administration API for its paths",
+        "see the administration API reference for its paths",
     )
 }
 
-/// Segments of a path, each decoded; a name with a slash comes encoded.
+/// Splits a path and decodes each segment, so that names may contain an encoded slash.
 fn segments(path: &str) -> Result<Vec<String>, Failure> {
     let path = path.strip_prefix('/').unwrap_or(path);
     path.split('/').map(decode).collect()
@@ -187,7 +187,7 @@
     Ok(decoded.into_owned())
 }
 
-/// A query parameter, decoded; a second one of that name is refused, for either could be meant.
+/// Returns a decoded query parameter; a duplicate is rejected as ambiguous.
 fn parameter(uri: &Uri, name: &str) -> Result<Option<String>, Failure> {
     let query = uri.query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/millpass-control/src/administration/server.rs
+++ b/crates/millpass-control/src/administration/server.rs
@@ -1,4 +1,4 @@
-//! Listening, and one request from its bytes to its answer.
+//! Listens and handles requests.
 
 use super::AdministrationCalls;
 use super::authentication::authenticate;
@@ -17,22 +17,21 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Most bytes of a deployment document.
+/// Maximum size of a deployment document.
 const MAXIMUM_DOCUMENT_BYTES: usize = 8 * 1024 * 1024;
 
 /// Bounds of the administration API.
 #[derive(Clone, Debug)]
 pub struct AdministrationLimits {
-    /// Most open connections; one more is answered 503 and closed. Instances that announce themselves keep
-    /// theirs, each at the leader in the end. Leaves a quarter of 4,096 descriptors to members, gateways
-    /// and engines.
+    /// Maximum number of open connections; further ones get status 503 and are closed. Announcing instances
+    /// keep a connection to the leader each. The default leaves a quarter of 4,096 file descriptors to
+    /// members, gateways and engines.
     pub maximum_connections: usize,
-    /// Most calls that are carried out at once; more wait. A call takes milliseconds, so connections at
-    /// rest need none.
+    /// Maximum number of concurrent calls; further ones wait.
     pub maximum_calls: usize,
-    /// Most bytes of a body; more is answered 413.
+    /// Maximum size of a body; larger ones get status 413.
     pub maximum_body_bytes: usize,
-    /// Time for a caller to send its header, and its body.
+    /// Timeout for receiving the header, and for receiving the body.
     pub receive_timeout: Duration,
 }
 
@@ -47,32 +46,34 @@
     }
 }
 
-/// Why the administration API did not start.
+/// Why the administration API could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum AdministrationError {
-    /// The address is none.
-    #[error("{0:?} is no address to listen at; write IP:port")]
+    /// The listen address is invalid.
+    #[error("{0:?} is not a listen address; write IP:port")]
     Address(String),
-    /// The hash is none.
-    #[error("bootstrap_key_hash is no BLAKE3 hash; write 64 hexadecimal digits, or leave it empty")]
+    /// The bootstrap key hash is invalid.
+    #[error(
+        "bootstrap_key_hash is not a BLAKE3 hash; write 64 hexadecimal digits, or leave it empty"
+    )]
     BootstrapKeyHash,
     /// The server did not start.
     #[error(transparent)]
     Server(#[from] ServerError),
 }
 
-/// The running administration API. Dropped, it stops.
+/// The running administration API; stops on drop.
 pub struct AdministrationServer {
     handle: ServerHandle,
 }
 
 impl AdministrationServer {
-    /// Address listened at, with the real port.
+    /// Returns the bound address.
     pub fn local_address(&self) -> SocketAddr {
         self.handle.local_address()
     }
 
-    /// Takes no more calls and waits at most `grace` for those under way.
+    /// Stops accepting calls and waits at most `grace` for those in progress.
     pub fn drain(&self, grace: Duration) {
         let report = self.handle.drain(grace);
         log::info!(
@@ -88,8 +89,8 @@
     }
 }
 
-/// Starts the administration API. `listen` is IP:port, port 0 takes a free one;
-/// `bootstrap_key_hash` (hex, may be empty) counts as administrator while no account exists.
+/// Starts the administration API. `listen` is IP:port; port 0 picks a free port. The key with
+/// `bootstrap_key_hash` (hex, may be empty) has the administrator role while no account exists.
 pub fn start(
     listen: &str,
     limits: &AdministrationLimits,
@@ -99,7 +100,7 @@
     start_extended(listen, limits, bootstrap_key_hash, calls, None)
 }
 
-/// Like [`start`]; `extension` answers calls of its own first.
+/// Like [`start`], with an extension that handles its own calls first.
 pub fn start_extended(
     listen: &str,
     limits: &AdministrationLimits,
@@ -146,7 +147,7 @@
     }
 }
 
-/// What answers requests.
+/// Request handler.
 struct Api {
     calls: Arc<dyn AdministrationCalls>,
     bootstrap: Option<Hash>,
@@ -167,7 +168,7 @@
             .unwrap_or_else(Failure::into_response)
     }
 
-    /// Nothing, not even which paths there are, is told before the key is known.
+    /// Authenticates before routing, so that unauthenticated callers cannot discover paths.
     fn respond_operator(&self, request: &Request) -> Result<Response, Failure> {
         let caller = authenticate(&*self.calls, self.bootstrap, &request.headers)?;
         let route = routes::route(&request.method, &request.uri)?;
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Ready is a member that can prove that it leads, or can name who leads.
+    /// A member is ready if it leads with a valid lease or can name the leader.
     fn ready(&self) -> Response {
         let probe = AdministrationRequest::Get(ObjectKey {
             kind: ObjectKind::Operator,
--- a/crates/millpass-control/src/api/membership.rs
+++ b/crates/millpass-control/src/api/membership.rs
@@ -1,16 +1,16 @@
-//! Changes of the group's members.
+//! Membership changes of the control group.
 
 use millpass_consensus::MembershipChange;
 use millpass_proto::{MemberAddress, MemberId, Membership, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// One change of the group's members.
+/// One membership change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum MembershipBody {
-    /// Add a member that receives the log and does not vote.
+    /// Add a non-voting member that receives the log.
     AddLearner {
-        /// Identity of the member.
+        /// Member id.
         member: u64,
         /// Zone.
         zone: String,
@@ -21,21 +21,21 @@
     },
     /// Make a caught-up learner a voter.
     Promote {
-        /// The learner.
+        /// Member id of the learner.
         learner: u64,
-        /// The voter that it replaces, if any.
+        /// Member id of the voter that it replaces; `None` to add a voter.
         #[serde(default)]
         replaces: Option<u64>,
     },
     /// Remove a voter or learner.
     Remove {
-        /// Identity of the member.
+        /// Member id.
         member: u64,
     },
 }
 
 impl MembershipBody {
-    /// Whether these members are what the change asks for, so that a resend has nothing to do.
+    /// Returns whether the membership already reflects this change.
     pub(crate) fn is_satisfied_by(&self, membership: &Membership) -> bool {
         if !membership.outgoing_voters.is_empty() {
             return false;
--- a/crates/millpass-control/src/api/mod.rs
+++ b/crates/millpass-control/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! Bodies of the administration API (JSON).
+//! JSON bodies of the administration API.
 //!
-//! The content of an object has the field names of the message types, as the `[[kind]]` tables
-//! of object files have them; [`spec_to_json`] and [`spec_from_json`] convert.
+//! The content of an object has the field names of the message types, like the `[[kind]]` tables of object
+//! files; [`spec_to_json`] and [`spec_from_json`] convert.
 
 mod kinds;
 mod membership;
@@ -22,16 +22,16 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Largest body of a request, in bytes. The largest object is far below it.
+/// Maximum size of a request body, in bytes.
 pub const MAXIMUM_BODY_BYTES: usize = 512 * 1024;
 
-/// One change of one object; its kind and name stand in the path.
+/// One change of one object; its kind and name are in the path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeBody {
-    /// Version that the operator saw; 0 for an object that must not exist.
+    /// Version that the change is based on; 0 for an object that must not exist.
     pub expected_version: u64,
-    /// Identity of the change; a resend carries the same one and gets the first answer.
+    /// Identity of the change; a resend with the same one gets the first response.
     pub change_id: String,
     /// New content.
     pub spec: Value,
@@ -42,7 +42,7 @@
 pub struct AcceptedBody {
     /// New version of the object.
     pub version: u64,
-    /// Revision of the catalog that holds it.
+    /// Catalog revision that contains it.
     pub revision: u64,
 }
 
@@ -62,9 +62,9 @@
     pub kind: String,
     /// Name.
     pub name: String,
-    /// Version of this object; the next change must expect it.
+    /// Version of this object, to be expected by the next change.
     pub version: u64,
-    /// Revision of the catalog at which it last changed.
+    /// Catalog revision of its last change.
     pub revision: u64,
     /// Content.
     pub spec: Value,
@@ -101,7 +101,7 @@
 /// One accepted change in the audit log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecordBody {
-    /// Revision of the catalog that holds the change.
+    /// Catalog revision that contains the change.
     pub revision: u64,
     /// Kind of the object, in the singular.
     pub kind: String,
@@ -113,7 +113,7 @@
     pub change_id: String,
     /// Operator who submitted it.
     pub operator: String,
-    /// Wall-clock time at the member that took it, in Unix milliseconds.
+    /// Wall-clock time at the member that accepted it, in Unix milliseconds.
     pub at_unix_millis: u64,
     /// Whether the change deleted the object.
     pub deleted: bool,
@@ -134,33 +134,32 @@
     }
 }
 
-/// Body of every answer that is not a success.
+/// Body of every error response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
-/// What went wrong and what to do.
+/// Details of an error and its remedy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Word for programs; the interface's page lists them. The HTTP server's own refusals call
-    /// it `code`.
+    /// Machine-readable error kind. The HTTP server's own errors name this field `code`.
     #[serde(alias = "code")]
     pub kind: String,
-    /// What went wrong, for people.
+    /// Human-readable message.
     #[serde(default)]
     pub message: String,
-    /// What to do about it.
+    /// Human-readable remedy.
     #[serde(default)]
     pub remedy: String,
-    /// Administration address of the leader, when this member does not lead and knows it.
+    /// Administration address of the leader, if this member does not lead and the leader is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leader_address: Option<String>,
-    /// Version of the object now, for a conflict; 0 if it does not exist.
+    /// Current version of the object, for a conflict; 0 if it does not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current_version: Option<u64>,
-    /// Program of the policy that is wrong.
+    /// Program of the policy that contains the error.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub program: Option<String>,
     /// Line in that program, from 1.
--- a/crates/millpass-control/src/api/quarantine.rs
+++ b/crates/millpass-control/src/api/quarantine.rs
@@ -1,20 +1,20 @@
-//! Requests that end the instances that run them.
+//! Quarantined requests: requests that crash the instances that run them.
 
 use millpass_proto::{Duration, RequestFingerprint};
 use serde::{Deserialize, Serialize};
 
-/// A request that is held back.
+/// A quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedRequestBody {
     /// Fingerprint, in hexadecimal digits; gateways log it with each request.
     pub fingerprint: String,
-    /// Ends of instances that count against it.
+    /// Number of instance crashes attributed to it.
     pub ends: u32,
-    /// How much longer it is refused, in milliseconds; 0 once that time is over.
+    /// Remaining quarantine, in milliseconds; 0 once it has expired.
     pub held_ms: u64,
 }
 
-/// All of them.
+/// All quarantined requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedRequestsBody {
     /// Requests.
--- a/crates/millpass-control/src/api/specs.rs
+++ b/crates/millpass-control/src/api/specs.rs
@@ -1,22 +1,22 @@
-//! Content of objects to JSON and back.
+//! Conversion of object content to and from JSON.
 
 use millpass_proto::{ObjectKind, ObjectSpec};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Why JSON is not the content of an object.
+/// Why JSON is not valid object content.
 #[derive(Debug, thiserror::Error)]
 pub enum SpecError {
-    /// A field is missing or of another type.
-    #[error("the content does not fit the kind: {0}; correct that field")]
+    /// A field is missing or has the wrong type.
+    #[error("the content does not match the kind: {0}; correct that field")]
     Invalid(#[from] serde_json::Error),
     /// A field that the kind does not have.
     #[error("unknown field `{0}`; remove it or correct its name")]
     UnknownField(String),
 }
 
-/// Content as JSON, without its kind.
+/// Converts content to JSON, without its kind.
 pub fn spec_to_json(spec: &ObjectSpec) -> Result<Value, serde_json::Error> {
     match spec {
         ObjectSpec::Tenant(tenant) => serde_json::to_value(tenant),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Content of this kind from JSON. Every field but optional ones must be there, and no other.
+/// Parses content of this kind. All required fields must be present, and unknown fields are rejected.
 pub fn spec_from_json(kind: ObjectKind, json: &Value) -> Result<ObjectSpec, SpecError> {
     match kind {
         ObjectKind::Tenant => read(json).map(ObjectSpec::Tenant),
@@ -51,7 +51,7 @@
     }
 }
 
-/// First field of what was given that is not in what was parsed.
+/// Returns the first field of `given` that is missing from `parsed`.
 fn unknown_field(given: &Value, parsed: &Value) -> Option<String> {
     match (given, parsed) {
         (Value::Object(given), Value::Object(parsed)) => given.iter().find_map(|(name, value)| {
--- a/crates/millpass-control/src/api/status.rs
+++ b/crates/millpass-control/src/api/status.rs
@@ -10,19 +10,19 @@
 pub struct StatusBody {
     /// Term of the control group.
     pub term: u64,
-    /// Member that leads.
+    /// Id of the leader; `None` if unknown.
     pub leader: Option<u64>,
     /// Commit index of the log.
     pub commit: u64,
-    /// Revision of the catalog.
+    /// Catalog revision.
     pub configuration: u64,
-    /// Orders that engines have not settled.
+    /// Orders without a final response from their engines.
     pub outstanding_orders: u64,
     /// Control members.
     pub members: Vec<MemberBody>,
-    /// Routers that reported to this leader.
+    /// Routers that have reported to this leader.
     pub routers: Vec<RouterBody>,
-    /// Decided replicas, in every phase.
+    /// Placed replicas, in all phases.
     pub replicas: Vec<ReplicaBody>,
     /// Back ends that are not gone.
     pub backends: Vec<BackendBody>,
@@ -31,7 +31,7 @@
 /// One control member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberBody {
-    /// Identity.
+    /// Member id.
     pub member: u64,
     /// Zone.
     pub zone: String,
@@ -39,9 +39,9 @@
     pub role: String,
     /// IP address and port for members and routers.
     pub peer_address: String,
-    /// Milliseconds since it last answered the leader; none for the leader itself.
+    /// Milliseconds since its last response to the leader; `None` for the leader itself.
     pub silent_millis: Option<u64>,
-    /// Last log index known to be synced there; none for the leader itself.
+    /// Last log index known to be synced there; `None` for the leader itself.
     pub match_index: Option<u64>,
 }
 
@@ -52,7 +52,7 @@
     pub router: String,
     /// Zone.
     pub zone: String,
-    /// Revision of the catalog that it applied.
+    /// Catalog revision that it has applied.
     pub configuration: u64,
     /// Milliseconds since its last report.
     pub silent_millis: u64,
@@ -60,7 +60,7 @@
     pub draining: bool,
 }
 
-/// One decided replica.
+/// One placed replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaBody {
     /// Slot.
@@ -84,7 +84,7 @@
     pub state: String,
 }
 
-/// State that a back end is to have.
+/// Requested state of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendStateBody {
@@ -92,7 +92,7 @@
     pub state: String,
 }
 
-/// Word of a back end's state.
+/// Returns the name of a back end's state.
 pub const fn backend_state_name(state: BackendState) -> &'static str {
     match state {
         BackendState::Live => "live",
@@ -101,7 +101,7 @@
     }
 }
 
-/// State of a word.
+/// Returns the state with this name; `None` if there is none.
 pub fn backend_state_from_name(name: &str) -> Option<BackendState> {
     let states = [
         BackendState::Live,
--- a/crates/millpass-control/src/backlog.rs
+++ b/crates/millpass-control/src/backlog.rs
@@ -1,9 +1,7 @@
-//! What waits for the core, by priority.
+//! Inputs waiting for the core, by priority.
 //!
-//! Each class has a bounded queue of its own, in order of arrival. A tick that is due comes before all
-//! else, then what consensus needs, then the other classes in order, each up to its quota of a turn. So no
-//! class waits for another for good: at most the shares of the less urgent classes are taken before an
-//! input of a class whose quota is used up.
+//! Each class has a bounded FIFO queue. A due tick comes first, then the classes in order of priority, each
+//! up to its quota per turn, so that no class starves another.
 
 use crate::priority::Priority;
 use std::collections::VecDeque;
@@ -11,12 +9,12 @@
 
 const CLASSES: usize = Priority::ALL.len();
 
-/// What the core's thread does next.
+/// Next action of the core's thread.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Next<T> {
     /// A tick is due.
     Tick,
-    /// Take this input up.
+    /// Process this input.
     Input(Priority, T),
     /// Nothing to do before the tick is due.
     Idle,
@@ -25,19 +23,14 @@
 /// Bounds of one class.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    /// Inputs that may wait.
+    /// Maximum queue length.
     length: usize,
-    /// Inputs taken in one turn while others wait.
+    /// Inputs taken per turn while other classes wait.
     quota: usize,
 }
 
-/// A class is refused, or its sender waits, beyond `length`. What a member sends is bounded by its windows
-/// (32 requests under way for each other member), so the length of consensus is never reached by a group
-/// of 64. The others hold a call, a request for credit, or a few reports of each of 1,000 connections; of
-/// announcements as many as may be under way at once.
-///
-/// A turn without consensus takes 44 inputs. A step takes 0.1 to 1 ms, so a turn ends well within the wait
-/// that a sender of credit or announcements grants.
+/// Returns the bounds of a class. The consensus queue exceeds what members' windows allow to be in flight; the
+/// others fit a few inputs from each of 1,000 connections. Quotas keep a turn well below the timeouts of senders.
 fn bounds(class: Priority) -> Bounds {
     let (length, quota) = match class {
         Priority::Consensus => (2_048, 256),
@@ -49,7 +42,7 @@
     Bounds { length, quota }
 }
 
-/// Inputs that wait, by class.
+/// Waiting inputs by class.
 #[derive(Debug)]
 pub struct Backlog<T> {
     waiting: [VecDeque<T>; CLASSES],
@@ -70,12 +63,12 @@
 }
 
 impl<T> Backlog<T> {
-    /// Whether the class has room for one more.
+    /// Returns whether the class has capacity for one more input.
     pub fn has_capacity(&self, class: Priority) -> bool {
         self.length(class) < bounds(class).length
     }
 
-    /// Adds an input; hands it back, and counts it, when its class is full.
+    /// Adds an input; returns it, and counts it as refused, if its class is full.
     pub fn push(&mut self, class: Priority, input: T) -> Result<(), T> {
         if !self.has_capacity(class) {
             self.refused[class as usize] += 1;
@@ -85,13 +78,13 @@
         Ok(())
     }
 
-    /// Adds an input of the core's own making, which cannot wait for room and must not be lost.
+    /// Adds an input that the core itself caused, regardless of capacity, as it must not be lost.
     pub fn push_unbounded(&mut self, class: Priority, input: T) {
         self.waiting[class as usize].push_back(input);
     }
 
-    /// What to do now, when the next tick is due at `tick_due`. The caller counts the time to a tick from
-    /// the end of the one before, so that ticks leave time for inputs.
+    /// Returns the next action. The caller measures the time to `tick_due` from the end of the previous tick, so
+    /// that ticks leave time for inputs.
     pub fn next(&mut self, now: Instant, tick_due: Instant) -> Next<T> {
         if now >= tick_due {
             return Next::Tick;
@@ -110,7 +103,7 @@
         let index = class as usize;
         let input = self.waiting[index].pop_front()?;
         self.taken[index] += 1;
-        // Consensus limits itself: only a queue that never empties has to let others pass.
+        // Consensus bounds itself, so its quota applies only while its queue never empties.
         if class == Priority::Consensus && self.waiting[index].is_empty() {
             self.taken[index] = 0;
         }
@@ -124,12 +117,12 @@
         })
     }
 
-    /// Inputs of a class that wait.
+    /// Returns the queue length of a class.
     pub fn length(&self, class: Priority) -> usize {
         self.waiting[class as usize].len()
     }
 
-    /// Inputs of a class that were refused since the start.
+    /// Returns how many inputs of a class were refused since startup.
     pub fn refused(&self, class: Priority) -> u64 {
         self.refused[class as usize]
     }
--- a/crates/millpass-control/src/call_schedule.rs
+++ b/crates/millpass-control/src/call_schedule.rs
@@ -1,43 +1,41 @@
-//! Which waiting call is made next.
+//! Schedules calls to peers: engines and the platform.
 //!
-//! Calls wait by peer: an engine, or the platform. A peer gets one call at a time, in order. One whose last call was not
-//! answered is silent: silent peers together have a share of the calls at once, so that calls to them, each of which lasts
-//! until its time-out, hold up nobody else. A call that has waited past its time is never made.
+//! A peer gets one call at a time, in order. A peer whose last call got no response counts as unreachable. Unreachable
+//! peers together may use only a fraction of the concurrent calls, so that their timeouts do not delay calls to others.
+//! Calls that have waited past their expiry are never made.
 
 use millpass_proto::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Share of the calls at once that silent peers may take: a quarter.
+/// Unreachable peers may use one in this many concurrent calls.
 const UNREACHABLE_DIVISOR: usize = 4;
-/// Most silent peers that are remembered; beyond it all are given the benefit of the doubt.
+/// Maximum number of tracked unreachable peers; when exceeded, tracking starts over.
 const MAXIMUM_UNREACHABLE: usize = 8_192;
 
-/// A call that waits.
 struct WaitingCall<T> {
     expires_at: Timestamp,
     call: T,
 }
 
-/// Calls of one peer.
 struct PeerQueue<T> {
     waiting: VecDeque<WaitingCall<T>>,
     in_progress: bool,
 }
 
-/// How a call ended, as far as it matters for those to come.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The peer answered.
+    /// The peer responded.
     Responded,
-    /// It did not.
+    /// The peer did not respond.
     Unreachable,
 }
 
-/// Calls that wait, and those under way.
+/// Waiting calls and calls in progress.
 pub struct CallSchedule<T> {
     queues: BTreeMap<String, PeerQueue<T>>,
     unreachable: BTreeSet<String>,
-    /// Peers with a waiting call and none under way, the longest waiting first.
+    /// Peers with a waiting call and none in progress, the longest waiting first.
     ready: VecDeque<String>,
     unreachable_ready: VecDeque<String>,
     unreachable_in_progress: usize,
@@ -47,7 +45,7 @@
 }
 
 impl<T> CallSchedule<T> {
-    /// For so many calls at once, and so many that wait.
+    /// Creates a schedule for this many concurrent and waiting calls.
     pub fn new(concurrency: usize, maximum_waiting: usize) -> Self {
         CallSchedule {
             queues: BTreeMap::new(),
@@ -61,7 +59,7 @@
         }
     }
 
-    /// Adds a call to a peer; gives it back if too many wait.
+    /// Adds a call to a peer; returns it if too many calls wait.
     pub fn push(&mut self, peer: &str, expires_at: Timestamp, call: T) -> Result<(), T> {
         if self.waiting >= self.maximum_waiting {
             return Err(call);
@@ -85,7 +83,7 @@
         }
     }
 
-    /// Whether a call may be made now.
+    /// Returns whether a call can be made now.
     pub fn has_ready(&self) -> bool {
         !self.ready.is_empty() || self.may_call_unreachable()
     }
@@ -95,7 +93,7 @@
             && self.unreachable_in_progress < self.maximum_unreachable_in_progress
     }
 
-    /// The next call to make, and its peer; [`CallSchedule::finish`] is owed for it.
+    /// Takes the next call and its peer. The caller must call [`CallSchedule::finish`] after the call.
     pub fn take(&mut self) -> Option<(String, T)> {
         let peer = match self.ready.pop_front() {
             Some(peer) => peer,
@@ -112,7 +110,7 @@
         Some((peer, waiting.call))
     }
 
-    /// The call under way to a peer has ended.
+    /// Records the outcome of the call in progress to a peer.
     pub fn finish(&mut self, peer: &str, outcome: CallOutcome) {
         if self.unreachable.remove(peer) {
             self.unreachable_in_progress -= 1;
@@ -134,7 +132,7 @@
         }
     }
 
-    /// Those with a call under way stay, as their ends are counted.
+    /// Keeps peers with a call in progress, as `finish` decrements their count.
     fn forget_unreachable(&mut self) {
         let queues = &self.queues;
         self.unreachable
@@ -142,7 +140,7 @@
         self.ready.append(&mut self.unreachable_ready);
     }
 
-    /// Takes out the calls whose time has passed.
+    /// Removes and returns the expired calls.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<T> {
         if self.waiting == 0 {
             return Vec::new();
@@ -170,7 +168,7 @@
         expired
     }
 
-    /// When the next waiting call's time passes.
+    /// Returns when the next waiting call expires.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         let waiting = self.queues.values().flat_map(|queue| &queue.waiting);
         waiting.map(|waiting| waiting.expires_at).min()
--- a/crates/millpass-control/src/calls.rs
+++ b/crates/millpass-control/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the administration API that wait for the core's answer.
+//! Calls of the administration API that wait for the core's response.
 
 use crate::administration::{AdministrationCalls, RefusedAnnouncement};
 use crate::inputs::{Inputs, SendError};
@@ -14,26 +14,25 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Longer than the core's own deadline of a call; only a core that hangs reaches it.
+/// Call timeout. Exceeds the core's own deadline, so only a hung core reaches it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// Most calls of a class that wait; the API's handler threads bound it further.
+/// Maximum number of waiting calls per class; the API's handler threads bound it further.
 const MAXIMUM_CALLS: usize = 1_024;
-/// Most announcements and reads that wait, three quarters of the API's handler threads: the others are left
-/// to changes and departures, which would else wait behind them for a thread.
+/// Maximum number of waiting announcements and reads: three quarters of the API's handler threads, so that changes
+/// and departures always find a thread.
 const MAXIMUM_ANNOUNCEMENT_CALLS: usize = 192;
 
-/// Time between two log lines about refused announcements: whoever sends them may send many. All are counted.
+/// Time between two log lines about refused announcements. All are counted in metrics.
 pub(crate) const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Most characters of the reason in such a line, which may quote what was sent.
+/// Maximum length of the logged error, which may quote what was sent.
 const MAXIMUM_REFUSAL_CHARACTERS: usize = 200;
 
-/// A call under way.
 struct WaitingCall {
     class: Priority,
     response: Sender<AdministrationResponse>,
 }
 
-/// The calls under way. Its lock is held alone, never together with another.
+/// Calls in progress. Its lock is never held together with another.
 #[derive(Default)]
 pub(crate) struct CallTable {
     waiting: Mutex<BTreeMap<u64, WaitingCall>>,
@@ -41,7 +40,7 @@
 }
 
 impl CallTable {
-    /// Adds a call and gives it a number; none if too many of its class wait.
+    /// Adds a call and returns its number; `None` if too many of its class wait.
     fn admit(&self, class: Priority, response: Sender<AdministrationResponse>) -> Option<u64> {
         let mut waiting = self.lock();
         let same_class = waiting.values().filter(|call| call.class == class).count();
@@ -53,7 +52,7 @@
         Some(call)
     }
 
-    /// Answers a call; nothing happens if nobody waits any more.
+    /// Completes a call. Does nothing if the call has timed out.
     pub(crate) fn respond(&self, call: u64, response: AdministrationResponse) {
         if let Some(waiting) = self.remove(call) {
             let _ = waiting.response.send(response);
@@ -64,7 +63,7 @@
         self.lock().remove(&call)
     }
 
-    /// The core has ended: whoever waits learns that the outcome is unknown.
+    /// Completes all waiting calls with an unknown outcome, after the core has ended.
     pub(crate) fn fail_all(&self) {
         let waiting = std::mem::take(&mut *self.lock());
         for call in waiting.into_values() {
@@ -84,16 +83,16 @@
     }
 }
 
-/// The administration API's way to the core.
+/// Connects the administration API to the core.
 pub(crate) struct CoreCalls {
     pub(crate) inputs: Inputs,
     pub(crate) table: Arc<CallTable>,
     pub(crate) metrics: Arc<Metrics>,
-    /// For log lines about refused announcements. Its lock is held alone.
+    /// Throttles log lines about refused announcements. Its lock is never held together with another.
     pub(crate) refusal_log: Mutex<Throttle>,
 }
 
-/// The error, which may quote what was sent, in a bounded length.
+/// Formats an error, truncated as it may quote what was sent.
 fn truncated(error: &dyn Display) -> String {
     error
         .to_string()
@@ -142,7 +141,7 @@
     }
 }
 
-/// Nothing was done in either case.
+/// Response to a call that was not accepted; nothing was done.
 fn refused_response(reason: SendError) -> AdministrationResponse {
     match reason {
         SendError::Full => AdministrationResponse::Busy,
--- a/crates/millpass-control/src/client/call.rs
+++ b/crates/millpass-control/src/client/call.rs
@@ -1,4 +1,4 @@
-//! What is sent, the same at each resend.
+//! Calls in the form in which they are sent and resent.
 
 use super::ClientError;
 use crate::api::{ErrorDetail, MAXIMUM_BODY_BYTES, kind_plural};
@@ -7,12 +7,12 @@
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use serde::Serialize;
 
-/// A call, ready to be sent any number of times.
+/// A call that can be sent any number of times.
 pub(super) struct Call {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) body: Vec<u8>,
-    /// Whether it changes something.
+    /// Whether the call is a change.
     pub(super) changes: bool,
 }
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// Refused here: a member that refuses a body it has not read whole may cut the connection
-/// before its answer is read.
+/// Error for an oversized body. Checked locally, as a member may close the connection before its error
+/// response is read.
 fn too_large() -> ClientError {
     ClientError::Rejected {
         status: StatusCode::PAYLOAD_TOO_LARGE.as_u16(),
@@ -59,12 +59,11 @@
     }
 }
 
-/// Path of an object.
 pub(super) fn object_path(kind: ObjectKind, name: &str) -> String {
     format!("/v1/{}/{}", kind_plural(kind), encode(name))
 }
 
-/// A name as one segment of a path or as a value in a query.
+/// Percent-encodes a path segment or query value.
 pub(super) fn encode(text: &str) -> String {
     utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
 }
--- a/crates/millpass-control/src/client/error.rs
+++ b/crates/millpass-control/src/client/error.rs
@@ -1,4 +1,4 @@
-//! Why a call failed.
+//! Errors of the administration API client.
 
 use crate::api::ErrorDetail;
 
@@ -8,55 +8,55 @@
     /// No address was given.
     #[error("no address of a control member was given; name at least one, IP:port")]
     NoAddress,
-    /// The key is not accepted.
+    /// The key was rejected.
     #[error("{message}; {remedy}")]
     Unauthenticated {
-        /// What is wrong.
+        /// Reason.
         message: String,
-        /// What to do.
+        /// Remedy.
         remedy: String,
     },
-    /// The role does not allow it.
+    /// The role does not permit the call.
     #[error("{message}; {remedy}")]
     Forbidden {
-        /// What is wrong.
+        /// Reason.
         message: String,
-        /// What to do.
+        /// Remedy.
         remedy: String,
     },
-    /// Somebody else changed the object first; nothing was changed.
+    /// The object is at another version than expected; nothing was changed.
     #[error(
-        "the object is at version {current_version} by now (0: it does not exist) and nothing was \
+        "the object is now at version {current_version} (0: it does not exist) and nothing was \
          changed; read it and submit the change against that version"
     )]
     Conflict {
-        /// Version of the object now; 0 if it does not exist.
+        /// Current version of the object; 0 if it does not exist.
         current_version: u64,
     },
-    /// The request is not accepted; nothing was changed.
+    /// The request was rejected; nothing was changed.
     #[error("{} ({status}); {}", .detail.message, .detail.remedy)]
     Rejected {
-        /// Status of the answer.
+        /// HTTP status.
         status: u16,
-        /// Reason and remedy, for a policy with the place in it.
+        /// Reason and remedy, with the position for an invalid policy.
         detail: Box<ErrorDetail>,
     },
-    /// The deadline is over and no member took the call; nothing was changed.
-    #[error("no control member took the call in time ({last}); check the addresses, and retry")]
+    /// The deadline has passed and no member accepted the call; nothing was changed.
+    #[error("no control member accepted the call in time ({last}); check the addresses and retry")]
     Unavailable {
-        /// What the last try met.
+        /// Error of the last attempt.
         last: String,
     },
-    /// The deadline is over and the answer was lost: it may have been done or may yet be.
+    /// The deadline has passed and the response was lost: the call may have been or may still be executed.
     #[error(
-        "the answer was lost ({last}) and the outcome is unknown; read the state before you \
+        "the response was lost ({last}) and the outcome is unknown; read the state before you \
          submit anything else, or resend with the same change id"
     )]
     OutcomeUnknown {
-        /// What the last try met.
+        /// Error of the last attempt.
         last: String,
     },
-    /// The answer is no body of this interface.
-    #[error("the answer was not understood ({0}); use the client of the members' release")]
+    /// The response body is invalid.
+    #[error("invalid response body ({0}); use a client of the same release as the members")]
     UnexpectedResponse(String),
 }
--- a/crates/millpass-control/src/client/mod.rs
+++ b/crates/millpass-control/src/client/mod.rs
@@ -1,9 +1,8 @@
 //! Client of the administration API, for the command line and the lab.
 //!
-//! A call goes through the members' addresses, follows the leader that a member names, and is
-//! sent again, with the same change id, until it is answered or its deadline is over. That is
-//! safe: a change takes effect once however often it is sent, and the other calls state what is
-//! to be, so that a repeat does nothing more.
+//! A call tries the members in turn, follows the leader that a member names, and is resent with the same
+//! change id until it succeeds or its deadline passes. Resending is safe: changes are deduplicated by change
+//! id, and the other calls are idempotent.
 
 mod call;
 mod error;
@@ -25,16 +24,14 @@
 
 /// Deadline of a call when none is set.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(15);
-/// Longest wait for one member: longer than the core's own deadline of a change.
+/// Timeout of one attempt: longer than the core's own deadline of a change.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(7);
-/// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections are used again only this long; members close them somewhat later.
+/// Maximum idle time of a reused connection; members close idle connections later.
 const MAXIMUM_IDLE_AGE: Duration = Duration::from_secs(5);
-/// Pause after the first failed try; it doubles up to [`MAXIMUM_BACKOFF`].
+/// Delay after the first failed attempt; it doubles up to [`MAXIMUM_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAXIMUM_BACKOFF: Duration = Duration::from_millis(500);
-/// Largest answer read, in bytes.
 const MAXIMUM_RESPONSE_BYTES: u64 = 256 * 1024 * 1024;
 
 /// A client of the administration API.
@@ -42,30 +39,30 @@
 pub struct AdministrationClient {
     agent: Agent,
     addresses: Vec<String>,
-    /// Address asked next: one of the list, or a leader that was named.
+    /// Address of the next attempt: one of the list, or a reported leader.
     current: String,
-    /// Place in the list of the address to ask when no leader is named.
+    /// Index of the next address to try when no leader is reported.
     next_index: usize,
     key: String,
     deadline: Duration,
 }
 
-/// What one try met.
+/// Result of one attempt.
 enum Attempt {
-    /// The answer.
+    /// The response body.
     Success(Vec<u8>),
-    /// An answer that trying again would not alter.
+    /// An error that a retry would not resolve.
     Failed(ClientError),
     /// Another member leads; nothing was done.
     NotLeader(Option<String>),
-    /// It was not taken; nothing was done.
+    /// The call was not accepted; nothing was done.
     NotExecuted(String),
-    /// It may have been done.
+    /// The response was lost; the call may have been executed.
     Lost(String),
 }
 
 impl AdministrationClient {
-    /// A client of the members at these addresses (IP:port) with an operator's key.
+    /// Creates a client of the members at these addresses (IP:port) with an operator's key.
     pub fn new(addresses: Vec<String>, key: impl Into<String>) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -84,13 +81,13 @@
         }
     }
 
-    /// The same client with another deadline for each call, resends included.
+    /// Sets the deadline of each call, including resends.
     pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
-    /// One object, or none.
+    /// Reads one object; `None` if it does not exist.
     pub fn get(&mut self, kind: ObjectKind, name: &str) -> Result<Option<ObjectBody>, ClientError> {
         match self.call(Call::read(object_path(kind, name))) {
             Ok(object) => Ok(Some(object)),
@@ -99,7 +96,7 @@
         }
     }
 
-    /// All objects of a kind, by name.
+    /// Lists the objects of a kind, ordered by name.
     pub fn list(&mut self, kind: ObjectKind) -> Result<Vec<ObjectBody>, ClientError> {
         let path = format!("/v1/{}", kind_plural(kind));
         let listed: ObjectsBody = self.call(Call::read(path))?;
@@ -134,17 +131,17 @@
         })
     }
 
-    /// State of the deployment.
+    /// Reads the state of the deployment.
     pub fn status(&mut self) -> Result<StatusBody, ClientError> {
         self.call(Call::read("/v1/status".to_owned()))
     }
 
-    /// Accepted changes after a revision that are still kept.
+    /// Reads the retained audit records after a revision.
     pub fn audit(&mut self, after: u64) -> Result<AuditBody, ClientError> {
         self.call(Call::read(format!("/v1/audit?after={after}")))
     }
 
-    /// Marks a back end as leaving: it gets no new work, and what it has ends by itself.
+    /// Marks a back end as leaving: it gets no new work and finishes what it has.
     pub fn drain_backend(&mut self, backend: &str) -> Result<(), ClientError> {
         let path = format!("/v1/backends/{}/state", encode(backend));
         let state = BackendStateBody {
@@ -154,12 +151,12 @@
         Ok(())
     }
 
-    /// Requests that are held back, as they end the instances that run them.
+    /// Lists the quarantined requests.
     pub fn quarantined_requests(&mut self) -> Result<QuarantinedRequestsBody, ClientError> {
         self.call(Call::read("/v1/held-requests".to_owned()))
     }
 
-    /// Lets such a request go.
+    /// Lifts the quarantine of a request.
     pub fn lift_quarantine(&mut self, fingerprint: &str) -> Result<(), ClientError> {
         let _: Value = self.call(Call {
             method: Method::DELETE,
@@ -177,7 +174,7 @@
         Ok(())
     }
 
-    /// Sends a call until it is answered or the deadline is over.
+    /// Sends a call until it succeeds, fails for good, or the deadline passes.
     fn call<T: DeserializeOwned>(&mut self, call: Call) -> Result<T, ClientError> {
         if self.addresses.is_empty() {
             return Err(ClientError::NoAddress);
@@ -214,10 +211,10 @@
         }
     }
 
-    /// Asks the leader next if one was named, else the next address of the list. The list goes on
-    /// where it was: a follower that names an unreachable leader must not hide the others.
+    /// Selects the reported leader, or else the next address of the list. The position in the list is kept, so
+    /// that a follower that names an unreachable leader does not hide the other members.
     fn select_next(&mut self, leader: Option<String>) {
-        // Only an address as members state it is followed, never any other text.
+        // Only a socket address is followed, never any other text.
         let leader = leader.filter(|address| address.parse::<SocketAddr>().is_ok());
         self.current = leader.unwrap_or_else(|| {
             let index = self.next_index % self.addresses.len();
@@ -268,14 +265,14 @@
     }
 }
 
-/// What an answer means for the call.
+/// Classifies a response.
 fn classify(status: StatusCode, body: Vec<u8>) -> Attempt {
     if status.is_success() {
         return Attempt::Success(body);
     }
     let parsed: Result<ErrorBody, _> = serde_json::from_slice(&body);
     let Ok(ErrorBody { error: detail }) = parsed else {
-        return Attempt::Lost(format!("{status} without a body of this interface"));
+        return Attempt::Lost(format!("{status} without an administration API error body"));
     };
     let (message, remedy) = (detail.message.clone(), detail.remedy.clone());
     match (status, detail.kind.as_str()) {
@@ -308,9 +305,9 @@
     }
 }
 
-/// A key or address that does not fit into a request; nothing was sent.
+/// Error for a key or address that cannot be encoded in a request; nothing was sent.
 fn invalid_request(error: &http::Error) -> ClientError {
     ClientError::Unavailable {
-        last: format!("the request cannot be written: {error}"),
+        last: format!("the request cannot be encoded: {error}"),
     }
 }
--- a/crates/millpass-control/src/connections.rs
+++ b/crates/millpass-control/src/connections.rs
@@ -1,9 +1,8 @@
-//! Connections that members, routers and joiners make to this member.
+//! Inbound connections of members, routers and joiners.
 //!
-//! One thread serves all of them, as tasks: a thread for each, or two, would be thousands where a gateway runs on each of
-//! a thousand machines. A router that does not read is disconnected when its queue is full, and comes back. Of a gateway's
-//! updates one at most backlogged behind the one that is being written: the core hears of it, and sends the next when both are
-//! written.
+//! One thread serves all of them as tasks, as there may be thousands. A router that does not read is disconnected when
+//! its queue is full, and reconnects. At most one gateway update waits behind the one being written: the core is
+//! notified, and sends the next one after both are written.
 
 use crate::frames::{read_frame, write_frame};
 use crate::inputs::Inputs;
@@ -25,32 +24,30 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bytes read from a connection at once.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
-/// Bytes that a router's socket holds for it; the kernel takes twice as much. A larger copy passes in parts: at 50 ms
-/// there and back, more than a megabyte a second.
+/// Send buffer of a router's socket; the kernel doubles it. Kept small, as buffered updates cannot be replaced by newer
+/// ones.
 const SEND_BUFFER_BYTES: usize = 64 * 1024;
-/// Pause after an accept failed, so that a lack of descriptors does not spin.
+/// Delay after a failed accept, so that a lack of file descriptors does not spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for the acceptor's wake-up connection.
+/// Connect timeout of the connection that wakes the accepting thread.
 const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before an input is offered again for whose class the core has no room: what follows it on its connection
-/// backlogged in the socket.
+/// Delay before an input is retried after its class was full. Meanwhile, later messages wait in the socket.
 const FULL_QUEUE_DELAY: Duration = Duration::from_millis(5);
 
 struct Connection {
     stream: Arc<Async<TcpStream>>,
-    /// Set once a router spoke on it.
+    /// Set after the first message of a router.
     messages: Option<Sender<ControlToRouter>>,
     backlog: Arc<RouterBacklog>,
 }
 
-/// All open connections. Its lock is held alone, never together with another.
+/// All open connections. Its lock is never held together with another.
 pub(crate) struct Connections {
     open: Mutex<BTreeMap<ConnectionId, Connection>>,
     next: AtomicU64,
     closing: AtomicBool,
-    /// Closed when the tasks are to end; nothing is sent on it.
+    /// Closed to end the tasks; nothing is sent on it.
     stop: Sender<()>,
     stopped: Receiver<()>,
     tasks: Executor<'static>,
@@ -61,7 +58,7 @@
 }
 
 impl Connections {
-    /// The connections of a listening socket; [`Connections::accept`] takes them in, [`Connections::run`] serves them.
+    /// Creates the connections of a listener; [`Connections::accept`] accepts them, [`Connections::run`] serves them.
     pub(crate) fn new(
         listener: &TcpListener,
         limits: ProcessLimits,
@@ -83,14 +80,13 @@
         }))
     }
 
-    /// Where it listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Body of the thread that serves all connections; ends after [`Connections::close`].
     pub(crate) fn run(&self) {
-        // It ends with an error, as it is closed without a message.
+        // Always an error, as the channel is closed without a message.
         let _ = async_io::block_on(self.tasks.run(self.stopped.recv()));
     }
 
@@ -121,8 +117,8 @@
         self.stop.close();
     }
 
-    /// Sends to a router, which is disconnected if it does not read. Never backlogged. True when a gateway's update begins
-    /// to wait behind another.
+    /// Sends to a router without blocking; the router is disconnected if its queue is full. Returns true when a gateway
+    /// update becomes the first to wait behind another.
     pub(crate) fn send(&self, connection: ConnectionId, message: ControlToRouter) -> bool {
         let mut open = self.lock();
         let Some(entry) = open.get(&connection) else {
@@ -158,7 +154,7 @@
 
     fn serve(self: &Arc<Self>, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
-        // Members may be silent for long; a dead machine's connection ends by keep-alive probes.
+        // Members may be idle for long; keep-alive probes close connections of dead machines.
         let keep_alive = TcpKeepalive::new().with_time(self.limits.connection_timeout);
         SockRef::from(&stream).set_tcp_keepalive(&keep_alive)?;
         let stream = Arc::new(Async::new(stream)?);
@@ -211,7 +207,7 @@
         }
     }
 
-    /// Gives a router the allowed silence; it reports several times in it. A member may be silent.
+    /// Applies the connection timeout to routers, which report several times within it. Members may be idle.
     async fn with_timeout<T>(
         &self,
         is_router: bool,
@@ -227,7 +223,7 @@
         future::or(work, timer).await
     }
 
-    /// Hands an input to the core, and backlogged for room. False once the core has ended.
+    /// Submits an input to the core, waiting for capacity. Returns false once the core has ended.
     async fn submit(&self, mut input: ControlInput) -> bool {
         loop {
             match self.inputs.try_send(input) {
@@ -243,7 +239,7 @@
         connection: ConnectionId,
         stream: &Arc<Async<TcpStream>>,
     ) -> std::io::Result<()> {
-        // What backlogged in the socket is out of reach: it would be taken before anything newer.
+        // Buffered bytes cannot be replaced and delay newer updates, so the buffer is kept small.
         SockRef::from(stream.get_ref()).set_send_buffer_size(SEND_BUFFER_BYTES)?;
         let (sender, messages) = bounded(self.limits.router_queue);
         let backlog = {
@@ -266,7 +262,7 @@
         Ok(())
     }
 
-    /// Writes until the connection is taken from the table. Tells of each update that the socket has taken.
+    /// Writes until the connection is removed from the table. Notifies the core when the backlog is written.
     async fn write_all(
         &self,
         connection: ConnectionId,
@@ -284,7 +280,7 @@
                 let backlogged = false;
                 self.submit(ControlInput::RouterBacklog {
                     connection,
-                    backlogged: backlogged,
+                    backlogged,
                 })
                 .await;
             }
@@ -315,6 +311,6 @@
 }
 
 fn shutdown(stream: &Async<TcpStream>) {
-    // Fails only on a connection that has ended already.
+    // Fails only on a connection that has already closed.
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -1,11 +1,10 @@
 //! Calls to engines and the platform, on a bounded pool of threads.
 //!
-//! Engines of a deployment whose instances announce themselves are called through
-//! [`EngineCalls`](crate::EngineCalls).
+//! Engines of announced instances are called through [`EngineCalls`](crate::EngineCalls).
 //!
-//! Which call is made next is decided by [`CallSchedule`]. Threads are started as calls need them, and end when they have
-//! been idle. An order's delivery may be lost or repeated: its fence makes that harmless. What cannot be queued, or waits
-//! past its time, is answered as not sent; the core decides anew.
+//! [`CallSchedule`] determines the order of calls. Threads are started on demand and end after an idle timeout. An order
+//! may be lost or delivered twice; its fence makes that harmless. A call that cannot be queued or expires while waiting
+//! is reported as not sent, and the core decides anew.
 
 use crate::call_schedule::{CallOutcome, CallSchedule};
 use crate::inputs::Inputs;
@@ -21,11 +20,11 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Time without a call after which a thread ends. Calls come in bursts, when demand moves or servers are out of reach.
+/// Idle time after which a thread ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Stack of a thread that makes calls: they are made by a client without deep recursion.
+/// Stack size of a calling thread, small as the HTTP client does not recurse deeply.
 const STACK_BYTES: usize = 256 * 1024;
-/// An order that has less time left than this does not leave: a connection may have to be made.
+/// Minimum time left to send an instruction, as a connection may have to be opened first.
 const MINIMUM_SEND_TIME: Duration = Duration::from_millis(20);
 
 /// A call to make.
@@ -34,7 +33,7 @@
     Order(String, EngineOrder),
     /// Read the platform's list at this address.
     ReadPlatform(String),
-    /// Give an engine an instruction, whose last byte leaves by this time.
+    /// Send an instruction to an engine; its last byte must be sent before this time.
     Instruct(EngineInstruction, Timestamp),
     /// Read the state of an engine.
     ReadEngine(EngineRead),
@@ -42,7 +41,7 @@
 
 /// A read of an engine's state.
 pub(crate) struct EngineRead {
-    /// Run.
+    /// Incarnation of the engine.
     pub(crate) instance: InstanceId,
     /// IP address and port.
     pub(crate) address: String,
@@ -50,7 +49,7 @@
 }
 
 impl Delivery {
-    /// Whom it calls: calls to one keep their order.
+    /// Returns the peer; calls to one peer keep their order.
     fn peer(&self) -> &str {
         match self {
             Delivery::Order(address, _) | Delivery::ReadPlatform(address) => address,
@@ -59,7 +58,7 @@
         }
     }
 
-    /// What the core hears if it is not made.
+    /// Returns the input that reports to the core that the call was not made; `None` if the core does not wait for it.
     fn not_sent(self, waited: Duration) -> Option<ControlInput> {
         let (instance, call) = match self {
             Delivery::Order(_, order) => {
@@ -84,7 +83,6 @@
     }
 }
 
-/// A call that waits for a thread.
 struct Waiting {
     since: Timestamp,
     delivery: Delivery,
@@ -99,9 +97,9 @@
 
 struct Shared {
     state: Mutex<State>,
-    /// Idle threads wait here.
+    /// Wakes idle threads.
     queued: Condvar,
-    /// Who starts threads waits here.
+    /// Wakes the thread that starts threads.
     thread_demand: Condvar,
     maximum_threads: usize,
     clock: ProcessClock,
@@ -113,7 +111,7 @@
     }
 }
 
-/// Hands calls to the pool; the pool ends when this is dropped.
+/// Submits calls to the pool; the pool ends when this is dropped.
 pub(crate) struct Deliveries {
     shared: Arc<Shared>,
     inputs: Inputs,
@@ -121,7 +119,7 @@
 }
 
 impl Deliveries {
-    /// The end that hands calls over, and the pool, to be run by a thread of its own.
+    /// Creates the submitting end and the pool, which a separate thread must run.
     pub(crate) fn new(
         inputs: Inputs,
         clock: ProcessClock,
@@ -158,7 +156,7 @@
         (deliveries, pool)
     }
 
-    /// Hands a call over. It waits for a thread as long as it may last, or, an instruction, as long as it may leave.
+    /// Submits a call. It expires after the call timeout; an instruction expires at its own deadline.
     pub(crate) fn submit(&self, delivery: Delivery) {
         let now = self.shared.clock.now();
         let expires_at = match &delivery {
@@ -194,13 +192,13 @@
     }
 }
 
-/// Starts threads as calls need them.
+/// Starts threads on demand.
 pub(crate) struct DeliveryPool {
     worker: DeliveryWorker,
 }
 
 impl DeliveryPool {
-    /// Body of the thread that owns the pool's threads; ends when nothing is handed over any more and they have ended.
+    /// Body of the thread that owns the pool's threads; returns after the submitting end is dropped and they have ended.
     pub(crate) fn run(self) {
         let worker = &self.worker;
         thread::scope(|scope| {
@@ -211,7 +209,7 @@
                 if let Err(error) = builder.spawn_scoped(scope, || worker.run()) {
                     log::error!("event=delivery_thread_failed error=\"{error}\"");
                     worker.shared.lock().threads -= 1;
-                    // The threads that there are go on with the calls.
+                    // Existing threads continue to make calls.
                     thread::sleep(IDLE_TIMEOUT);
                 }
             }
@@ -219,12 +217,11 @@
     }
 }
 
-/// Buffers of a connection, in each direction. Calls and answers are small; the library's own size of
-/// 128 KiB each takes a member several megabytes over the threads and idle connections of its pool.
+/// Size of a connection's buffers. Messages are small, and the default of 128 KiB adds up over the pool.
 const BUFFER_BYTES: usize = 8 * 1024;
 
-/// The agent of a pool whose calls take at most `timeout`. Engines of an announced fleet answer
-/// refusals by status.
+/// Creates the HTTP agent of the pool. Engines of an announced fleet state refusals by status, so error statuses are
+/// then read as responses.
 fn agent(timeout: Duration, read_error_statuses: bool) -> ureq::Agent {
     ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
@@ -235,7 +232,7 @@
         .into()
 }
 
-/// What the threads of the pool do; all of them share its agent, and its connections.
+/// State shared by the threads of the pool, including the agent with its connections.
 struct DeliveryWorker {
     agent: ureq::Agent,
     shared: Arc<Shared>,
@@ -244,7 +241,7 @@
 }
 
 impl DeliveryWorker {
-    /// Waits until a further thread is needed, and counts it; false when the pool ends.
+    /// Waits until another thread is needed and counts it; returns false when the pool ends.
     fn wait_for_demand(&self) -> bool {
         let mut state = self.shared.lock();
         loop {
@@ -261,8 +258,7 @@
         }
     }
 
-    /// Body of a thread. What an engine or the platform answers costs one delivery at most: one that makes this panic
-    /// would come again at the next leader.
+    /// Body of a thread. Catches panics, so that a malformed response fails only one call instead of every leader in turn.
     fn run(&self) {
         while let Some((peer, waiting)) = self.next() {
             let outcome = catch_unwind(AssertUnwindSafe(|| self.execute(waiting)));
@@ -274,7 +270,7 @@
         }
     }
 
-    /// The next call; none when there was none for some time, or the pool ends.
+    /// Returns the next call; `None` after the idle timeout or when the pool ends.
     fn next(&self) -> Option<(String, Waiting)> {
         let mut state = self.shared.lock();
         let idle_until = self.shared.clock.now() + IDLE_TIMEOUT;
@@ -314,7 +310,7 @@
         }
     }
 
-    /// Calls whose time passed while they waited.
+    /// Reports expired calls to the core as not sent.
     fn report_expired(&self, expired: Vec<Waiting>, now: Timestamp) {
         for waiting in expired {
             let waited = now.since(waiting.since);
@@ -334,7 +330,8 @@
                 let within = deadline.since(now);
                 if within < MINIMUM_SEND_TIME {
                     let not_sent = Delivery::Instruct(instruction, deadline).not_sent(waited);
-                    self.inputs.send(not_sent.expect("the core awaits it"));
+                    self.inputs
+                        .send(not_sent.expect("instructions always have a completion"));
                     return CallOutcome::Responded;
                 }
                 self.call_engine(&instruction.instance, instruction.call, waited, |engines| {
@@ -402,7 +399,7 @@
         response.body_mut().read_json()
     }
 
-    /// A list that cannot be read is read again at the next interval.
+    /// Reads the platform's list; a failed read is retried at the next interval.
     fn read_platform(&self, address: &str) -> CallOutcome {
         let read = self.get_machines(address);
         let outcome = outcome(read.is_ok());
--- a/crates/millpass-control/src/disk.rs
+++ b/crates/millpass-control/src/disk.rs
@@ -1,6 +1,5 @@
-//! The disk's thread: writes what the core asks for, several writes under one sync, and reports
-//! each as persisted only after the sync. A failed write ends the member: what the disk holds is
-//! then not known any more.
+//! The disk thread: batches the core's writes under one sync, and reports each as persisted only after
+//! the sync. A failed write ends the member, as the content of the disk is then unknown.
 
 use crate::disk_watch::{DiskWatch, SpaceWatch};
 use crate::inputs::Inputs;
@@ -14,9 +13,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Most writes under one sync.
+/// Maximum number of writes under one sync.
 const MAXIMUM_BATCH_WRITES: usize = 256;
-/// Time after which the core is asked again for a snapshot that has not come.
+/// Time after which a pending snapshot is requested again.
 pub(crate) const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Work for the disk.
@@ -27,7 +26,7 @@
     Snapshot(Snapshot),
 }
 
-/// The disk's thread.
+/// State of the disk thread.
 pub(crate) struct Disk {
     pub(crate) storage: Storage,
     pub(crate) work: Receiver<DiskWork>,
@@ -35,9 +34,9 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) watch: Arc<DiskWatch>,
     pub(crate) space: SpaceWatch,
-    /// For asking the core for a snapshot, as the log is long.
+    /// Throttles snapshot requests.
     pub(crate) snapshot_requests: Throttle,
-    /// Size of the newest snapshot's state, in bytes.
+    /// Size of the state in the newest snapshot.
     pub(crate) state_bytes: u64,
 }
 
@@ -83,7 +82,7 @@
         }
     }
 
-    /// What a write leaves to be said or asked for.
+    /// Logs repairs, requests a snapshot if the log is long, and checks disk usage.
     fn check_storage(&mut self) {
         for note in self.storage.take_notes() {
             log::warn!("event=disk_repaired {note}");
--- a/crates/millpass-control/src/disk_wait.rs
+++ b/crates/millpass-control/src/disk_wait.rs
@@ -1,10 +1,7 @@
-//! A start that waits for the disk.
+//! Waits at startup until the disk is available.
 //!
-//! A write that fails ends a member: what its disk holds is read again, by a process that knows nothing else. Its next
-//! start waits until the folder can be opened and has room, in place of ending again and again. Then a full disk costs
-//! one end however long it lasts, the member is back as soon as there is room, whoever starts ended processes and
-//! however long that one pauses, and a first start keeps its part in forming the group, which the settings of a second
-//! start no longer give it.
+//! A failed write ends the member, so that the next process reads the disk afresh. That process waits until the data
+//! folder can be opened and has space, instead of crash-looping under its supervisor.
 
 use crate::error::ControlError;
 use crate::interface::Extensions;
@@ -16,13 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Pause between two tries. A try on a full disk costs a few failing calls; after the pause and a start, which takes
-/// some 30 ms, the member votes.
+/// Delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time between two log lines about a disk that still has no room.
+/// Time between two log lines while the disk is unavailable.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Like [`start_extended`], but waits for a disk that is full or fails, for as long as `may_wait` allows.
+/// Like [`start_extended`], but waits while the disk is full or failing, as long as `may_wait` returns true.
 pub fn start_when_disk_available(
     settings: &ControlProcessSettings,
     extensions: &Extensions,
@@ -46,7 +42,7 @@
     }
 }
 
-/// Since when a start waits, and when it last said so.
+/// Start of the wait, and a throttle for its log lines.
 struct DiskWait {
     since: Option<Instant>,
     log_throttle: Throttle,
--- a/crates/millpass-control/src/disk_watch.rs
+++ b/crates/millpass-control/src/disk_watch.rs
@@ -1,4 +1,4 @@
-//! How long the disk's thread has been in one write, and how full the disk is: for the log and the metrics.
+//! Detects stalled writes and a disk that may become full, for logs and metrics.
 
 use crate::metrics::Metrics;
 use crate::throttle::Throttle;
@@ -7,22 +7,21 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time in one write from which a disk counts as stalled: a sync takes milliseconds, a full batch on a slow disk some
-/// tenths of a second.
+/// Duration of one write from which the disk counts as stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
-/// Time between two checks at how full the disk is.
+/// Time between two checks of disk usage.
 const CHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two log lines about one that may become too full.
+/// Time between two warnings about disk usage.
 const WARNING_INTERVAL: Duration = Duration::from_secs(60);
 
-/// When the write under way began, and when the log next says that it elapsed.
+/// Start of the write in progress, and the duration at which it is logged next.
 #[derive(Clone, Copy)]
 struct Writing {
     since: Instant,
     next_report: Duration,
 }
 
-/// Shared by the disk's thread and the core's. Its lock is held alone, and for no call.
+/// Shared by the disk thread and the core's thread. Its lock is never held together with another or across calls.
 #[derive(Default)]
 pub(crate) struct DiskWatch {
     writing: Mutex<Option<Writing>>,
@@ -33,7 +32,7 @@
         self.writing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The disk's thread begins a write.
+    /// Records the start of a write.
     pub(crate) fn begin(&self) {
         *self.lock() = Some(Writing {
             since: Instant::now(),
@@ -41,7 +40,7 @@
         });
     }
 
-    /// The write has come to an end.
+    /// Records the end of the write.
     pub(crate) fn end(&self) {
         let Some(writing) = self.lock().take() else {
             return;
@@ -52,8 +51,7 @@
         }
     }
 
-    /// How long the write under way has lasted; none where there is none. Said in the log from a second on, each time that
-    /// it has doubled.
+    /// Returns the duration of the write in progress, if any. Logs a stalled write, again each time its duration doubles.
     pub(crate) fn check(&self) -> Option<Duration> {
         let mut state = self.lock();
         let writing = state.as_mut()?;
@@ -70,7 +68,7 @@
     }
 }
 
-/// Looks now and then at how full the disk is.
+/// Checks disk usage periodically.
 pub(crate) struct SpaceWatch {
     maximum_bytes: u64,
     largest_state_bytes: u64,
@@ -79,7 +77,6 @@
 }
 
 impl SpaceWatch {
-    /// For a storage with these options.
     pub(crate) fn new(options: &StorageOptions) -> Self {
         SpaceWatch {
             maximum_bytes: options.most_bytes(),
@@ -89,7 +86,7 @@
         }
     }
 
-    /// Looks, when it is time to.
+    /// Updates the metrics and logs a warning, at most once per interval each.
     pub(crate) fn check(&mut self, storage: &Storage, state_bytes: u64, metrics: &Metrics) {
         if !self.checks.is_due() {
             return;
@@ -114,7 +111,7 @@
         log::warn!("{}", event_line("disk_may_become_full", &pairs));
     }
 
-    /// Why it may become full, if so.
+    /// Returns why the disk may become full; `None` if it has enough space.
     fn warning_reason(
         &self,
         bytes: u64,
--- a/crates/millpass-control/src/frames.rs
+++ b/crates/millpass-control/src/frames.rs
@@ -1,4 +1,4 @@
-//! Frames on connections that are served as tasks.
+//! Async reading and writing of frames.
 
 use async_io::Async;
 use futures_lite::AsyncRead;
@@ -7,7 +7,6 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::net::TcpStream;
 
-/// Reads one frame.
 pub(crate) async fn read_frame<T: DeserializeOwned>(
     stream: &mut (impl AsyncRead + Unpin),
 ) -> Result<T, CodecError> {
@@ -18,7 +17,6 @@
     codec::decode(&body)
 }
 
-/// Writes one frame.
 pub(crate) async fn write_frame<T: Serialize>(
     mut stream: &Async<TcpStream>,
     value: &T,
--- a/crates/millpass-control/src/freshness.rs
+++ b/crates/millpass-control/src/freshness.rs
@@ -1,8 +1,7 @@
-//! Answers gateways that ask, in one datagram each, whether what they know may be outdated.
+//! Responds to gateways' freshness queries, one UDP datagram each, on the port of members and routers.
 //!
-//! Its thread reads what the core's thread last published and waits for nothing else: a member whose core, disk or
-//! connections are busy answers all the same, and answering takes nothing from elections. It listens at the
-//! port of members and routers, on UDP.
+//! The thread only reads the state that the core last published, so a member responds even while its core, disk or
+//! connections are busy.
 
 use crate::metrics::Metrics;
 use millpass_proto::codec::{decode, encode};
@@ -14,12 +13,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Most bytes of a question; it is one number.
+/// Maximum size of a query.
 const MAXIMUM_REQUEST_BYTES: usize = 64;
-/// Pause after a failure that may last, for example when the system has no memory for datagrams.
+/// Delay after a persistent failure, for example a lack of memory for datagrams.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the core last published, and the socket. Its lock is held alone, never together with another.
+/// The socket and the last published state. Its lock is never held together with another.
 pub(crate) struct FreshnessPort {
     socket: UdpSocket,
     address: SocketAddr,
@@ -29,7 +28,7 @@
 }
 
 impl FreshnessPort {
-    /// Takes the socket, which is bound to the port at which the member listens for connections.
+    /// Wraps a socket that is bound to the port at which the member listens for connections.
     pub(crate) fn new(
         socket: UdpSocket,
         metrics: Arc<Metrics>,
@@ -43,20 +42,19 @@
         }))
     }
 
-    /// Sets the answer. The core's thread does so after each step and before it carries the step's outputs out: no
-    /// acknowledgement that rests on an entry leaves before the entry is told of here.
+    /// Publishes the response. The core's thread does so after each step and before it executes the step's outputs, so
+    /// that no acknowledgement is sent before the entry that it depends on is published.
     pub(crate) fn publish(&self, response: FreshnessResponse) {
         *self.lock() = Some(response);
     }
 
-    /// Body of the thread; ends after [`FreshnessPort::close`] and at nothing else: without it, gateways would go by the
-    /// leader's answers alone.
+    /// Body of the thread; returns only after [`FreshnessPort::close`].
     pub(crate) fn serve(&self) {
         let mut bytes = [0; MAXIMUM_REQUEST_BYTES];
         while !self.closing.load(Ordering::Acquire) {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, from)) => self.respond(&bytes[..length], from),
-                // What an earlier answer met on its way, or a signal: the next question may be well.
+                // An error caused by an earlier response, or a signal.
                 Err(error) if is_transient(error.kind()) => {}
                 Err(error) => {
                     log::error!("event=freshness_port_failed error=\"{error}\"");
--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -1,8 +1,8 @@
-//! The way into the core: bounded queues by priority that its thread empties.
+//! Bounded queues to the core, by priority.
 //!
-//! Inputs of one class keep their order. Of one connection, credit and crash reports may overtake its
-//! other messages, and may be taken after its end: they rest on neither. Its end never overtakes a report
-//! or claim.
+//! Inputs of one class keep their order. Credit requests and crash reports may overtake other messages of their
+//! connection, and may be processed after its end, as they do not depend on them. The end of a connection never
+//! overtakes its reports or claims.
 
 use crate::backlog::{Backlog, Next};
 use crate::priority::Priority;
@@ -11,30 +11,30 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// What the core's thread does next.
+/// Next action of the core's thread.
 pub(crate) enum CoreInput {
     /// A tick is due.
     Tick,
-    /// Take this input up.
+    /// Process this input.
     Input(WaitingInput),
-    /// A write failed: the member must not go on.
+    /// A write failed: the member must stop.
     DiskFailed(StorageError),
-    /// The log on the disk is long: a snapshot would let a part of it go.
+    /// A snapshot is requested, to truncate the log on disk.
     SnapshotRequested,
-    /// A thread that the member cannot do without has ended.
+    /// A critical thread has ended.
     ThreadEnded(&'static str),
-    /// End without draining.
+    /// Stop without draining.
     Halt,
 }
 
-/// An input of the core, and since when it waits.
+/// An input of the core with its time of arrival.
 pub(crate) struct WaitingInput {
     pub(crate) class: Priority,
     pub(crate) since: Instant,
     pub(crate) input: ControlInput,
 }
 
-/// Why an input was not taken in.
+/// Why an input was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendError {
     /// Its class is full.
@@ -50,16 +50,16 @@
     ended_thread: Option<&'static str>,
     snapshot_requested: bool,
     is_halted: bool,
-    /// The core takes nothing more.
+    /// The core accepts no more inputs.
     has_ended: bool,
 }
 
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
-    /// The core's thread waits here.
+    /// Wakes the core's thread.
     filled: Condvar,
-    /// Senders wait here for room, by class.
+    /// Wakes senders that wait for capacity, by class.
     emptied: [Condvar; Priority::ALL.len()],
 }
 
@@ -75,13 +75,13 @@
     shared: Arc<Shared>,
 }
 
-/// The core's end of the queues.
+/// Receiving end of the queues.
 pub(crate) struct InputQueue {
     shared: Arc<Shared>,
 }
 
 impl Inputs {
-    /// The queues' two ends.
+    /// Creates both ends of the queues.
     pub(crate) fn new() -> (Inputs, InputQueue) {
         let shared = Arc::new(Shared::default());
         let inputs = Inputs {
@@ -90,8 +90,7 @@
         (inputs, InputQueue { shared })
     }
 
-    /// Waits for room: whoever reads a connection reads on when the core has caught up. False once the
-    /// core has ended.
+    /// Adds an input, blocking until its class has capacity. Returns false once the core has ended.
     pub(crate) fn send(&self, input: ControlInput) -> bool {
         let class = Priority::of(&input);
         let mut state = self.shared.lock();
@@ -102,7 +101,7 @@
         self.push(&mut state, input).is_ok()
     }
 
-    /// Hands the input back where its class has no room: its sender waits. False once the core has ended.
+    /// Adds an input, or returns it if its class is full. Returns `Ok(false)` once the core has ended.
     pub(crate) fn try_send(&self, input: ControlInput) -> Result<bool, Box<ControlInput>> {
         let mut state = self.shared.lock();
         if !state.has_ended && !state.backlog.has_capacity(Priority::of(&input)) {
@@ -111,13 +110,13 @@
         Ok(self.push(&mut state, input).is_ok())
     }
 
-    /// Refuses at once when the class is full: for what its sender repeats.
+    /// Adds an input, or refuses it at once if its class is full. For inputs that the sender repeats.
     pub(crate) fn try_submit(&self, input: ControlInput) -> Result<(), SendError> {
         self.push(&mut self.shared.lock(), input)
     }
 
-    /// Adds what the core's thread itself causes: it cannot wait for room, and bounds it by what it has
-    /// under way.
+    /// Adds an input caused by the core's thread, regardless of capacity. The thread cannot block, and bounds these
+    /// inputs by its calls in progress.
     pub(crate) fn send_unbounded(&self, input: ControlInput) {
         let waiting = waiting(input);
         self.shared
@@ -137,25 +136,25 @@
         Ok(())
     }
 
-    /// Tells that a write failed.
+    /// Reports a failed write.
     pub(crate) fn disk_failed(&self, error: StorageError) {
         self.shared.lock().disk_failure = Some(error);
         self.shared.filled.notify_one();
     }
 
-    /// Asks for a snapshot, as the log on the disk is long.
+    /// Requests a snapshot.
     pub(crate) fn request_snapshot(&self) {
         self.shared.lock().snapshot_requested = true;
         self.shared.filled.notify_one();
     }
 
-    /// Tells that a thread has ended; nothing once the core has.
+    /// Reports the end of a critical thread. Has no effect once the core has ended.
     pub(crate) fn thread_ended(&self, name: &'static str) {
         self.shared.lock().ended_thread = Some(name);
         self.shared.filled.notify_one();
     }
 
-    /// Ends the core without draining.
+    /// Stops the core without draining.
     pub(crate) fn halt(&self) {
         self.shared.lock().is_halted = true;
         self.shared.filled.notify_one();
@@ -163,7 +162,7 @@
 }
 
 impl InputQueue {
-    /// Waits for what to do next, at most until the tick is due.
+    /// Waits for the next action, at most until the tick is due.
     pub(crate) fn next(&self, tick_due: Instant) -> CoreInput {
         let mut state = self.shared.lock();
         loop {
@@ -194,7 +193,7 @@
         }
     }
 
-    /// Takes nothing more: whoever waits for room learns that the core has ended.
+    /// Closes the queues and wakes senders that wait for capacity.
     pub(crate) fn close(&self) {
         let mut state = self.shared.lock();
         state.has_ended = true;
@@ -203,7 +202,7 @@
         self.shared.emptied.iter().for_each(Condvar::notify_all);
     }
 
-    /// Inputs that wait, and inputs refused since the start, by class.
+    /// Returns the waiting inputs, and the inputs refused since startup, by class.
     pub(crate) fn lengths(&self) -> [(Priority, usize, u64); Priority::ALL.len()] {
         let state = self.shared.lock();
         let backlog = &state.backlog;
--- a/crates/millpass-control/src/interface.rs
+++ b/crates/millpass-control/src/interface.rs
@@ -1,20 +1,20 @@
-//! What a deployment with its own wire formats brings: calls of its own beside the administration
-//! API, and the way to its engines. It translates; it decides nothing.
+//! Extensions of a deployment with its own wire formats: additional API calls, and calls to its engines.
+//! Implementations translate; they make no decisions.
 
 use crate::administration::AdministrationCalls;
 use millpass_http::{Request, Response};
 use millpass_proto::{Duration, EngineInstruction, InstanceId, InstructionResult};
 use std::sync::Arc;
 
-/// Calls answered on the administration API's address before the API's own.
+/// Handles additional calls on the administration API's address, before the API's own.
 pub trait ApiExtension: Send + Sync {
-    /// Answers a call of its own; none for any other.
+    /// Handles a call of the extension; returns `None` for any other call.
     fn handle(&self, request: &Request, calls: &dyn AdministrationCalls) -> Option<Response>;
 }
 
-/// The way to engines whose instances announce themselves.
+/// Calls to engines of announced instances.
 pub trait EngineCalls: Send + Sync {
-    /// Gives an instruction, whose last byte leaves within this time or not at all. The agent bounds the time to the answer.
+    /// Sends an instruction. Its last byte must be sent within this time or not at all. The agent bounds the response time.
     fn instruct(
         &self,
         agent: &ureq::Agent,
@@ -22,15 +22,15 @@
         within: Duration,
     ) -> InstructionResult;
 
-    /// Reads the state of a run at an address.
+    /// Reads the state of an incarnation at an address.
     fn read(&self, agent: &ureq::Agent, instance: &InstanceId, address: &str) -> InstructionResult;
 }
 
-/// Both.
+/// Extensions of one deployment.
 #[derive(Clone, Default)]
 pub struct Extensions {
-    /// Calls beside the administration API.
+    /// Additional API calls.
     pub api: Option<Arc<dyn ApiExtension>>,
-    /// The way to engines.
+    /// Calls to engines.
     pub engines: Option<Arc<dyn EngineCalls>>,
 }
--- a/crates/millpass-control/src/lateness.rs
+++ b/crates/millpass-control/src/lateness.rs
@@ -1,26 +1,26 @@
-//! Tells when the core's thread is late: with a tick, or with an input that has waited.
+//! Detects when the core's thread is late with a tick or an input.
 
 use crate::priority::Priority;
 use std::time::{Duration, Instant};
 
-/// Age of an input, or lateness of a tick, from which on it is worth a line: a quarter of the default lease
-/// of 600 ms, so that a line comes before a lease is lost.
+/// Lateness of an input or tick from which it is logged: a quarter of the default lease, so that it is logged before
+/// a lease is lost.
 pub const LATENESS_THRESHOLD: Duration = Duration::from_millis(150);
-/// Shortest time between two lines: a member that is late for long says so once a second.
+/// Minimum time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The worst lateness of a span of time.
+/// The worst lateness since the last log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lateness {
-    /// Class of the input; none for a tick.
+    /// Class of the input; `None` for a tick.
     pub class: Option<Priority>,
-    /// How long it waited, or how much later than due it came.
+    /// How long the input waited, or how late the tick was.
     pub age: Duration,
-    /// Inputs and ticks that were later than [`LATENESS_THRESHOLD`] in that span.
+    /// Number of inputs and ticks later than [`LATENESS_THRESHOLD`].
     pub count: u64,
 }
 
-/// Collects what was late since the last line.
+/// Collects late inputs and ticks since the last log line.
 #[derive(Debug, Default)]
 pub struct LatenessWatch {
     worst: Option<Lateness>,
@@ -28,7 +28,7 @@
 }
 
 impl LatenessWatch {
-    /// Takes the lateness of one input (with its class) or tick. Returns what to log now, if anything.
+    /// Records the lateness of one input (with its class) or tick. Returns what to log now, if anything.
     pub fn record(
         &mut self,
         now: Instant,
--- a/crates/millpass-control/src/lib.rs
+++ b/crates/millpass-control/src/lib.rs
@@ -1,34 +1,34 @@
-//! The control member process: disk, links, order delivery and administration API around the
+//! Control member process: storage, connections, engine calls and administration API around the
 //! decision core of `millpass-control-plane`.
 //!
 //! | module | job |
 //! |---|---|
-//! | `process` | the threads, from start to stop |
-//! | `disk_wait` | a start that waits for the disk |
-//! | `threads` | which threads the member cannot do without, and how long its end waits for them |
-//! | `throttle` | lets something be done once in an interval |
-//! | `startup` | who this member is and what its data folder holds |
-//! | `member` | the core's thread: carries out what the core wants |
-//! | `inputs` | the way into the core |
-//! | `backlog` | what waits for the core, by priority |
-//! | `priority` | how urgent an input is |
-//! | `lateness` | tells when the core's thread is late |
+//! | `process` | starts and stops the threads |
+//! | `disk_wait` | waits at startup until the disk is available |
+//! | `threads` | critical threads, and joining threads with a timeout |
+//! | `throttle` | rate limit of one event per interval |
+//! | `startup` | opens the data folder and builds the core |
+//! | `member` | the core's thread: executes the core's outputs |
+//! | `inputs` | bounded queues to the core |
+//! | `backlog` | inputs waiting for the core, by priority |
+//! | `priority` | priority classes of inputs |
+//! | `lateness` | detects that the core's thread is late |
 //! | `disk` | writes and syncs |
-//! | `disk_watch` | how long a write lasts and how full the disk is, for log and metrics |
-//! | `connections` | connections that members, routers and joiners make |
-//! | `router_backlog` | whether a gateway's updates wait at its connection |
-//! | `freshness` | answers gateways' questions by datagram |
-//! | `peers` | connections to other members |
-//! | `peer_queue` | what waits to be sent to one member |
+//! | `disk_watch` | stalled writes and disk usage, for logs and metrics |
+//! | `connections` | inbound connections of members, routers and joiners |
+//! | `router_backlog` | counts updates queued for a gateway |
+//! | `freshness` | responds to gateways' queries by datagram |
+//! | `peers` | outbound connections to other members |
+//! | `peer_queue` | messages waiting for one member |
 //! | `deliveries` | calls to engines and the platform |
-//! | `call_schedule` | which waiting call is made next |
-//! | `interface` | what a deployment with its own wire formats brings |
-//! | `calls` | calls of the administration API that wait |
+//! | `call_schedule` | order of calls to engines and the platform |
+//! | `interface` | extensions of a deployment with its own wire formats |
+//! | `calls` | pending calls of the administration API |
 //! | `administration`, `api`, `client` | the administration API, its bodies and its client |
 //! | `metrics` | Prometheus metrics |
 //!
-//! Lock order: `inputs`, `calls`, `connections`, `deliveries`, `freshness`, `disk_watch` and each queue of `peers` have one lock; no thread holds
-//! two.
+//! `inputs`, `calls`, `connections`, `deliveries`, `freshness`, `disk_watch` and each queue of `peers` have
+//! one lock each; no thread holds two of them.
 
 pub mod administration;
 pub mod api;
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -1,7 +1,7 @@
-//! The core's thread: feeds the decision core and carries out what it wants, in order.
+//! The core's thread: passes inputs to the decision core and executes its outputs in order.
 //!
-//! This thread alone owns the core. It never waits for a disk, a connection or an engine: each of
-//! these has its own queue and threads, and answers through [`Inputs`](crate::inputs::Inputs).
+//! This thread owns the core. It never blocks on a disk, a connection or an engine: these have their own
+//! queues and threads, and respond through [`Inputs`](crate::inputs::Inputs).
 
 use crate::calls::CallTable;
 use crate::connections::Connections;
@@ -26,48 +26,47 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// Time between two looks at what changes slowly: metrics, and whether to ask to join.
+/// Time between two updates of metrics and checks whether to join.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a leader after which a member asks to join: it may have been replaced while it was
-/// cut off, and nobody tells it.
+/// Time without a leader after which a member requests to join, as it may have been replaced while it was
+/// partitioned.
 pub(crate) const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time an instance waits for the answer to its announcement before it calls another member. The
-/// protocol between servers and members sets it (docs/PLATFORM.md); work on an older one would be in vain.
+/// Time an instance waits for the response to its announcement, as the protocol defines (docs/PLATFORM.md). Older
+/// announcements are refused unprocessed.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The core with everything it acts through.
+/// The core with the queues and connections that execute its outputs.
 pub(crate) struct Member {
     pub(crate) core: ControlPlane,
     pub(crate) clock: ProcessClock,
     pub(crate) address: MemberAddress,
-    /// Peer addresses to ask when this process is not a member yet.
+    /// Peer addresses to send join requests to.
     pub(crate) others: Vec<String>,
     pub(crate) queue: InputQueue,
     pub(crate) disk: Sender<DiskWork>,
     pub(crate) disk_watch: Arc<DiskWatch>,
     pub(crate) peers: Peers,
     pub(crate) connections: Arc<Connections>,
-    /// None where the port was not free for datagrams.
+    /// `None` if the UDP port was not free.
     pub(crate) freshness: Option<Arc<FreshnessPort>>,
-    /// What was last published there.
+    /// Last published freshness state.
     pub(crate) published: Option<FreshnessState>,
     pub(crate) deliveries: Deliveries,
     pub(crate) platform: Option<String>,
     pub(crate) calls: Arc<CallTable>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Since when no leader is known.
+    /// Start of the current time without a known leader.
     pub(crate) leaderless_since: Option<Timestamp>,
-    /// How long that elapsed when the log next says so.
+    /// Time without a leader at which it is logged next.
     pub(crate) next_leaderless_report: Duration,
     pub(crate) suspensions: SuspensionWatch,
     pub(crate) heartbeat: Heartbeat,
     pub(crate) lateness: LatenessWatch,
-    /// Calls refused up to the last look, as too many waited.
+    /// Value of the refused calls metric at the last check.
     pub(crate) refused_calls: i64,
-    /// Connections at which an update begins to wait, of which the core has not heard yet.
+    /// Backlogged connections that the core has not been notified of yet.
     pub(crate) backlogged: Vec<ConnectionId>,
 }
 
@@ -82,7 +81,7 @@
     /// Body of the thread.
     pub(crate) fn run(mut self) -> Result<(), ControlError> {
         let end = self.serve();
-        // First, so that no call is taken in after the last ones are answered.
+        // Closed first, so that no call is accepted after the waiting ones are failed.
         self.queue.close();
         self.connections.close();
         if let Some(port) = &self.freshness {
@@ -111,7 +110,7 @@
                 CoreInput::Tick => {
                     self.record_lateness(None, next_tick);
                     let has_stopped = self.step(ControlInput::Tick);
-                    // From the end of the step: ticks that take long must leave time for inputs.
+                    // Measured from the end of the step, so that long ticks leave time for inputs.
                     next_tick = Instant::now() + TICK_INTERVAL;
                     has_stopped
                 }
@@ -147,7 +146,7 @@
         self.step(waiting.input)
     }
 
-    /// Shows how long an input of a class waited, or how much later than due a tick comes.
+    /// Records how long an input waited, or how late a tick is.
     fn record_lateness(&mut self, class: Option<Priority>, since: Instant) {
         let now = Instant::now();
         let age = now.saturating_duration_since(since);
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Takes one input; true once the core has stopped.
+    /// Processes one input; returns true once the core has stopped.
     fn step(&mut self, input: ControlInput) -> bool {
         self.metrics.steps.inc();
         let now = self.clock.now();
@@ -176,7 +175,7 @@
         for output in outputs {
             stopped |= self.execute(output);
         }
-        // Before any other input: the word that a connection has caught up may be in the queue already.
+        // Before any other input, as the notification that the backlog was written may already be queued.
         while let Some(connection) = self.backlogged.pop() {
             let backlogged = true;
             stopped |= self.step(ControlInput::RouterBacklog {
@@ -187,7 +186,7 @@
         stopped
     }
 
-    /// Lets gateways that ask know what the core holds.
+    /// Publishes the freshness state for queries of gateways.
     fn publish(&mut self, now: Timestamp) {
         let Some(port) = &self.freshness else {
             return;
@@ -258,8 +257,8 @@
         false
     }
 
-    /// The queue is bounded by what consensus has under way. It has no other end only after the
-    /// disk failed, which is already in the queue of inputs.
+    /// The queue is bounded by the writes that consensus has in flight. Sending fails only after the disk has
+    /// failed, which is already reported to the input queue.
     fn write(&self, work: DiskWork) {
         let _ = self.disk.send(work);
     }
@@ -309,12 +308,12 @@
         if refused > before {
             let count = refused - before;
             log::warn!("event=calls_refused count={count}");
-            // Nearly all calls are announcements.
+            // Nearly all of these calls are announcements.
             self.core.announcements_refused(self.clock.now());
         }
     }
 
-    /// Whether no leader has been known for long.
+    /// Returns whether no leader has been known for [`LEADERLESS_TIMEOUT`]. Logs it, again each time that time doubles.
     fn is_leaderless(&mut self, no_leader: bool) -> bool {
         if !no_leader {
             self.leaderless_since = None;
@@ -331,7 +330,7 @@
         elapsed >= LEADERLESS_TIMEOUT
     }
 
-    /// Who answered this member's candidacies, and who did not, is told by `candidacy-ended`.
+    /// Logs that there is no leader. The `candidacy-ended` event names the voters that responded.
     fn report_leaderless(&self, elapsed: Duration) {
         let status = self.core.consensus_status();
         let voters = status.membership.voters.iter();
@@ -345,7 +344,7 @@
         log::warn!("{}", event_line("leaderless", &pairs));
     }
 
-    /// Asks the members that the settings name and those of the membership known here.
+    /// Sends join requests to the members of the settings and of the known membership.
     fn request_join(&mut self, membership: &Membership) {
         let known = membership.voters.iter().map(|member| &member.peer_address);
         let others: BTreeSet<String> = self
@@ -362,8 +361,8 @@
     }
 }
 
-/// The call of an announcement whose sender waits no more. One that says that its instance leaves is of a
-/// more urgent class and always taken up.
+/// Returns the call of an announcement whose sender has timed out. Announcements of leaving instances have a
+/// higher priority and are always processed.
 fn expired_announcement(waiting: &WaitingInput) -> Option<u64> {
     let ControlInput::Administration { call, request } = &waiting.input else {
         return None;
--- a/crates/millpass-control/src/metrics.rs
+++ b/crates/millpass-control/src/metrics.rs
@@ -9,24 +9,21 @@
 };
 use std::time::Duration;
 
-/// Upper bounds, in seconds, of the histogram of syncs.
+/// Buckets of the sync histogram.
 const SYNC_SECONDS: [f64; 12] = [
     0.0001, 0.000_2, 0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 2.0,
 ];
 
-/// Upper bounds, in seconds, of the histogram of documents on their way to gateways: from a round trip to a
-/// gateway that was away for a minute.
+/// Buckets of the histograms of documents and departures on their way to gateways.
 const DELIVERY_SECONDS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
-/// Upper bounds, in seconds, of the histograms of what waits for the core: from a step's time to beyond
-/// the election timeout.
+/// Buckets of the histograms of inputs and ticks waiting for the core.
 const WAIT_SECONDS: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// Metrics of one process.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Events of the core by name.
+    /// By event name.
     events: IntCounterVec,
-    /// Inputs that the core took.
+    /// Inputs processed by the core.
     pub(crate) steps: IntGauge,
     sync_seconds: Histogram,
     document_seconds: Histogram,
@@ -37,9 +34,9 @@
     queues: IntGaugeVec,
     /// By class.
     refused_inputs: IntCounterVec,
-    /// Announcements answered as refused because they had waited too long.
+    /// Announcements refused because they had waited too long.
     pub(crate) expired_announcements: IntCounter,
-    /// Announcements that name no instance to use, by reason.
+    /// Invalid announcements, by reason.
     refused_announcements: IntCounterVec,
     departure_seconds: Histogram,
     term: IntGauge,
@@ -47,19 +44,19 @@
     leads: IntGauge,
     /// Open connections of members and routers.
     pub(crate) connections: IntGauge,
-    /// Messages to members and routers that were dropped because a queue was full.
+    /// Messages to members and routers dropped because a queue was full.
     pub(crate) dropped_messages: IntGauge,
-    /// Questions of gateways that were answered by datagram.
+    /// Responses to freshness queries.
     pub(crate) freshness_responses: IntGauge,
     /// Calls of the administration API refused because too many of their class waited.
     pub(crate) refused_calls: IntGauge,
     disk: DiskMetrics,
     missing_voters: IntGauge,
-    /// By state: heard here, active, standby.
+    /// By state.
     instances: IntGaugeVec,
 }
 
-/// How full the disk is, in bytes, and how long the write under way has lasted, in milliseconds.
+/// Disk usage and the duration of the write in progress.
 struct DiskMetrics {
     bytes: IntGauge,
     most_bytes: IntGauge,
@@ -182,7 +179,7 @@
         self.tick_late_seconds.observe(time.as_secs_f64());
     }
 
-    /// Shows a class's queue; returns how many inputs were refused since the last look.
+    /// Records the queue of a class; returns how many inputs were refused since the last call.
     pub(crate) fn record_queue(&self, class: Priority, waiting: usize, refused: u64) -> u64 {
         let queue = self.queues.with_label_values(&[class.name()]);
         queue.set(i64::try_from(waiting).unwrap_or(i64::MAX));
--- a/crates/millpass-control/src/peer_queue.rs
+++ b/crates/millpass-control/src/peer_queue.rs
@@ -1,20 +1,19 @@
-//! What waits to be sent to one address: bounded in messages and bytes, without outdated heartbeats.
+//! Messages waiting to be sent to one address, bounded in number and bytes, without superseded heartbeats.
 //!
-//! A member that does not read, or a connection that is made anew, leaves a queue behind. Entries in it are
-//! still worth sending: what is lost has to be found missing and sent again, and a slow member that never got
-//! old entries would never get any. A heartbeat is not, once a later request follows it: that one says all it
-//! said, and the older would only prolong a promise to a leader that may be gone.
+//! After a stall or reconnect, queued entries are still sent, as lost ones would have to be resent. A heartbeat is
+//! dropped once a later append request to the same member follows: a stale one would only prolong the lease of a leader
+//! that may have been deposed.
 //!
-//! More than one member may be meant at an address: a process that came back empty is a learner there beside the
-//! identity whose place it is to take. What one of them is sent outdates nothing of the other's.
+//! An address can belong to two members: a process that lost its disk is a learner beside its old identity. A message
+//! to one never supersedes a message to the other.
 
 use millpass_proto::{Command, EntryPayload, LinkMessage, LogEntry, MemberId, PeerMessage};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes that may wait for one member: the 32 requests that a leader has under way without an answer, with a
-/// large document each (256 KiB as sent, twice that with what is derived from it).
+/// Maximum bytes in one queue: fits the 32 requests that a leader has in flight, with a large document each (256 KiB
+/// as sent, twice that in memory).
 const MAXIMUM_BYTES: usize = 16 * 1024 * 1024;
-/// Assumed of a message or entry beside documents and snapshots.
+/// Assumed size of a message or entry without documents and snapshots.
 const BASE_BYTES: usize = 512;
 
 /// Messages to one member, in order.
@@ -23,12 +22,12 @@
     waiting: VecDeque<LinkMessage>,
     maximum_messages: usize,
     bytes: usize,
-    /// Append requests among those that wait, by the member that each is for.
+    /// Number of waiting append requests, by target member.
     requests: BTreeMap<MemberId, usize>,
 }
 
 impl PeerQueue {
-    /// An empty queue for this many messages.
+    /// Creates an empty queue for this many messages.
     pub fn new(maximum_messages: usize) -> Self {
         PeerQueue {
             waiting: VecDeque::new(),
@@ -38,7 +37,7 @@
         }
     }
 
-    /// Adds a message; false if there is no room and it is dropped. One alone always fits.
+    /// Adds a message; returns false if the queue is full and the message is dropped. An empty queue accepts any message.
     pub fn push(&mut self, message: LinkMessage) -> bool {
         let bytes = message_bytes(&message);
         let has_capacity = self.waiting.len() < self.maximum_messages
@@ -54,7 +53,7 @@
         true
     }
 
-    /// The next message to send.
+    /// Returns the next message to send, skipping superseded heartbeats.
     pub fn pop(&mut self) -> Option<LinkMessage> {
         loop {
             let message = self.waiting.pop_front()?;
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Takes a request out of the count; whether one to the same member follows it.
+    /// Removes an append request from the count; returns whether another one to the same member follows.
     fn remove_request(&mut self, message: &LinkMessage) -> bool {
         let Some(member) = append_target(message) else {
             return false;
@@ -81,18 +80,18 @@
         left > 0
     }
 
-    /// Drops all.
+    /// Drops all messages.
     pub fn clear(&mut self) {
         *self = PeerQueue::new(self.maximum_messages);
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 }
 
-/// The member that an append request is for.
+/// Returns the target member of an append request.
 fn append_target(message: &LinkMessage) -> Option<MemberId> {
     let LinkMessage::Peer(envelope) = message else {
         return None;
@@ -107,7 +106,7 @@
     matches!(&envelope.message, PeerMessage::AppendRequest(request) if request.entries.is_empty())
 }
 
-/// About as many bytes as the message takes.
+/// Returns the approximate size of a message.
 fn message_bytes(message: &LinkMessage) -> usize {
     let envelope = match message {
         LinkMessage::Peer(envelope) => envelope,
@@ -122,7 +121,7 @@
     BASE_BYTES + content
 }
 
-/// A document is held as it was sent, and as what is derived from it.
+/// Counts a document twice, as it is held as sent and in derived form.
 fn entry_bytes(entry: &LogEntry) -> usize {
     match &entry.payload {
         EntryPayload::Command(Command::PutDocument(put)) => BASE_BYTES + 2 * put.source.len(),
--- a/crates/millpass-control/src/peers.rs
+++ b/crates/millpass-control/src/peers.rs
@@ -1,7 +1,6 @@
-//! Connections to other members: one thread and one bounded queue for each address.
+//! Outbound connections to other members: one thread and one bounded queue per address.
 //!
-//! What does not fit the queue, or is on its way when a connection breaks, is dropped: consensus
-//! sends again.
+//! Messages that exceed the queue, or are in flight when a connection breaks, are dropped; consensus resends.
 
 use crate::metrics::Metrics;
 use crate::peer_queue::PeerQueue;
@@ -15,19 +14,18 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Longest wait for a connection. A machine without power answers nothing; a voter that comes up while one hangs is
-/// spoken to only afterwards, so it is below the election timeout.
+/// Connect timeout, below the election timeout so that a voter that restarts during a hanging attempt is soon reached.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for room in a connection, and for bytes to be acknowledged.
+/// Timeout for writes, and for bytes to be acknowledged.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a connection could not be made; messages of that time are dropped.
+/// Delay after a failed connect; messages of that time are dropped.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// An address that nothing was sent to for so long is forgotten.
+/// Time without messages after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Stack of a sending thread, in bytes.
+/// Stack size of a sending thread.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// The queue between the core's thread and the one that sends.
+/// Queue between the core's thread and a sending thread.
 struct SharedQueue {
     state: Mutex<QueueState>,
     filled: Condvar,
@@ -35,7 +33,7 @@
 
 struct QueueState {
     queue: PeerQueue,
-    /// Nobody adds to it any more.
+    /// No more messages will be added.
     is_closed: bool,
 }
 
@@ -54,14 +52,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a message; false if it is dropped.
+    /// Adds a message; returns false if it is dropped.
     fn push(&self, message: LinkMessage) -> bool {
         let is_added = self.lock().queue.push(message);
         self.filled.notify_one();
         is_added
     }
 
-    /// Waits for the next message; none once the queue is closed and empty.
+    /// Waits for the next message; returns `None` once the queue is closed and empty.
     fn pop(&self) -> Option<LinkMessage> {
         let mut state = self.lock();
         loop {
@@ -90,7 +88,7 @@
     sending: JoinHandle<()>,
 }
 
-/// Sends to members by address. Owned by the core's thread; dropping it ends the connections.
+/// Sends to members by address. Owned by the core's thread; dropping it closes the connections.
 pub(crate) struct Peers {
     peers: BTreeMap<String, Peer>,
     own: MemberAddress,
@@ -99,8 +97,7 @@
 }
 
 impl Peers {
-    /// `own` introduces this member on each connection; `queue_length` bounds what waits for one
-    /// member.
+    /// Creates the connections. `own` is sent as hello on each; `queue_length` bounds the queue of each address.
     pub(crate) fn new(own: MemberAddress, queue_length: usize, metrics: Arc<Metrics>) -> Self {
         Peers {
             peers: BTreeMap::new(),
@@ -110,9 +107,9 @@
         }
     }
 
-    /// Sends, or drops the message. Never waits.
+    /// Queues the message, or drops it if the queue is full. Never blocks.
     pub(crate) fn send(&mut self, address: &str, message: LinkMessage) {
-        // A thread that has ended, which only a panic does, would leave this member silent towards the other for good.
+        // Replace a thread that has panicked, or the peer would never receive a message again.
         let is_open = |peer: &Peer| !peer.sending.is_finished();
         if !self.peers.get(address).is_some_and(is_open) {
             self.remove_idle();
@@ -187,8 +184,7 @@
     let stream = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(SEND_TIMEOUT))?;
-    // Heartbeats alone never fill the buffer of a connection that has gone silent: without this, a leader would
-    // speak into it for a quarter of an hour.
+    // Heartbeats alone never fill the send buffer of a dead connection, so only this timeout detects it quickly.
     SockRef::from(&stream).set_tcp_user_timeout(Some(SEND_TIMEOUT))?;
     Ok(stream)
 }
@@ -212,7 +208,7 @@
     Ok(writer.flush()?)
 }
 
-/// Drops what comes for some time, so that nothing outdated is sent once the target is back.
+/// Drops messages for some time, so that nothing stale is sent once the target is reachable.
 fn discard_for(queue: &SharedQueue, time: Duration) {
     thread::sleep(time);
     queue.lock().queue.clear();
--- a/crates/millpass-control/src/priority.rs
+++ b/crates/millpass-control/src/priority.rs
@@ -1,30 +1,28 @@
-//! How urgent an input of the core is.
+//! Priority classes of the core's inputs.
 //!
-//! The classes follow what a delay costs: a vote or heartbeat that is late costs the leader, a promised
-//! change or departure that is late is not in force, a request waits for credit, a report is repeated, and
-//! an instance announces itself again.
+//! Classes are ordered by the cost of a delay: late votes and heartbeats cost the leadership, late changes and
+//! departures are not in force, requests wait for credit, while reports and announcements are repeated.
 
 use millpass_control_plane::{AdministrationRequest, ControlInput};
 use millpass_proto::{ObjectKind, RouterToControl};
 
-/// Class of an input, the most urgent first.
+/// Priority class of an input, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// Messages of members and completed writes: elections, leases and commits wait for them.
     Consensus,
-    /// What is promised to an operator or to an instance that leaves, and what such a call reads first;
-    /// joins and the planned stop.
+    /// Changes by operators and departures of instances with the reads that precede them; joins and planned stops.
     Promised,
-    /// Credit that requests wait for, instances that ended, answers of engines, and what members hear of instances.
+    /// Credit and permit requests, crash reports, engine responses, and instance shares of members.
     Credit,
-    /// Reports of routers and gateways, the platform's list.
+    /// Reports of routers and gateways, and the platform's list.
     Reports,
-    /// Announcements, and reads that nothing rests on.
+    /// Announcements, and reads by operators.
     Announcements,
 }
 
 impl Priority {
-    /// All classes, the most urgent first.
+    /// All classes, highest priority first.
     pub const ALL: [Priority; 5] = [
         Priority::Consensus,
         Priority::Promised,
@@ -33,7 +31,7 @@
         Priority::Announcements,
     ];
 
-    /// Name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Priority::Consensus => "consensus",
@@ -44,10 +42,10 @@
         }
     }
 
-    /// The class of an input.
+    /// Returns the class of an input.
     pub fn of(input: &ControlInput) -> Self {
         match input {
-            // A greeting names the sender of the messages that follow it on its connection.
+            // A hello identifies the sender of the messages that follow on its connection.
             ControlInput::Tick
             | ControlInput::Peer(_)
             | ControlInput::MemberHello(_)
@@ -55,12 +53,11 @@
             ControlInput::Join(_) | ControlInput::Drain => Priority::Promised,
             ControlInput::Administration { request, .. } => Priority::of_call(request),
             ControlInput::Router { message, .. } => router_priority(message),
-            // With the reports, so that it follows the last one of its connection.
+            // In the class of reports, so that it is processed after the last one of its connection.
             ControlInput::RouterDisconnected(_)
             | ControlInput::RouterBacklog { .. }
             | ControlInput::PlatformListed(_) => Priority::Reports,
-            // A member's share is its sign of life, on the connection that carries its consensus. An answer that waits for
-            // two seconds counts as lost, and comes in place of a later one's.
+            // Late shares and engine responses would count as lost.
             ControlInput::Share(_)
             | ControlInput::ShareResponse(_)
             | ControlInput::OrderDelivered { .. }
@@ -68,7 +65,7 @@
         }
     }
 
-    /// The class of a call of the administration API.
+    /// Returns the class of a call of the administration API.
     pub fn of_call(request: &AdministrationRequest) -> Self {
         match request {
             AdministrationRequest::Change(_)
@@ -78,9 +75,9 @@
             | AdministrationRequest::GetDocument
             | AdministrationRequest::Depart(_)
             | AdministrationRequest::LiftQuarantine(_) => Priority::Promised,
-            // An instance leaves by its announcement.
+            // A draining announcement is a departure.
             AdministrationRequest::Announce(record) if record.draining => Priority::Promised,
-            // Every call of an operator first reads the operators, to know whose key it brings.
+            // Every call of an operator first lists the operators, for authentication.
             AdministrationRequest::List(ObjectKind::Operator) => Priority::Promised,
             AdministrationRequest::Get(_)
             | AdministrationRequest::List(_)
@@ -92,8 +89,8 @@
     }
 }
 
-/// Credit, crashes and permits rest on no earlier message of their connection. A router's claims rest on its
-/// hello, and its reports too, so these stay in one class, in order.
+/// Returns the class of a router message. Credit, crashes and permits depend on no earlier message of their connection.
+/// Claims and reports depend on the hello, so these share a class to keep their order.
 fn router_priority(message: &RouterToControl) -> Priority {
     match message {
         RouterToControl::Credit(_) | RouterToControl::Crashes(_) | RouterToControl::Permits(_) => {
--- a/crates/millpass-control/src/process.rs
+++ b/crates/millpass-control/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: its threads, from start to stop.
+//! Starts and stops the threads of a control member.
 
 use crate::administration::{self, AdministrationLimits, AdministrationServer};
 use crate::calls::{CallTable, CoreCalls, REFUSAL_LOG_INTERVAL};
@@ -26,10 +26,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 
-/// Longest wait for the last answers of the administration API to go out.
+/// Maximum time to send the last responses of the administration API.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// Ports that are picked until one is free for connections and for datagrams. Of some 28,000, a busy machine has
-/// hundreds in use.
+/// Maximum number of ports tried until one is free for both TCP and UDP.
 const MAXIMUM_PORT_TRIES: u32 = 8;
 
 /// A running control member. Dropping it halts the member.
@@ -39,20 +38,20 @@
     inputs: Inputs,
     administration: AdministrationServer,
     core: Option<JoinHandle<Result<(), ControlError>>>,
-    /// Nothing is ever sent on it; it closes when the core's thread ends.
+    /// Closes when the core's thread ends; nothing is sent on it.
     core_ended: Receiver<()>,
     heartbeat: Heartbeat,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Starts a member: a group of one, one of the initial members, or a joiner, as the data folder
-/// and the settings say.
+/// Starts a member. The data folder and the settings determine whether it is a group of one, an initial member or
+/// a joiner.
 pub fn start(settings: ControlProcessSettings) -> Result<ControlHandle, ControlError> {
     start_extended(settings, Extensions::default())
 }
 
-/// Connections and datagrams come to one port. A free one that the system picks for connections may be taken for
-/// datagrams: then another is picked.
+/// Binds TCP and UDP to the same port. A port that the system picks for TCP may be in use for UDP; then another one is
+/// tried.
 fn listen(
     settings: &ControlProcessSettings,
 ) -> Result<(TcpListener, Option<UdpSocket>), ControlError> {
@@ -75,7 +74,7 @@
     })
 }
 
-/// A member that cannot take datagrams serves all the same: gateways ask the others, and the leader.
+/// Binds the UDP port. A member without it still serves: gateways query other members.
 fn listen_for_datagrams(listener: &TcpListener) -> Result<Option<UdpSocket>, ControlError> {
     let address = listener.local_addr()?;
     match UdpSocket::bind(address) {
@@ -90,7 +89,7 @@
     }
 }
 
-/// Like [`start`], for a deployment with wire formats of its own.
+/// Like [`start`], for a deployment with its own wire formats.
 pub fn start_extended(
     settings: ControlProcessSettings,
     extensions: Extensions,
@@ -100,7 +99,7 @@
     start_parts(settings, opened, listener, datagrams, extensions)
 }
 
-/// Like [`start`], with a socket for members and routers that listens already.
+/// Like [`start`], with a listener that is already bound for members and routers.
 pub fn start_on(
     settings: ControlProcessSettings,
     listener: TcpListener,
@@ -216,7 +215,7 @@
     };
     let (running, core_ended) = bounded::<()>(0);
     let core = spawn("control-core", move || {
-        // Dropped when this thread ends, by a panic too.
+        // Dropped when this thread ends, also by a panic.
         let _running = running;
         member.run()
     })?;
@@ -241,44 +240,43 @@
 }
 
 impl ControlHandle {
-    /// Identity of the member.
+    /// Returns the member id.
     pub fn member(&self) -> MemberId {
         self.address.member
     }
 
-    /// IP address and port it listens at for members and routers.
+    /// Returns the listen address (IP:port) for members and routers.
     pub fn peer_address(&self) -> &str {
         &self.listening.peer
     }
 
-    /// IP address and port of its administration API.
+    /// Returns the listen address (IP:port) of the administration API.
     pub fn administration_address(&self) -> &str {
         &self.listening.administration
     }
 
-    /// Begins the planned stop: leadership is handed over, calls under way are answered.
+    /// Starts a planned stop: leadership is transferred and calls in progress are completed.
     /// [`ControlHandle::join`] waits for its end.
     pub fn drain(&self) {
         self.inputs.send(ControlInput::Drain);
     }
 
-    /// Stops at once, as if the process had been killed, but for what is already being written.
+    /// Stops at once, as if the process had been killed, except that writes in progress complete.
     pub fn halt(&self) {
         self.inputs.halt();
     }
 
-    /// Whether the member has ended by itself.
+    /// Returns whether the member has ended.
     pub fn is_finished(&self) -> bool {
         self.core.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Calls back once the member has ended, for whatever reason. A process without its member
-    /// must end as well: it answers as if it took part, and whoever starts ended processes again
-    /// sees none to start.
+    /// Calls `act` once the member has ended, for any reason. The process should then exit, so that its supervisor
+    /// restarts it.
     pub fn on_exit(&mut self, act: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
         let ended = self.core_ended.clone();
         let watch = spawn("control-end", move || {
-            // It closes without a message.
+            // Returns an error when the channel closes.
             let _ = ended.recv();
             act();
         })?;
@@ -286,12 +284,12 @@
         Ok(())
     }
 
-    /// Rounds of the core's thread, for who watches that it goes on.
+    /// Returns the heartbeat of the core's thread, for a watchdog.
     pub fn heartbeat(&self) -> Heartbeat {
         self.heartbeat.clone()
     }
 
-    /// Waits until the member has ended, and says why if it failed.
+    /// Waits until the member has ended; returns the error if it failed.
     pub fn join(mut self) -> Result<(), ControlError> {
         self.wait()
     }
@@ -302,8 +300,8 @@
         };
         let ended = core
             .join()
-            .unwrap_or_else(|_| Err(ControlError::Stopped("its thread panicked".to_owned())));
-        // Whoever waits was answered when the core ended; the answers still have to go out.
+            .unwrap_or_else(|_| Err(ControlError::Stopped("the core thread panicked".to_owned())));
+        // Waiting calls were completed when the core ended; their responses still have to be sent.
         self.administration.drain(RESPONSE_GRACE);
         threads::join_all(std::mem::take(&mut self.threads));
         ended
@@ -314,7 +312,7 @@
     fn drop(&mut self) {
         if self.core.is_some() {
             self.halt();
-            // Whoever wants the reason joins.
+            // Callers that need the result use `join`.
             let _ = self.wait();
         }
     }
--- a/crates/millpass-control/src/router_backlog.rs
+++ b/crates/millpass-control/src/router_backlog.rs
@@ -1,4 +1,4 @@
-//! Whether a gateway's updates wait at its connection.
+//! Counts the updates queued at a gateway's connection.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -6,16 +6,16 @@
 struct Counts {
     /// Updates queued and not yet written.
     updates: usize,
-    /// The core was reported that one waits behind another.
+    /// Whether the core was notified that an update waits behind another.
     reported: bool,
 }
 
-/// Counts the updates of one connection. The core's thread queues them, the connection's writer takes them.
+/// Updates of one connection. The core's thread queues them, the connection's writer removes them.
 #[derive(Default)]
 pub(crate) struct RouterBacklog(Mutex<Counts>);
 
 impl RouterBacklog {
-    /// An update is about to be queued. True when it is the first to wait behind another, which the core is to hear.
+    /// Records a queued update. Returns true if it is the first to wait behind another: notify the core.
     pub(crate) fn queued(&self) -> bool {
         let mut counts = self.lock();
         counts.updates += 1;
@@ -24,7 +24,7 @@
         is_first
     }
 
-    /// An update was written. True when none is left, and the core is to hear it.
+    /// Records a written update. Returns true if the reported backlog is now empty: notify the core.
     pub(crate) fn written(&self) -> bool {
         let mut counts = self.lock();
         counts.updates = counts.updates.saturating_sub(1);
--- a/crates/millpass-control/src/settings.rs
+++ b/crates/millpass-control/src/settings.rs
@@ -6,20 +6,20 @@
 use millpass_storage::StorageOptions;
 use std::path::{Path, PathBuf};
 
-/// Timing of consensus; see the settings reference for what each bounds.
+/// Timing of consensus.
 #[derive(Clone, Debug)]
 pub struct ConsensusTiming {
-    /// Shortest time without a leader before a member asks for votes.
+    /// Minimum time without a leader before a member requests votes.
     pub election_timeout: Duration,
-    /// Time between heartbeats of the leader.
+    /// Interval of the leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time the leader may act alone after a heartbeat that a quorum acknowledged.
+    /// Duration of the leader lease after a heartbeat that a quorum acknowledged.
     pub lease_length: Duration,
-    /// Time for which the leader's disk may stall, while a majority's go on, before it hands leadership over.
+    /// Time for which the leader's disk may stall, while a majority's disks work, before it transfers leadership.
     pub stalled_disk_limit: Duration,
-    /// Most log entries in one message.
+    /// Maximum number of log entries in one message.
     pub maximum_append_entries: usize,
-    /// Bytes in one piece of a snapshot.
+    /// Size of one chunk of a snapshot, in bytes.
     pub snapshot_chunk_bytes: usize,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A member of the initial group, as every initial member's settings list it.
+/// A member of the initial group, listed in the settings of every initial member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InitialMember {
     /// Zone it runs in.
@@ -47,7 +47,7 @@
     pub administration_address: String,
 }
 
-/// A member that others find the group through. Its zone is not known.
+/// A member through which others find the group. Its zone is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedMember {
     /// IP address and port for members and routers.
@@ -56,22 +56,22 @@
     pub administration_address: String,
 }
 
-/// Bounds of the process.
+/// Limits of the process.
 #[derive(Clone, Debug)]
 pub struct ProcessLimits {
-    /// Most connections of members, routers and joiners together.
+    /// Maximum number of inbound connections of members, routers and joiners.
     pub maximum_connections: usize,
-    /// Most messages that wait for one member; later ones are dropped, and consensus resends.
+    /// Maximum number of messages queued for one member; later ones are dropped and resent by consensus.
     pub peer_queue: usize,
-    /// Most messages that wait for one router; a router that does not read is disconnected.
+    /// Maximum number of messages queued for one router; when exceeded, the router is disconnected.
     pub router_queue: usize,
-    /// Most calls to engines and the platform at once, each on a thread; threads are started as calls need them.
+    /// Maximum number of concurrent calls to engines and the platform; each uses a thread, started on demand.
     pub delivery_threads: usize,
-    /// Most deliveries that wait for a thread; later ones are not sent.
+    /// Maximum number of calls that wait for a thread; later ones are not sent.
     pub delivery_queue: usize,
-    /// Longest wait for an engine's or the platform's answer.
+    /// Timeout of a call to an engine or the platform.
     pub call_timeout: Duration,
-    /// Silence after which a connection counts as broken.
+    /// Time without data after which a connection counts as broken.
     pub connection_timeout: Duration,
 }
 
@@ -92,60 +92,60 @@
 /// Settings of a control member process.
 #[derive(Clone, Debug)]
 pub struct ControlProcessSettings {
-    /// Consensus group.
+    /// Id of the consensus group.
     pub group: GroupId,
     /// Zone this member runs in.
     pub zone: ZoneName,
     /// Folder for log, snapshots and identity.
     pub data_folder: PathBuf,
-    /// How that folder is written.
+    /// Storage options of that folder.
     pub storage: StorageOptions,
-    /// IP address and port to listen at for members and routers; port 0 picks one.
+    /// Listen address (IP:port) for members and routers; port 0 picks a free port.
     pub peer_listen: String,
-    /// IP address and port to listen at for the administration API; port 0 picks one.
+    /// Listen address (IP:port) of the administration API; port 0 picks a free port.
     pub administration_listen: String,
-    /// Address others reach `peer_listen` at, where it differs.
+    /// Advertised address of `peer_listen`, if it differs.
     pub peer_advertise: Option<String>,
-    /// Address others reach `administration_listen` at, where it differs.
+    /// Advertised address of `administration_listen`, if it differs.
     pub administration_advertise: Option<String>,
     /// Whether an empty data folder becomes a group of this member alone.
     pub bootstrap: bool,
-    /// The initial members, the same list in the same order on each.
+    /// The initial members; must be the same list in the same order on each.
     pub initial_members: Vec<InitialMember>,
-    /// Members to find the group through.
+    /// Members through which to find the group.
     pub seeds: Vec<SeedMember>,
     /// Whether the seeds form the group when their data folders are empty.
     pub form_from_seeds: bool,
-    /// Where the platform's list is read; none for no platform.
+    /// Address of the platform's list; `None` without a platform.
     pub platform_address: Option<String>,
-    /// BLAKE3 hash (hex) of the key that counts as administrator while no operator exists.
+    /// BLAKE3 hash (hex) of the key that has the administrator role while no operator exists.
     pub bootstrap_key_hash: Option<String>,
     /// Timing of consensus.
     pub consensus: ConsensusTiming,
     /// Scheduler settings.
     pub scheduler: SchedulerSettings,
-    /// Lease given to routers.
+    /// Lease granted to routers.
     pub router_lease: Duration,
     /// Time between scheduling rounds.
     pub scheduling_interval: Duration,
-    /// Applied entries after which a snapshot is taken.
+    /// Number of applied entries after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// How long claims are kept.
+    /// Retention period of claims.
     pub claim_retention: Duration,
-    /// Silence after which a member is replaced by a waiting one.
+    /// Time without contact after which a member is replaced by a learner.
     pub member_replacement_delay: Duration,
-    /// Time a machine must be missing from the platform's list before it counts as gone.
+    /// Time for which a machine must be missing from the platform's list before it counts as gone.
     pub machine_gone_delay: Duration,
-    /// Voters up to which caught-up members are promoted; 0 to keep their number.
+    /// Target number of voters, up to which caught-up members are promoted; 0 to keep the current number.
     pub target_voters: usize,
-    /// Instances that announce themselves; none where the platform lists machines instead.
+    /// Settings of announced instances; `None` if the platform lists machines instead.
     pub fleet: Option<FleetSettings>,
-    /// Bounds of the process.
+    /// Limits of the process.
     pub limits: ProcessLimits,
 }
 
 impl ControlProcessSettings {
-    /// A group of one member on free loopback ports, for `millpass dev` and tests.
+    /// Returns settings of a group of one on free loopback ports, for `millpass dev` and tests.
     pub fn single(data_folder: impl AsRef<Path>) -> Self {
         ControlProcessSettings {
             group: GroupId(1),
--- a/crates/millpass-control/src/startup.rs
+++ b/crates/millpass-control/src/startup.rs
@@ -1,4 +1,4 @@
-//! From settings and data folder to a decision core: who this member is and what it remembers.
+//! Opens the data folder, determines the identity of the member, and builds the decision core.
 
 use crate::error::ControlError;
 use crate::settings::{ControlProcessSettings, InitialMember, SeedMember};
@@ -8,20 +8,20 @@
 use millpass_state::State;
 use millpass_storage::{MemberIdentity, RestoredStorage, Storage, StorageError};
 
-/// Identity of the only member of a group that bootstraps itself.
+/// Member id in a group of one.
 const SINGLE_MEMBER: MemberId = MemberId(1);
-/// Identities below are those of initial members; joiners draw higher ones.
+/// Lowest id of joiners; ids of initial members are below.
 const FIRST_JOINER: u64 = 1 << 32;
 
-/// What a member knows when it starts.
+/// An opened data folder.
 pub(crate) struct OpenedMember {
-    /// Open data folder.
+    /// Storage of the data folder.
     pub(crate) storage: Storage,
-    /// What it holds.
+    /// Restored content.
     pub(crate) restored: RestoredStorage,
 }
 
-/// Makes the data folder that of one of the initial members. Refused when it holds a member.
+/// Initializes the data folder of an initial member. Fails if the folder already belongs to a member.
 pub fn initialize(settings: &ControlProcessSettings) -> Result<(), ControlError> {
     check(settings)?;
     let address = own_peer_address(settings);
@@ -39,7 +39,7 @@
     write_identity(settings, initial_identity(index), voters)
 }
 
-/// Refuses timings that would make the leader lease unsafe.
+/// Rejects timings that would make the leader lease unsafe.
 pub(crate) fn check(settings: &ControlProcessSettings) -> Result<(), ControlError> {
     let timing = &settings.consensus;
     let lease_millis = timing.lease_length.as_millis();
@@ -96,9 +96,9 @@
     )?)
 }
 
-/// Opens the data folder; an empty one becomes that of a joiner under a fresh identity, or of one of the seeds that form
-/// the group. None for an empty one that is to become a group of one: [`create_group`] needs the addresses at which the
-/// process listens. Nothing listens yet: while a disk has no room, callers turn elsewhere at once.
+/// Opens the data folder, and initializes an empty one for a seed that forms the group or for a joiner with a new id.
+/// Returns `None` for an empty folder of a group of one, as [`create_group`] needs the bound addresses. Called before
+/// the process listens, so that callers get connection errors while the disk is unavailable.
 pub(crate) fn open(
     settings: &ControlProcessSettings,
 ) -> Result<Option<OpenedMember>, ControlError> {
@@ -119,7 +119,7 @@
     open_folder(settings).map(Some)
 }
 
-/// Makes an empty data folder that of a group of one, which listens at these addresses.
+/// Initializes an empty data folder for a group of one that listens at these addresses.
 pub(crate) fn create_group(
     settings: &ControlProcessSettings,
     addresses: &ListenAddresses,
@@ -141,8 +141,8 @@
     Ok(OpenedMember { storage, restored })
 }
 
-/// This member's index among the seeds that form the group, in order of their addresses; none if
-/// the group is not to be formed from seeds, or this member is not one of them.
+/// Returns this member's index among the seeds, ordered by address; `None` if the group is not formed from seeds
+/// or this member is not one of them.
 fn seed_index(settings: &ControlProcessSettings) -> Option<usize> {
     if !settings.form_from_seeds {
         return None;
@@ -159,8 +159,8 @@
     seeds
 }
 
-/// The same on each seed: identities are places, and zones, which a seed doesn't know of the
-/// others, stay empty.
+/// Returns the initial voters, which must be the same on each seed: ids are derived from the order of the
+/// addresses, and zones, unknown for other seeds, are empty.
 fn seed_voters(settings: &ControlProcessSettings) -> Vec<MemberAddress> {
     sorted_seeds(settings)
         .into_iter()
@@ -174,12 +174,12 @@
         .collect()
 }
 
-/// A disk that was lost must not come back under its old vote: the identity is drawn anew.
+/// Draws a new random id, as a member that lost its disk must not vote under its old id.
 fn joiner_identity() -> MemberId {
     MemberId(rand::random::<u64>() | FIRST_JOINER)
 }
 
-/// Peer addresses of the other members that the settings list.
+/// Returns the peer addresses of the other members in the settings.
 pub(crate) fn others(settings: &ControlProcessSettings) -> Vec<String> {
     let own = own_peer_address(settings);
     settings
@@ -192,7 +192,7 @@
         .collect()
 }
 
-/// Where the process listens, after binding.
+/// Bound listen addresses.
 #[derive(Clone, Debug)]
 pub(crate) struct ListenAddresses {
     /// For members and routers.
@@ -202,7 +202,7 @@
 }
 
 impl ListenAddresses {
-    /// The member's address as others reach it.
+    /// Returns the member's advertised address.
     pub(crate) fn member_address(
         &self,
         member: MemberId,
@@ -219,7 +219,7 @@
     }
 }
 
-/// Builds the decision core from what the folder holds.
+/// Builds the decision core from the restored data folder.
 pub(crate) fn core(
     settings: &ControlProcessSettings,
     address: MemberAddress,
--- a/crates/millpass-control/src/threads.rs
+++ b/crates/millpass-control/src/threads.rs
@@ -1,17 +1,14 @@
-//! Threads of a member: those that it cannot do without, and how long its end waits for them.
+//! Critical threads, and joining threads with a timeout.
 
 use crate::inputs::Inputs;
 use millpass_proto::Duration;
 use std::thread::{self, JoinHandle};
 use std::time::Instant;
 
-/// Longest wait of a member's end for its threads. One that hangs in a write to a stalled disk, or in a call, must not
-/// keep the process: it has no core any more, and whoever starts ended processes again sees none.
+/// Maximum wait for threads at shutdown. A thread that hangs in a disk write or a call must not keep the process alive.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause between two looks at them.
 const JOIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Starts a thread.
 pub(crate) fn spawn<T: Send + 'static>(
     name: &str,
     body: impl FnOnce() -> T + Send + 'static,
@@ -19,8 +16,8 @@
     thread::Builder::new().name(name.to_owned()).spawn(body)
 }
 
-/// Starts a thread that the member cannot do without: when it ends, by a panic too, so does the core. A member without
-/// its disk or its listening thread would count as a voter and take no part.
+/// Starts a critical thread: when it ends, also by a panic, the core stops. Otherwise a member without its disk or
+/// listening thread would still count as a voter.
 pub(crate) fn spawn_critical(
     name: &'static str,
     inputs: &Inputs,
@@ -36,7 +33,7 @@
     })
 }
 
-/// Tells the core when it is dropped, which is at the end of its thread.
+/// Reports the end of its thread to the core on drop.
 struct CriticalThread {
     name: &'static str,
     inputs: Inputs,
@@ -48,7 +45,7 @@
     }
 }
 
-/// Waits for threads to end, for a bounded time; those that do not are left to the end of the process.
+/// Waits for threads to end, for a bounded time. Remaining threads end with the process.
 pub(crate) fn join_all(threads: Vec<JoinHandle<()>>) {
     let until = Instant::now() + JOIN_TIMEOUT;
     for thread in threads {
--- a/crates/millpass-control/src/throttle.rs
+++ b/crates/millpass-control/src/throttle.rs
@@ -1,8 +1,8 @@
-//! Lets something be done once in an interval.
+//! Rate limit of one event per interval.
 
 use std::time::{Duration, Instant};
 
-/// When it was last done.
+/// Permits one event per interval.
 #[derive(Debug)]
 pub(crate) struct Throttle {
     interval: Duration,
@@ -10,7 +10,7 @@
 }
 
 impl Throttle {
-    /// Once in this interval; the first time at once.
+    /// Creates a throttle; the first event is permitted at once.
     pub(crate) fn new(interval: Duration) -> Self {
         Throttle {
             interval,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Whether it is time; if so, it counts as done.
+    /// Returns whether an event is permitted now; if so, starts a new interval.
     pub(crate) fn is_due(&mut self) -> bool {
         let is_recent = |at: Instant| at.elapsed() < self.interval;
         let is_due = !self.last.is_some_and(is_recent);
