--- a/crates/millpass-control/tests/administration_api.rs
+++ b/crates/millpass-control/tests/administration_api.rs
@@ -1,4 +1,4 @@
-//! Administration API over real connections, with a group in memory behind it.
+//! Administration API over real connections, with an in-memory group.
 
 mod administration_support;
 
@@ -13,7 +13,7 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// Connections after which a server that stalls some of them would have shown it.
+/// Enough connections to reveal a server that stalls some of them.
 const MANY_CONNECTIONS: usize = 200;
 
 #[rstest]
@@ -22,7 +22,7 @@
 #[case::key_of_a_tenant(Some("tenant-key"))]
 #[case::bootstrap_key_after_the_first_account(Some(BOOTSTRAP_KEY))]
 #[case::hash_instead_of_key(Some("af1349b9f5f9a1a6a0404dea36dcc949"))]
-fn others_than_operators_get_nothing(#[case] key: Option<&str>) {
+fn unauthenticated_callers_are_rejected(#[case] key: Option<&str>) {
     let fixture = Fixture::with_operators();
     fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", tenant(1));
     for path in ["/v1/status", "/v1/tenants", "/v1/audit", "/v1/operators"] {
@@ -60,7 +60,7 @@
 )]
 #[case::administrator_drains("PUT", "/v1/backends/e1/state", ADMINISTRATOR_KEY, 200)]
 #[case::administrator_changes_members("POST", "/v1/members", ADMINISTRATOR_KEY, 200)]
-fn roles_are_honoured(
+fn roles_are_enforced(
     #[case] method: &str,
     #[case] path: &str,
     #[case] key: &str,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn bootstrap_key_makes_the_first_account_and_then_only_resends() {
+fn the_bootstrap_key_creates_the_first_account_and_then_only_resends() {
     let fixture = Fixture::empty();
     let first = operator(ADMINISTRATOR_KEY, "Administrator");
     let path = "/v1/operators/ada";
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_last_administrator_stays() {
+fn the_last_administrator_cannot_be_removed() {
     let fixture = Fixture::with_operators();
     let delete = "/v1/operators/ada?expected_version=1&change_id=c1";
     let answer = fixture.send("DELETE", delete, Some(ADMINISTRATOR_KEY), b"");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_change_is_accepted_once_and_a_race_is_lost_with_the_current_version() {
+fn a_change_is_accepted_once_and_a_conflict_states_the_current_version() {
     let fixture = Fixture::with_operators();
     let path = "/v1/tenants/north";
     let first = fixture.put(path, EDITOR_KEY, 0, "c1", tenant(1));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_unknown_field_of_the_content_is_named() {
+fn an_unknown_field_of_the_content_is_reported() {
     let fixture = Fixture::with_operators();
     let mut spec = tenant(1);
     spec["share_wieght"] = json!(2);
@@ -180,9 +180,9 @@
 }
 
 #[test]
-fn a_deeply_nested_body_is_refused_and_the_server_goes_on() {
+fn a_deeply_nested_body_is_refused_and_the_server_keeps_running() {
     let fixture = Fixture::with_operators();
-    // Just below the parser's limit, and far above it.
+    // Just below the parser's nesting limit, and far above it.
     for depth in [126, 100_000] {
         let nested = format!("{}{}", "[".repeat(depth), "]".repeat(depth));
         let body = format!(r#"{{"expected_version":0,"change_id":"c","spec":{nested}}}"#);
@@ -197,7 +197,7 @@
 fn a_body_above_the_limit_is_refused() {
     let fixture = Fixture::with_operators();
     let limit = AdministrationLimits::default().maximum_body_bytes;
-    // Announced and not sent: a caller that is still writing may miss the answer.
+    // The body is announced but not sent, as a caller that is still writing may miss the response.
     let mut caller = TcpStream::connect(fixture.server.local_address()).unwrap();
     let path = "/v1/tenants/north";
     let head = format!(
@@ -227,7 +227,7 @@
 #[case::query("DELETE", "/v1/tenants/north?change_id=c", 400, "malformed")]
 #[case::query_twice("GET", "/v1/audit?after=1&after=2", 400, "malformed")]
 #[case::number("GET", "/v1/audit?after=-1", 400, "malformed")]
-fn what_does_not_exist_is_named(
+fn invalid_paths_and_parameters_are_reported(
     #[case] method: &str,
     #[case] path: &str,
     #[case] status: u16,
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_rejected_policy_is_told_with_its_line_and_the_old_one_stays() {
+fn a_rejected_policy_reports_the_line_and_the_old_one_stays_in_force() {
     let fixture = Fixture::with_operators();
     let path = "/v1/policies/open";
     let policy = |allow: &str, allowed: bool| {
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn a_key_is_not_taken_for_its_hash() {
+fn a_key_in_place_of_its_hash_is_rejected() {
     let fixture = Fixture::with_operators();
     let mut spec = tenant(1);
     spec["api_key_hashes"] = json!(["tenant-key"]);
@@ -294,34 +294,34 @@
 }
 
 #[rstest]
-#[case::not_leader(Trouble::NotLeader(Some("10.0.0.1:7101".to_owned())), 421, "not_leader", None)]
-#[case::no_leader(Trouble::NotLeader(None), 421, "not_leader", Some("1"))]
-#[case::unknown(Trouble::DoneUnknown, 503, "outcome_unknown", Some("1"))]
-#[case::busy(Trouble::Busy, 503, "busy", Some("1"))]
-#[case::refused(Trouble::Refused("full".to_owned()), 503, "busy", Some("1"))]
-fn troubles_of_the_group_are_told(
-    #[case] trouble: Trouble,
+#[case::not_leader(Fault::NotLeader(Some("10.0.0.1:7101".to_owned())), 421, "not_leader", None)]
+#[case::no_leader(Fault::NotLeader(None), 421, "not_leader", Some("1"))]
+#[case::unknown(Fault::DoneUnknown, 503, "outcome_unknown", Some("1"))]
+#[case::busy(Fault::Busy, 503, "busy", Some("1"))]
+#[case::refused(Fault::Refused("full".to_owned()), 503, "busy", Some("1"))]
+fn faults_of_the_group_are_reported(
+    #[case] fault: Fault,
     #[case] status: u16,
     #[case] kind: &str,
     #[case] retry_after: Option<&str>,
 ) {
     let fixture = Fixture::with_operators();
-    fixture.group.trouble(trouble.clone());
+    fixture.group.inject(fault.clone());
     let answer = fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", tenant(1));
     assert_eq!((answer.status, answer.kind()), (status, kind));
     assert_eq!(answer.retry_after.as_deref(), retry_after);
     let leader = answer.detail("leader_address").as_str();
-    match trouble {
-        Trouble::NotLeader(expected) => assert_eq!(leader, expected.as_deref()),
+    match fault {
+        Fault::NotLeader(expected) => assert_eq!(leader, expected.as_deref()),
         _ => assert_eq!(leader, None),
     }
 }
 
 #[test]
-fn a_refused_mark_of_a_back_end_is_told() {
+fn a_refused_back_end_state_is_reported() {
     let fixture = Fixture::with_operators();
     let reason = "back end e1 is not registered; `status` lists those that are";
-    fixture.group.trouble(Trouble::Refused(reason.to_owned()));
+    fixture.group.inject(Fault::Refused(reason.to_owned()));
     let body = br#"{"state":"asleep"}"#;
     let path = "/v1/backends/e1/state";
     let answer = fixture.send("PUT", path, Some(ADMINISTRATOR_KEY), body);
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn every_one_of_many_connections_is_answered() {
+fn all_of_many_connections_get_a_response() {
     let fixture = Fixture::with_operators();
     for number in 0..MANY_CONNECTIONS {
         // A new agent each time, so a new connection.
@@ -373,10 +373,10 @@
 }
 
 #[test]
-fn the_client_resends_a_change_whose_answer_was_lost() {
+fn the_client_resends_a_change_whose_response_was_lost() {
     let fixture = Fixture::with_operators();
-    fixture.group.trouble(Trouble::DoneUnknown);
-    fixture.group.trouble(Trouble::Busy);
+    fixture.group.inject(Fault::DoneUnknown);
+    fixture.group.inject(Fault::Busy);
     let mut client = fixture.client(EDITOR_KEY);
     let sent = change(0, "c1", tenant(1));
     let accepted = client.put(ObjectKind::Tenant, "north", &sent).unwrap();
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn the_client_follows_the_leader_and_passes_over_the_dead() {
+fn the_client_follows_the_leader_and_skips_unreachable_members() {
     let leader = Fixture::with_operators();
     let follower = Fixture::with_operators();
     follower.group.follow(Some(leader.address()));
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn the_client_does_not_stay_with_a_member_that_names_a_dead_leader() {
+fn the_client_leaves_a_member_that_names_an_unreachable_leader() {
     let leader = Fixture::with_operators();
     let dead = Fixture::empty();
     let follower = Fixture::with_operators();
@@ -412,12 +412,12 @@
 }
 
 #[test]
-fn the_client_tells_unknown_from_not_done() {
+fn the_client_distinguishes_unknown_outcomes_from_unexecuted_calls() {
     let fixture = Fixture::with_operators();
     let tight = Duration::from_millis(300);
     let mut client = fixture.client(EDITOR_KEY).with_deadline(tight);
     for _ in 0..100 {
-        fixture.group.trouble(Trouble::Busy);
+        fixture.group.inject(Fault::Busy);
     }
     let sent = change(0, "c1", tenant(1));
     let ended = client.put(ObjectKind::Tenant, "north", &sent);
@@ -428,7 +428,7 @@
     let fixture = Fixture::with_operators();
     let mut client = fixture.client(EDITOR_KEY).with_deadline(tight);
     for _ in 0..100 {
-        fixture.group.trouble(Trouble::DoneUnknown);
+        fixture.group.inject(Fault::DoneUnknown);
     }
     let ended = client.put(ObjectKind::Tenant, "north", &sent);
     assert!(
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn the_client_tells_why_it_was_refused() {
+fn the_client_reports_why_it_was_refused() {
     let fixture = Fixture::with_operators();
     let sent = change(0, "c1", json!({"allow": "1 +", "examples": []}));
     let ended = fixture
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn wrong_settings_are_named() {
+fn invalid_settings_are_reported() {
     let group = Arc::new(FakeGroup::default());
     let limits = AdministrationLimits::default();
     let ended = start("nowhere", &limits, None, group.clone());
@@ -478,26 +478,25 @@
     "model": "m", "label": "1", "weights_bytes": 1u64 << 40, "cache_bytes": 0, "checkpoint": "c",
 }))]
 #[case(ObjectKind::BackendGroup, json!({"path_prefix": "/p", "non_repeatable_paths": ["/p/x"]}))]
-fn content_survives_json(#[case] kind: ObjectKind, #[case] json: Value) {
+fn content_round_trips_through_json(#[case] kind: ObjectKind, #[case] json: Value) {
     let spec = spec_from_json(kind, &json).unwrap();
     assert_eq!(spec_to_json(&spec).unwrap(), json);
 }
 
-/// Found on the operators' bench: at 300 instances their kept connections took every place, and operators were
-/// turned away.
+/// Guards against operators being locked out by the idle connections of many instances.
 #[test]
-fn connections_at_rest_keep_no_other_caller_out() {
-    const AT_REST: usize = 400;
+fn idle_connections_do_not_block_other_callers() {
+    const IDLE_CONNECTIONS: usize = 400;
     let fixture = Fixture::with_operators();
     let request = b"GET /healthz HTTP/1.1\r\nHost: control\r\n\r\n";
-    let mut resting = Vec::new();
-    for _ in 0..AT_REST {
+    let mut idle = Vec::new();
+    for _ in 0..IDLE_CONNECTIONS {
         let mut stream = TcpStream::connect(fixture.address()).unwrap();
         stream.write_all(request).unwrap();
         let mut start = [0_u8; 12];
         stream.read_exact(&mut start).unwrap();
-        assert_eq!(&start, b"HTTP/1.1 200", "connection {}", resting.len());
-        resting.push(stream);
+        assert_eq!(&start, b"HTTP/1.1 200", "connection {}", idle.len());
+        idle.push(stream);
     }
     let answer = fixture.send("GET", "/v1/tenants", Some(VIEWER_KEY), b"");
     assert_eq!(answer.status, 200);
--- a/crates/millpass-control/tests/administration_support/mod.rs
+++ b/crates/millpass-control/tests/administration_support/mod.rs
@@ -1,4 +1,4 @@
-//! A control group in memory behind the real administration API, and raw calls to it.
+//! An in-memory control group behind the real administration API, and raw calls to it.
 
 use http::Method;
 use millpass_control::administration::{
@@ -20,13 +20,13 @@
 pub const EDITOR_KEY: &str = "editor-key";
 pub const VIEWER_KEY: &str = "viewer-key";
 
-/// What the next call meets instead of an answer.
+/// Injected fault of a call.
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     NotLeader(Option<String>),
     Busy,
     Refused(String),
-    /// It is done, but the answer is lost.
+    /// The call is executed, but the response is lost.
     DoneUnknown,
 }
 
@@ -34,21 +34,21 @@
 struct Inner {
     state: State,
     index: u64,
-    /// Met by the next changes and marks, one each.
-    troubles: VecDeque<Trouble>,
-    /// Met by every call.
+    /// Faults of the next changes and marks, one each.
+    faults: VecDeque<Fault>,
+    /// Makes every call fail as not leader.
     not_leader: Option<Option<String>>,
 }
 
-/// The group in memory.
+/// The in-memory group.
 #[derive(Default)]
 pub struct FakeGroup {
     inner: Mutex<Inner>,
 }
 
 impl FakeGroup {
-    pub fn trouble(&self, trouble: Trouble) {
-        self.inner.lock().unwrap().troubles.push_back(trouble);
+    pub fn inject(&self, fault: Fault) {
+        self.inner.lock().unwrap().faults.push_back(fault);
     }
 
     pub fn follow(&self, leader: Option<String>) {
@@ -117,14 +117,14 @@
             request,
             AdministrationRequest::Change(_) | AdministrationRequest::MarkBackend(..)
         );
-        let trouble = changes.then(|| inner.troubles.pop_front()).flatten();
-        match (trouble, request) {
-            (Some(Trouble::NotLeader(leader_address)), _) => {
+        let fault = changes.then(|| inner.faults.pop_front()).flatten();
+        match (fault, request) {
+            (Some(Fault::NotLeader(leader_address)), _) => {
                 AdministrationResponse::NotLeader { leader_address }
             }
-            (Some(Trouble::Busy), _) => AdministrationResponse::Busy,
-            (Some(Trouble::Refused(reason)), _) => AdministrationResponse::Refused(reason),
-            (Some(Trouble::DoneUnknown), AdministrationRequest::Change(change)) => {
+            (Some(Fault::Busy), _) => AdministrationResponse::Busy,
+            (Some(Fault::Refused(reason)), _) => AdministrationResponse::Refused(reason),
+            (Some(Fault::DoneUnknown), AdministrationRequest::Change(change)) => {
                 inner.change(change);
                 AdministrationResponse::Unknown
             }
@@ -155,7 +155,7 @@
     pub server: AdministrationServer,
 }
 
-/// Answer of a raw call.
+/// Response of a raw call.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -174,7 +174,7 @@
 }
 
 impl Fixture {
-    /// No account exists; the bootstrap key counts.
+    /// Without accounts, so that the bootstrap key is valid.
     pub fn empty() -> Self {
         let group = Arc::new(FakeGroup::default());
         let limits = AdministrationLimits::default();
@@ -183,7 +183,7 @@
         Fixture { group, server }
     }
 
-    /// One account of each role.
+    /// With one account of each role.
     pub fn with_operators() -> Self {
         let fixture = Fixture::empty();
         let group = &fixture.group;
@@ -201,7 +201,7 @@
         AdministrationClient::new(vec![self.address()], key).with_deadline(Duration::from_secs(10))
     }
 
-    /// Sends bytes as they are.
+    /// Sends a raw request.
     pub fn send(&self, method: &str, path: &str, key: Option<&str>, body: &[u8]) -> Answer {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
--- a/crates/millpass-control/tests/backlog.rs
+++ b/crates/millpass-control/tests/backlog.rs
@@ -1,9 +1,7 @@
-//! What waits for the core, by priority.
+//! Priorities in the core's input queue.
 //!
-//! The failure: one queue of 16,384 inputs in order of arrival, and a tick only when it was empty. When a
-//! member was lost, 70 gateways and 144 instances connected anew to those that were left, and what they
-//! sent stood before votes and heartbeats. Leaders were deposed in half a second, and the votes that would
-//! have ended the loss came after the next candidacy had begun.
+//! Guards against lost elections: after the loss of a member, inputs of reconnecting gateways and instances must not
+//! delay ticks, votes and heartbeats.
 
 use millpass_control::backlog::{Backlog, Next};
 use millpass_control::priority::Priority;
@@ -18,7 +16,7 @@
 const TICK: Duration = Duration::from_millis(5);
 const STEP: Duration = Duration::from_millis(1);
 
-/// Takes what is next when no tick is due.
+/// Takes the next input while no tick is due.
 fn take(backlog: &mut Backlog<u32>) -> Option<(Priority, u32)> {
     let now = Instant::now();
     match backlog.next(now, now + TICK) {
@@ -37,10 +35,9 @@
     number as usize
 }
 
-/// Announcements arrive faster than they are taken up, for ten seconds: each tick comes no later than
-/// one step after it is due.
+/// Under sustained overload, no tick is later than one step.
 #[test]
-fn ticks_come_on_time_although_inputs_never_end() {
+fn ticks_are_on_time_while_inputs_never_end() {
     let mut backlog = Backlog::default();
     let mut now = Instant::now();
     let end = now + Duration::from_secs(10);
@@ -65,7 +62,7 @@
 }
 
 #[test]
-fn what_consensus_needs_comes_before_all_that_waits() {
+fn consensus_precedes_all_other_classes() {
     let mut backlog = Backlog::default();
     for class in Priority::ALL.into_iter().skip(1) {
         fill(&mut backlog, class);
@@ -94,14 +91,13 @@
     assert_eq!(last, [Some(49), Some(49)]);
 }
 
-/// An input that arrives while all other classes are full and stay full is taken up after a bounded
-/// number of others.
+/// An input waits for a bounded number of others, even if all other classes never run empty.
 #[rstest]
 #[case(Priority::Promised, 28)]
 #[case(Priority::Credit, 28)]
 #[case(Priority::Reports, 36)]
 #[case(Priority::Announcements, 40)]
-fn no_class_waits_for_good(#[case] class: Priority, #[case] others: usize) {
+fn no_class_is_starved(#[case] class: Priority, #[case] others: usize) {
     for turns in 0..60 {
         let mut backlog = Backlog::default();
         let refill = |backlog: &mut Backlog<u32>| {
@@ -134,9 +130,9 @@
     }
 }
 
-/// Consensus that never empties its queue lets a share of the others pass.
+/// Other classes get their quota even if consensus never empties its queue.
 #[test]
-fn consensus_does_not_starve_the_others_for_good() {
+fn consensus_does_not_starve_other_classes() {
     let mut backlog = Backlog::default();
     fill(&mut backlog, Priority::Announcements);
     backlog.push(Priority::Consensus, 0).expect("room");
@@ -153,7 +149,7 @@
     assert!(others > 100, "{others}");
 }
 
-/// What does not fit is handed back and counted; the other classes have their room.
+/// A refused input is returned and counted; other classes keep their capacity.
 #[rstest]
 fn a_full_class_refuses_and_counts(
     #[values(
@@ -207,7 +203,7 @@
 }
 
 #[test]
-fn classes_follow_what_a_delay_costs() {
+fn inputs_have_the_expected_class() {
     let key = ObjectKey {
         kind: ObjectKind::Model,
         name: String::new(),
--- a/crates/millpass-control/tests/call_schedule.rs
+++ b/crates/millpass-control/tests/call_schedule.rs
@@ -1,19 +1,17 @@
-//! Which waiting call is made next.
+//! Order of calls to engines and the platform.
 //!
-//! The failure: one queue in order of arrival for sixteen threads. Where six in ten of the engines were out of reach, each
-//! call to one of them held a thread for 0.6 s, and calls to all others waited behind: an order left 2.5 s after it had
-//! been given up (2.2 s until an answer in one of ten calls, against 0.41 s on a calm day).
+//! Guards against head-of-line blocking: timeouts of calls to unreachable engines must not delay calls to the others.
 
 use millpass_control::call_schedule::{CallOutcome, CallSchedule};
 use millpass_proto::Timestamp;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const AT_ONCE: usize = 16;
-/// Time until a call to an engine out of reach ends, in milliseconds.
+const CONCURRENCY: usize = 16;
+/// Duration of a call to an unreachable engine, in milliseconds.
 const TIMEOUT: u64 = 600;
-/// Time of a call that is answered, in milliseconds.
-const ANSWERED_IN: u64 = 4;
+/// Duration of a call to a reachable engine, in milliseconds.
+const RESPONSE_TIME: u64 = 4;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -23,25 +21,25 @@
     format!("e-{number:03}")
 }
 
-/// Calls to engines of which some are out of reach, in virtual time.
+/// Calls to engines, some of them unreachable, in virtual time.
 struct Pool {
     schedule: CallSchedule<u64>,
     now: u64,
-    /// By end: peer, and whether it answers.
-    under_way: Vec<(u64, String, bool)>,
-    /// How long calls to engines in reach waited.
+    /// End, peer, and whether it responds.
+    in_progress: Vec<(u64, String, bool)>,
+    /// Waiting times of calls to reachable engines.
     waited: Vec<u64>,
 }
 
 impl Pool {
-    fn step(&mut self, is_cut: impl Fn(&str) -> bool) {
+    fn step(&mut self, is_unreachable: impl Fn(&str) -> bool) {
         self.now += 1;
-        let (ended, under_way) = std::mem::take(&mut self.under_way)
+        let (ended, in_progress) = std::mem::take(&mut self.in_progress)
             .into_iter()
             .partition::<Vec<_>, _>(|(end, _, _)| *end <= self.now);
-        self.under_way = under_way;
-        for (_, peer, answers) in ended {
-            let end = if answers {
+        self.in_progress = in_progress;
+        for (_, peer, responds) in ended {
+            let end = if responds {
                 CallOutcome::Responded
             } else {
                 CallOutcome::Unreachable
@@ -49,47 +47,48 @@
             self.schedule.finish(&peer, end);
         }
         self.schedule.take_expired(at(self.now));
-        while self.under_way.len() < AT_ONCE {
+        while self.in_progress.len() < CONCURRENCY {
             let Some((peer, since)) = self.schedule.take() else {
                 break;
             };
-            let cut = is_cut(&peer);
-            if !cut {
+            let unreachable = is_unreachable(&peer);
+            if !unreachable {
                 self.waited.push(self.now - since);
             }
-            let takes = if cut { TIMEOUT } else { ANSWERED_IN };
-            self.under_way.push((self.now + takes, peer, !cut));
+            let takes = if unreachable { TIMEOUT } else { RESPONSE_TIME };
+            self.in_progress
+                .push((self.now + takes, peer, !unreachable));
         }
     }
 
     fn call(&mut self, peer: &str) {
-        let leave_by = at(self.now + TIMEOUT);
-        let _ = self.schedule.push(peer, leave_by, self.now);
+        let expires_at = at(self.now + TIMEOUT);
+        let _ = self.schedule.push(peer, expires_at, self.now);
     }
 }
 
 #[test]
-fn engines_out_of_reach_hold_up_nobody_else() {
+fn unreachable_engines_do_not_delay_others() {
     const ENGINES: usize = 140;
-    let is_cut = |peer: &str| peer < peer_limit().as_str();
+    let is_unreachable = |peer: &str| peer < peer_limit().as_str();
     let mut pool = Pool {
-        schedule: CallSchedule::new(AT_ONCE, 256),
+        schedule: CallSchedule::new(CONCURRENCY, 256),
         now: 0,
-        under_way: Vec::new(),
+        in_progress: Vec::new(),
         waited: Vec::new(),
     };
-    // Each engine out of reach is asked again 0.4 s after the last time, each other one a few times a second.
+    // Unreachable engines are called once a second, the others four times a second.
     for step in 0..20_000_u64 {
         for engine in 0..ENGINES {
             let name = peer(engine);
-            let period = if is_cut(&name) { 1_000 } else { 250 };
+            let period = if is_unreachable(&name) { 1_000 } else { 250 };
             if (step + engine as u64 * 7).is_multiple_of(period) {
                 pool.call(&name);
             }
         }
-        pool.step(is_cut);
+        pool.step(is_unreachable);
     }
-    // After the first round, in which nobody knows who is out of reach.
+    // Skips the first calls, before the schedule has detected the unreachable engines.
     let mut later = pool.waited.split_off(pool.waited.len() / 4);
     later.sort_unstable();
     assert!(later.len() > 2_500, "{} calls", later.len());
@@ -97,7 +96,7 @@
     assert!(longest <= 20, "a call waited {longest} ms");
 }
 
-/// Engines before this one are out of reach: six in ten.
+/// Engines before this one are unreachable: six in ten.
 fn peer_limit() -> String {
     peer(84)
 }
@@ -106,7 +105,7 @@
 enum Act {
     Push(usize),
     Take,
-    /// The oldest call under way ends.
+    /// The oldest call in progress ends.
     End(bool),
     Pass(u64),
 }
@@ -122,28 +121,28 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
-    /// One call a peer at a time, in order, none past its time, none lost and none twice.
+    /// Calls to one peer are sequential and ordered, and none is made late, lost or made twice.
     #[test]
     fn calls_of_one_peer_keep_their_order(acts in prop::collection::vec(act(), 1..200)) {
         let mut schedule = CallSchedule::new(4, 64);
         let mut now = 0;
         let mut pushed = 0_u64;
-        let mut under_way: Vec<String> = Vec::new();
+        let mut in_progress: Vec<String> = Vec::new();
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
-        let mut leave_by: BTreeMap<u64, u64> = BTreeMap::new();
+        let mut expires_at: BTreeMap<u64, u64> = BTreeMap::new();
         let mut gone = 0;
         for act in acts {
             let expired = schedule.take_expired(at(now));
             gone += expired.len();
             for call in expired {
-                prop_assert!(leave_by.remove(&call).expect("waits") < now);
+                prop_assert!(expires_at.remove(&call).expect("waits") < now);
             }
             match act {
                 Act::Push(number) => {
                     pushed += 1;
-                    leave_by.insert(pushed, now + 600);
+                    expires_at.insert(pushed, now + 600);
                     if schedule.push(&peer(number), at(now + 600), pushed).is_err() {
-                        leave_by.remove(&pushed);
+                        expires_at.remove(&pushed);
                         gone += 1;
                     }
                 }
@@ -151,37 +150,37 @@
                     let Some((peer, call)) = schedule.take() else {
                         continue;
                     };
-                    prop_assert!(!under_way.contains(&peer), "two calls to {} at once", peer);
+                    prop_assert!(!in_progress.contains(&peer), "two calls to {} at once", peer);
                     prop_assert!(last.insert(peer.clone(), call).is_none_or(|last| last < call));
-                    prop_assert!(leave_by.remove(&call).expect("waits") >= now);
-                    under_way.push(peer);
+                    prop_assert!(expires_at.remove(&call).expect("waits") >= now);
+                    in_progress.push(peer);
                 }
-                Act::End(answered) if !under_way.is_empty() => {
-                    let end = if answered { CallOutcome::Responded } else { CallOutcome::Unreachable };
-                    schedule.finish(&under_way.remove(0), end);
+                Act::End(responded) if !in_progress.is_empty() => {
+                    let end = if responded { CallOutcome::Responded } else { CallOutcome::Unreachable };
+                    schedule.finish(&in_progress.remove(0), end);
                 }
                 Act::End(_) => {}
                 Act::Pass(millis) => now += millis,
             }
         }
-        // All that is left can be taken once the calls under way have ended.
+        // All remaining calls can be taken once those in progress have ended.
         let mut taken = 0;
-        for peer in under_way.drain(..) {
+        for peer in in_progress.drain(..) {
             schedule.finish(&peer, CallOutcome::Unreachable);
         }
         while let Some((peer, call)) = schedule.take() {
-            prop_assert!(leave_by.remove(&call).is_some());
+            prop_assert!(expires_at.remove(&call).is_some());
             schedule.finish(&peer, CallOutcome::Responded);
             taken += 1;
         }
-        prop_assert!(leave_by.is_empty(), "{} left of {}", leave_by.len(), pushed);
+        prop_assert!(expires_at.is_empty(), "{} left of {}", expires_at.len(), pushed);
         prop_assert!(gone + taken <= pushed as usize);
         prop_assert!(!schedule.has_ready());
     }
 }
 
 #[test]
-fn an_engine_that_answers_again_is_silent_no_more() {
+fn an_engine_that_responds_again_is_reachable() {
     let mut schedule = CallSchedule::new(4, 64);
     for engine in 0..2 {
         schedule.push(&peer(engine), at(600), 0).expect("room");
@@ -191,14 +190,14 @@
     for engine in 0..2 {
         schedule.push(&peer(engine), at(600), 1).expect("room");
     }
-    let (first, _) = schedule.take().expect("one silent engine at a time");
+    let (first, _) = schedule.take().expect("one unreachable engine at a time");
     assert!(schedule.take().is_none());
     schedule.finish(&first, CallOutcome::Responded);
     let (second, _) = schedule.take().expect("the other");
     schedule.push(&first, at(600), 2).expect("room");
     assert!(
         schedule.take().is_some(),
-        "it answers, and waits for nobody"
+        "a reachable engine does not wait for unreachable ones"
     );
     schedule.finish(&second, CallOutcome::Unreachable);
 }
--- a/crates/millpass-control/tests/common/mod.rs
+++ b/crates/millpass-control/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Members in one process, and a router's end of a link.
+//! Members in one process, and a test router.
 
-#![allow(dead_code)] // Each test file uses a part.
+#![allow(dead_code)] // Each test file uses only some items.
 
 use millpass_control::api::StatusBody;
 use millpass_control::client::AdministrationClient;
@@ -15,14 +15,14 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Longest wait for anything in these tests.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of all waits in these tests.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Repeats until something is there; panics when it does not come.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls until `poll` returns a value; panics on timeout.
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
         assert!(Instant::now() < end, "no {what} in time");
@@ -30,7 +30,7 @@
     }
 }
 
-/// Short times, so that tests are quick; long enough for a busy machine.
+/// Short timing for fast tests, but long enough for a busy machine.
 pub fn timing() -> ConsensusTiming {
     ConsensusTiming {
         election_timeout: Duration::from_millis(400),
@@ -41,14 +41,14 @@
     }
 }
 
-/// One place of a group: its socket stays bound while its member is down.
-pub struct Place {
+/// One member of a group; its socket stays bound while the member is down.
+pub struct TestMember {
     listener: TcpListener,
     pub settings: ControlProcessSettings,
     pub handle: Option<ControlHandle>,
 }
 
-impl Place {
+impl TestMember {
     pub fn address(&self) -> String {
         self.listener.local_addr().expect("address").to_string()
     }
@@ -59,7 +59,7 @@
         self.handle = Some(handle);
     }
 
-    /// Ends the member as a kill would.
+    /// Stops the member as if it was killed.
     pub fn halt(&mut self) {
         if let Some(handle) = self.handle.take() {
             handle.halt();
@@ -73,37 +73,37 @@
     }
 }
 
-/// A group of members, each in its own folder, not yet started.
-pub fn group(folder: &Path, members: usize) -> Vec<Place> {
-    let listeners: Vec<TcpListener> = (0..members)
+/// Creates the members of a group, each with its own folder, without starting them.
+pub fn group(folder: &Path, count: usize) -> Vec<TestMember> {
+    let listeners: Vec<TcpListener> = (0..count)
         .map(|_| TcpListener::bind("127.0.0.1:0").expect("bind"))
         .collect();
     let initial: Vec<InitialMember> = listeners
         .iter()
         .enumerate()
-        .map(|(place, listener)| InitialMember {
-            zone: format!("zone-{place}").into(),
+        .map(|(index, listener)| InitialMember {
+            zone: format!("zone-{index}").into(),
             peer_address: listener.local_addr().expect("address").to_string(),
-            // Nothing listens there: a hint that leads nowhere must not stop a client.
+            // Nothing listens there: clients must tolerate an unreachable leader address.
             administration_address: "127.0.0.1:1".to_owned(),
         })
         .collect();
-    let places = listeners.into_iter().enumerate();
-    places
-        .map(|(place, listener)| {
+    let listeners = listeners.into_iter().enumerate();
+    listeners
+        .map(|(index, listener)| {
             let settings = ControlProcessSettings {
                 bootstrap: false,
-                zone: initial[place].zone.clone(),
-                peer_advertise: Some(initial[place].peer_address.clone()),
+                zone: initial[index].zone.clone(),
+                peer_advertise: Some(initial[index].peer_address.clone()),
                 initial_members: initial.clone(),
                 bootstrap_key_hash: Some(
                     blake3::hash(OPERATOR_KEY.as_bytes()).to_hex().to_string(),
                 ),
                 consensus: timing(),
                 member_replacement_delay: Duration::from_millis(1_000),
-                ..ControlProcessSettings::single(folder.join(place.to_string()))
+                ..ControlProcessSettings::single(folder.join(index.to_string()))
             };
-            Place {
+            TestMember {
                 listener,
                 settings,
                 handle: None,
@@ -112,26 +112,26 @@
         .collect()
 }
 
-/// Initializes and starts all places.
-pub fn start_all(places: &mut [Place]) {
-    for place in places {
-        initialize(&place.settings).expect("initialize");
-        place.start();
+/// Initializes and starts all members.
+pub fn start_all(members: &mut [TestMember]) {
+    for member in members {
+        initialize(&member.settings).expect("initialize");
+        member.start();
     }
 }
 
-/// A router's end of a link.
-pub struct RouterEnd {
+/// A router connected to a member.
+pub struct TestRouter {
     stream: TcpStream,
     sequence: u64,
 }
 
-impl RouterEnd {
-    /// Connects and says hello.
+impl TestRouter {
+    /// Connects and sends a hello.
     pub fn connect(address: &str, name: &str) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(Duration::from_secs(2)))?;
-        let mut router = RouterEnd {
+        let mut router = TestRouter {
             stream,
             sequence: 0,
         };
@@ -152,7 +152,7 @@
         write_frame(&mut self.stream, &LinkMessage::Router(message))
     }
 
-    /// Sends a report and returns the member's answer to it.
+    /// Sends a report and returns the member's response.
     pub fn report(&mut self) -> Result<ControlToRouter, CodecError> {
         self.sequence += 1;
         let report = RouterReport {
@@ -168,13 +168,13 @@
     }
 }
 
-/// The place whose member answers a router's report as the leader.
-pub fn leader(places: &[Place]) -> Option<(usize, RouterUpdate)> {
-    let running = places.iter().enumerate();
+/// Finds the member that responds to a router's report as the leader.
+pub fn leader(members: &[TestMember]) -> Option<(usize, RouterUpdate)> {
+    let running = members.iter().enumerate();
     running
-        .filter(|(_, place)| place.handle.is_some())
-        .find_map(|(number, place)| {
-            let mut router = RouterEnd::connect(&place.address(), "probe").ok()?;
+        .filter(|(_, member)| member.handle.is_some())
+        .find_map(|(number, member)| {
+            let mut router = TestRouter::connect(&member.address(), "probe").ok()?;
             match router.report().ok()? {
                 ControlToRouter::Update(update) => Some((number, update)),
                 _ => None,
@@ -182,16 +182,18 @@
         })
 }
 
-/// The operator's key in these tests.
+/// Operator key in these tests.
 pub const OPERATOR_KEY: &str = "operator-key";
 
-/// A client that knows all running members.
-pub fn client(places: &[Place]) -> AdministrationClient {
-    let addresses = places.iter().filter_map(Place::administration_address);
+/// Creates a client of all running members.
+pub fn client(members: &[TestMember]) -> AdministrationClient {
+    let addresses = members
+        .iter()
+        .filter_map(TestMember::administration_address);
     AdministrationClient::new(addresses.collect(), OPERATOR_KEY)
 }
 
-/// What the leader says about the deployment.
-pub fn status(places: &[Place]) -> Option<StatusBody> {
-    client(places).status().ok()
+/// Reads the status of the deployment.
+pub fn status(members: &[TestMember]) -> Option<StatusBody> {
+    client(members).status().ok()
 }
--- a/crates/millpass-control/tests/failing_disk.rs
+++ b/crates/millpass-control/tests/failing_disk.rs
@@ -1,5 +1,4 @@
-//! A member in whose process the disk fails in ways that leave threads behind: in each it must end, or it would count as a
-//! voter, answer callers, and take no part.
+//! A member whose disk fails must end, or it would still count as a voter and respond to callers.
 
 mod common;
 
@@ -14,21 +13,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// How the disk fails.
+/// Failure mode of the disk.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
-    /// The thread that writes panics.
+    /// The writing thread panics.
     Panics,
-    /// A sync is refused.
+    /// A sync returns an error.
     Refuses,
-    /// A sync comes to no end.
+    /// A sync never returns.
     Hangs,
 }
 
 #[derive(Debug)]
 struct FailingFiles {
     failure: Failure,
-    /// Whether it fails by now.
+    /// Whether syncs fail now.
     fails: Arc<AtomicBool>,
 }
 
@@ -87,13 +86,13 @@
     let folder = tempfile::tempdir().expect("folder");
     let fails = Arc::new(AtomicBool::new(false));
     let handle = start(settings(folder.path(), failure, &fails)).expect("start");
-    // Whatever it writes next: it expires claims when it begins to lead.
+    // The next write fails; a new leader writes to expire claims.
     fails.store(true, Ordering::Release);
     wait_for("end of the member", || handle.is_finished().then_some(()));
     handle.join().expect_err("it did not end by a planned stop");
 }
 
-/// The end of a member whose disk hangs waits for the disk's thread, but not for ever.
+/// Joining the hung disk thread has a timeout.
 #[test]
 fn a_member_whose_disk_hangs_can_be_halted() {
     let folder = tempfile::tempdir().expect("folder");
--- a/crates/millpass-control/tests/peer_queue.rs
+++ b/crates/millpass-control/tests/peer_queue.rs
@@ -1,4 +1,4 @@
-//! What waits for a member that does not read.
+//! Message queue for a member that does not read.
 
 use millpass_control::peer_queue::PeerQueue;
 use millpass_proto::{
@@ -70,9 +70,9 @@
     std::iter::from_fn(|| queue.pop()).collect()
 }
 
-/// After a stall only the newest heartbeat is sent; votes and entries all are, in order.
+/// After a stall, only the newest heartbeat is sent, but all votes and entries, in order.
 #[test]
-fn heartbeats_that_a_later_request_follows_are_not_sent() {
+fn superseded_heartbeats_are_not_sent() {
     let mut queue = PeerQueue::new(100);
     let sent = [
         request(1, 0),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_queue_that_is_read_passes_everything_on() {
+fn a_queue_that_is_read_drops_nothing() {
     let mut queue = PeerQueue::new(100);
     for sequence in 0..1_000 {
         assert!(queue.push(request(sequence, 0)));
@@ -112,25 +112,19 @@
     let fit = (0..100).filter(|_| queue.push(chunk(megabyte))).count();
     assert!((8..=16).contains(&fit), "{fit} megabytes");
     assert_eq!(drain(&mut queue).len(), fit);
-    assert!(queue.push(chunk(64 * megabyte)), "one alone always fits");
+    assert!(
+        queue.push(chunk(64 * megabyte)),
+        "an empty queue accepts any message"
+    );
     assert!(!queue.push(vote()));
     assert_eq!(drain(&mut queue).len(), 1);
     assert!(queue.push(vote()));
 }
 
-/// What users saw: after a member had lost its disk and come back, the next loss that is allowed left a group that never
-/// led again, and the configuration was not read back.
-///
-/// Order of events: the member comes back empty, at its old address, and is taken on as a learner under a new identity. Its
-/// old identity is a voter until the learner has caught up. The leader sends a heartbeat to each of the two, through one
-/// queue, as they have one address. The sending thread comes to it after both: the first is dropped as outdated, since a
-/// request follows it, which is the other's. Where that is the learner's, it hears nothing of the leader, for as long as
-/// the thread comes late; it is given up after three seconds, taken on anew, and so on.
-///
-/// Evidence: a play with disks that fail, on a busy machine: `voter-missing ... restores=joiner-catches-up` for 4.5 s, the
-/// learner without a leader in term 0 all that time, until the next disk was lost.
+/// Guards against a learner that never catches up: after a disk loss, its old identity has the same address, and
+/// heartbeats to one must not supersede heartbeats to the other.
 #[test]
-fn a_heartbeat_is_outdated_by_later_requests_to_the_same_member_only() {
+fn a_heartbeat_is_superseded_only_by_requests_to_the_same_member() {
     let mut queue = PeerQueue::new(100);
     let (learner, old_identity) = (MemberId(5), MemberId(9));
     let sent = [
--- a/crates/millpass-control/tests/process.rs
+++ b/crates/millpass-control/tests/process.rs
@@ -1,19 +1,19 @@
-//! Members as processes would be: over sockets, with real files.
+//! Members with real sockets and files.
 
 mod common;
 
-use common::{RouterEnd, group, leader, start_all, status, wait_for};
+use common::{TestRouter, group, leader, start_all, status, wait_for};
 use millpass_control::{ControlError, ControlProcessSettings, start};
 use millpass_proto::{ControlToRouter, MemberId};
 use rstest::rstest;
 use std::net::TcpListener;
 
 #[test]
-fn a_single_member_answers_a_router_as_leader() {
+fn a_single_member_serves_a_router_as_leader() {
     let folder = tempfile::tempdir().expect("folder");
     let handle = start(ControlProcessSettings::single(folder.path())).expect("start");
     let update = wait_for("leader", || {
-        let mut router = RouterEnd::connect(handle.peer_address(), "router-1").ok()?;
+        let mut router = TestRouter::connect(handle.peer_address(), "router-1").ok()?;
         match router.report().ok()? {
             ControlToRouter::Update(update) => Some(update),
             _ => None,
@@ -26,66 +26,66 @@
 }
 
 #[test]
-fn a_leader_that_dies_is_followed_by_another_with_a_higher_term() {
+fn a_killed_leader_is_replaced_in_a_higher_term() {
     let folder = tempfile::tempdir().expect("folder");
-    let mut places = group(folder.path(), 3);
-    start_all(&mut places);
-    let (first, update) = wait_for("leader", || leader(&places));
-    places[first].halt();
-    let (second, later) = wait_for("second leader", || leader(&places));
+    let mut members = group(folder.path(), 3);
+    start_all(&mut members);
+    let (first, update) = wait_for("leader", || leader(&members));
+    members[first].halt();
+    let (second, later) = wait_for("second leader", || leader(&members));
     assert_ne!(first, second);
     assert!(later.term > update.term);
-    places[first].start();
-    places[second].halt();
-    let (_, last) = wait_for("third leader", || leader(&places));
+    members[first].start();
+    members[second].halt();
+    let (_, last) = wait_for("third leader", || leader(&members));
     assert!(last.term > later.term);
 }
 
 #[test]
 fn a_follower_names_the_leader() {
     let folder = tempfile::tempdir().expect("folder");
-    let mut places = group(folder.path(), 3);
-    start_all(&mut places);
-    let (leading, _) = wait_for("leader", || leader(&places));
+    let mut members = group(folder.path(), 3);
+    start_all(&mut members);
+    let (leading, _) = wait_for("leader", || leader(&members));
     let follower = (leading + 1) % 3;
     let hint = wait_for("hint", || {
-        let mut router = RouterEnd::connect(&places[follower].address(), "router-1").ok()?;
+        let mut router = TestRouter::connect(&members[follower].address(), "router-1").ok()?;
         match router.report().ok()? {
             ControlToRouter::NotLeader(answer) => answer.leader_address,
             _ => None,
         }
     });
-    assert_eq!(hint, places[leading].address());
+    assert_eq!(hint, members[leading].address());
 }
 
 #[test]
-fn a_planned_stop_hands_leadership_over() {
+fn a_planned_stop_transfers_leadership() {
     let folder = tempfile::tempdir().expect("folder");
-    let mut places = group(folder.path(), 3);
-    start_all(&mut places);
-    let (leading, _) = wait_for("leader", || leader(&places));
-    let handle = places[leading].handle.take().expect("handle");
+    let mut members = group(folder.path(), 3);
+    start_all(&mut members);
+    let (leading, _) = wait_for("leader", || leader(&members));
+    let handle = members[leading].handle.take().expect("handle");
     handle.drain();
     handle.join().expect("drained");
-    let (next, _) = wait_for("next leader", || leader(&places));
+    let (next, _) = wait_for("next leader", || leader(&members));
     assert_ne!(next, leading);
 }
 
 #[test]
-fn a_member_whose_disk_was_lost_comes_back_under_a_new_identity() {
+fn a_member_that_lost_its_disk_rejoins_with_a_new_id() {
     let folder = tempfile::tempdir().expect("folder");
-    let mut places = group(folder.path(), 3);
-    start_all(&mut places);
-    let (leading, _) = wait_for("leader", || leader(&places));
+    let mut members = group(folder.path(), 3);
+    start_all(&mut members);
+    let (leading, _) = wait_for("leader", || leader(&members));
     let lost = (leading + 1) % 3;
-    let old = places[lost].handle.as_ref().expect("handle").member();
-    places[lost].halt();
-    std::fs::remove_dir_all(&places[lost].settings.data_folder).expect("wipe");
-    places[lost].start();
-    let new = places[lost].handle.as_ref().expect("handle").member();
+    let old = members[lost].handle.as_ref().expect("handle").member();
+    members[lost].halt();
+    std::fs::remove_dir_all(&members[lost].settings.data_folder).expect("wipe");
+    members[lost].start();
+    let new = members[lost].handle.as_ref().expect("handle").member();
     assert_ne!(old, new);
-    wait_for("the joiner to be a voter in the old one's place", || {
-        let status = status(&places)?;
+    wait_for("the joiner to replace the old voter", || {
+        let status = status(&members)?;
         let role = |member: MemberId| {
             let found = status.members.iter().find(|body| body.member == member.0);
             found.map(|body| body.role.clone())
@@ -94,8 +94,8 @@
     });
     // With the third member gone, the new one is needed for a quorum.
     let third = 3 - leading - lost;
-    places[third].halt();
-    wait_for("a leader with the new member's vote", || leader(&places));
+    members[third].halt();
+    wait_for("a leader with the new member's vote", || leader(&members));
 }
 
 #[test]
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_port_in_use_is_named() {
+fn a_port_in_use_is_reported() {
     let folder = tempfile::tempdir().expect("folder");
     let taken = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = taken.local_addr().expect("address").to_string();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_folder_in_use_is_refused_and_its_user_goes_on() {
+fn a_folder_in_use_is_refused_and_its_owner_keeps_running() {
     let folder = tempfile::tempdir().expect("folder");
     let first = start(ControlProcessSettings::single(folder.path())).expect("start");
     let error = start(ControlProcessSettings::single(folder.path()))
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_named() {
+fn a_folder_that_cannot_be_created_is_reported() {
     let folder = tempfile::tempdir().expect("folder");
     let file = folder.path().join("file");
     std::fs::write(&file, "not a folder").expect("write");
@@ -163,7 +163,7 @@
     assert!(error.contains("lower the lease"), "{error}");
 }
 
-/// Files of the write-ahead log in a folder.
+/// Returns the write-ahead log files in a folder.
 fn log_files(folder: &std::path::Path) -> Vec<std::path::PathBuf> {
     let entries = std::fs::read_dir(folder).expect("folder");
     let mut files: Vec<_> = entries
@@ -177,11 +177,11 @@
     files
 }
 
-/// Runs a member until it has written something, and returns its newest log file.
+/// Runs a member until it leads, and returns its newest log file.
 fn folder_with_log(folder: &std::path::Path) -> std::path::PathBuf {
     let handle = start(ControlProcessSettings::single(folder)).expect("start");
     wait_for("leader", || {
-        let mut router = RouterEnd::connect(handle.peer_address(), "router-1").ok()?;
+        let mut router = TestRouter::connect(handle.peer_address(), "router-1").ok()?;
         matches!(router.report().ok()?, ControlToRouter::Update(_)).then_some(())
     });
     handle.halt();
@@ -192,7 +192,7 @@
 #[rstest]
 #[case::one_byte(1)]
 #[case::some_bytes(7)]
-fn a_truncated_log_is_cut_and_the_member_starts(#[case] bytes: u64) {
+fn a_member_starts_with_a_truncated_log(#[case] bytes: u64) {
     let folder = tempfile::tempdir().expect("folder");
     let file = folder_with_log(folder.path());
     let length = std::fs::metadata(&file).expect("file").len();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_corrupt_record_is_refused_and_nothing_is_changed() {
+fn a_corrupt_record_is_refused_and_left_unchanged() {
     let folder = tempfile::tempdir().expect("folder");
     let file = folder_with_log(folder.path());
     let mut bytes = std::fs::read(&file).expect("read");
--- a/crates/millpass-control/tests/racing_operators.rs
+++ b/crates/millpass-control/tests/racing_operators.rs
@@ -1,9 +1,9 @@
-//! Ten operators race on one object at a real group of three members: exactly one wins each
-//! version, and each resend is answered as the first time, also by the next leader.
+//! Ten operators race on one object in a group of three members: exactly one wins each version, and each
+//! resend gets the first response, also from the next leader.
 
 mod common;
 
-use common::{Place, group, leader, start_all, wait_for};
+use common::{TestMember, group, leader, start_all, wait_for};
 use millpass_control::api::{AcceptedBody, AuditRecordBody, ChangeBody};
 use millpass_control::client::{AdministrationClient, ClientError};
 use millpass_proto::{Duration, ObjectKind};
@@ -16,7 +16,7 @@
 const OBJECT: &str = "contested";
 const BOOTSTRAP_KEY: &str = "bootstrap-key";
 
-/// What became of a change: accepted so, or lost with this version current.
+/// Outcome of a change: accepted, or rejected with the current version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Outcome {
     Accepted(AcceptedBody),
@@ -38,9 +38,11 @@
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// A client whose first address is another one for each operator.
-fn client(places: &[Place], operator: usize, key: &str) -> AdministrationClient {
-    let addresses = places.iter().filter_map(Place::administration_address);
+/// Creates a client that tries the members in a different order for each operator.
+fn client(members: &[TestMember], operator: usize, key: &str) -> AdministrationClient {
+    let addresses = members
+        .iter()
+        .filter_map(TestMember::administration_address);
     let mut addresses: Vec<String> = addresses.collect();
     let count = addresses.len();
     addresses.rotate_left(operator % count);
@@ -55,8 +57,8 @@
     }
 }
 
-/// The first account is made with the bootstrap key, the others by the first account.
-fn create_accounts(places: &[Place]) {
+/// Creates the first account with the bootstrap key and the others with the first account.
+fn create_accounts(members: &[TestMember]) {
     for operator in 0..OPERATORS {
         let maker = match operator {
             0 => BOOTSTRAP_KEY.to_owned(),
@@ -69,7 +71,7 @@
         };
         let spec = json!({"key_hash": hash(&key(operator)), "role": role});
         let name = format!("operator-{operator}");
-        client(places, operator, &maker)
+        client(members, operator, &maker)
             .put(ObjectKind::Operator, &name, &change(0, name.clone(), spec))
             .expect("account");
     }
@@ -79,11 +81,11 @@
     match client.put(ObjectKind::Tenant, OBJECT, change) {
         Ok(accepted) => Outcome::Accepted(accepted),
         Err(ClientError::Conflict { current_version }) => Outcome::Conflict(current_version),
-        Err(error) => panic!("neither accepted nor lost: {error}"),
+        Err(error) => panic!("neither accepted nor rejected: {error}"),
     }
 }
 
-/// All operators change the version that all of them saw, at once, and resend at once.
+/// All operators concurrently change the same version, and resend.
 fn race(clients: &mut [AdministrationClient], version: u64) -> Vec<Sent> {
     let barrier = Barrier::new(clients.len());
     thread::scope(|scope| {
@@ -120,7 +122,7 @@
     })
 }
 
-/// The one that won; every other lost against its version.
+/// Returns the accepted change; all others must have been rejected with its version.
 fn winner(sent: Vec<Sent>, version: u64) -> Sent {
     let (mut won, lost): (Vec<Sent>, Vec<Sent>) = sent
         .into_iter()
@@ -133,16 +135,16 @@
 }
 
 #[test]
-fn ten_operators_racing_on_one_object() {
+fn one_of_ten_racing_operators_wins_each_version() {
     let folder = tempfile::tempdir().expect("folder");
-    let mut places = group(folder.path(), 3);
-    for place in &mut places {
-        place.settings.bootstrap_key_hash = Some(hash(BOOTSTRAP_KEY));
+    let mut members = group(folder.path(), 3);
+    for member in &mut members {
+        member.settings.bootstrap_key_hash = Some(hash(BOOTSTRAP_KEY));
     }
-    start_all(&mut places);
-    create_accounts(&places);
+    start_all(&mut members);
+    create_accounts(&members);
     let mut clients: Vec<AdministrationClient> = (0..OPERATORS)
-        .map(|operator| client(&places, operator, &key(operator)))
+        .map(|operator| client(&members, operator, &key(operator)))
         .collect();
 
     let mut winners = Vec::new();
@@ -161,16 +163,16 @@
     }
     check_audit(&mut clients[0], &winners);
 
-    let (leading, _) = wait_for("a leader", || leader(&places));
-    places[leading].halt();
+    let (leading, _) = wait_for("a leader", || leader(&members));
+    members[leading].halt();
     for won in &winners {
-        let mut client = client(&places, won.operator, &key(won.operator));
+        let mut client = client(&members, won.operator, &key(won.operator));
         assert_eq!(submit(&mut client, &won.change), won.outcome, "next leader");
     }
-    check_audit(&mut client(&places, 0, &key(0)), &winners);
+    check_audit(&mut client(&members, 0, &key(0)), &winners);
 }
 
-/// The audit log holds the winners, in order, and no other change of the object.
+/// The audit log contains exactly the accepted changes, in order.
 fn check_audit(client: &mut AdministrationClient, winners: &[Sent]) {
     let records = client.audit(0).expect("audit").records;
     let changes = records.iter().filter(|record| record.name == OBJECT);
--- a/crates/millpass-control/tests/slow_gateway.rs
+++ b/crates/millpass-control/tests/slow_gateway.rs
@@ -1,8 +1,5 @@
-//! A gateway that does not take what it is sent for a while finds the newest difference, not a queue of old ones.
-//!
-//! Users saw answers by documents that had been replaced seconds before. Updates had arrived at a gateway in batches:
-//! each change had been queued behind the ones before, whole, in the leader and in its socket, and was read in order
-//! when the gateway came to it.
+//! Guards against stale configuration: a gateway that stops reading must later receive the newest update, not a queue of
+//! older ones.
 
 mod common;
 
@@ -16,14 +13,14 @@
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
 
-/// Versions put in force while the gateway does not read.
+/// Number of versions applied while the gateway does not read.
 const VERSIONS: u64 = 20;
-/// Services of each document: 400 kB, no two versions alike, so that each goes whole.
+/// Services per document. They differ between versions, so that each document of 400 kB is sent in full.
 const SERVICES: u64 = 4_000;
-/// Documents that may wait before the newest one: in the socket, in writing, and behind that.
-const MOST_WAITING: usize = 4;
+/// Maximum number of documents received: buffered in the socket, being written, waiting, and the newest.
+const MAXIMUM_DOCUMENTS: usize = 4;
 
-/// Keeps the way to the core for the test.
+/// Puts documents on request of the test.
 struct Calls(Arc<Mutex<Vec<AdministrationResponse>>>);
 
 impl ApiExtension for Calls {
@@ -81,7 +78,7 @@
 }
 
 #[test]
-fn a_gateway_that_does_not_read_has_one_difference_waiting() {
+fn a_gateway_that_does_not_read_has_one_waiting_update() {
     let folder = tempfile::tempdir().expect("folder");
     let mut settings = ControlProcessSettings::single(folder.path());
     settings.fleet = Some(FleetSettings::default());
@@ -101,7 +98,7 @@
     report(&mut stream, 1, 0);
     for version in 2..=VERSIONS {
         wait_for("change", || put(version));
-        // It speaks, and does not read.
+        // Sends a report, but does not read.
         report(&mut stream, version, 0);
     }
     let mut documents = Vec::new();
@@ -116,5 +113,5 @@
             other => panic!("{other:?}"),
         }
     }
-    assert!(documents.len() <= MOST_WAITING, "{documents:?}");
+    assert!(documents.len() <= MAXIMUM_DOCUMENTS, "{documents:?}");
 }
