--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the input that reports to the core that the call was not made; `None` if the core does not wait for it.
-    fn not_sent(self, waited: Duration) -> Option<ControlInput> {
+    fn not_sent(self, queue_time: Duration) -> Option<ControlInput> {
         let (instance, call) = match self {
             Delivery::Order(_, order) => {
                 return Some(ControlInput::OrderDelivered {
@@ -77,7 +77,7 @@
             instance,
             call,
             result: InstructionResult::NotSent,
-            queue_time: waited,
+            queue_time,
             response_time: Duration::ZERO,
         }))
     }
@@ -313,8 +313,8 @@
     /// Reports expired calls to the core as not sent.
     fn report_expired(&self, expired: Vec<Waiting>, now: Timestamp) {
         for waiting in expired {
-            let waited = now.since(waiting.since);
-            if let Some(input) = waiting.delivery.not_sent(waited) {
+            let queue_time = now.since(waiting.since);
+            if let Some(input) = waiting.delivery.not_sent(queue_time) {
                 self.inputs.send_unbounded(input);
             }
         }
@@ -322,24 +322,27 @@
 
     fn execute(&self, waiting: Waiting) -> CallOutcome {
         let now = self.shared.clock.now();
-        let waited = now.since(waiting.since);
+        let queue_time = now.since(waiting.since);
         match waiting.delivery {
             Delivery::Order(address, order) => self.deliver(&address, &order),
             Delivery::ReadPlatform(address) => self.read_platform(&address),
             Delivery::Instruct(instruction, deadline) => {
                 let within = deadline.since(now);
                 if within < MINIMUM_SEND_TIME {
-                    let not_sent = Delivery::Instruct(instruction, deadline).not_sent(waited);
+                    let not_sent = Delivery::Instruct(instruction, deadline).not_sent(queue_time);
                     self.inputs
                         .send(not_sent.expect("instructions always have a completion"));
                     return CallOutcome::Responded;
                 }
-                self.call_engine(&instruction.instance, instruction.call, waited, |engines| {
-                    engines.instruct(&self.agent, &instruction, within)
-                })
+                self.call_engine(
+                    &instruction.instance,
+                    instruction.call,
+                    queue_time,
+                    |engines| engines.instruct(&self.agent, &instruction, within),
+                )
             }
             Delivery::ReadEngine(read) => {
-                self.call_engine(&read.instance, read.call, waited, |engines| {
+                self.call_engine(&read.instance, read.call, queue_time, |engines| {
                     engines.read(&self.agent, &read.instance, &read.address)
                 })
             }
@@ -350,30 +353,31 @@
         &self,
         instance: &InstanceId,
         call: CallId,
-        waited: Duration,
+        queue_time: Duration,
         make: impl FnOnce(&dyn EngineCalls) -> InstructionResult,
     ) -> CallOutcome {
         let no_response = InstructionResult::Unanswered;
         let started = self.shared.clock.now();
-        let answer = self.engines.as_deref().map_or(no_response, make);
-        let outcome = match answer {
+        let result = self.engines.as_deref().map_or(no_response, make);
+        let outcome = match result {
             InstructionResult::Unanswered => CallOutcome::Unreachable,
             _ => CallOutcome::Responded,
         };
-        let answer = CallResult {
+        let call_result = CallResult {
             instance: instance.clone(),
             call,
-            result: answer,
-            queue_time: waited,
+            result,
+            queue_time,
             response_time: self.shared.clock.now().since(started),
         };
-        self.inputs.send(ControlInput::EngineCallCompleted(answer));
+        self.inputs
+            .send(ControlInput::EngineCallCompleted(call_result));
         outcome
     }
 
     fn deliver(&self, address: &str, order: &EngineOrder) -> CallOutcome {
-        let answer = match self.post(address, order) {
-            Ok(answer) => Some(answer),
+        let response = match self.post(address, order) {
+            Ok(response) => Some(response),
             Err(error) => {
                 let (backend, fence) = (&order.backend, order.fence);
                 let error = error.to_string();
@@ -383,12 +387,12 @@
                 None
             }
         };
-        let outcome = outcome(answer.is_some());
+        let outcome = outcome(response.is_some());
         let (backend, fence) = (order.backend.clone(), order.fence);
         self.inputs.send(ControlInput::OrderDelivered {
             backend,
             fence,
-            response: answer,
+            response,
         });
         outcome
     }
