--- a/crates/millpass-control/src/client/mod.rs
+++ b/crates/millpass-control/src/client/mod.rs
@@ -1,9 +1,8 @@
 //! Client of the administration API, for the command line and the lab.
 //!
-//! A call goes through the members' addresses, follows the leader that a member names, and is
-//! sent again, with the same change id, until it is answered or its deadline is over. That is
-//! safe: a change takes effect once however often it is sent, and the other calls state what is
-//! to be, so that a repeat does nothing more.
+//! A call tries the members in turn, follows the leader that a member names, and is resent with the same
+//! change id until it succeeds or its deadline passes. Resending is safe: changes are deduplicated by change
+//! id, and the other calls are idempotent.
 
 mod call;
 mod error;
@@ -25,47 +24,45 @@
 
 /// Deadline of a call when none is set.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(15);
-/// Longest wait for one member: longer than the core's own deadline of a change.
-const TRY_TIMEOUT: Duration = Duration::from_secs(7);
-/// Longest wait for a connection.
+/// Timeout of one attempt: longer than the core's own deadline of a change.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(7);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections are used again only this long; members close them somewhat later.
+/// Maximum idle time of a reused connection; members close idle connections later.
 const MAXIMUM_IDLE_AGE: Duration = Duration::from_secs(5);
-/// Pause after the first failed try; it doubles up to [`LONGEST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Largest answer read, in bytes.
-const MAXIMUM_ANSWER_BYTES: u64 = 256 * 1024 * 1024;
+/// Delay after the first failed attempt; it doubles up to [`MAXIMUM_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAXIMUM_BACKOFF: Duration = Duration::from_millis(500);
+const MAXIMUM_RESPONSE_BYTES: u64 = 256 * 1024 * 1024;
 
 /// A client of the administration API.
 #[derive(Clone, Debug)]
 pub struct AdministrationClient {
     agent: Agent,
     addresses: Vec<String>,
-    /// Address asked next: one of the list, or a leader that was named.
+    /// Address of the next attempt: one of the list, or a reported leader.
     current: String,
-    /// Place in the list of the address to ask when no leader is named.
-    next_place: usize,
+    /// Index of the next address to try when no leader is reported.
+    next_index: usize,
     key: String,
     deadline: Duration,
 }
 
-/// What one try met.
-enum Tried {
-    /// The answer.
-    Answered(Vec<u8>),
-    /// An answer that trying again would not alter.
+/// Result of one attempt.
+enum Attempt {
+    /// The response body.
+    Success(Vec<u8>),
+    /// An error that a retry would not resolve.
     Failed(ClientError),
     /// Another member leads; nothing was done.
-    Elsewhere(Option<String>),
-    /// It was not taken; nothing was done.
-    NotTaken(String),
-    /// It may have been done.
+    NotLeader(Option<String>),
+    /// The call was not accepted; nothing was done.
+    NotExecuted(String),
+    /// The response was lost; the call may have been executed.
     Lost(String),
 }
 
 impl AdministrationClient {
-    /// A client of the members at these addresses (IP:port) with an operator's key.
+    /// Creates a client of the members at these addresses (IP:port) with an operator's key.
     pub fn new(addresses: Vec<String>, key: impl Into<String>) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -77,20 +74,20 @@
         AdministrationClient {
             agent: config.into(),
             current: addresses.first().cloned().unwrap_or_default(),
-            next_place: 1,
+            next_index: 1,
             addresses,
             key: key.into(),
             deadline: DEFAULT_DEADLINE,
         }
     }
 
-    /// The same client with another deadline for each call, resends included.
+    /// Sets the deadline of each call, including resends.
     pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
-    /// One object, or none.
+    /// Reads one object; `None` if it does not exist.
     pub fn get(&mut self, kind: ObjectKind, name: &str) -> Result<Option<ObjectBody>, ClientError> {
         match self.call(Call::read(object_path(kind, name))) {
             Ok(object) => Ok(Some(object)),
@@ -99,7 +96,7 @@
         }
     }
 
-    /// All objects of a kind, by name.
+    /// Lists the objects of a kind, ordered by name.
     pub fn list(&mut self, kind: ObjectKind) -> Result<Vec<ObjectBody>, ClientError> {
         let path = format!("/v1/{}", kind_plural(kind));
         let listed: ObjectsBody = self.call(Call::read(path))?;
@@ -134,17 +131,17 @@
         })
     }
 
-    /// State of the deployment.
+    /// Reads the state of the deployment.
     pub fn status(&mut self) -> Result<StatusBody, ClientError> {
         self.call(Call::read("/v1/status".to_owned()))
     }
 
-    /// Accepted changes after a revision that are still kept.
+    /// Reads the retained audit records after a revision.
     pub fn audit(&mut self, after: u64) -> Result<AuditBody, ClientError> {
         self.call(Call::read(format!("/v1/audit?after={after}")))
     }
 
-    /// Marks a back end as leaving: it gets no new work, and what it has ends by itself.
+    /// Marks a back end as leaving: it gets no new work and finishes what it has.
     pub fn drain_backend(&mut self, backend: &str) -> Result<(), ClientError> {
         let path = format!("/v1/backends/{}/state", encode(backend));
         let state = BackendStateBody {
@@ -154,12 +151,12 @@
         Ok(())
     }
 
-    /// Requests that are held back, as they end the instances that run them.
+    /// Lists the quarantined requests.
     pub fn quarantined_requests(&mut self) -> Result<QuarantinedRequestsBody, ClientError> {
         self.call(Call::read("/v1/held-requests".to_owned()))
     }
 
-    /// Lets such a request go.
+    /// Lifts the quarantine of a request.
     pub fn lift_quarantine(&mut self, fingerprint: &str) -> Result<(), ClientError> {
         let _: Value = self.call(Call {
             method: Method::DELETE,
@@ -177,56 +174,56 @@
         Ok(())
     }
 
-    /// Sends a call until it is answered or the deadline is over.
+    /// Sends a call until it succeeds, fails for good, or the deadline passes.
     fn call<T: DeserializeOwned>(&mut self, call: Call) -> Result<T, ClientError> {
         if self.addresses.is_empty() {
             return Err(ClientError::NoAddress);
         }
         let end = Instant::now() + self.deadline;
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         let mut may_have_run = false;
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            let last = match self.send(&call, left.min(TRY_TIMEOUT)) {
-                Tried::Answered(body) => return understand(&body),
-                Tried::Failed(error) => return Err(error),
-                Tried::Elsewhere(leader) => {
+            let last = match self.send(&call, left.min(ATTEMPT_TIMEOUT)) {
+                Attempt::Success(body) => return parse_body(&body),
+                Attempt::Failed(error) => return Err(error),
+                Attempt::NotLeader(leader) => {
                     let last = format!("{} does not lead", self.current);
-                    self.turn_to(leader);
+                    self.select_next(leader);
                     last
                 }
-                Tried::NotTaken(reason) => {
-                    self.turn_to(None);
+                Attempt::NotExecuted(reason) => {
+                    self.select_next(None);
                     reason
                 }
-                Tried::Lost(reason) => {
+                Attempt::Lost(reason) => {
                     may_have_run |= call.changes;
-                    self.turn_to(None);
+                    self.select_next(None);
                     reason
                 }
             };
             let left = end.saturating_duration_since(Instant::now());
-            if left <= pause {
-                return Err(over(may_have_run, last));
+            if left <= backoff {
+                return Err(deadline_error(may_have_run, last));
             }
-            std::thread::sleep(pause);
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            std::thread::sleep(backoff);
+            backoff = (backoff * 2).min(MAXIMUM_BACKOFF);
         }
     }
 
-    /// Asks the leader next if one was named, else the next address of the list. The list goes on
-    /// where it was: a follower that names an unreachable leader must not hide the others.
-    fn turn_to(&mut self, leader: Option<String>) {
-        // Only an address as members state it is followed, never any other text.
+    /// Selects the reported leader, or else the next address of the list. The position in the list is kept, so
+    /// that a follower that names an unreachable leader does not hide the other members.
+    fn select_next(&mut self, leader: Option<String>) {
+        // Only a socket address is followed, never any other text.
         let leader = leader.filter(|address| address.parse::<SocketAddr>().is_ok());
         self.current = leader.unwrap_or_else(|| {
-            let place = self.next_place % self.addresses.len();
-            self.next_place = place + 1;
-            self.addresses[place].clone()
+            let index = self.next_index % self.addresses.len();
+            self.next_index = index + 1;
+            self.addresses[index].clone()
         });
     }
 
-    fn send(&self, call: &Call, timeout: Duration) -> Tried {
+    fn send(&self, call: &Call, timeout: Duration) -> Attempt {
         let request = http::Request::builder()
             .method(call.method.clone())
             .uri(format!("http://{}{}", self.current, call.path))
@@ -235,69 +232,72 @@
             .body(call.body.as_slice());
         let request = match request {
             Ok(request) => request,
-            Err(error) => return Tried::Failed(unsendable(&error)),
+            Err(error) => return Attempt::Failed(invalid_request(&error)),
         };
         let agent = &self.agent;
         let configured = agent.configure_request(request);
         let request = configured.timeout_global(Some(timeout)).build();
-        let mut answer = match agent.run(request) {
-            Ok(answer) => answer,
+        let mut response = match agent.run(request) {
+            Ok(response) => response,
             Err(
                 ureq::Error::ConnectionFailed
                 | ureq::Error::HostNotFound
                 | ureq::Error::Timeout(ureq::Timeout::Connect),
             ) => {
-                return Tried::NotTaken(format!("{}: no connection", self.current));
+                return Attempt::NotExecuted(format!("{}: no connection", self.current));
             }
             Err(ureq::Error::Io(error))
                 if error.kind() == std::io::ErrorKind::ConnectionRefused =>
             {
-                return Tried::NotTaken(format!("{}: {error}", self.current));
+                return Attempt::NotExecuted(format!("{}: {error}", self.current));
             }
-            Err(error) => return Tried::Lost(format!("{}: {error}", self.current)),
+            Err(error) => return Attempt::Lost(format!("{}: {error}", self.current)),
         };
-        let status = answer.status();
-        let body = answer.body_mut().with_config().limit(MAXIMUM_ANSWER_BYTES);
+        let status = response.status();
+        let body = response
+            .body_mut()
+            .with_config()
+            .limit(MAXIMUM_RESPONSE_BYTES);
         match body.read_to_vec() {
-            Ok(body) => judge(status, body),
-            Err(error) => Tried::Lost(format!("{}: {error}", self.current)),
+            Ok(body) => classify(status, body),
+            Err(error) => Attempt::Lost(format!("{}: {error}", self.current)),
         }
     }
 }
 
-/// What an answer means for the call.
-fn judge(status: StatusCode, body: Vec<u8>) -> Tried {
+/// Classifies a response.
+fn classify(status: StatusCode, body: Vec<u8>) -> Attempt {
     if status.is_success() {
-        return Tried::Answered(body);
+        return Attempt::Success(body);
     }
     let parsed: Result<ErrorBody, _> = serde_json::from_slice(&body);
     let Ok(ErrorBody { error: detail }) = parsed else {
-        return Tried::Lost(format!("{status} without a body of this interface"));
+        return Attempt::Lost(format!("{status} without an administration API error body"));
     };
     let (message, remedy) = (detail.message.clone(), detail.remedy.clone());
     match (status, detail.kind.as_str()) {
-        (StatusCode::MISDIRECTED_REQUEST, _) => Tried::Elsewhere(detail.leader_address),
-        (_, "busy" | "too_many_connections" | "body_timeout") => Tried::NotTaken(message),
+        (StatusCode::MISDIRECTED_REQUEST, _) => Attempt::NotLeader(detail.leader_address),
+        (_, "busy" | "too_many_connections" | "body_timeout") => Attempt::NotExecuted(message),
         (StatusCode::UNAUTHORIZED, _) => {
-            Tried::Failed(ClientError::Unauthenticated { message, remedy })
+            Attempt::Failed(ClientError::Unauthenticated { message, remedy })
         }
-        (StatusCode::FORBIDDEN, _) => Tried::Failed(ClientError::Forbidden { message, remedy }),
-        (StatusCode::CONFLICT, _) => Tried::Failed(ClientError::Conflict {
+        (StatusCode::FORBIDDEN, _) => Attempt::Failed(ClientError::Forbidden { message, remedy }),
+        (StatusCode::CONFLICT, _) => Attempt::Failed(ClientError::Conflict {
             current_version: detail.current_version.unwrap_or(0),
         }),
-        _ if status.is_server_error() => Tried::Lost(message),
-        _ => Tried::Failed(ClientError::Rejected {
+        _ if status.is_server_error() => Attempt::Lost(message),
+        _ => Attempt::Failed(ClientError::Rejected {
             status: status.as_u16(),
             detail: Box::new(detail),
         }),
     }
 }
 
-fn understand<T: DeserializeOwned>(body: &[u8]) -> Result<T, ClientError> {
+fn parse_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, ClientError> {
     serde_json::from_slice(body).map_err(|error| ClientError::UnexpectedResponse(error.to_string()))
 }
 
-fn over(may_have_run: bool, last: String) -> ClientError {
+fn deadline_error(may_have_run: bool, last: String) -> ClientError {
     if may_have_run {
         ClientError::OutcomeUnknown { last }
     } else {
@@ -305,9 +305,9 @@
     }
 }
 
-/// A key or address that does not fit into a request; nothing was sent.
-fn unsendable(error: &http::Error) -> ClientError {
+/// Error for a key or address that cannot be encoded in a request; nothing was sent.
+fn invalid_request(error: &http::Error) -> ClientError {
     ClientError::Unavailable {
-        last: format!("the request cannot be written: {error}"),
+        last: format!("the request cannot be encoded: {error}"),
     }
 }
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -1,7 +1,7 @@
-//! The core's thread: feeds the decision core and carries out what it wants, in order.
+//! The core's thread: passes inputs to the decision core and executes its outputs in order.
 //!
-//! This thread alone owns the core. It never waits for a disk, a connection or an engine: each of
-//! these has its own queue and threads, and answers through [`Inputs`](crate::inputs::Inputs).
+//! This thread owns the core. It never blocks on a disk, a connection or an engine: these have their own
+//! queues and threads, and respond through [`Inputs`](crate::inputs::Inputs).
 
 use crate::calls::CallTable;
 use crate::connections::Connections;
@@ -10,7 +10,7 @@
 use crate::disk_watch::DiskWatch;
 use crate::error::ControlError;
 use crate::freshness::FreshnessPort;
-use crate::inputs::{HostInput, InputQueue, WaitingInput};
+use crate::inputs::{CoreInput, InputQueue, WaitingInput};
 use crate::lateness::LatenessWatch;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -26,49 +26,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two ticks of the core.
-const TICK: Duration = Duration::from_millis(5);
-/// Time between two looks at what changes slowly: metrics, and whether to ask to join.
-const HOUSEKEEPING: Duration = Duration::from_millis(500);
-/// Time without a leader after which a member asks to join: it may have been replaced while it was
-/// cut off, and nobody tells it.
-pub(crate) const LEADERLESS: Duration = Duration::from_secs(2);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two updates of metrics and checks whether to join.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
+/// Time without a leader after which a member requests to join, as it may have been replaced while it was
+/// partitioned.
+pub(crate) const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time an instance waits for the answer to its announcement before it calls another member. The
-/// protocol between servers and members sets it (docs/PLATFORM.md); work on an older one would be in vain.
-const ANNOUNCEMENT_PATIENCE: Duration = Duration::from_secs(1);
+/// Time an instance waits for the response to its announcement, as the protocol defines (docs/PLATFORM.md). Older
+/// announcements are refused unprocessed.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The core with everything it acts through.
+/// The core with the queues and connections that execute its outputs.
 pub(crate) struct Member {
     pub(crate) core: ControlPlane,
     pub(crate) clock: ProcessClock,
     pub(crate) address: MemberAddress,
-    /// Peer addresses to ask when this process is not a member yet.
+    /// Peer addresses to send join requests to.
     pub(crate) others: Vec<String>,
     pub(crate) queue: InputQueue,
     pub(crate) disk: Sender<DiskWork>,
     pub(crate) disk_watch: Arc<DiskWatch>,
     pub(crate) peers: Peers,
     pub(crate) connections: Arc<Connections>,
-    /// None where the port was not free for datagrams.
+    /// `None` if the UDP port was not free.
     pub(crate) freshness: Option<Arc<FreshnessPort>>,
-    /// What was last published there.
+    /// Last published freshness state.
     pub(crate) published: Option<FreshnessState>,
     pub(crate) deliveries: Deliveries,
     pub(crate) platform: Option<String>,
     pub(crate) calls: Arc<CallTable>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Since when no leader is known.
+    /// Start of the current time without a known leader.
     pub(crate) leaderless_since: Option<Timestamp>,
-    /// How long that lasts when the log next says so.
+    /// Time without a leader at which it is logged next.
     pub(crate) next_leaderless_report: Duration,
     pub(crate) suspensions: SuspensionWatch,
     pub(crate) heartbeat: Heartbeat,
     pub(crate) lateness: LatenessWatch,
-    /// Calls refused up to the last look, as too many waited.
+    /// Value of the refused calls metric at the last check.
     pub(crate) refused_calls: i64,
-    /// Connections at which an update begins to wait, of which the core has not heard yet.
-    pub(crate) behind: Vec<ConnectionId>,
+    /// Backlogged connections that the core has not been notified of yet.
+    pub(crate) backlogged: Vec<ConnectionId>,
 }
 
 /// Why the core's thread ended.
@@ -82,13 +81,13 @@
     /// Body of the thread.
     pub(crate) fn run(mut self) -> Result<(), ControlError> {
         let end = self.serve();
-        // First, so that no call is taken in after the last ones are answered.
+        // Closed first, so that no call is accepted after the waiting ones are failed.
         self.queue.close();
         self.connections.close();
         if let Some(port) = &self.freshness {
             port.close();
         }
-        self.calls.give_up();
+        self.calls.fail_all();
         match end {
             End::Halted => Ok(()),
             End::Failed(error) => Err(error),
@@ -107,53 +106,53 @@
         loop {
             self.heartbeat.beat();
             let has_stopped = match self.queue.next(next_tick) {
-                HostInput::Core(waiting) => self.take_up(waiting),
-                HostInput::Tick => {
-                    self.show_lateness(None, next_tick);
+                CoreInput::Input(waiting) => self.handle_input(waiting),
+                CoreInput::Tick => {
+                    self.record_lateness(None, next_tick);
                     let has_stopped = self.step(ControlInput::Tick);
-                    // From the end of the step: ticks that take long must leave time for inputs.
-                    next_tick = Instant::now() + TICK;
+                    // Measured from the end of the step, so that long ticks leave time for inputs.
+                    next_tick = Instant::now() + TICK_INTERVAL;
                     has_stopped
                 }
-                HostInput::WantSnapshot => {
+                CoreInput::SnapshotRequested => {
                     self.core.request_snapshot();
                     false
                 }
-                HostInput::DiskFailed(error) => return End::Failed(error.into()),
-                HostInput::ThreadEnded(name) => {
+                CoreInput::DiskFailed(error) => return End::Failed(error.into()),
+                CoreInput::ThreadEnded(name) => {
                     log::error!("event=control_thread_ended thread={name}");
                     return End::Failed(ControlError::ThreadEnded(name));
                 }
-                HostInput::Halt => return End::Halted,
+                CoreInput::Halt => return End::Halted,
             };
             if has_stopped {
                 return End::Stopped;
             }
             if Instant::now() >= next_housekeeping {
-                next_housekeeping = Instant::now() + HOUSEKEEPING;
-                self.keep_house();
+                next_housekeeping = Instant::now() + HOUSEKEEPING_INTERVAL;
+                self.run_housekeeping();
             }
         }
     }
 
-    fn take_up(&mut self, waiting: WaitingInput) -> bool {
-        self.show_lateness(Some(waiting.class), waiting.since);
-        if let Some(call) = outdated_announcement(&waiting) {
-            self.metrics.outdated_announcements.inc();
-            self.calls.answer(call, AdministrationResponse::Busy);
+    fn handle_input(&mut self, waiting: WaitingInput) -> bool {
+        self.record_lateness(Some(waiting.class), waiting.since);
+        if let Some(call) = expired_announcement(&waiting) {
+            self.metrics.expired_announcements.inc();
+            self.calls.respond(call, AdministrationResponse::Busy);
             self.core.announcements_refused(self.clock.now());
             return false;
         }
         self.step(waiting.input)
     }
 
-    /// Shows how long an input of a class waited, or how much later than due a tick comes.
-    fn show_lateness(&mut self, class: Option<Priority>, since: Instant) {
+    /// Records how long an input waited, or how late a tick is.
+    fn record_lateness(&mut self, class: Option<Priority>, since: Instant) {
         let now = Instant::now();
         let age = now.saturating_duration_since(since);
         match class {
-            Some(class) => self.metrics.input_waited(class, age),
-            None => self.metrics.tick_late(age),
+            Some(class) => self.metrics.observe_input_wait(class, age),
+            None => self.metrics.observe_tick_lateness(age),
         }
         if let Some(late) = self.lateness.record(now, class, age) {
             let class = late.class.map_or("tick", Priority::name);
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Takes one input; true once the core has stopped.
+    /// Processes one input; returns true once the core has stopped.
     fn step(&mut self, input: ControlInput) -> bool {
         self.metrics.steps.inc();
         let now = self.clock.now();
@@ -174,32 +173,32 @@
         self.publish(now);
         let mut stopped = false;
         for output in outputs {
-            stopped |= self.carry_out(output);
+            stopped |= self.execute(output);
         }
-        // Before any other input: the word that a connection has caught up may be in the queue already.
-        while let Some(connection) = self.behind.pop() {
-            let waits = true;
+        // Before any other input, as the notification that the backlog was written may already be queued.
+        while let Some(connection) = self.backlogged.pop() {
+            let backlogged = true;
             stopped |= self.step(ControlInput::RouterBacklog {
                 connection,
-                backlogged: waits,
+                backlogged,
             });
         }
         stopped
     }
 
-    /// Lets gateways that ask know what the core holds.
+    /// Publishes the freshness state for queries of gateways.
     fn publish(&mut self, now: Timestamp) {
         let Some(port) = &self.freshness else {
             return;
         };
-        let mark = self.core.freshness_state(now);
-        if self.published.as_ref() != Some(&mark) {
-            port.publish(self.core.freshness_response(&mark));
-            self.published = Some(mark);
+        let state = self.core.freshness_state(now);
+        if self.published.as_ref() != Some(&state) {
+            port.publish(self.core.freshness_response(&state));
+            self.published = Some(state);
         }
     }
 
-    fn carry_out(&mut self, output: ControlOutput) -> bool {
+    fn execute(&mut self, output: ControlOutput) -> bool {
         match output {
             ControlOutput::SendPeer { address, envelope } => {
                 self.peers.send(&address, LinkMessage::Peer(envelope));
@@ -209,7 +208,7 @@
                 message,
             } => {
                 if self.connections.send(connection, *message) {
-                    self.behind.push(connection);
+                    self.backlogged.push(connection);
                 }
             }
             ControlOutput::DeliverOrder { address, order } => {
@@ -221,18 +220,15 @@
             ControlOutput::SendShare { address, report } => {
                 self.peers.send(&address, LinkMessage::Share(report));
             }
-            ControlOutput::SendShareResponse {
-                address,
-                response: answer,
-            } => {
+            ControlOutput::SendShareResponse { address, response } => {
                 self.peers
-                    .send(&address, LinkMessage::ShareResponse(answer));
+                    .send(&address, LinkMessage::ShareResponse(response));
             }
             ControlOutput::Instruct {
                 instruction,
-                deadline: ends_by,
+                deadline,
             } => {
-                let delivery = Delivery::Instruct(instruction, ends_by);
+                let delivery = Delivery::Instruct(instruction, deadline);
                 self.deliveries.submit(delivery);
             }
             ControlOutput::ReadEngine {
@@ -250,20 +246,19 @@
             ControlOutput::Persist(request) => self.write(DiskWork::Persist(request)),
             ControlOutput::SaveSnapshot(snapshot) => self.write(DiskWork::Snapshot(snapshot)),
             ControlOutput::ReadPlatform => self.read_platform(),
-            ControlOutput::AdministrationResponse {
-                call,
-                response: answer,
-            } => self.calls.answer(call, answer),
-            ControlOutput::DocumentReached(after) => self.metrics.document_reached(after),
-            ControlOutput::DepartureReached(after) => self.metrics.departure_reached(after),
-            ControlOutput::Event(event) => self.note(&event),
+            ControlOutput::AdministrationResponse { call, response } => {
+                self.calls.respond(call, response)
+            }
+            ControlOutput::DocumentReached(after) => self.metrics.observe_document_delay(after),
+            ControlOutput::DepartureReached(after) => self.metrics.observe_departure_delay(after),
+            ControlOutput::Event(event) => self.log_event(&event),
             ControlOutput::Stopped => return true,
         }
         false
     }
 
-    /// The queue is bounded by what consensus has under way. It has no other end only after the
-    /// disk failed, which is already in the queue of inputs.
+    /// The queue is bounded by the writes that consensus has in flight. Sending fails only after the disk has
+    /// failed, which is already reported to the input queue.
     fn write(&self, work: DiskWork) {
         let _ = self.disk.send(work);
     }
@@ -275,33 +270,34 @@
         }
     }
 
-    fn note(&self, event: &ControlEvent) {
+    fn log_event(&self, event: &ControlEvent) {
         self.metrics.count_event(event.name);
         log::info!("{}", event_line(event.name, &event.pairs));
     }
 
-    fn keep_house(&mut self) {
+    fn run_housekeeping(&mut self) {
         if let Some(time) = self.suspensions.look() {
             let millis = time.as_millis();
             log::warn!("event=machine_suspended suspended_ms={millis}");
         }
-        self.metrics.show_disk_wait(self.disk_watch.look());
+        self.metrics.record_disk_write(self.disk_watch.check());
         let status = self.core.consensus_status();
-        self.metrics.show_consensus(&status);
-        self.metrics.show_missing(self.core.missing_voter_count());
+        self.metrics.record_consensus(&status);
+        self.metrics
+            .record_missing_voters(self.core.missing_voter_count());
         if let Some(sizes) = self.core.fleet_sizes() {
-            self.metrics.show_instances(&sizes);
+            self.metrics.record_instances(&sizes);
         }
-        self.show_queues();
+        self.record_queues();
         let leaderless = self.is_leaderless(status.leader.is_none());
         if leaderless || !status.membership.contains(self.address.member) {
-            self.ask_to_join(&status.membership);
+            self.request_join(&status.membership);
         }
     }
 
-    fn show_queues(&mut self) {
+    fn record_queues(&mut self) {
         for (class, length, refused) in self.queue.lengths() {
-            let new = self.metrics.show_queue(class, length, refused);
+            let new = self.metrics.record_queue(class, length, refused);
             if new > 0 {
                 let class = class.name();
                 log::warn!("event=inputs_refused class={class} count={new} waiting={length}");
@@ -312,35 +308,35 @@
         if refused > before {
             let count = refused - before;
             log::warn!("event=calls_refused count={count}");
-            // Nearly all calls are announcements.
+            // Nearly all of these calls are announcements.
             self.core.announcements_refused(self.clock.now());
         }
     }
 
-    /// Whether no leader has been known for long.
-    fn is_leaderless(&mut self, none_known: bool) -> bool {
-        if !none_known {
+    /// Returns whether no leader has been known for [`LEADERLESS_TIMEOUT`]. Logs it, again each time that time doubles.
+    fn is_leaderless(&mut self, no_leader: bool) -> bool {
+        if !no_leader {
             self.leaderless_since = None;
-            self.next_leaderless_report = LEADERLESS;
+            self.next_leaderless_report = LEADERLESS_TIMEOUT;
             return false;
         }
         let now = self.clock.now();
         let since = *self.leaderless_since.get_or_insert(now);
-        let lasts = now.since(since);
-        if lasts >= self.next_leaderless_report {
-            self.next_leaderless_report = lasts * 2;
-            self.report_leaderless(lasts);
+        let elapsed = now.since(since);
+        if elapsed >= self.next_leaderless_report {
+            self.next_leaderless_report = elapsed * 2;
+            self.report_leaderless(elapsed);
         }
-        lasts >= LEADERLESS
+        elapsed >= LEADERLESS_TIMEOUT
     }
 
-    /// Who answered this member's candidacies, and who did not, is told by `candidacy-ended`.
-    fn report_leaderless(&self, lasts: Duration) {
+    /// Logs that there is no leader. The `candidacy-ended` event names the voters that responded.
+    fn report_leaderless(&self, elapsed: Duration) {
         let status = self.core.consensus_status();
         let voters = status.membership.voters.iter();
         let voters: Vec<&str> = voters.map(|voter| voter.peer_address.as_str()).collect();
         let pairs = [
-            ("for_ms", lasts.as_millis().to_string()),
+            ("for_ms", elapsed.as_millis().to_string()),
             ("term", status.term.to_string()),
             ("last", status.last.to_string()),
             ("voters", voters.join(",")),
@@ -348,8 +344,8 @@
         log::warn!("{}", event_line("leaderless", &pairs));
     }
 
-    /// Asks the members that the settings name and those of the membership known here.
-    fn ask_to_join(&mut self, membership: &Membership) {
+    /// Sends join requests to the members of the settings and of the known membership.
+    fn request_join(&mut self, membership: &Membership) {
         let known = membership.voters.iter().map(|member| &member.peer_address);
         let others: BTreeSet<String> = self
             .others
@@ -365,14 +361,14 @@
     }
 }
 
-/// The call of an announcement whose sender waits no more. One that says that its instance leaves is of a
-/// more urgent class and always taken up.
-fn outdated_announcement(waiting: &WaitingInput) -> Option<u64> {
+/// Returns the call of an announcement whose sender has timed out. Announcements of leaving instances have a
+/// higher priority and are always processed.
+fn expired_announcement(waiting: &WaitingInput) -> Option<u64> {
     let ControlInput::Administration { call, request } = &waiting.input else {
         return None;
     };
-    let is_outdated = waiting.class == Priority::Announcements
+    let is_expired = waiting.class == Priority::Announcements
         && matches!(request, AdministrationRequest::Announce(_))
-        && waiting.since.elapsed() >= ANNOUNCEMENT_PATIENCE;
-    is_outdated.then_some(*call)
+        && waiting.since.elapsed() >= ANNOUNCEMENT_TIMEOUT;
+    is_expired.then_some(*call)
 }
