--- a/crates/millpass-cli/src/main.rs
+++ b/crates/millpass-cli/src/main.rs
@@ -9,7 +9,10 @@
         Ok(code) => code,
         Err(error) => {
             log::logger().flush();
-            millpass_telemetry::last_words(&format!("millpass: {}", message_of(&error)));
+            millpass_telemetry::write_stderr_with_timeout(&format!(
+                "millpass: {}",
+                message_of(&error)
+            ));
             ExitCode::FAILURE
         }
     }
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -21,7 +21,7 @@
     ControlOutput, ControlPlane, FinalState, FreshnessState,
 };
 use millpass_proto::{LinkMessage, MemberAddress, Membership, Timestamp};
-use millpass_telemetry::{Heartbeat, ProcessClock, SuspensionWatch, event_line, unix_millis};
+use millpass_telemetry::{Heartbeat, ProcessClock, SuspensionDetector, event_line, unix_millis};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -61,7 +61,7 @@
     pub(crate) leaderless_since: Option<Timestamp>,
     /// Time without a leader at which it is logged next.
     pub(crate) next_leaderless_report: Duration,
-    pub(crate) suspensions: SuspensionWatch,
+    pub(crate) suspensions: SuspensionDetector,
     pub(crate) heartbeat: Heartbeat,
     pub(crate) lateness: LatenessWatch,
     /// Value of the refused calls metric at the last check.
@@ -276,7 +276,7 @@
     }
 
     fn run_housekeeping(&mut self) {
-        if let Some(time) = self.suspensions.look() {
+        if let Some(time) = self.suspensions.check() {
             let millis = time.as_millis();
             log::warn!("event=machine_suspended suspended_ms={millis}");
         }
--- a/crates/millpass-control/src/process.rs
+++ b/crates/millpass-control/src/process.rs
@@ -21,7 +21,7 @@
 use crossbeam::channel::{Receiver, bounded, unbounded};
 use millpass_control_plane::ControlInput;
 use millpass_proto::{Duration, MemberAddress, MemberId};
-use millpass_telemetry::{Heartbeat, ProcessClock, SuspensionWatch};
+use millpass_telemetry::{Heartbeat, ProcessClock, SuspensionDetector};
 use std::net::{TcpListener, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
@@ -207,7 +207,7 @@
         metrics,
         leaderless_since: None,
         next_leaderless_report: LEADERLESS_TIMEOUT,
-        suspensions: SuspensionWatch::default(),
+        suspensions: SuspensionDetector::default(),
         heartbeat: heartbeat.clone(),
         lateness: LatenessWatch::default(),
         refused_calls: 0,
--- a/crates/millpass-gateway/src/process.rs
+++ b/crates/millpass-gateway/src/process.rs
@@ -11,7 +11,7 @@
 use async_executor::Executor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use millpass_telemetry::{Heartbeat, SuspensionWatch, event_line};
+use millpass_telemetry::{Heartbeat, SuspensionDetector, event_line};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -117,12 +117,12 @@
 }
 
 async fn sweep(shared: Arc<Shared>, heartbeat: Heartbeat) {
-    let mut suspensions = SuspensionWatch::default();
+    let mut suspensions = SuspensionDetector::default();
     loop {
         heartbeat.beat();
         Timer::after(SWEEP_INTERVAL).await;
         shared.pool.sweep();
-        if let Some(time) = suspensions.look() {
+        if let Some(time) = suspensions.check() {
             let millis = time.as_millis();
             log::warn!("event=machine_suspended suspended_ms={millis}");
         }
--- a/crates/millpass-telemetry/src/clock.rs
+++ b/crates/millpass-telemetry/src/clock.rs
@@ -51,7 +51,7 @@
 }
 
 /// Time since some fixed point, without suspensions. Timers go by it.
-pub fn awake_time() -> Duration {
+pub fn monotonic_time() -> Duration {
     static FIRST: OnceLock<Instant> = OnceLock::new();
     FIRST.get_or_init(Instant::now).elapsed()
 }
--- a/crates/millpass-telemetry/src/last_words.rs
+++ b/crates/millpass-telemetry/src/fatal.rs
@@ -12,7 +12,7 @@
 const STANDARD_ERROR_WAIT: Duration = Duration::from_millis(200);
 
 /// Writes a line to standard error, waiting for a bounded time only.
-pub fn last_words(line: &str) {
+pub fn write_stderr_with_timeout(line: &str) {
     let line = format!("{line}\n");
     let (written, wait) = sync_channel(1);
     let writing = thread::Builder::new()
--- a/crates/millpass-telemetry/src/hang_watch.rs
+++ b/crates/millpass-telemetry/src/hang_watch.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 /// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Looks in a row without progress after which a thread counts as hanging. They are counted, not the time: a process that
 /// is stopped or gets no processor looks as seldom as it works. The watched threads come round every 5 ms and every second.
-const LOOKS: u32 = 15;
+const HANG_CHECKS: u32 = 15;
 
 /// Counts the rounds of a thread.
 #[derive(Clone, Debug, Default)]
@@ -29,21 +29,21 @@
 
 /// Counts looks without progress.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HangCount {
+pub struct HangDetector {
     last: Option<u64>,
     without_progress: u32,
 }
 
-impl HangCount {
+impl HangDetector {
     /// Takes the count of rounds; whether the thread hangs.
-    pub fn look(&mut self, rounds: u64) -> bool {
+    pub fn check(&mut self, rounds: u64) -> bool {
         if self.last == Some(rounds) {
             self.without_progress += 1;
         } else {
             self.last = Some(rounds);
             self.without_progress = 0;
         }
-        self.without_progress >= LOOKS
+        self.without_progress >= HANG_CHECKS
     }
 }
 
@@ -53,10 +53,10 @@
     on_hang: impl FnOnce() + Send + 'static,
 ) -> io::Result<()> {
     let watch = move || {
-        let mut count = HangCount::default();
+        let mut detector = HangDetector::default();
         loop {
-            thread::sleep(LOOK_INTERVAL);
-            if count.look(heartbeat.count()) {
+            thread::sleep(CHECK_INTERVAL);
+            if detector.check(heartbeat.count()) {
                 return on_hang();
             }
         }
--- a/crates/millpass-telemetry/tests/hang_watch.rs
+++ b/crates/millpass-telemetry/tests/hang_watch.rs
@@ -1,24 +1,24 @@
 //! When a thread counts as hanging.
 
-use millpass_telemetry::{HangCount, Heartbeat, watch_for_hang};
+use millpass_telemetry::{HangDetector, Heartbeat, watch_for_hang};
 
 /// More looks than any pause of a thread that works takes.
-const MANY_LOOKS: u64 = 1_000;
+const MANY_CHECKS: u64 = 1_000;
 
 #[test]
 fn a_thread_that_comes_round_now_and_then_does_not_hang() {
-    let mut count = HangCount::default();
-    for look in 0..MANY_LOOKS {
-        assert!(!count.look(look / 10), "look {look}");
+    let mut detector = HangDetector::default();
+    for look in 0..MANY_CHECKS {
+        assert!(!detector.check(look / 10), "look {look}");
     }
 }
 
 #[test]
 fn a_thread_without_progress_hangs_after_some_looks_and_not_before() {
-    let mut count = HangCount::default();
-    let first = (0..MANY_LOOKS).position(|_| count.look(7));
+    let mut detector = HangDetector::default();
+    let first = (0..MANY_CHECKS).position(|_| detector.check(7));
     assert_eq!(first, Some(15));
-    assert!(!count.look(8), "it goes on");
+    assert!(!detector.check(8), "it goes on");
 }
 
 #[test]
