--- a/crates/millpass-http/src/body.rs
+++ b/crates/millpass-http/src/body.rs
@@ -1,6 +1,6 @@
-//! Bodies of answers: whole, or streamed through a bounded channel.
+//! Response bodies: complete, or streamed through a bounded channel.
 
-use crate::caller_stream::Answering;
+use crate::caller_stream::RespondingGuard;
 use crate::gone::{GoneFlag, GoneGuard};
 use crate::in_flight::InFlightGuard;
 use crate::interface::CallerGone;
@@ -14,14 +14,14 @@
 
 /// A part of a streamed body.
 pub(crate) enum Part {
-    /// Bytes for the caller.
+    /// Body bytes.
     Chunk(Bytes),
-    /// The body is whole. A channel that closes without this part was cut.
+    /// End of the body. A channel that closes without it means a truncated body.
     End,
 }
 
-/// Writes a streamed answer. Dropped without [`BodyWriter::finish`], the answer is cut, which the
-/// caller sees as a truncated body.
+/// Writes a streamed response body. If it is dropped without [`BodyWriter::finish`], the caller
+/// receives a truncated body.
 #[derive(Debug)]
 pub struct BodyWriter {
     parts: Sender<Part>,
@@ -33,8 +33,8 @@
         BodyWriter { parts, gone }
     }
 
-    /// Hands over a chunk; waits while the stream's buffer is full. Fails at once when the caller
-    /// hung up. Empty chunks are skipped.
+    /// Queues a chunk, blocking while the buffer is full. Fails at once if the caller has
+    /// disconnected. Empty chunks are skipped.
     pub fn write(&mut self, chunk: Bytes) -> Result<(), CallerGone> {
         if self.gone.is_gone() {
             return Err(CallerGone);
@@ -46,80 +46,78 @@
         sent.map_err(|_| CallerGone)
     }
 
-    /// Ends the body properly, after everything written so far.
+    /// Completes the body after everything written so far.
     pub fn finish(self) {
-        // A caller that is gone needs no end.
+        // Fails only if the caller has disconnected.
         let _ = self.parts.send_blocking(Part::End);
     }
 
-    /// Cuts the connection without a proper end, after what was written so far, so that the
-    /// caller sees that the answer is not whole.
+    /// Closes the connection after what was written so far without completing the body, so that
+    /// the caller detects the truncation.
     pub fn abort(self) {
         drop(self);
     }
 
-    /// Whether the caller hung up.
+    /// Returns whether the caller has disconnected.
     pub fn is_caller_gone(&self) -> bool {
         self.gone.is_gone()
     }
 
-    /// The flag behind [`BodyWriter::is_caller_gone`].
+    /// Returns the flag that is set when the caller disconnects.
     pub fn caller_gone(&self) -> GoneFlag {
         self.gone.clone()
     }
 }
 
-/// Body of an answer, as hyper reads it. The request counts as in flight until hyper drops it.
-pub(crate) struct AnswerBody {
+/// Response body as read by hyper. The request counts as in flight until hyper drops it.
+pub(crate) struct ResponseBody {
     content: Content,
-    /// Dropped first, so that a request that no longer counts is no longer being answered.
-    answering: Option<Answering>,
+    /// Declared before `in_flight`, so that it is dropped first.
+    responding: Option<RespondingGuard>,
     in_flight: Option<InFlightGuard>,
 }
 
-impl AnswerBody {
-    pub(crate) fn whole(bytes: Bytes) -> Self {
-        AnswerBody {
-            content: Content::Whole(Some(bytes)),
-            answering: None,
+impl ResponseBody {
+    pub(crate) fn full(bytes: Bytes) -> Self {
+        ResponseBody {
+            content: Content::Full(Some(bytes)),
+            responding: None,
             in_flight: None,
         }
     }
 
     pub(crate) fn streamed(body: StreamedBody) -> Self {
-        AnswerBody {
+        ResponseBody {
             content: Content::Streamed(body),
-            answering: None,
+            responding: None,
             in_flight: None,
         }
     }
 
-    /// Marks the connection as answering for as long as the body lives.
-    pub(crate) fn mark(&mut self, answering: Answering) {
-        self.answering = Some(answering);
+    /// Keeps the connection marked as responding until the body is dropped.
+    pub(crate) fn set_responding(&mut self, responding: RespondingGuard) {
+        self.responding = Some(responding);
     }
 
-    /// Counts the request as in flight for as long as the body lives.
-    pub(crate) fn count(&mut self, in_flight: InFlightGuard) {
+    /// Keeps the request counted as in flight until the body is dropped.
+    pub(crate) fn set_in_flight(&mut self, in_flight: InFlightGuard) {
         self.in_flight = Some(in_flight);
     }
 }
 
-/// Source of a body.
 enum Content {
-    /// Whole; `None` once handed over.
-    Whole(Option<Bytes>),
-    /// Streamed.
+    /// Complete body; `None` once read.
+    Full(Option<Bytes>),
     Streamed(StreamedBody),
 }
 
-/// Reading end of a streamed body.
+/// Receiving end of a streamed body.
 pub(crate) struct StreamedBody {
-    /// Dropped first (fields drop in order), so the flag is set before writes begin to fail.
+    /// Declared first, so that the flag is set before writes begin to fail.
     guard: GoneGuard,
     parts: Pin<Box<Receiver<Part>>>,
     ended: bool,
-    /// A chunk was handed to hyper since it last had a chance to flush.
+    /// Whether a chunk was returned to hyper since it last could flush.
     unflushed: bool,
 }
 
@@ -151,13 +149,16 @@
                 self.guard.disarm();
                 Poll::Ready(None)
             }
-            Poll::Ready(None) => self.poll_cut(context),
+            Poll::Ready(None) => self.poll_truncated(context),
         }
     }
 
-    /// Reports a cut body. hyper drops what it has not flushed when a body fails, so it first
-    /// gets one turn to flush what was written before the cut.
-    fn poll_cut(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    /// Reports a truncated body. hyper drops unflushed bytes when a body fails, so this returns
+    /// `Pending` once to let it flush.
+    fn poll_truncated(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         if self.unflushed {
             self.unflushed = false;
             context.waker().wake_by_ref();
@@ -165,11 +166,13 @@
         }
         self.ended = true;
         self.guard.disarm();
-        Poll::Ready(Some(Err(io::Error::other("the handler cut the answer"))))
+        Poll::Ready(Some(Err(io::Error::other(
+            "the handler ended the response body early",
+        ))))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -178,21 +181,21 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut self.content {
-            Content::Whole(bytes) => Poll::Ready(bytes.take().map(|data| Ok(Frame::data(data)))),
+            Content::Full(bytes) => Poll::Ready(bytes.take().map(|data| Ok(Frame::data(data)))),
             Content::Streamed(streamed) => streamed.poll_part(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.content {
-            Content::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Content::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Content::Streamed(streamed) => streamed.ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(bytes) => {
+            Content::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |data| data.len() as u64))
             }
             Content::Streamed(_) => SizeHint::default(),
--- a/crates/millpass-http/src/caller_stream.rs
+++ b/crates/millpass-http/src/caller_stream.rs
@@ -1,8 +1,8 @@
 //! The TCP connection to a caller, as hyper reads and writes it.
 //!
-//! hyper answers a malformed head with a bare status line that tells a caller nothing. Such an
-//! answer is the only thing that hyper writes while no request is being answered, so it is withheld
-//! here, and [`CallerStream::refuse`] sends one with a reason and a remedy in its place.
+//! hyper responds to a malformed head with a bare status line. That response is the only thing
+//! hyper writes outside a request, so it is suppressed here, and [`CallerStream::refuse`] sends an
+//! explanatory one instead.
 
 use crate::interface::Response;
 use async_io::{Async, Timer};
@@ -16,13 +16,12 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// How long what a refused caller still sends is read and thrown away. Closing at once would
-/// reset the connection, and the caller might never see the refusal.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Bytes read at once while lingering.
+/// How long input is read and discarded after a refusal. Closing earlier could reset the
+/// connection before the caller has read the response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 const LINGER_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A caller's connection; clones are the same connection.
+/// Handle to a caller's connection; clones share it.
 #[derive(Clone)]
 pub(crate) struct CallerStream {
     inner: Arc<Inner>,
@@ -30,29 +29,28 @@
 
 struct Inner {
     stream: Async<TcpStream>,
-    /// A request is being answered.
-    answering: AtomicBool,
-    /// An answer may not be flushed whole yet.
+    /// A request has been read and its response is not yet complete.
+    responding: AtomicBool,
+    /// A response may not be flushed completely.
     unflushed: AtomicBool,
-    /// Bytes were read that belong to no answered request: a head has begun.
-    head_begun: AtomicBool,
-    /// hyper's own answer to a malformed head was withheld.
-    withheld: AtomicBool,
-    /// The request was refused before all of it was read.
+    /// Part of a request head has been received.
+    head_started: AtomicBool,
+    /// hyper's response to a malformed head was suppressed.
+    suppressed: AtomicBool,
+    /// The request was refused before it was read completely.
     unread: AtomicBool,
 }
 
-/// Marks a request as being answered for as long as it lives, which is until hyper has taken the
-/// whole answer.
-pub(crate) struct Answering {
+/// Marks the connection as responding until hyper has read the complete response.
+pub(crate) struct RespondingGuard {
     stream: CallerStream,
 }
 
-impl Drop for Answering {
+impl Drop for RespondingGuard {
     fn drop(&mut self) {
         let inner = &self.stream.inner;
-        inner.head_begun.store(false, Ordering::Release);
-        inner.answering.store(false, Ordering::Release);
+        inner.head_started.store(false, Ordering::Release);
+        inner.responding.store(false, Ordering::Release);
     }
 }
 
@@ -60,39 +58,39 @@
     pub(crate) fn new(stream: Async<TcpStream>) -> Self {
         let inner = Arc::new(Inner {
             stream,
-            answering: AtomicBool::new(false),
+            responding: AtomicBool::new(false),
             unflushed: AtomicBool::new(false),
-            head_begun: AtomicBool::new(false),
-            withheld: AtomicBool::new(false),
+            head_started: AtomicBool::new(false),
+            suppressed: AtomicBool::new(false),
             unread: AtomicBool::new(false),
         });
         CallerStream { inner }
     }
 
-    /// A head was read whole, and its request is being answered.
-    pub(crate) fn answering(&self) -> Answering {
-        self.inner.answering.store(true, Ordering::Release);
+    /// Marks the connection as responding, once a request head has been read.
+    pub(crate) fn start_response(&self) -> RespondingGuard {
+        self.inner.responding.store(true, Ordering::Release);
         self.inner.unflushed.store(true, Ordering::Release);
         let stream = self.clone();
-        Answering { stream }
+        RespondingGuard { stream }
     }
 
-    /// Notes that a request is refused before all of it was read.
-    pub(crate) fn note_unread(&self) {
+    /// Records that a request was refused before it was read completely.
+    pub(crate) fn mark_unread(&self) {
         self.inner.unread.store(true, Ordering::Release);
     }
 
-    /// Whether a head has begun that was not answered.
-    pub(crate) fn head_begun(&self) -> bool {
-        self.inner.head_begun.load(Ordering::Acquire)
+    /// Returns whether part of a request head has been received without a response.
+    pub(crate) fn head_started(&self) -> bool {
+        self.inner.head_started.load(Ordering::Acquire)
     }
 
-    /// Whether hyper's own answer was withheld, so that the caller got none yet.
-    pub(crate) fn is_withheld(&self) -> bool {
-        self.inner.withheld.load(Ordering::Acquire)
+    /// Returns whether hyper's response was suppressed and the caller has received none.
+    pub(crate) fn is_suppressed(&self) -> bool {
+        self.inner.suppressed.load(Ordering::Acquire)
     }
 
-    /// Sends a refusal after hyper has ended, within [`LINGER_TIME`].
+    /// Sends a refusal after hyper has released the connection, within [`LINGER_TIMEOUT`].
     pub(crate) async fn refuse(&self, refusal: &Response) {
         let bytes = refusal.to_http1_closing();
         let mut stream = &self.inner.stream;
@@ -101,21 +99,21 @@
                 log::debug!("event=refusal_not_sent error=\"{error}\"");
             }
         };
-        future::or(sent, sleep(LINGER_TIME)).await;
+        future::or(sent, sleep(LINGER_TIMEOUT)).await;
     }
 
-    /// Closes the sending side, and reads what a refused caller still sends.
+    /// After a refusal, closes the sending side and drains the caller's remaining input.
     pub(crate) async fn close(&self) {
-        let is_refused = self.is_withheld() || self.inner.unread.load(Ordering::Acquire);
+        let is_refused = self.is_suppressed() || self.inner.unread.load(Ordering::Acquire);
         if !is_refused {
             return;
         }
         // The caller may have closed already.
         let _ = self.inner.stream.get_ref().shutdown(Shutdown::Write);
-        future::or(self.read_rest(), sleep(LINGER_TIME)).await;
+        future::or(self.drain_input(), sleep(LINGER_TIMEOUT)).await;
     }
 
-    async fn read_rest(&self) {
+    async fn drain_input(&self) {
         let mut buffer = vec![0; LINGER_BUFFER_BYTES];
         let mut stream = &self.inner.stream;
         while let Ok(length) = stream.read(&mut buffer).await {
@@ -125,15 +123,16 @@
         }
     }
 
-    /// Whether what hyper writes now is its own answer to a malformed head.
-    fn withholds(&self) -> bool {
+    /// Returns whether the current write is hyper's response to a malformed head, and records its
+    /// suppression.
+    fn suppress_write(&self) -> bool {
         let inner = &self.inner;
-        let is_own =
-            !inner.answering.load(Ordering::Acquire) && !inner.unflushed.load(Ordering::Acquire);
-        if is_own {
-            inner.withheld.store(true, Ordering::Release);
+        let is_hyper_response =
+            !inner.responding.load(Ordering::Acquire) && !inner.unflushed.load(Ordering::Acquire);
+        if is_hyper_response {
+            inner.suppressed.store(true, Ordering::Release);
         }
-        is_own
+        is_hyper_response
     }
 }
 
@@ -149,7 +148,7 @@
     ) -> Poll<io::Result<usize>> {
         let length = ready!(Pin::new(&mut &self.inner.stream).poll_read(context, buffer))?;
         if length > 0 {
-            self.inner.head_begun.store(true, Ordering::Release);
+            self.inner.head_started.store(true, Ordering::Release);
         }
         Poll::Ready(Ok(length))
     }
@@ -161,7 +160,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.withholds() {
+        if self.suppress_write() {
             return Poll::Ready(Ok(bytes.len()));
         }
         Pin::new(&mut &self.inner.stream).poll_write(context, bytes)
@@ -172,7 +171,7 @@
         context: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        if self.withholds() {
+        if self.suppress_write() {
             let length = slices.iter().map(|slice| slice.len()).sum();
             return Poll::Ready(Ok(length));
         }
@@ -181,15 +180,15 @@
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut &self.inner.stream).poll_flush(context))?;
-        if !self.inner.answering.load(Ordering::Acquire) {
+        if !self.inner.responding.load(Ordering::Acquire) {
             self.inner.unflushed.store(false, Ordering::Release);
         }
         Poll::Ready(Ok(()))
     }
 
     fn poll_close(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.is_withheld() {
-            // A refusal is still to be sent.
+        if self.is_suppressed() {
+            // `refuse` still writes to this connection.
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut &self.inner.stream).poll_close(context)
--- a/crates/millpass-http/src/connection.rs
+++ b/crates/millpass-http/src/connection.rs
@@ -1,13 +1,13 @@
-//! One connection: reads whole requests, hands them to the pool, and writes the answers.
+//! Serves one connection: reads requests, passes them to the pool and writes the responses.
 
-use crate::answer;
-use crate::body::AnswerBody;
-use crate::caller_stream::{Answering, CallerStream};
+use crate::body::ResponseBody;
+use crate::caller_stream::{CallerStream, RespondingGuard};
 use crate::gone::{GoneFlag, GoneGuard};
 use crate::in_flight::InFlight;
 use crate::interface::{Request, Response, ServerSettings};
 use crate::pool::Pool;
-use crate::responder::{Answer, Handler, Responder};
+use crate::responder::{Handler, OutgoingResponse, Responder};
+use crate::responses;
 use async_io::{Async, Timer};
 use bytes::Bytes;
 use futures_lite::future;
@@ -23,23 +23,23 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Most bytes of a request's head; more is answered 431.
+/// Size limit of a request head; exceeding it returns 431.
 const MAXIMUM_HEAD_BYTES: usize = 64 * 1024;
-/// Most header lines of a request; more is answered 431.
+/// Limit of header lines per request; exceeding it returns 431.
 const MAXIMUM_HEADERS: usize = 100;
 
-/// What all connections of a server share.
+/// State shared by all connections of a server.
 pub(crate) struct Shared {
     pub(crate) settings: ServerSettings,
     pub(crate) handler: Arc<dyn Handler>,
     pub(crate) pool: Pool,
     pub(crate) connections: AtomicUsize,
     pub(crate) in_flight: Arc<InFlight>,
-    /// Closed when connections are to end after the request they carry.
+    /// Closed when connections must end after their current request.
     pub(crate) draining: async_channel::Receiver<Infallible>,
 }
 
-/// Counts one connection for as long as it lives.
+/// Counts an open connection until dropped.
 pub(crate) struct ConnectionGuard {
     shared: Arc<Shared>,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Carries a connection until it ends.
+/// Serves a connection until it ends.
 pub(crate) async fn serve(stream: Async<TcpStream>, shared: Arc<Shared>, guard: ConnectionGuard) {
     let draining = shared.draining.clone();
     let header_timeout = shared.settings.header_timeout;
@@ -67,19 +67,19 @@
         let shared = shared.clone();
         let stream = service_stream.clone();
         async move {
-            let answering = stream.answering();
-            let answer = answer_request(request, shared, &stream).await;
-            Ok::<_, Infallible>(into_hyper(answer, answering))
+            let responding = stream.start_response();
+            let response = respond(request, shared, &stream).await;
+            Ok::<_, Infallible>(into_hyper(response, responding))
         }
     });
     let mut connection =
         pin!(builder(header_timeout).serve_connection(FuturesIo::new(stream.clone()), service));
     let ended = async { Some(connection.as_mut().await) };
-    let asked_to_end = async {
+    let drain_started = async {
         let _ = draining.recv().await;
         None
     };
-    let ended = match future::or(ended, asked_to_end).await {
+    let ended = match future::or(ended, drain_started).await {
         Some(ended) => ended,
         None => {
             connection.as_mut().graceful_shutdown();
@@ -100,15 +100,15 @@
     builder
 }
 
-/// Answers 503 on a connection above the limit and closes it.
+/// Responds with 503 on a connection above the limit and closes it.
 pub(crate) async fn refuse(stream: Async<TcpStream>, limit: usize, header_timeout: Duration) {
     let stream = CallerStream::new(stream);
     let service_stream = stream.clone();
     let service = service_fn(move |_request: hyper::Request<Incoming>| {
-        let answering = service_stream.answering();
-        service_stream.note_unread();
-        let refusal = whole(answer::too_many_connections(limit));
-        async move { Ok::<_, Infallible>(into_hyper(refusal, answering)) }
+        let responding = service_stream.start_response();
+        service_stream.mark_unread();
+        let refusal = full_response(responses::too_many_connections(limit));
+        async move { Ok::<_, Infallible>(into_hyper(refusal, responding)) }
     });
     let connection = builder(header_timeout)
         .keep_alive(false)
@@ -117,7 +117,7 @@
     end(&stream, ended, header_timeout).await;
 }
 
-/// Ends a connection that hyper has let go, with a refusal if a head was not taken.
+/// Closes a connection that hyper has released, after a refusal if a request head was rejected.
 async fn end(stream: &CallerStream, ended: hyper::Result<()>, header_timeout: Duration) {
     if let Err(error) = ended {
         log::debug!("event=connection_ended error=\"{error}\"");
@@ -128,71 +128,78 @@
     stream.close().await;
 }
 
-/// The refusal of a head that hyper did not take, unless the connection was idle or is gone.
+/// Returns the response to a head that hyper rejected, or `None` if the connection was idle or is
+/// closed.
 fn head_refusal(
     stream: &CallerStream,
     error: &hyper::Error,
     header_timeout: Duration,
 ) -> Option<Response> {
-    if error.is_timeout() && stream.head_begun() {
-        return Some(answer::head_too_slow(header_timeout.as_millis()));
+    if error.is_timeout() && stream.head_started() {
+        return Some(responses::head_timeout(header_timeout.as_millis()));
     }
-    if !stream.is_withheld() {
+    if !stream.is_suppressed() {
         return None;
     }
     if error.is_parse_too_large() {
-        return Some(answer::head_too_large(MAXIMUM_HEAD_BYTES, MAXIMUM_HEADERS));
+        return Some(responses::head_too_large(
+            MAXIMUM_HEAD_BYTES,
+            MAXIMUM_HEADERS,
+        ));
     }
-    Some(answer::head_malformed(error))
+    Some(responses::head_malformed(error))
 }
 
-/// Reads a request whole, has it handled and waits for the answer. hyper drops this future when
-/// the caller hangs up, which sets the caller-gone flag.
-async fn answer_request(
+/// Reads a request, passes it to the handler and waits for the response. hyper drops this future
+/// when the caller disconnects, which sets the caller-gone flag.
+async fn respond(
     request: hyper::Request<Incoming>,
     shared: Arc<Shared>,
     stream: &CallerStream,
-) -> Answer {
-    let request = match read_whole(request, &shared.settings).await {
+) -> OutgoingResponse {
+    let request = match read_request(request, &shared.settings).await {
         Ok(request) => request,
         Err(refusal) => {
-            stream.note_unread();
-            return whole(refusal);
+            stream.mark_unread();
+            return full_response(refusal);
         }
     };
     let Some(in_flight) = shared.in_flight.begin() else {
-        return whole(answer::draining());
+        return full_response(responses::draining());
     };
     let gone = GoneFlag::default();
     let mut guard = GoneGuard::new(gone.clone());
-    let (answers, answered) = async_channel::bounded(1);
-    let responder = Responder::new(answers, gone, shared.settings.stream_buffer_chunks);
+    let (responses, received) = async_channel::bounded(1);
+    let responder = Responder::new(responses, gone, shared.settings.stream_buffer_chunks);
     let handler = shared.handler.clone();
     let job = Box::new(move || handler.handle(request, responder));
     shared.pool.run(job);
-    let answer = answered.recv().await;
+    let response = received.recv().await;
     guard.disarm();
-    match answer {
-        Ok(mut answer) => {
-            answer.body.count(in_flight);
-            answer
+    match response {
+        Ok(mut response) => {
+            response.body.set_in_flight(in_flight);
+            response
         }
-        Err(_) => whole(answer::unanswered()),
+        Err(_) => full_response(responses::missing_response()),
     }
 }
 
-/// Checks the head and reads the body within its limits.
-async fn read_whole(
+/// Checks the head against its limits and reads the body.
+async fn read_request(
     request: hyper::Request<Incoming>,
     settings: &ServerSettings,
 ) -> Result<Request, Response> {
     let (head, body) = request.into_parts();
     if head_bytes(&head) > MAXIMUM_HEAD_BYTES {
-        return Err(answer::head_too_large(MAXIMUM_HEAD_BYTES, MAXIMUM_HEADERS));
+        return Err(responses::head_too_large(
+            MAXIMUM_HEAD_BYTES,
+            MAXIMUM_HEADERS,
+        ));
     }
     let limit = settings.maximum_body_bytes;
     if body.size_hint().lower() > limit as u64 {
-        return Err(answer::body_too_large(limit));
+        return Err(responses::body_too_large(limit));
     }
     let body = if body.is_end_stream() {
         Bytes::new()
@@ -207,8 +214,8 @@
     })
 }
 
-/// Size of a head, less its separators. hyper's own limit is not exact: the last read may go
-/// beyond it.
+/// Returns the size of a head without separators. hyper's own limit is not exact: its last read may
+/// exceed it.
 fn head_bytes(head: &http::request::Parts) -> usize {
     let path = head
         .uri
@@ -228,25 +235,28 @@
         None
     };
     match future::or(read, timer).await {
-        None => Err(answer::body_too_slow(timeout.as_millis())),
+        None => Err(responses::body_timeout(timeout.as_millis())),
         Some(Ok(collected)) => Ok(collected.to_bytes()),
-        Some(Err(error)) if error.is::<LengthLimitError>() => Err(answer::body_too_large(limit)),
-        Some(Err(_)) => Err(answer::body_unreadable()),
+        Some(Err(error)) if error.is::<LengthLimitError>() => Err(responses::body_too_large(limit)),
+        Some(Err(_)) => Err(responses::body_unreadable()),
     }
 }
 
-fn whole(response: Response) -> Answer {
-    Answer {
+fn full_response(response: Response) -> OutgoingResponse {
+    OutgoingResponse {
         status: response.status,
         headers: response.headers,
-        body: AnswerBody::whole(response.body),
+        body: ResponseBody::full(response.body),
     }
 }
 
-fn into_hyper(mut answer: Answer, answering: Answering) -> hyper::Response<AnswerBody> {
-    answer.body.mark(answering);
-    let mut response = hyper::Response::new(answer.body);
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
+fn into_hyper(
+    mut outgoing: OutgoingResponse,
+    responding: RespondingGuard,
+) -> hyper::Response<ResponseBody> {
+    outgoing.body.set_responding(responding);
+    let mut response = hyper::Response::new(outgoing.body);
+    *response.status_mut() = outgoing.status;
+    *response.headers_mut() = outgoing.headers;
     response
 }
--- a/crates/millpass-http/src/gone.rs
+++ b/crates/millpass-http/src/gone.rs
@@ -1,4 +1,4 @@
-//! Notice that a caller hung up, as a flag and as callbacks.
+//! Caller disconnect notification, as a flag and as callbacks.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,24 +13,23 @@
     callbacks: Mutex<Vec<Callback>>,
 }
 
-/// Tells whether the caller of one request hung up before the whole answer was handed over.
+/// Set when the caller of a request disconnects before hyper has read the complete response.
 ///
-/// The server sets it when it drops the request because the connection closed. It is never set
-/// after the whole answer was handed to the connection.
+/// It is never set after that point.
 #[derive(Clone, Default)]
 pub struct GoneFlag {
     state: Arc<GoneState>,
 }
 
 impl GoneFlag {
-    /// Whether the caller hung up.
+    /// Returns whether the caller has disconnected.
     pub fn is_gone(&self) -> bool {
         self.state.gone.load(Ordering::Acquire)
     }
 
-    /// Runs `callback` once when the caller hangs up, or at once if it has.
+    /// Runs `callback` once when the caller disconnects, or at once if it already has.
     ///
-    /// It runs on a thread that carries connections, so it must not block.
+    /// The callback runs on an executor thread and must not block.
     pub fn on_gone(&self, callback: impl FnOnce() + Send + 'static) {
         let mut callbacks = self.lock_callbacks();
         if self.is_gone() {
@@ -41,14 +40,14 @@
         callbacks.push(Box::new(callback));
     }
 
-    /// Marks the caller as gone and runs the callbacks, the first time.
+    /// Sets the flag and runs the callbacks.
     pub(crate) fn set(&self) {
-        let waiting = {
+        let pending = {
             let mut callbacks = self.lock_callbacks();
             self.state.gone.store(true, Ordering::Release);
             std::mem::take(&mut *callbacks)
         };
-        for callback in waiting {
+        for callback in pending {
             callback();
         }
     }
@@ -65,8 +64,7 @@
     }
 }
 
-/// Sets a flag when dropped, unless disarmed: the server drops its work on a request when the
-/// connection closes.
+/// Sets a flag when dropped, unless disarmed. The server drops it when the connection closes.
 pub(crate) struct GoneGuard {
     flag: Option<GoneFlag>,
 }
@@ -76,7 +74,7 @@
         GoneGuard { flag: Some(flag) }
     }
 
-    /// The answer was handed over whole: a later drop means nothing.
+    /// Prevents the flag from being set, once the response is complete.
     pub(crate) fn disarm(&mut self) {
         self.flag = None;
     }
--- a/crates/millpass-http/src/in_flight.rs
+++ b/crates/millpass-http/src/in_flight.rs
@@ -1,9 +1,9 @@
-//! Count of the requests in flight, and the point from which no more are taken.
+//! Counts requests in flight and rejects new ones while draining.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Requests read whole and not yet answered whole.
+/// Requests that have been read and whose response is not yet complete.
 #[derive(Default)]
 pub(crate) struct InFlight {
     state: Mutex<State>,
@@ -21,12 +21,12 @@
         self.lock().count
     }
 
-    /// Whether no more requests are taken.
+    /// Returns whether new requests are rejected.
     pub(crate) fn is_closed(&self) -> bool {
         self.lock().closed
     }
 
-    /// Counts one more request, unless no more are taken.
+    /// Counts a new request; `None` if new requests are rejected.
     pub(crate) fn begin(self: &Arc<Self>) -> Option<InFlightGuard> {
         let mut state = self.lock();
         if state.closed {
@@ -37,22 +37,22 @@
         Some(InFlightGuard { in_flight })
     }
 
-    /// Takes no more requests from now on; returns how many are in flight.
+    /// Rejects new requests from now on and returns how many are in flight.
     pub(crate) fn close(&self) -> usize {
         let mut state = self.lock();
         state.closed = true;
         state.count
     }
 
-    /// Waits until none is left, at most until `until`; returns how many are.
-    pub(crate) fn wait_for_none(&self, until: Instant) -> usize {
+    /// Waits until no request is in flight or the deadline has passed; returns how many remain.
+    pub(crate) fn wait_until_idle(&self, deadline: Instant) -> usize {
         let mut state = self.lock();
         while state.count > 0 {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 break;
             }
-            let waited = self.ended.wait_timeout(state, left);
+            let waited = self.ended.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         state.count
@@ -63,7 +63,7 @@
     }
 }
 
-/// Counts one request for as long as it lives.
+/// Counts a request in flight until dropped.
 pub(crate) struct InFlightGuard {
     in_flight: Arc<InFlight>,
 }
--- a/crates/millpass-http/src/interface.rs
+++ b/crates/millpass-http/src/interface.rs
@@ -1,27 +1,27 @@
-//! Requests, handlers and settings of the server.
+//! Requests, responses and settings of the server.
 
 use bytes::Bytes;
 use std::time::Duration;
 
-/// Limits of a server. Each refusal they cause names the limit.
+/// Limits of a server. Error responses state the limit that was exceeded.
 #[derive(Clone, Debug)]
 pub struct ServerSettings {
-    /// Name in logs and thread names.
+    /// Server name, used in thread names and logs.
     pub name: String,
-    /// Executor threads.
+    /// Number of executor threads.
     pub executor_threads: usize,
-    /// Most handler threads; grown on demand, idle ones end.
+    /// Maximum number of handler threads. They start on demand and end when idle.
     pub handler_threads: usize,
-    /// Most open connections; one more is answered 503 and closed.
+    /// Maximum number of open connections; further ones receive 503 and are closed.
     pub maximum_connections: usize,
-    /// Most bytes of a request body; more is answered 413.
+    /// Maximum request body size; larger requests receive 413.
     pub maximum_body_bytes: usize,
-    /// Time for a caller to send its header, then 408; and for an idle connection, then it is
-    /// closed.
+    /// Time allowed to send a request head before the caller receives 408; also the time after which
+    /// an idle connection is closed.
     pub header_timeout: Duration,
-    /// Time for a caller to send its body; then 408.
+    /// Time allowed to send a request body before the caller receives 408.
     pub body_timeout: Duration,
-    /// Chunks a streamed body may hold before writes wait.
+    /// Capacity of a streamed body's buffer, in chunks; writes block while it is full.
     pub stream_buffer_chunks: usize,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Method.
@@ -53,7 +53,7 @@
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// Status.
@@ -64,7 +64,7 @@
     pub body: Bytes,
 }
 
-/// The caller hung up.
+/// The caller has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the caller hung up; cancel the work")]
+#[error("the caller has disconnected; cancel the work")]
 pub struct CallerGone;
--- a/crates/millpass-http/src/lib.rs
+++ b/crates/millpass-http/src/lib.rs
@@ -1,10 +1,9 @@
-//! Streaming HTTP/1.1 server shared by the router and the stand-ins: `hyper` over `smol`.
+//! Streaming HTTP/1.1 server, built on `hyper` and `smol`.
 //!
-//! A few executor threads carry all connections. Each whole request is handed to a
-//! [`Handler`], which runs on a bounded crossbeam worker pool and may block. A streamed body is a
-//! bounded channel: the handler's writes wait for the caller, and fail at once when it hangs up.
+//! A few executor threads serve all connections. Each complete request is passed to a [`Handler`],
+//! which runs on a bounded thread pool and may block. A streamed body is a bounded channel: writes
+//! block while the caller is slow, and fail at once when it disconnects.
 
-mod answer;
 mod body;
 mod caller_stream;
 mod connection;
@@ -13,6 +12,7 @@
 pub mod interface;
 mod pool;
 mod responder;
+mod responses;
 mod server;
 
 pub use body::BodyWriter;
--- a/crates/millpass-http/src/pool.rs
+++ b/crates/millpass-http/src/pool.rs
@@ -1,8 +1,8 @@
 //! Bounded pool of handler threads, grown on demand.
 //!
-//! A job goes straight to the thread that became idle last: it is the likeliest to be still in
-//! the processor's caches, and the others can end. Idle threads are parked; receiving from a
-//! shared channel instead makes each of them spin before it sleeps.
+//! A job is assigned to the thread that became idle last, so that its caches are warm and surplus
+//! threads time out. Idle threads are parked instead of receiving from a shared channel, which would
+//! make them spin.
 
 use crossbeam::sync::{Parker, Unparker};
 use std::collections::VecDeque;
@@ -11,15 +11,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Stack of a handler thread. Handlers keep large values on the heap.
 const STACK_BYTES: usize = 256 * 1024;
-/// How long an idle thread waits for work before it ends.
-const IDLE_TIME: Duration = Duration::from_secs(10);
+/// Time after which an idle thread ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Runs jobs on at most `maximum` threads; more jobs wait. Their number is bounded by the
-/// server's limit of connections, each of which has one request at a time.
+/// Runs jobs on at most `maximum` threads and queues the rest. The queue is bounded by the
+/// connection limit: each connection has one request at a time.
 pub(crate) struct Pool {
     shared: Arc<Shared>,
     maximum: usize,
@@ -33,17 +32,16 @@
 
 #[derive(Default)]
 struct State {
-    /// Threads, idle or not.
+    /// Number of threads, including idle ones.
     threads: usize,
-    /// Idle threads; the last one became idle last. Empty while jobs wait.
+    /// Idle threads, most recent last. Empty while jobs are queued.
     idle: Vec<Arc<IdleThread>>,
-    /// Jobs that wait for a thread, oldest first.
-    waiting: VecDeque<Job>,
+    /// Queued jobs, oldest first.
+    queued: VecDeque<Job>,
 }
 
-/// A thread as the pool sees it while it is idle.
 struct IdleThread {
-    /// Its next job. Given only by who took the thread out of `idle`.
+    /// The next job. Only set after the thread was removed from `idle`.
     job: Mutex<Option<Job>>,
     unparker: Unparker,
 }
@@ -57,49 +55,49 @@
         }
     }
 
-    /// Runs a job on an idle thread, on a new one, or later when all are busy.
+    /// Runs a job on an idle or new thread, or queues it if all threads are busy.
     pub(crate) fn run(&self, job: Job) {
         let mut state = self.shared.lock();
         if let Some(thread) = state.idle.pop() {
             drop(state);
-            thread.give(job);
+            thread.assign(job);
         } else if state.threads < self.maximum {
             state.threads += 1;
             drop(state);
             self.start_thread(job);
         } else {
-            state.waiting.push_back(job);
+            state.queued.push_back(job);
         }
     }
 
     fn start_thread(&self, first: Job) {
         let shared = self.shared.clone();
-        // The job sits in a shared place, so that it isn't lost when no thread can be started.
+        // Shared, so that the job is not lost if the thread cannot be started.
         let first = Arc::new(Mutex::new(Some(first)));
-        let taken = first.clone();
+        let job = first.clone();
         let builder = thread::Builder::new()
             .name(format!("{}-handler", self.name))
             .stack_size(STACK_BYTES);
-        let started = builder.spawn(move || shared.work(take_job(&taken)));
+        let started = builder.spawn(move || shared.run_jobs(take_job(&job)));
         if let Err(error) = started {
             log::warn!(
                 "event=handler_thread_failed pool={} error=\"{error}\"",
                 self.name
             );
-            self.shared.thread_failed(take_job(&first));
+            self.shared.handle_failed_start(take_job(&first));
         }
     }
 }
 
 impl IdleThread {
-    fn give(&self, job: Job) {
+    fn assign(&self, job: Job) {
         *self.job.lock().unwrap_or_else(PoisonError::into_inner) = Some(job);
         self.unparker.unpark();
     }
 }
 
-fn take_job(place: &Mutex<Option<Job>>) -> Option<Job> {
-    place.lock().unwrap_or_else(PoisonError::into_inner).take()
+fn take_job(slot: &Mutex<Option<Job>>) -> Option<Job> {
+    slot.lock().unwrap_or_else(PoisonError::into_inner).take()
 }
 
 impl Shared {
@@ -107,26 +105,26 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A thread could not be started: its job waits for another one. With no thread at all the
-    /// job is dropped, and its caller gets 500.
-    fn thread_failed(&self, job: Option<Job>) {
+    /// Handles a failed thread start: reassigns or queues the job. If there are no other threads, the
+    /// job is dropped and its caller receives 500.
+    fn handle_failed_start(&self, job: Option<Job>) {
         let mut state = self.lock();
         state.threads -= 1;
         if state.threads == 0 {
             return;
         }
         let Some(thread) = state.idle.pop() else {
-            state.waiting.extend(job);
+            state.queued.extend(job);
             return;
         };
         drop(state);
         if let Some(job) = job {
-            thread.give(job);
+            thread.assign(job);
         }
     }
 
-    /// Body of a handler thread.
-    fn work(&self, first: Option<Job>) {
+    /// Runs jobs until the thread has been idle for [`IDLE_TIMEOUT`].
+    fn run_jobs(&self, first: Option<Job>) {
         let parker = Parker::new();
         let thread = Arc::new(IdleThread {
             job: Mutex::new(None),
@@ -134,45 +132,46 @@
         });
         let mut next = first;
         while let Some(job) = next {
-            run_caught(job);
+            run_catching_panics(job);
             next = self.next_job(&thread, &parker);
         }
     }
 
-    /// The oldest job that waits, or the next one given within [`IDLE_TIME`].
+    /// Returns the oldest queued job, or the next one assigned within [`IDLE_TIMEOUT`].
     fn next_job(&self, thread: &Arc<IdleThread>, parker: &Parker) -> Option<Job> {
         let mut state = self.lock();
-        let waiting = state.waiting.pop_front();
-        if waiting.is_some() {
-            return waiting;
+        let queued = state.queued.pop_front();
+        if queued.is_some() {
+            return queued;
         }
         state.idle.push(thread.clone());
         drop(state);
-        let until = Instant::now() + IDLE_TIME;
+        let deadline = Instant::now() + IDLE_TIMEOUT;
         loop {
-            parker.park_deadline(until);
-            let given = take_job(&thread.job);
-            if given.is_some() || (Instant::now() >= until && self.may_end(thread)) {
-                return given;
+            parker.park_deadline(deadline);
+            let assigned = take_job(&thread.job);
+            if assigned.is_some() || (Instant::now() >= deadline && self.retire(thread)) {
+                return assigned;
             }
         }
     }
 
-    /// Lets an idle thread end, unless a job is on its way to it.
-    fn may_end(&self, thread: &Arc<IdleThread>) -> bool {
+    /// Removes an idle thread from the pool; returns false if a job is being assigned to it.
+    fn retire(&self, thread: &Arc<IdleThread>) -> bool {
         let mut state = self.lock();
-        let place = state.idle.iter().position(|idle| Arc::ptr_eq(idle, thread));
-        let Some(place) = place else {
+        let position = state.idle.iter().position(|idle| Arc::ptr_eq(idle, thread));
+        let Some(position) = position else {
             return false;
         };
-        state.idle.remove(place);
+        state.idle.remove(position);
         state.threads -= 1;
         true
     }
 }
 
-/// Runs a job; a panic ends the job, not the thread. Dropping its responder answers 500.
-fn run_caught(job: Job) {
+/// Runs a job and catches its panic, so that the thread continues. The dropped responder returns
+/// 500.
+fn run_catching_panics(job: Job) {
     if catch_unwind(AssertUnwindSafe(job)).is_err() {
         log::error!("event=handler_panicked");
     }
--- a/crates/millpass-http/src/responder.rs
+++ b/crates/millpass-http/src/responder.rs
@@ -1,14 +1,14 @@
-//! What a handler gets to answer with.
+//! The handler interface and the responder passed to handlers.
 
-use crate::body::{AnswerBody, BodyWriter, Part, StreamedBody};
+use crate::body::{BodyWriter, Part, ResponseBody, StreamedBody};
 use crate::gone::{GoneFlag, GoneGuard};
 use crate::interface::{Request, Response};
 use async_channel::Sender;
 use http::{HeaderMap, StatusCode};
 
-/// Answers requests. Runs on a pool of threads and may block.
+/// Handles requests. Runs on the handler pool and may block.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request through `responder`, now or later from another thread.
+    /// Handles a request. The response may be sent through `responder` later, from any thread.
     fn handle(&self, request: Request, responder: Responder);
 }
 
@@ -21,67 +21,70 @@
     }
 }
 
-/// Answer on its way from the handler to the connection.
-pub(crate) struct Answer {
+/// Response passed from the handler to the connection.
+pub(crate) struct OutgoingResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
 }
 
-/// Answers one request, once. Dropped unanswered, the caller gets 500.
+/// Sends the response to one request. If dropped unused, the caller receives 500.
 #[derive(Debug)]
 pub struct Responder {
-    answers: Sender<Answer>,
+    responses: Sender<OutgoingResponse>,
     gone: GoneFlag,
     buffer_chunks: usize,
 }
 
 impl Responder {
-    pub(crate) fn new(answers: Sender<Answer>, gone: GoneFlag, buffer_chunks: usize) -> Self {
+    pub(crate) fn new(
+        responses: Sender<OutgoingResponse>,
+        gone: GoneFlag,
+        buffer_chunks: usize,
+    ) -> Self {
         Responder {
-            answers,
+            responses,
             gone,
             buffer_chunks,
         }
     }
 
-    /// Sends a whole answer. Nothing happens if the caller hung up.
+    /// Sends a complete response. Does nothing if the caller has disconnected.
     pub fn send(self, response: Response) {
-        self.answer(Answer {
+        self.deliver(OutgoingResponse {
             status: response.status,
             headers: response.headers,
-            body: AnswerBody::whole(response.body),
+            body: ResponseBody::full(response.body),
         });
     }
 
-    /// Starts a streamed answer; status and headers go out at once.
+    /// Starts a streamed response; status and headers are sent at once.
     pub fn stream(self, status: StatusCode, headers: HeaderMap) -> BodyWriter {
         let (parts, received) = async_channel::bounded::<Part>(self.buffer_chunks.max(1));
         let writer = BodyWriter::new(parts, self.gone.clone());
         let guard = GoneGuard::new(self.gone.clone());
-        self.answer(Answer {
+        self.deliver(OutgoingResponse {
             status,
             headers,
-            body: AnswerBody::streamed(StreamedBody::new(received, guard)),
+            body: ResponseBody::streamed(StreamedBody::new(received, guard)),
         });
         writer
     }
 
-    /// Flag that is set, with callbacks, when the caller hangs up, also while the request still
-    /// waits for its answer.
+    /// Returns the flag that is set when the caller disconnects, also before a response is sent.
     pub fn caller_gone(&self) -> GoneFlag {
         self.gone.clone()
     }
 
-    /// Whether the caller hung up.
+    /// Returns whether the caller has disconnected.
     pub fn is_caller_gone(&self) -> bool {
         self.gone.is_gone()
     }
 
-    /// Hands the answer to the connection. If that is gone, dropping the answer marks the caller
-    /// as gone.
-    fn answer(self, answer: Answer) {
-        // The channel holds one answer and only this responder sends, so it is never full.
-        drop(self.answers.try_send(answer));
+    /// Passes the response to the connection. If the connection is closed, dropping the response sets
+    /// the caller-gone flag.
+    fn deliver(self, response: OutgoingResponse) {
+        // The channel holds one response and this is its only sender, so it is never full.
+        drop(self.responses.try_send(response));
     }
 }
--- a/crates/millpass-http/src/server.rs
+++ b/crates/millpass-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Listening, accepting, draining and stopping.
+//! Server lifecycle: listen, accept, drain, stop.
 
 use crate::connection::{self, ConnectionGuard, Shared};
 use crate::in_flight::InFlight;
@@ -18,46 +18,45 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Most connections above the limit that are answered 503 at one time; more are just closed.
-const MAXIMUM_REFUSALS: usize = 256;
-/// Connections that may wait to be accepted; the kernel's own limit may be lower.
-const LISTEN_QUEUE: i32 = 4_096;
-/// Pause after a failed accept, for example when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time in which closing connections may flush their last bytes after a drain.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
-/// Pause between two looks at the open connections while they flush.
-const FLUSH_POLL: Duration = Duration::from_millis(5);
+/// Limit of concurrent 503 responses to connections above the limit; further ones are closed.
+const MAXIMUM_CONCURRENT_REFUSALS: usize = 256;
+/// Listen backlog, in connections; the kernel may apply a lower limit.
+const LISTEN_BACKLOG: i32 = 4_096;
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long a drain waits for closing connections to flush.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a server could not start.
+/// Error starting a server.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[error(
         "cannot listen on {address}: {source}; stop the process that holds the port, or choose \
          another address in the settings"
     )]
     Listen {
-        /// Address asked for.
+        /// Requested address.
         address: SocketAddr,
-        /// Cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// A thread cannot be started.
-    #[error("cannot start a server thread: {0}; raise the limit of threads")]
+    /// Starting a thread failed.
+    #[error("cannot start a server thread: {0}; raise the thread limit")]
     Thread(io::Error),
 }
 
-/// What became of the requests in flight when a drain began.
+/// Outcome of the requests that were in flight when a drain began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainReport {
-    /// Requests in flight at the start that ended by themselves.
+    /// Requests that completed within the grace period.
     pub finished: usize,
-    /// Requests cut off when the grace was over.
+    /// Requests aborted when the grace period expired.
     pub cut: usize,
 }
 
-/// A server that listens but doesn't serve yet: connections wait in the listener's queue.
+/// A server that listens but does not accept yet; connections wait in the listen backlog.
 pub struct Server {
     listener: Async<TcpListener>,
     address: SocketAddr,
@@ -68,11 +67,11 @@
 }
 
 impl Server {
-    /// Listens on an address; port 0 takes a free port.
+    /// Listens on an address; port 0 selects a free port.
     pub fn bind(address: SocketAddr, settings: ServerSettings) -> Result<Server, ServerError> {
-        let failed = |source| ServerError::Listen { address, source };
-        let listener = listen(address).map_err(failed)?;
-        let address = listener.get_ref().local_addr().map_err(failed)?;
+        let listen_error = |source| ServerError::Listen { address, source };
+        let listener = listen(address).map_err(listen_error)?;
+        let address = listener.get_ref().local_addr().map_err(listen_error)?;
         let executor = Arc::new(Executor::new());
         let (stop, stopping) = async_channel::bounded(1);
         let threads = start_threads(&settings, &executor, &stopping)?;
@@ -86,12 +85,12 @@
         })
     }
 
-    /// Address listened on, with the real port.
+    /// Returns the listen address with the actual port.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serves until drained or stopped. Dropping the handle stops the server.
+    /// Serves requests until drained or stopped. Dropping the handle stops the server.
     pub fn serve(self, handler: Arc<dyn Handler>) -> ServerHandle {
         let (drain, draining) = async_channel::bounded(1);
         let shared = Arc::new(Shared {
@@ -102,7 +101,7 @@
             draining,
             settings: self.settings,
         });
-        // The accept loop runs on the executor, so it may not keep the executor alive.
+        // The accept loop runs on the executor, so it must not keep it alive.
         let executor = Arc::downgrade(&self.executor);
         let accepting = accept_until_drain(self.listener, shared.clone(), executor);
         self.executor.spawn(accepting).detach();
@@ -116,18 +115,18 @@
     }
 }
 
-/// Listens with a long queue. With the standard library's 128, a burst of connections overflows
-/// it, and the kernel lets those callers try again after a second.
+/// Listens with a longer backlog than the standard library's 128. When the backlog overflows, the
+/// affected callers retransmit only after a second.
 fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(LISTEN_QUEUE)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Async::new(socket.into())
 }
 
-/// Starts the executor threads. They hold the executor alone: when they end, every task on it is
-/// dropped, which cuts its connections.
+/// Starts the executor threads. They are the executor's only owners: when they end, its tasks are
+/// dropped, which closes their connections.
 fn start_threads(
     settings: &ServerSettings,
     executor: &Arc<Executor<'static>>,
@@ -139,8 +138,8 @@
         let builder = thread::Builder::new().name(format!("{}-{index}", settings.name));
         builder.spawn(move || run_executor(&executor, &stopping))
     };
-    let started = (0..settings.executor_threads.max(1)).map(start_thread);
-    started
+    let handles = (0..settings.executor_threads.max(1)).map(start_thread);
+    handles
         .collect::<io::Result<_>>()
         .map_err(ServerError::Thread)
 }
@@ -155,28 +154,28 @@
 }
 
 impl ServerHandle {
-    /// Address listened on.
+    /// Returns the listen address.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight.count()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a drain has begun.
     pub fn is_draining(&self) -> bool {
         self.shared.in_flight.is_closed()
     }
 
-    /// Planned stop. Waits at most `grace` for the requests in flight; meanwhile new ones, also
-    /// on new connections, are answered 503 with `Retry-After`. Then closes idle connections,
-    /// cuts off what is left, and stops.
+    /// Drains and stops the server. Waits at most `grace` for requests in flight, while new ones
+    /// receive 503 with `Retry-After`; then closes idle connections and aborts the remaining
+    /// requests.
     pub fn drain(&self, grace: Duration) -> DrainReport {
-        let until = Instant::now() + grace;
+        let deadline = Instant::now() + grace;
         let at_start = self.shared.in_flight.close();
-        let cut = self.shared.in_flight.wait_for_none(until);
+        let cut = self.shared.in_flight.wait_until_idle(deadline);
         self.drain.close();
         if cut == 0 {
             self.wait_for_flush();
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Stops at once; requests in flight are cut off.
+    /// Stops at once and aborts requests in flight.
     pub fn stop(&self) {
         self.drain.close();
         self.stop.close();
@@ -203,11 +202,11 @@
         }
     }
 
-    /// Gives connections whose last answer is still in hyper's buffer time to send it.
+    /// Waits for connections to send responses that are still in hyper's buffer.
     fn wait_for_flush(&self) {
-        let until = Instant::now() + FLUSH_TIME;
-        while self.shared.connections.load(Ordering::Acquire) > 0 && Instant::now() < until {
-            thread::sleep(FLUSH_POLL);
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while self.shared.connections.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 }
@@ -218,8 +217,8 @@
     }
 }
 
-/// A task that panics costs its connection. Were the thread to end with it, the server would take connections and answer
-/// none.
+/// Runs executor tasks. A panic closes only the affected connection: without executor threads the
+/// server would accept connections and serve none.
 fn run_executor(executor: &Executor<'static>, stopping: &async_channel::Receiver<Infallible>) {
     let run = || {
         let stopped = async {
@@ -232,7 +231,7 @@
     }
 }
 
-/// Accepts connections until the drain begins; then closes the listener.
+/// Accepts connections until the drain ends; then closes the listener.
 async fn accept_until_drain(
     listener: Async<TcpListener>,
     shared: Arc<Shared>,
@@ -254,7 +253,7 @@
             },
             Some(Err(error)) => {
                 log::warn!("event=accept_failed error=\"{error}\"");
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -276,7 +275,7 @@
         executor.spawn(served).detach();
         return;
     }
-    if refusals.fetch_add(1, Ordering::AcqRel) >= MAXIMUM_REFUSALS {
+    if refusals.fetch_add(1, Ordering::AcqRel) >= MAXIMUM_CONCURRENT_REFUSALS {
         refusals.fetch_sub(1, Ordering::AcqRel);
         return;
     }
