--- a/crates/millpass-cli/src/commands/explain.rs
+++ b/crates/millpass-cli/src/commands/explain.rs
@@ -1,10 +1,10 @@
-//! `explain`: what a router remembers of a recent request, for a reader.
+//! `explain`: prints what a router recorded about a recent request.
 
 use anyhow::{Context, Result};
 use serde::Deserialize;
 use std::process::ExitCode;
 
-/// What `/v1/explain/REQUEST` answers; times in milliseconds since the request arrived.
+/// Response of `/v1/explain/REQUEST`. Times are in milliseconds since the request arrived.
 #[derive(Debug, Deserialize)]
 struct Explanation {
     request_id: String,
@@ -36,19 +36,19 @@
     result: String,
 }
 
-/// Asks a router at its metrics address. `json` prints the answer as it came.
+/// Queries a router at its metrics address. `json` prints the response unchanged.
 pub fn explain(router: &str, request: &str, json: bool) -> Result<ExitCode> {
     let url = format!("http://{router}/v1/explain/{request}");
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .build()
         .into();
-    let mut answer = agent
+    let mut response = agent
         .get(&url)
         .call()
-        .with_context(|| format!("no answer from {router}; give the router's metrics address"))?;
-    let text = answer.body_mut().read_to_string()?;
-    if !answer.status().is_success() {
+        .with_context(|| format!("no response from {router}; give the router's metrics address"))?;
+    let text = response.body_mut().read_to_string()?;
+    if !response.status().is_success() {
         println!("{}", text.trim_end());
         return Ok(ExitCode::FAILURE);
     }
@@ -56,7 +56,7 @@
         println!("{text}");
     } else {
         let explanation = serde_json::from_str(&text)
-            .context("the router's answer was not understood; use a router of this release")?;
+            .context("the router's response cannot be parsed; use a router of this release")?;
         print!("{}", describe(&explanation));
     }
     Ok(ExitCode::SUCCESS)
@@ -67,16 +67,16 @@
         "request  {} {} after {} ms, of which {} ms waiting",
         explanation.request_id, explanation.outcome, explanation.total_ms, explanation.waited_ms
     )];
-    let parts = [
+    let fields = [
         ("tenant", &explanation.tenant),
         ("target", &explanation.target),
         ("urgency", &explanation.urgency),
         ("policy", &explanation.policy),
         ("waits", &explanation.waiting_for),
     ];
-    for (word, value) in parts {
+    for (label, value) in fields {
         if let Some(value) = value {
-            lines.push(format!("{word:<8} {value}"));
+            lines.push(format!("{label:<8} {value}"));
         }
     }
     if let Some(refusal) = &explanation.refusal {
--- a/crates/millpass-cli/src/commands/mod.rs
+++ b/crates/millpass-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module per family of commands.
+//! The commands, one module per group.
 
 mod explain;
 mod offline;
--- a/crates/millpass-cli/src/commands/offline.rs
+++ b/crates/millpass-cli/src/commands/offline.rs
@@ -12,7 +12,7 @@
 const ROUTER_TEMPLATE: &str = include_str!("../../../../examples/templates/router.toml");
 const GATEWAY_TEMPLATE: &str = include_str!("../../../../examples/templates/gateway.toml");
 
-/// Checks a settings file or a file of objects; which one it is, its sections tell.
+/// Checks a settings file or a file of objects, distinguished by their sections.
 pub fn check(file: &Path) -> Result<ExitCode> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
@@ -38,7 +38,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Compiles the policies among these objects and runs their examples; the first error ends it.
+/// Compiles the policies among the objects and runs their examples. Stops at the first error.
 pub fn check_policies(file: &str, declared: &[DeclaredObject]) -> Result<()> {
     for object in declared {
         if let ObjectSpec::Policy(spec) = &object.spec {
@@ -60,7 +60,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Draws a key: 32 random bytes from two random UUIDs of the operating system's generator.
+/// Generates a key from two random UUIDs.
 pub fn key() -> Result<ExitCode> {
     let random = [uuid::Uuid::new_v4(), uuid::Uuid::new_v4()];
     let key = format!("mp-{}{}", random[0].simple(), random[1].simple());
@@ -69,7 +69,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The hash under which a key is stored.
+/// Returns the hash under which a key is stored.
 pub fn key_hash(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
--- a/crates/millpass-cli/src/commands/online.rs
+++ b/crates/millpass-cli/src/commands/online.rs
@@ -1,4 +1,4 @@
-//! Operators' commands over the administration API.
+//! Operator commands that use the administration API.
 
 use crate::commands::offline::check_policies;
 use crate::objects::{self, DeclaredObject};
@@ -11,17 +11,16 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Pause between two readings of the deployment's state.
-const STATUS_PAUSE: Duration = Duration::from_secs(1);
-/// Pause between two readings while a rollout is awaited.
-const ROLLOUT_PAUSE: Duration = Duration::from_millis(100);
+/// Refresh interval of `status --watch`.
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
+const ROLLOUT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What `apply` would do with one object.
+/// Action of `apply` on an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
+enum Action {
     Create,
     Change { version: u64 },
-    Leave,
+    Keep,
 }
 
 fn client(options: &AdministrationOptions) -> AdministrationClient {
@@ -33,9 +32,9 @@
     AdministrationClient::new(addresses, options.key.clone())
 }
 
-fn kind_of(word: &str) -> Result<ObjectKind> {
-    objects::parse_kind(word).with_context(|| {
-        format!("{word:?} is no kind of object; see `millpass get --help` for the kinds")
+fn parse_kind(name: &str) -> Result<ObjectKind> {
+    objects::parse_kind(name).with_context(|| {
+        format!("{name:?} is no kind of object; see `millpass get --help` for the kinds")
     })
 }
 
@@ -48,23 +47,23 @@
     Ok(declared)
 }
 
-/// A change id that no other change has; resends inside one command carry the same one.
+/// Returns a unique change id. Retries within one command use the same one.
 fn new_change_id() -> String {
     uuid::Uuid::new_v4().to_string()
 }
 
-/// `apply`: each object is changed against the version just read, so that a change somebody else
-/// makes meanwhile is never overwritten.
+/// `apply`: changes each object conditionally on the version just read, so that a concurrent change
+/// is never overwritten.
 pub fn apply(options: &AdministrationOptions, file: &Path, dry_run: bool) -> Result<ExitCode> {
     let declared = read_objects(file)?;
     let mut client = client(options);
     for object in &declared {
-        let step = plan(&mut client, object)?;
-        print_step(step, object);
+        let action = plan(&mut client, object)?;
+        print_action(action, object);
         if dry_run {
             continue;
         }
-        if let Some(accepted) = carry_out(&mut client, step, object)? {
+        if let Some(accepted) = execute(&mut client, action, object)? {
             println!(
                 "       version {} revision {}",
                 accepted.version, accepted.revision
@@ -74,40 +73,40 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn plan(client: &mut AdministrationClient, object: &DeclaredObject) -> Result<Step> {
+fn plan(client: &mut AdministrationClient, object: &DeclaredObject) -> Result<Action> {
     let Some(stored) = client.get(object.key.kind, &object.key.name)? else {
-        return Ok(Step::Create);
+        return Ok(Action::Create);
     };
     if stored.spec == api::spec_to_json(&object.spec)? {
-        return Ok(Step::Leave);
+        return Ok(Action::Keep);
     }
-    Ok(Step::Change {
+    Ok(Action::Change {
         version: stored.version,
     })
 }
 
-fn print_step(step: Step, object: &DeclaredObject) {
-    let word = match step {
-        Step::Create => "create",
-        Step::Change { .. } => "change",
-        Step::Leave => "as is ",
+fn print_action(action: Action, object: &DeclaredObject) {
+    let label = match action {
+        Action::Create => "create",
+        Action::Change { .. } => "change",
+        Action::Keep => "as is ",
     };
     println!(
-        "{word} {}/{}",
+        "{label} {}/{}",
         api::kind_plural(object.key.kind),
         object.key.name
     );
 }
 
-fn carry_out(
+fn execute(
     client: &mut AdministrationClient,
-    step: Step,
+    action: Action,
     object: &DeclaredObject,
 ) -> Result<Option<AcceptedBody>> {
-    let expected_version = match step {
-        Step::Create => 0,
-        Step::Change { version } => version,
-        Step::Leave => return Ok(None),
+    let expected_version = match action {
+        Action::Create => 0,
+        Action::Change { version } => version,
+        Action::Keep => return Ok(None),
     };
     let change = ChangeBody {
         expected_version,
@@ -120,18 +119,18 @@
     Ok(Some(accepted))
 }
 
-/// Creates or changes all these objects, without a word.
+/// Applies all objects without printing.
 pub fn apply_all(client: &mut AdministrationClient, declared: &[DeclaredObject]) -> Result<()> {
     for object in declared {
-        let step = plan(client, object)?;
-        carry_out(client, step, object)?;
+        let action = plan(client, object)?;
+        execute(client, action, object)?;
     }
     Ok(())
 }
 
 /// `get`.
 pub fn get(options: &AdministrationOptions, kind: &str, name: Option<&str>) -> Result<ExitCode> {
-    let kind = kind_of(kind)?;
+    let kind = parse_kind(kind)?;
     let mut client = client(options);
     let found = match name {
         Some(name) => match client.get(kind, name)? {
@@ -155,9 +154,9 @@
     Ok(())
 }
 
-/// `delete`, against the version just read.
+/// `delete`: conditional on the version just read.
 pub fn delete(options: &AdministrationOptions, kind: &str, name: &str) -> Result<ExitCode> {
-    let kind = kind_of(kind)?;
+    let kind = parse_kind(kind)?;
     let mut client = client(options);
     let Some(stored) = client.get(kind, name)? else {
         bail!(
@@ -183,7 +182,7 @@
             return Ok(ExitCode::SUCCESS);
         }
         println!();
-        std::thread::sleep(STATUS_PAUSE);
+        std::thread::sleep(STATUS_INTERVAL);
     }
 }
 
@@ -198,11 +197,11 @@
     for member in &status.members {
         let matched = member.match_index.map(|index| format!(" match {index}"));
         let matched = matched.unwrap_or_default();
-        let silent = member
+        let contact = member
             .silent_millis
             .map_or("leads".to_owned(), |ms| format!("silent {ms} ms"));
         println!(
-            "member {} zone {} {} at {}{matched} {silent}",
+            "member {} zone {} {} at {}{matched} {contact}",
             member.member, member.zone, member.role, member.peer_address
         );
     }
@@ -233,44 +232,44 @@
     }
 }
 
-/// `rollout`: success once every router that reports has the newest revision in force.
+/// `rollout`: succeeds once every reporting router has applied the newest revision.
 pub fn rollout(options: &AdministrationOptions, timeout_seconds: u64) -> Result<ExitCode> {
     let mut client = client(options);
-    let wanted = client.status()?.configuration;
-    let end = Instant::now() + Duration::from_secs(timeout_seconds);
+    let target = client.status()?.configuration;
+    let deadline = Instant::now() + Duration::from_secs(timeout_seconds);
     loop {
         let status = client.status()?;
         let lagging: Vec<String> = status
             .routers
             .iter()
-            .filter(|router| router.configuration < wanted)
+            .filter(|router| router.configuration < target)
             .map(|router| format!("{} at {}", router.router, router.configuration))
             .collect();
         if lagging.is_empty() {
             println!(
-                "revision {wanted} is in force at {} routers",
+                "revision {target} is in force at {} routers",
                 status.routers.len()
             );
             return Ok(ExitCode::SUCCESS);
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             println!(
-                "revision {wanted} is not in force at: {}",
+                "revision {target} is not in force at: {}",
                 lagging.join(", ")
             );
             return Ok(ExitCode::FAILURE);
         }
-        std::thread::sleep(ROLLOUT_PAUSE);
+        std::thread::sleep(ROLLOUT_POLL_INTERVAL);
     }
 }
 
 /// `held-requests`.
 pub fn held_requests(options: &AdministrationOptions) -> Result<ExitCode> {
-    let held = client(options).quarantined_requests()?;
-    if held.requests.is_empty() {
-        println!("no request is held back");
+    let quarantined = client(options).quarantined_requests()?;
+    if quarantined.requests.is_empty() {
+        println!("no request is quarantined");
     }
-    for request in held.requests {
+    for request in quarantined.requests {
         let seconds = request.held_ms / 1_000;
         println!(
             "{}  {} ends, refused for {seconds} s more",
--- a/crates/millpass-cli/src/commands/programs.rs
+++ b/crates/millpass-cli/src/commands/programs.rs
@@ -1,4 +1,4 @@
-//! `control` and `router`: the programs, from their settings files.
+//! `control` and `router`: runs the processes from their settings files.
 
 use crate::options::ControlCommand;
 use anyhow::{Context, Result, bail};
@@ -51,8 +51,8 @@
         log_stopped("control");
         return Ok(());
     };
-    let waiting = signals.handle();
-    handle.on_exit(move || waiting.close())?;
+    let signals_handle = signals.handle();
+    handle.on_exit(move || signals_handle.close())?;
     wait_for_signal(&mut signals);
     handle.drain();
     handle.join()?;
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Starts a member, once its disk has room; none when it is told to stop before.
+/// Starts a member once its disk has free space. Returns `None` if a stop signal arrives first.
 pub fn start_member(
     process: &ControlProcessSettings,
     extensions: &Extensions,
@@ -87,22 +87,22 @@
     log_panics();
     let mut signals = Signals::new([SIGTERM, SIGINT]).context("signal handlers")?;
     let handle = millpass_router::start(router_process(&settings)?)?;
-    let waiting = signals.handle();
-    handle.on_thread_end(move || waiting.close())?;
-    let is_asked = wait_for_signal(&mut signals);
+    let signals_handle = signals.handle();
+    handle.on_thread_end(move || signals_handle.close())?;
+    let is_signaled = wait_for_signal(&mut signals);
     handle.drain();
     handle.join();
-    if !is_asked {
+    if !is_signaled {
         bail!(
-            "a thread of the router ended; start it again, and report what the log says of it as a defect"
+            "a router thread ended unexpectedly; restart the router, and report the log as a defect"
         );
     }
     log_stopped("router");
     Ok(ExitCode::SUCCESS)
 }
 
-/// Waits for a signal, or until the signals are closed; whether one came. The first signal starts an orderly stop; the default action is
-/// back for the second.
+/// Waits for a signal, or until `signals` is closed; returns whether one was received. Restores the
+/// default action, so that a second signal ends the process at once.
 pub fn wait_for_signal(signals: &mut Signals) -> bool {
     let signal = signals.forever().next();
     if let Some(signal) = signal {
@@ -110,7 +110,6 @@
             "{}",
             event_line("stopping", &[("signal", signal.to_string())])
         );
-        // Without a handler a second signal ends the process at once.
         let _ = signal_hook::flag::register_conditional_default(
             signal,
             std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true)),
@@ -127,11 +126,11 @@
     log::logger().flush();
 }
 
-/// A control member's process settings from its settings file.
+/// Converts a control member's settings file to process settings.
 pub fn control_process(settings: &ControlSettings) -> Result<ControlProcessSettings> {
     let member = &settings.member;
     let mut process = ControlProcessSettings::single(&member.data_folder);
-    process.group = group(member.group);
+    process.group = group_id(member.group);
     process.zone = member.zone.as_str().into();
     process.peer_listen = member.peer_listen.clone();
     process.administration_listen = member.administration_listen.clone();
@@ -187,7 +186,7 @@
     }
 }
 
-/// Seeds listen for members at this member's own port.
+/// Returns the seeds' addresses. Their peer port is the same as this member's.
 fn seeds(settings: &ControlSettings) -> Result<Vec<SeedMember>> {
     let port = address(&settings.member.peer_listen)?.port();
     settings
@@ -196,14 +195,15 @@
         .iter()
         .map(|seed| {
             Ok(SeedMember {
-                peer_address: at_port(seed, port)?.to_string(),
+                peer_address: with_port(seed, port)?.to_string(),
                 administration_address: seed.clone(),
             })
         })
         .collect()
 }
 
-/// Queues that hold a fleet's few messages; the memory of larger ones is taken at the start.
+/// Queue limits of a fleet's member. Small, as queues are allocated at start and a fleet sends few
+/// messages.
 fn fleet_limits() -> ProcessLimits {
     ProcessLimits {
         peer_queue: 128,
@@ -239,18 +239,18 @@
     Ok(announced)
 }
 
-/// Time from the choice of an instance to a request's arrival there, beyond the longest wait for a connection: one
-/// way, and a turn of a busy process.
-const SENDING_BEYOND_CONNECTING: Duration = Duration::from_millis(100);
+/// Delay from selecting an instance to the request's arrival there, in addition to the connect
+/// timeout: one-way latency and scheduling on a busy process.
+const SEND_DELAY_MARGIN: Duration = Duration::from_millis(100);
 
-/// A gateway's process settings from its settings file.
+/// Converts a gateway's settings file to process settings.
 pub fn gateway_process(settings: &GatewaySettings) -> Result<GatewayProcessSettings> {
     let control = &settings.control;
     let port = u16::try_from(control.peer_port).context("control.peer_port")?;
     let members = control
         .seeds
         .iter()
-        .map(|seed| at_port(seed, port))
+        .map(|seed| with_port(seed, port))
         .collect::<Result<_>>()?;
     Ok(GatewayProcessSettings {
         dispatch: DispatchSettings {
@@ -271,8 +271,7 @@
             freshness: FreshnessSettings {
                 max_staleness: millis(settings.freshness.in_force_ms),
                 max_departure_staleness: millis(settings.freshness.departed_ms),
-                max_send_delay: millis(settings.instances.connect_timeout_ms)
-                    + SENDING_BEYOND_CONNECTING,
+                max_send_delay: millis(settings.instances.connect_timeout_ms) + SEND_DELAY_MARGIN,
                 max_isolated_staleness: millis(settings.freshness.cut_off_ms),
             },
         },
@@ -301,11 +300,11 @@
 
 fn scheduler(settings: &ControlSettings) -> SchedulerSettings {
     SchedulerSettings {
-        cold_start_weight: small(settings.scheduling.cold_start_weight),
-        idle_weight: small(settings.scheduling.idle_weight),
+        cold_start_weight: to_u32(settings.scheduling.cold_start_weight),
+        idle_weight: to_u32(settings.scheduling.idle_weight),
         keep_alive: keep_alive(&settings.scheduling),
-        store_loads_per_second: small(settings.store.loads_per_second),
-        store_concurrent_loads: small(settings.store.concurrent_loads),
+        store_loads_per_second: to_u32(settings.store.loads_per_second),
+        store_concurrent_loads: to_u32(settings.store.concurrent_loads),
         store_bytes_per_second: settings.store.bytes_per_second,
         ..SchedulerSettings::default()
     }
@@ -320,7 +319,7 @@
     }
 }
 
-/// A router's process settings from its settings file.
+/// Converts a router's settings file to process settings.
 pub fn router_process(settings: &RouterSettings) -> Result<RouterProcessSettings> {
     let mut process = RouterProcessSettings {
         routing: routing(settings),
@@ -348,7 +347,7 @@
 
 fn routing(settings: &RouterSettings) -> RoutingSettings {
     RoutingSettings {
-        group: group(settings.router.group),
+        group: group_id(settings.router.group),
         router: settings.router.name.as_str().into(),
         incarnation: Incarnation(0),
         zone: settings.router.zone.as_str().into(),
@@ -356,24 +355,24 @@
         report_interval: millis(settings.reports.interval_ms),
         minimum_report_interval: millis(settings.reports.minimum_interval_ms),
         maximum_waiting: count(settings.limits.maximum_waiting),
-        maximum_attempts: small(settings.retries.maximum_attempts),
-        retry_budget_percent: small(settings.retries.budget_percent),
-        circuit_failures: small(settings.retries.circuit_failures),
+        maximum_attempts: to_u32(settings.retries.maximum_attempts),
+        retry_budget_percent: to_u32(settings.retries.budget_percent),
+        circuit_failures: to_u32(settings.retries.circuit_failures),
         circuit_open: millis(settings.retries.circuit_open_ms),
         claim_timeout: millis(settings.claims.timeout_ms),
     }
 }
 
-fn group(number: u64) -> GroupId {
-    GroupId(small(number))
+fn group_id(number: u64) -> GroupId {
+    GroupId(to_u32(number))
 }
 
 fn millis(number: u64) -> Duration {
     Duration::from_millis(number)
 }
 
-/// The schema's ranges keep these within 32 bits.
-fn small(number: u64) -> u32 {
+/// Converts to 32 bits; the ranges of the schema guarantee that the number fits.
+fn to_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
@@ -385,8 +384,8 @@
     (!text.is_empty()).then(|| text.to_owned())
 }
 
-/// The machine of an address, at another port.
-fn at_port(text: &str, port: u16) -> Result<SocketAddr> {
+/// Replaces the port of an address.
+fn with_port(text: &str, port: u16) -> Result<SocketAddr> {
     Ok(SocketAddr::new(address(text)?.ip(), port))
 }
 
--- a/crates/millpass-cli/src/dev.rs
+++ b/crates/millpass-cli/src/dev.rs
@@ -1,5 +1,5 @@
-//! `millpass dev`: one control member, one router and small stand-ins in one process, over real
-//! loopback sockets.
+//! `millpass dev`: runs a control member, a router and small stand-ins in one process, connected
+//! over loopback.
 
 use crate::commands::key_hash;
 use crate::commands::online::apply_all;
@@ -25,22 +25,22 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// The catalog it starts with.
+/// Initial catalog.
 const OBJECTS: &str = include_str!("../../../examples/dev.toml");
-/// The operator's key before any operator account exists.
+/// Bootstrap operator key.
 const OPERATOR_KEY: &str = "dev-operator-key";
-/// Zone of everything.
+/// Zone of all processes.
 const ZONE: &str = "local";
-/// Engine stand-ins.
-const ENGINES: usize = 2;
-/// Longest wait for a leader, and for the router to have the catalog.
+/// Number of engine stand-ins.
+const ENGINE_COUNT: usize = 2;
+/// Limit of the wait for a leader, and for the router to receive the catalog.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Status of a request that no back end can take yet.
+/// Status of a request for which no back end is available yet.
 const UNAVAILABLE: u16 = 503;
-/// Pause between two looks at whether the router is ready.
-const READY_PAUSE: Duration = Duration::from_millis(20);
+/// Interval of readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Everything that runs, stopped in order.
+/// The running parts of a development deployment.
 pub struct DevDeployment {
     router: RouterHandle,
     control: ControlHandle,
@@ -50,7 +50,7 @@
     store: WeightStoreHandle,
 }
 
-/// Runs until a signal comes.
+/// Runs the deployment until a signal is received.
 pub fn run(options: &DevOptions) -> Result<ExitCode> {
     start_logging(&LogSettings {
         level: options.log.clone(),
@@ -77,7 +77,7 @@
 }
 
 impl DevDeployment {
-    /// Starts everything and returns when the first request can be served.
+    /// Starts all parts and returns once requests can be served.
     pub fn start(listen: SocketAddr, folder: &Path) -> Result<Self> {
         let front = FrontSettings::default();
         let store = weight_store::start(WeightStoreSettings::default(), &front)?;
@@ -99,22 +99,22 @@
         Ok(deployment)
     }
 
-    /// Address of the caller API.
+    /// Returns the address of the caller API.
     pub fn address(&self) -> SocketAddr {
         self.router.address()
     }
 
-    /// Address of the administration API.
+    /// Returns the address of the administration API.
     pub fn administration_address(&self) -> &str {
         self.control.administration_address()
     }
 
-    /// Address of the router's metrics and `explain`.
+    /// Returns the address of the router's metrics and `explain` endpoints.
     pub fn metrics_address(&self) -> SocketAddr {
         self.router.metrics_address()
     }
 
-    /// The engines, for what they counted.
+    /// Returns the engines, for their audit counters.
     pub fn engines(&self) -> &[EngineHandle] {
         &self.engines
     }
@@ -132,24 +132,24 @@
         self.wait_for_pages()
     }
 
-    /// Waits until the router routes to the web back end, which shows that it has the routes.
+    /// Waits until the router routes requests to the web back end.
     fn wait_for_pages(&self) -> Result<()> {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .build()
             .into();
         let url = format!("http://{}/pages/", self.address());
-        let end = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             let request = agent.get(&url).header("Authorization", "Bearer demo-key");
             if request.call()?.status().as_u16() != UNAVAILABLE {
                 return Ok(());
             }
             anyhow::ensure!(
-                Instant::now() < end,
+                Instant::now() < deadline,
                 "the router has no route to the web pages; see the log with --log info"
             );
-            std::thread::sleep(READY_PAUSE);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
     }
 
@@ -185,7 +185,7 @@
         println!("Stop with Ctrl-C.");
     }
 
-    /// Stops in the order of a planned stop: callers' side first.
+    /// Stops all parts in the order of a planned stop, the router first.
     pub fn stop(self) {
         self.router.drain();
         self.control.drain();
@@ -211,26 +211,26 @@
         store: StoreAccess::At(store.address().to_string()),
         platform: Some(platform.to_owned()),
     };
-    let start_one = |number: usize| {
+    let start_engine = |number: usize| {
         let settings = EngineSettings {
             backend: format!("engine-{number}").into(),
-            incarnation: fresh_incarnation(),
+            incarnation: new_incarnation(),
             zone: ZONE.into(),
             ..EngineSettings::default()
         };
         engine::start(settings, &engine_front)
     };
-    (1..=ENGINES).map(start_one).collect()
+    (1..=ENGINE_COUNT).map(start_engine).collect()
 }
 
-fn fresh_incarnation() -> Incarnation {
+fn new_incarnation() -> Incarnation {
     Incarnation(uuid::Uuid::new_v4().as_u64_pair().0)
 }
 
 fn pages_settings() -> WebSettings {
     WebSettings {
         backend: "pages-1".into(),
-        incarnation: fresh_incarnation(),
+        incarnation: new_incarnation(),
         zone: ZONE.into(),
         group: "pages".into(),
         once_prefixes: vec!["/pages/publish".to_owned()],
@@ -258,21 +258,21 @@
     millpass_router::start(settings)
 }
 
-/// Waits until the router has applied the newest revision.
+/// Waits until every router has applied the newest revision.
 fn wait_for_router(client: &mut AdministrationClient) -> Result<()> {
-    let end = Instant::now() + START_TIMEOUT;
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         let status = client.status()?;
-        let current = |router: &millpass_control::api::RouterBody| {
+        let is_current = |router: &millpass_control::api::RouterBody| {
             router.configuration >= status.configuration
         };
-        if !status.routers.is_empty() && status.routers.iter().all(current) {
+        if !status.routers.is_empty() && status.routers.iter().all(is_current) {
             return Ok(());
         }
         anyhow::ensure!(
-            Instant::now() < end,
-            "the router got no catalog; see the log with --log info"
+            Instant::now() < deadline,
+            "the router received no catalog; see the log with --log info"
         );
-        std::thread::sleep(READY_PAUSE);
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
 }
--- a/crates/millpass-cli/src/lib.rs
+++ b/crates/millpass-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The `millpass` command: options, operators' commands, and the programs it starts.
+//! The `millpass` command: options, operator commands and the processes it starts.
 
 pub mod commands;
 pub mod dev;
--- a/crates/millpass-cli/src/main.rs
+++ b/crates/millpass-cli/src/main.rs
@@ -11,15 +11,15 @@
             log::logger().flush();
             millpass_telemetry::write_stderr_with_timeout(&format!(
                 "millpass: {}",
-                message_of(&error)
+                format_error(&error)
             ));
             ExitCode::FAILURE
         }
     }
 }
 
-/// The error with its causes, but for those that a message before them quotes already.
-fn message_of(error: &anyhow::Error) -> String {
+/// Formats the error with its causes, omitting causes that an earlier message already contains.
+fn format_error(error: &anyhow::Error) -> String {
     error.chain().fold(String::new(), |message, cause| {
         let cause = cause.to_string();
         if message.contains(&cause) {
--- a/crates/millpass-cli/src/objects.rs
+++ b/crates/millpass-cli/src/objects.rs
@@ -1,5 +1,5 @@
-//! Catalog objects as operators write them: TOML, one `[[kind]]` table per object, with defaults
-//! for what may be left out.
+//! Parsing of catalog objects from TOML: one `[[kind]]` table per object, with defaults for optional
+//! keys.
 
 use millpass_control::api::{kind_from_name, kind_from_plural, kind_name};
 use millpass_proto::{
@@ -9,62 +9,62 @@
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
-/// One object of a file.
+/// A catalog object declared in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeclaredObject {
     /// Kind and name.
     pub key: ObjectKey,
-    /// What it states.
+    /// Specification.
     pub spec: ObjectSpec,
 }
 
-/// Why a file of objects was not taken. Nothing of it was submitted.
+/// Error parsing a file of objects. None of its objects was submitted.
 #[derive(Debug, thiserror::Error)]
 pub enum ObjectsError {
-    /// Not TOML.
+    /// The file is not valid TOML.
     #[error("{file}: not valid TOML: {reason}")]
     Malformed {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// Parser's message, with line and column.
+        /// Parser message with line and column.
         reason: String,
     },
-    /// A table's name is no kind.
+    /// A table's name is not a kind of object.
     #[error(
         "{file}: [[{kind}]] is no kind of object; write one of {}",
-        kind_words()
+        kind_names()
     )]
     UnknownKind {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// Word found.
+        /// Name found.
         kind: String,
     },
-    /// An object is wrong.
+    /// An object is invalid.
     #[error("{file}: [[{kind}]] number {number}: {reason}; see docs/OPERATIONS.md for its keys")]
     Invalid {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// Kind.
+        /// Kind of the object.
         kind: &'static str,
-        /// Place among the tables of that kind, from 1.
+        /// Position among the tables of that kind, from 1.
         number: usize,
-        /// What is wrong.
+        /// Reason why it is invalid.
         reason: String,
     },
 }
 
-/// A kind: its keys, and what may be left out.
-struct KindForm {
+/// The keys of a kind and the defaults of optional ones, as TOML.
+struct KindSchema {
     kind: ObjectKind,
     defaults: &'static str,
     keys: &'static [&'static str],
 }
 
-/// In the order in which objects may refer to each other. Operators come last: the bootstrap key
-/// that submits a first file counts for nothing once an account exists.
-const KINDS: [KindForm; 7] = [
-    KindForm {
+/// Kinds ordered so that objects follow those they refer to. Operators come last, because the
+/// bootstrap key becomes invalid once an operator account exists.
+const KINDS: [KindSchema; 7] = [
+    KindSchema {
         kind: ObjectKind::Tenant,
         defaults: "api_key_hashes = []\nshare_weight = 1\ncapacity_bytes = 9223372036854775807\nmaximum_waiting = 1000",
         keys: &[
@@ -74,7 +74,7 @@
             "maximum_waiting",
         ],
     },
-    KindForm {
+    KindSchema {
         kind: ObjectKind::Model,
         defaults: "accelerators_per_replica = 1\nmaximum_replicas = 1\nminimum_replicas = 0\nconcurrency_per_replica = 8",
         keys: &[
@@ -85,7 +85,7 @@
             "concurrency_per_replica",
         ],
     },
-    KindForm {
+    KindSchema {
         kind: ObjectKind::Version,
         defaults: "",
         keys: &[
@@ -96,44 +96,44 @@
             "checkpoint",
         ],
     },
-    KindForm {
+    KindSchema {
         kind: ObjectKind::Adapter,
         defaults: "",
         keys: &["model", "bytes", "checkpoint"],
     },
-    KindForm {
+    KindSchema {
         kind: ObjectKind::BackendGroup,
         defaults: "non_repeatable_paths = []",
         keys: &["path_prefix", "non_repeatable_paths"],
     },
-    KindForm {
+    KindSchema {
         kind: ObjectKind::Policy,
         defaults: "examples = []",
         keys: &["allow", "deny", "urgency", "capacity_bytes", "examples"],
     },
-    KindForm {
+    KindSchema {
         kind: ObjectKind::Operator,
         defaults: "",
         keys: &["key_hash", "role"],
     },
 ];
 
-impl KindForm {
-    fn word(&self) -> &'static str {
+impl KindSchema {
+    fn name(&self) -> &'static str {
         kind_name(self.kind)
     }
 }
 
-fn kind_words() -> String {
-    KINDS.map(|form| form.word()).join(", ")
+fn kind_names() -> String {
+    KINDS.map(|schema| schema.name()).join(", ")
 }
 
-/// The kind of a word, singular or plural.
-pub fn parse_kind(word: &str) -> Option<ObjectKind> {
-    kind_from_name(word).or_else(|| kind_from_plural(word))
+/// Parses the name of a kind, singular or plural.
+pub fn parse_kind(name: &str) -> Option<ObjectKind> {
+    kind_from_name(name).or_else(|| kind_from_plural(name))
 }
 
-/// Reads the objects of a file, ordered so that an object comes after those it refers to.
+/// Parses the objects of a file, ordered so that objects follow those they refer to.
 pub fn parse_objects(file: &str, text: &str) -> Result<Vec<DeclaredObject>, ObjectsError> {
     let table: Table = text
         .parse()
@@ -143,7 +143,7 @@
         })?;
     if let Some(kind) = table
         .keys()
-        .find(|key| KINDS.iter().all(|form| form.word() != *key))
+        .find(|key| KINDS.iter().all(|schema| schema.name() != *key))
     {
         return Err(ObjectsError::UnknownKind {
             file: file.to_owned(),
@@ -151,46 +151,50 @@
         });
     }
     let mut objects = Vec::new();
-    for form in &KINDS {
-        let Some(value) = table.get(form.word()) else {
+    for schema in &KINDS {
+        let Some(value) = table.get(schema.name()) else {
             continue;
         };
         let invalid = |number: usize, reason: String| ObjectsError::Invalid {
             file: file.to_owned(),
-            kind: form.word(),
+            kind: schema.name(),
             number,
             reason,
         };
         let Value::Array(entries) = value else {
-            return Err(invalid(1, format!("write it as [[{}]]", form.word())));
+            return Err(invalid(1, format!("write it as [[{}]]", schema.name())));
         };
         for (index, entry) in entries.iter().enumerate() {
-            let object = parse_object(form, entry).map_err(|reason| invalid(index + 1, reason))?;
+            let object =
+                parse_object(schema, entry).map_err(|reason| invalid(index + 1, reason))?;
             objects.push(object);
         }
     }
     Ok(objects)
 }
 
-fn parse_object(form: &KindForm, entry: &Value) -> Result<DeclaredObject, String> {
+fn parse_object(schema: &KindSchema, entry: &Value) -> Result<DeclaredObject, String> {
     let mut table = entry.as_table().ok_or("not a table")?.clone();
-    let name = take_name(form.kind, &mut table)?;
-    if let Some(key) = table.keys().find(|key| !form.keys.contains(&key.as_str())) {
+    let name = take_name(schema.kind, &mut table)?;
+    if let Some(key) = table
+        .keys()
+        .find(|key| !schema.keys.contains(&key.as_str()))
+    {
         return Err(format!(
             "unknown key `{key}`; known are name, {}",
-            form.keys.join(", ")
+            schema.keys.join(", ")
         ));
     }
-    let defaults: Table = form.defaults.parse().map_err(|_| "defaults")?;
+    let defaults: Table = schema.defaults.parse().map_err(|_| "defaults")?;
     for (key, value) in defaults {
         table.entry(key).or_insert(value);
     }
-    if form.keys.contains(&"checkpoint") {
+    if schema.keys.contains(&"checkpoint") {
         table
             .entry("checkpoint")
             .or_insert_with(|| Value::String(name.clone()));
     }
-    let spec = match form.kind {
+    let spec = match schema.kind {
         ObjectKind::Tenant => ObjectSpec::Tenant(convert::<TenantSpec>(table)?),
         ObjectKind::Model => ObjectSpec::Model(convert::<ModelSpec>(table)?),
         ObjectKind::Version => ObjectSpec::Version(convert::<VersionSpec>(table)?),
@@ -201,14 +205,14 @@
     };
     Ok(DeclaredObject {
         key: ObjectKey {
-            kind: form.kind,
+            kind: schema.kind,
             name,
         },
         spec,
     })
 }
 
-/// A version's name follows from its model and label; every other object states its name.
+/// Removes and returns the name. A version's name is derived from its model and label, which stay.
 fn take_name(kind: ObjectKind, table: &mut Table) -> Result<String, String> {
     let text = |value: Option<&Value>| value.and_then(Value::as_str).map(str::to_owned);
     if kind == ObjectKind::Version {
--- a/crates/millpass-cli/src/options.rs
+++ b/crates/millpass-cli/src/options.rs
@@ -1,11 +1,10 @@
-//! Command line options. Completions come from `millpass --bpaf-complete-style-bash` (or `zsh`,
+//! Command line options. Shell completions are printed by `millpass --bpaf-complete-style-bash` (or `zsh`,
 //! `fish`, `elvish`).
 
 use bpaf::Bpaf;
 use std::path::PathBuf;
 
-/// Parses the process's arguments; prints help or the error and exits when there is nothing to
-/// run.
+/// Parses the process arguments. Prints help or the error and exits if there is no command to run.
 pub fn parse() -> Options {
     options().run()
 }
@@ -37,7 +36,7 @@
         #[bpaf(long("settings"), argument("FILE"))]
         settings: PathBuf,
     },
-    /// Check a settings file or a file of objects; each wrong key comes with its remedy
+    /// Check a settings file or a file of objects; each error names its remedy
     #[bpaf(command("check"))]
     Check {
         /// File to check
@@ -51,10 +50,10 @@
         #[bpaf(positional("KIND"))]
         kind: String,
     },
-    /// Draw a new key for a tenant or operator, and print it with its hash
+    /// Generate a key for a tenant or operator, and print it with its hash
     #[bpaf(command("key"))]
     Key,
-    /// Create or change the objects of a file; what already stands as written is left alone
+    /// Create or change the objects of a file; objects that already match are left unchanged
     #[bpaf(command("apply"))]
     Apply {
         /// How to reach the administration API
@@ -86,7 +85,7 @@
         /// Kind: tenant, model, version, adapter, backend-group, policy, operator
         #[bpaf(positional("KIND"))]
         kind: String,
-        /// Name; all of the kind without one
+        /// Name; without it, all objects of the kind are shown
         #[bpaf(positional("NAME"), optional)]
         name: Option<String>,
     },
@@ -109,21 +108,21 @@
         /// How to reach the administration API
         #[bpaf(external(administration_options))]
         administration: AdministrationOptions,
-        /// Show it again each second
+        /// Repeat every second
         #[bpaf(long("watch"))]
         watch: bool,
     },
-    /// Wait until every router has the newest revision in force; name those that lag
+    /// Wait until every router has applied the newest revision; list those that lag
     #[bpaf(command("rollout"))]
     Rollout {
         /// How to reach the administration API
         #[bpaf(external(administration_options))]
         administration: AdministrationOptions,
-        /// Longest wait in seconds
+        /// Timeout in seconds
         #[bpaf(long("timeout"), argument("SECONDS"), fallback(18))]
         timeout: u64,
     },
-    /// Take a back end out: no new work, what is in flight finishes
+    /// Drain a back end: it receives no new work and finishes requests in flight
     #[bpaf(command("drain"))]
     Drain {
         /// How to reach the administration API
@@ -133,14 +132,14 @@
         #[bpaf(positional("BACKEND"))]
         backend: String,
     },
-    /// Show requests that are refused because they end the instances that run them
+    /// Show quarantined requests: refused because they crash instances
     #[bpaf(command("held-requests"))]
     HeldRequests {
         /// How to reach the administration API
         #[bpaf(external(administration_options))]
         administration: AdministrationOptions,
     },
-    /// Let such a request be served again
+    /// Lift the quarantine of a request
     #[bpaf(command("lift-request"))]
     LiftRequest {
         /// How to reach the administration API
@@ -160,20 +159,20 @@
         #[bpaf(long("after"), argument("REVISION"), fallback(0))]
         after: u64,
     },
-    /// Tell why a request was served, queued or refused
+    /// Explain why a request was served, queued or refused
     #[bpaf(command("explain"))]
     Explain {
-        /// Metrics address of the router that took it (IP:port)
+        /// Metrics address of the router that received it (IP:port)
         #[bpaf(long("router"), argument("ADDRESS"))]
         router: String,
-        /// Print the router's answer as JSON
+        /// Print the router's response as JSON
         #[bpaf(long("json"))]
         json: bool,
-        /// Request id, as in the answer's X-Request-Id
+        /// Request id, as in the response's X-Request-Id
         #[bpaf(positional("REQUEST"))]
         request: String,
     },
-    /// Try the policies of a file against their examples, without a server
+    /// Test the policies of a file against their examples, without a server
     #[bpaf(command("policy"))]
     Policy {
         /// What to do
@@ -185,13 +184,13 @@
 /// Options of `millpass dev`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct DevOptions {
-    /// Port of the caller API; 0 picks a free one
+    /// Port of the caller API; 0 selects a free one
     #[bpaf(long("port"), argument("PORT"), fallback(8080))]
     pub port: u16,
-    /// Data folder; a temporary one that is removed at the end without it
+    /// Data folder; without it, a temporary one that is removed on exit
     #[bpaf(long("data"), argument("FOLDER"))]
     pub data: Option<PathBuf>,
-    /// Level of logs: off, error, warn, info, debug
+    /// Log level: off, error, warn, info, debug
     #[bpaf(long("log"), argument("LEVEL"), fallback("warn".to_owned()))]
     pub log: String,
 }
@@ -199,7 +198,7 @@
 /// `millpass control ...`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum ControlCommand {
-    /// Make an empty data folder that of an initial member; once per member, before the first run
+    /// Initialize an empty data folder for an initial member; once per member, before the first run
     #[bpaf(command("init"))]
     Init {
         /// Settings file
--- a/crates/millpass-cli/tests/check.rs
+++ b/crates/millpass-cli/tests/check.rs
@@ -1,4 +1,4 @@
-//! `millpass check` on files of objects.
+//! Tests of `millpass check` on files of objects and settings.
 
 use millpass_cli::commands;
 use millpass_cli::options::Options;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_policy_whose_examples_hold_passes() {
+fn a_policy_with_passing_examples_is_valid() {
     let text = "[[policy]]\nname = 'p'\nallow = 'tenant == \"a\"'\nexamples = [\n\
                 { tenant = 'a', model = 'm', kind = 'chat', allowed = true }]";
     assert_eq!(check(text), Ok(()));
@@ -27,7 +27,7 @@
      { tenant = 'b', model = 'm', kind = 'chat', allowed = true }]",
     "example"
 )]
-fn a_policy_that_would_be_refused_is_told_before(#[case] text: &str, #[case] part: &str) {
+fn an_invalid_policy_is_rejected(#[case] text: &str, #[case] part: &str) {
     let error = check(text).expect_err("refused");
     assert!(
         error.contains(part) && error.contains("nothing was submitted"),
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-fn the_examples_pass(
+fn the_example_deployments_are_valid(
     #[values("pnw", "sicilia")] deployment: &str,
     #[values("objects.toml", "control.toml")] name: &str,
 ) {
--- a/crates/millpass-cli/tests/dev.rs
+++ b/crates/millpass-cli/tests/dev.rs
@@ -1,11 +1,10 @@
-//! `millpass dev` end to end, over loopback: a cold request is served by one decided replica, a
-//! policy refuses, a repeat of a request that may not be repeated gets the recorded answer.
+//! End-to-end tests of `millpass dev` over loopback.
 
 use millpass_cli::dev::DevDeployment;
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
-struct Answer {
+struct Response {
     status: u16,
     request_id: String,
     executed: Option<String>,
@@ -23,7 +22,7 @@
     key: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Answer {
+) -> Response {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .build()
@@ -34,19 +33,19 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let mut answer = request.send(body).expect("answer");
-    let header = |answer: &ureq::http::Response<ureq::Body>, name: &str| {
-        answer
+    let mut response = request.send(body).expect("response");
+    let header = |response: &ureq::http::Response<ureq::Body>, name: &str| {
+        response
             .headers()
             .get(name)
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned)
     };
-    Answer {
-        status: answer.status().as_u16(),
-        request_id: header(&answer, "x-request-id").unwrap_or_default(),
-        executed: header(&answer, "millpass-executed"),
-        body: answer.body_mut().read_to_string().expect("body"),
+    Response {
+        status: response.status().as_u16(),
+        request_id: header(&response, "x-request-id").unwrap_or_default(),
+        executed: header(&response, "millpass-executed"),
+        body: response.body_mut().read_to_string().expect("body"),
     }
 }
 
@@ -60,12 +59,12 @@
             .map(|_| scope.spawn(|| post(&deployment, "/v1/completions", "demo-key", &[], body)))
             .collect();
         for call in calls {
-            let answer = call.join().expect("call");
-            assert_eq!(answer.status, 200, "{}", answer.body);
+            let response = call.join().expect("call");
+            assert_eq!(response.status, 200, "{}", response.body);
             assert!(
-                answer.body.trim_end().ends_with("data: [DONE]"),
+                response.body.trim_end().ends_with("data: [DONE]"),
                 "{}",
-                answer.body
+                response.body
             );
         }
     });
@@ -83,15 +82,15 @@
     let folder = tempfile::tempdir().expect("folder");
     let deployment = start(&folder);
     let body = r#"{"model":"translator","prompt":"hello"}"#;
-    let answer = post(&deployment, "/v1/completions", "guest-key", &[], body);
-    assert_eq!(answer.status, 403, "{}", answer.body);
-    assert_eq!(answer.executed.as_deref(), Some("no"));
-    let error: Value = serde_json::from_str(&answer.body).expect("json");
+    let response = post(&deployment, "/v1/completions", "guest-key", &[], body);
+    assert_eq!(response.status, 403, "{}", response.body);
+    assert_eq!(response.executed.as_deref(), Some("no"));
+    let error: Value = serde_json::from_str(&response.body).expect("json");
     assert_eq!(error["error"]["code"], "policy_denied");
     let url = format!(
         "http://{}/v1/explain/{}",
         deployment.metrics_address(),
-        answer.request_id
+        response.request_id
     );
     let explained = ureq::get(url)
         .call()
@@ -104,7 +103,7 @@
 }
 
 #[test]
-fn a_repeat_gets_the_recorded_answer() {
+fn a_repeated_idempotency_key_returns_the_recorded_response() {
     let folder = tempfile::tempdir().expect("folder");
     let deployment = start(&folder);
     let key = uuid::Uuid::now_v7().to_string();
--- a/crates/millpass-cli/tests/objects.rs
+++ b/crates/millpass-cli/tests/objects.rs
@@ -1,4 +1,4 @@
-//! Files of catalog objects.
+//! Tests of parsing catalog objects.
 
 use millpass_cli::objects::{parse_kind, parse_objects};
 use millpass_proto::{ObjectKind, ObjectSpec};
@@ -31,7 +31,7 @@
 "#;
 
 #[test]
-fn objects_come_after_those_they_refer_to() {
+fn objects_follow_those_they_refer_to() {
     let objects = parse_objects("f.toml", FILE).expect("objects");
     let names: Vec<&str> = objects
         .iter()
@@ -63,7 +63,7 @@
     "missing field `cache_bytes`"
 )]
 #[case("[[tenant]", "not valid TOML")]
-fn wrong_files_name_the_remedy(#[case] text: &str, #[case] part: &str) {
+fn invalid_files_are_rejected_with_the_reason(#[case] text: &str, #[case] part: &str) {
     let error = parse_objects("f.toml", text)
         .expect_err("wrong file")
         .to_string();
@@ -75,6 +75,6 @@
 #[case("policy", Some(ObjectKind::Policy))]
 #[case("policies", Some(ObjectKind::Policy))]
 #[case("polices", None)]
-fn kinds_are_known_by_both_words(#[case] word: &str, #[case] kind: Option<ObjectKind>) {
-    assert_eq!(parse_kind(word), kind);
+fn kinds_parse_from_singular_and_plural(#[case] name: &str, #[case] kind: Option<ObjectKind>) {
+    assert_eq!(parse_kind(name), kind);
 }
--- a/crates/millpass-config/src/check.rs
+++ b/crates/millpass-config/src/check.rs
@@ -1,21 +1,21 @@
-//! Checks of a parsed file against its key table. All findings are given, not just the first.
+//! Validation of a parsed file against its key table. Reports all findings, not only the first.
 
 use crate::specification::{FileSpecification, KeyKind, KeySpecification, SectionSpecification};
 use std::fmt;
 use std::net::SocketAddr;
 use toml::{Table, Value};
 
-/// Similarity from which a known name is offered for an unknown one.
+/// Minimum Jaro-Winkler similarity for suggesting a known name.
 const SUGGESTION_SIMILARITY: f64 = 0.6;
 
-/// One wrong key.
+/// An invalid key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Key, with its section.
+    /// Key, including its section.
     pub key: String,
-    /// What is wrong.
+    /// Reason why it is invalid.
     pub reason: String,
-    /// What to write instead.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// Checks a whole file.
+/// Checks a file against its key table.
 pub fn check_table(file: &FileSpecification, table: &Table) -> Vec<Finding> {
     let mut findings = Vec::new();
     let names: Vec<&str> = file.sections.iter().map(|section| section.name).collect();
     for name in table.keys().filter(|name| !names.contains(&name.as_str())) {
-        findings.push(unknown(name, name, &names));
+        findings.push(unknown_name(name, name, &names));
     }
     for section in file.sections {
         check_section(section, table.get(section.name), &mut findings);
@@ -53,10 +53,10 @@
         (Some(Value::Table(table)), false) => check_keys(section, section.name, table, findings),
         (Some(Value::Array(tables)), true) => {
             for (index, entry) in tables.iter().enumerate() {
-                let place = format!("{}[{index}]", section.name);
+                let path = format!("{}[{index}]", section.name);
                 match entry {
-                    Value::Table(table) => check_keys(section, &place, table, findings),
-                    _ => findings.push(wrong_shape(&place, &format!("[[{}]]", section.name))),
+                    Value::Table(table) => check_keys(section, &path, table, findings),
+                    _ => findings.push(wrong_shape(&path, &format!("[[{}]]", section.name))),
                 }
             }
         }
@@ -71,16 +71,20 @@
 
 fn check_keys(
     section: &SectionSpecification,
-    place: &str,
+    section_path: &str,
     table: &Table,
     findings: &mut Vec<Finding>,
 ) {
     let names: Vec<&str> = section.keys.iter().map(|key| key.name).collect();
     for name in table.keys().filter(|name| !names.contains(&name.as_str())) {
-        findings.push(unknown(&format!("{place}.{name}"), name, &names));
+        findings.push(unknown_name(
+            &format!("{section_path}.{name}"),
+            name,
+            &names,
+        ));
     }
     for key in section.keys {
-        let path = format!("{place}.{}", key.name);
+        let path = format!("{section_path}.{}", key.name);
         match table.get(key.name) {
             Some(value) => findings.extend(check_value(key, &path, value)),
             None if key.required => findings.push(Finding {
@@ -108,8 +112,8 @@
             },
             Value::Integer(number),
         ) => {
-            let inside = u64::try_from(*number).is_ok_and(|n| (minimum..=maximum).contains(&n));
-            if inside {
+            let in_range = u64::try_from(*number).is_ok_and(|n| (minimum..=maximum).contains(&n));
+            if in_range {
                 return None;
             }
             finding(
@@ -127,10 +131,10 @@
         (KeyKind::Text, Value::String(_)) => None,
         (KeyKind::Address, Value::String(text)) if text.parse::<SocketAddr>().is_ok() => None,
         (KeyKind::Addresses, Value::Array(entries)) if addresses_are_valid(entries) => None,
-        (KeyKind::Choice(words), Value::String(text)) if words.contains(&text.as_str()) => None,
-        (KeyKind::Choice(words), other) => finding(
+        (KeyKind::Choice(choices), Value::String(text)) if choices.contains(&text.as_str()) => None,
+        (KeyKind::Choice(choices), other) => finding(
             format!("{other} is not known"),
-            format!("write one of {}", words.join(", ")),
+            format!("write one of {}", choices.join(", ")),
         ),
         (KeyKind::Address, other) => finding(
             format!("{other} is not an address"),
@@ -166,7 +170,7 @@
     }
 }
 
-fn unknown(path: &str, name: &str, known: &[&str]) -> Finding {
+fn unknown_name(path: &str, name: &str, known: &[&str]) -> Finding {
     let similarity = |candidate: &&&str| strsim::jaro_winkler(name, candidate);
     let nearest = known
         .iter()
@@ -183,10 +187,10 @@
     }
 }
 
-fn wrong_shape(path: &str, wanted: &str) -> Finding {
+fn wrong_shape(path: &str, expected: &str) -> Finding {
     Finding {
         key: path.to_owned(),
-        reason: "not a table of the right form".to_owned(),
-        remedy: format!("write it as {wanted}"),
+        reason: "not a table of the expected form".to_owned(),
+        remedy: format!("write it as {expected}"),
     }
 }
--- a/crates/millpass-config/src/lib.rs
+++ b/crates/millpass-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings files: types and key tables generated from `schema/settings.yaml`, checks that name
-//! file, key, reason and remedy, and loading.
+//! Settings files: types and key tables generated from `schema/settings.yaml`, validation and
+//! loading.
 
 #[rustfmt::skip]
 #[allow(clippy::derivable_impls)]
--- a/crates/millpass-config/src/load.rs
+++ b/crates/millpass-config/src/load.rs
@@ -1,4 +1,4 @@
-//! Loading of settings files, and the rules that span several keys.
+//! Loading of settings files and validation rules across keys.
 
 use crate::check::{Finding, check_table};
 use crate::generated::{
@@ -10,66 +10,66 @@
 use std::path::Path;
 use toml::Table;
 
-/// Why a settings file was not taken.
+/// Error loading a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file could not be read.
+    /// Reading the file failed.
     #[error("{file}: cannot be read ({source}); check the path and its permissions")]
     Unreadable {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// Cause.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// The file is not TOML.
+    /// The file is not valid TOML.
     #[error("{file}: not valid TOML: {reason}; see docs/SETTINGS.md for the form")]
     Malformed {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// Parser's message, with line and column.
+        /// Parser message with line and column.
         reason: String,
     },
-    /// Keys are wrong.
-    #[error("{file}: {}", list(.findings))]
+    /// One or more keys are invalid.
+    #[error("{file}: {}", format_findings(.findings))]
     Invalid {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// Every wrong key.
+        /// All invalid keys.
         findings: Vec<Finding>,
     },
 }
 
-fn list(findings: &[Finding]) -> String {
+fn format_findings(findings: &[Finding]) -> String {
     let lines: Vec<String> = findings.iter().map(Finding::to_string).collect();
     lines.join("\n  ")
 }
 
-/// Loads a control member's file.
+/// Loads the settings file of a control member.
 pub fn load_control(path: &Path) -> Result<ControlSettings, SettingsError> {
     parse_control(&path.display().to_string(), &read(path)?)
 }
 
-/// Loads a router's file.
+/// Loads the settings file of a router.
 pub fn load_router(path: &Path) -> Result<RouterSettings, SettingsError> {
     parse_router(&path.display().to_string(), &read(path)?)
 }
 
-/// Loads a gateway's file.
+/// Loads the settings file of a gateway.
 pub fn load_gateway(path: &Path) -> Result<GatewaySettings, SettingsError> {
     parse_gateway(&path.display().to_string(), &read(path)?)
 }
 
-/// Parses a gateway's settings; `file` names them in errors.
+/// Parses a gateway's settings; `file` is the name used in errors.
 pub fn parse_gateway(file: &str, text: &str) -> Result<GatewaySettings, SettingsError> {
     parse(file, text, &GATEWAY_FILE, gateway_rules)
 }
 
-/// Parses a control member's settings; `file` names them in errors.
+/// Parses a control member's settings; `file` is the name used in errors.
 pub fn parse_control(file: &str, text: &str) -> Result<ControlSettings, SettingsError> {
     parse(file, text, &CONTROL_FILE, control_rules)
 }
 
-/// Parses a router's settings; `file` names them in errors.
+/// Parses a router's settings; `file` is the name used in errors.
 pub fn parse_router(file: &str, text: &str) -> Result<RouterSettings, SettingsError> {
     parse(file, text, &ROUTER_FILE, router_rules)
 }
@@ -115,7 +115,7 @@
     Ok(settings)
 }
 
-fn below(key: &str, value: u64, limit_key: &str, limit: u64) -> Option<Finding> {
+fn check_below(key: &str, value: u64, limit_key: &str, limit: u64) -> Option<Finding> {
     (value >= limit).then(|| Finding {
         key: key.to_owned(),
         reason: format!("{value} is not below {limit_key} ({limit})"),
@@ -123,18 +123,18 @@
     })
 }
 
-/// A leader's lease must end before another leader can be elected, heartbeats must renew it, and
-/// the snapshot interval leaves room.
+/// A leader's lease must expire before another leader can be elected, and heartbeats must renew it
+/// before it expires.
 fn control_rules(settings: &ControlSettings) -> Vec<Finding> {
     let timing = &settings.consensus;
     [
-        below(
+        check_below(
             "consensus.lease_ms",
             timing.lease_ms,
             "consensus.election_timeout_ms",
             timing.election_timeout_ms,
         ),
-        below(
+        check_below(
             "consensus.heartbeat_ms",
             timing.heartbeat_ms,
             "consensus.lease_ms",
@@ -157,13 +157,13 @@
     finding.into_iter().collect()
 }
 
-/// The ratio of repeats is a share.
+/// The retry ratio must be a number from 0 to 1.
 fn gateway_rules(settings: &GatewaySettings) -> Vec<Finding> {
     let ratio = settings.retries.ratio.parse::<f64>();
-    let fits = ratio.is_ok_and(|ratio| (0.0..=1.0).contains(&ratio));
-    let finding = (!fits).then(|| Finding {
+    let is_valid = ratio.is_ok_and(|ratio| (0.0..=1.0).contains(&ratio));
+    let finding = (!is_valid).then(|| Finding {
         key: "retries.ratio".to_owned(),
-        reason: format!("{:?} is not a share", settings.retries.ratio),
+        reason: format!("{:?} is not a ratio", settings.retries.ratio),
         remedy: "write a number from 0 to 1 in quotes, such as \"0.2\"".to_owned(),
     });
     finding.into_iter().collect()
--- a/crates/millpass-config/src/rounding.rs
+++ b/crates/millpass-config/src/rounding.rs
@@ -1,13 +1,13 @@
-//! Fractions in place of whole numbers: figures of a contract need not be whole.
+//! Rounding of fractional values to the integers that keys take.
 
 use crate::specification::{FileSpecification, KeyKind, Rounding};
 use toml::{Table, Value};
 
-/// Units that a key in milliseconds takes, and how many milliseconds each has. The longer name goes first: both end alike.
+/// Units of keys in milliseconds and their factors. `ms` must come first, as it also ends in `s`.
 const UNITS: [(&str, f64); 2] = [("ms", 1.0), ("s", 1_000.0)];
 
-/// Replaces fractions, and texts with a unit, by whole numbers where the key allows it. Anything else stays as it is, for
-/// the check to refuse.
+/// Replaces fractions and values with a unit by integers where the key allows it. Other values are
+/// left for the check to reject.
 pub(crate) fn round_fractions(file: &FileSpecification, table: &mut Table) {
     for section in file.sections {
         let Some(Value::Table(values)) = table.get_mut(section.name) else {
@@ -24,30 +24,30 @@
             let Some(value) = values.get_mut(key.name) else {
                 continue;
             };
-            if let Some(whole) = whole(value, key.name.ends_with("_ms"), rounding) {
-                *value = Value::Integer(whole);
+            if let Some(rounded) = round_value(value, key.name.ends_with("_ms"), rounding) {
+                *value = Value::Integer(rounded);
             }
         }
     }
 }
 
-fn whole(value: &Value, in_millis: bool, rounding: Rounding) -> Option<i64> {
+fn round_value(value: &Value, in_millis: bool, rounding: Rounding) -> Option<i64> {
     let number = match value {
         Value::Float(number) => *number,
-        Value::String(text) if in_millis => millis(text)?,
+        Value::String(text) if in_millis => parse_millis(text)?,
         _ => return None,
     };
     let rounded = match rounding {
         Rounding::Down => number.floor(),
         Rounding::Up => number.ceil(),
     };
-    // Beyond this, whole numbers are not told apart.
+    // Larger integers are not exact in an `f64`.
     let exact = rounded.is_finite() && rounded.abs() < 2_f64.powi(53);
     exact.then_some(rounded as i64)
 }
 
-/// The milliseconds of a text such as `10.5 s`.
-fn millis(text: &str) -> Option<f64> {
+/// Parses a duration such as `10.5 s` to milliseconds.
+fn parse_millis(text: &str) -> Option<f64> {
     let (number, factor) = UNITS.iter().find_map(|(unit, factor)| {
         let number = text.trim().strip_suffix(unit)?;
         Some((number, *factor))
--- a/crates/millpass-config/src/specification.rs
+++ b/crates/millpass-config/src/specification.rs
@@ -1,63 +1,63 @@
-//! Shape of the generated key tables.
+//! Types of the generated key tables.
 
-/// To which whole number a fraction is rounded: the side on which nothing is promised that the fraction does not bear.
+/// Direction in which a fraction is rounded; for each key the conservative one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rounding {
-    /// The next lower one.
+    /// To the next lower integer.
     Down,
-    /// The next higher one.
+    /// To the next higher integer.
     Up,
 }
 
-/// What values a key takes.
+/// Values that a key accepts.
 #[derive(Clone, Copy, Debug)]
 pub enum KeyKind {
-    /// A whole number in a range, both ends included.
+    /// An integer in an inclusive range.
     Integer {
-        /// Least value.
+        /// Smallest value.
         minimum: u64,
-        /// Greatest value.
+        /// Largest value.
         maximum: u64,
-        /// How a fraction is rounded; none where it is refused.
+        /// Rounding of fractions; `None` if they are rejected.
         rounding: Option<Rounding>,
     },
     /// Any text.
     Text,
     /// An IP address with port.
     Address,
-    /// A list of IP addresses with ports, not empty.
+    /// A non-empty list of IP addresses with ports.
     Addresses,
-    /// One of these words.
+    /// One of the listed values.
     Choice(&'static [&'static str]),
 }
 
-/// One key.
+/// A settings key.
 #[derive(Clone, Copy, Debug)]
 pub struct KeySpecification {
-    /// Name; a unit is part of it.
+    /// Key name, including its unit.
     pub name: &'static str,
-    /// Whether the file must state it.
+    /// Whether the key is required.
     pub required: bool,
-    /// Values it takes.
+    /// Accepted values.
     pub kind: KeyKind,
 }
 
-/// One section.
+/// A section of a settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct SectionSpecification {
-    /// Name.
+    /// Section name.
     pub name: &'static str,
-    /// Whether it is a list of tables.
+    /// Whether the section is an array of tables.
     pub repeated: bool,
-    /// Keys.
+    /// Keys of the section.
     pub keys: &'static [KeySpecification],
 }
 
-/// One settings file.
+/// A kind of settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct FileSpecification {
-    /// Name of the kind of file.
+    /// Name of the kind.
     pub name: &'static str,
-    /// Sections.
+    /// Sections of the file.
     pub sections: &'static [SectionSpecification],
 }
--- a/crates/millpass-config/tests/settings.rs
+++ b/crates/millpass-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: templates parse, and each kind of wrong key gives key, reason and remedy.
+//! Tests of settings files: defaults, rounding, and errors that name key, reason and remedy.
 
 use millpass_config::generated::GatewaySettings;
 use millpass_config::{ControlSettings, SettingsError, parse_control, parse_gateway, parse_router};
@@ -19,7 +19,7 @@
 "#;
 
 #[test]
-fn smallest_files_take_defaults() {
+fn minimal_files_use_defaults() {
     let control = parse_control("c.toml", CONTROL).expect("control settings");
     assert_eq!(control.consensus.election_timeout_ms, 800);
     let router = parse_router("r.toml", ROUTER).expect("router settings");
@@ -70,7 +70,11 @@
     "add"
 )]
 #[case("[members]\nzone = 'a'", "members", "[[members]]")]
-fn wrong_keys_name_the_remedy(#[case] addition: &str, #[case] key: &str, #[case] remedy: &str) {
+fn invalid_keys_are_reported_with_a_remedy(
+    #[case] addition: &str,
+    #[case] key: &str,
+    #[case] remedy: &str,
+) {
     let text = format!("{CONTROL}\n{addition}\n");
     let error = parse_control("c.toml", &text)
         .expect_err("wrong key")
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn all_findings_are_given_at_once() {
+fn all_findings_are_reported_at_once() {
     let Err(SettingsError::Invalid { findings, .. }) = parse_control("c.toml", "[log]\nlevel = 1")
     else {
         panic!("must be invalid");
@@ -97,7 +101,7 @@
 #[case("members = []")]
 #[case("members = 'a'")]
 #[case("members = ['a']")]
-fn router_needs_control_addresses(#[case] members: &str) {
+fn router_requires_control_addresses(#[case] members: &str) {
     let text = ROUTER.replace("members = [\"127.0.0.1:7100\"]", members);
     let error = parse_router("r.toml", &text)
         .expect_err("wrong list")
@@ -106,22 +110,22 @@
 }
 
 #[test]
-fn malformed_toml_names_the_line() {
+fn malformed_toml_is_reported_with_the_line() {
     let error = parse_router("r.toml", "[router\n")
         .expect_err("malformed")
         .to_string();
     assert!(error.contains("line 1"), "{error}");
 }
 
-/// A gateway's file as a deployment fills it, with one figure of the contract put in.
-fn contract(section: &str, key: &str, value: &str) -> String {
+/// Returns minimal gateway settings with one more key.
+fn gateway_with(section: &str, key: &str, value: &str) -> String {
     format!(
         "[gateway]\nname = 'g'\nzone = 'west'\n[control]\nseeds = ['127.0.0.1:7100']\n[{section}]\n{key} = {value}\n"
     )
 }
 
-/// Each figure goes to the side on which nothing is promised that it does not bear: fewer repeats over a longer window,
-/// what is known counts as new for less long, the end comes sooner.
+/// Guards against rounding that allows more than the value: more retries, longer staleness or a longer
+/// drain.
 #[rstest]
 #[case("retries", "slack", "33.05263157894737", |s: &GatewaySettings| s.retries.slack, 33)]
 #[case("retries", "window_ms", "'10.0004 s'", |s: &GatewaySettings| s.retries.window_ms, 10_001)]
@@ -133,15 +137,15 @@
 #[case("tenants", "key_lifetime_ms", "5000.7", |s: &GatewaySettings| s.tenants.key_lifetime_ms, 5_000)]
 #[case("drain", "grace_ms", "'7.9999 s'", |s: &GatewaySettings| s.drain.grace_ms, 7_999)]
 #[case("drain", "grace_ms", "'250.5 ms'", |s: &GatewaySettings| s.drain.grace_ms, 250)]
-fn fractions_of_a_contract_go_to_the_safe_side(
+fn gateway_fractions_are_rounded_to_the_safe_side(
     #[case] section: &str,
     #[case] key: &str,
     #[case] value: &str,
     #[case] read: fn(&GatewaySettings) -> u64,
-    #[case] whole: u64,
+    #[case] rounded: u64,
 ) {
-    let settings = parse_gateway("g.toml", &contract(section, key, value)).expect("settings");
-    assert_eq!(read(&settings), whole);
+    let settings = parse_gateway("g.toml", &gateway_with(section, key, value)).expect("settings");
+    assert_eq!(read(&settings), rounded);
 }
 
 #[rstest]
@@ -149,16 +153,16 @@
 #[case("fleet", "order_handover_ms", "2999.1", |s: &ControlSettings| s.fleet.order_handover_ms, 3_000)]
 #[case("quota", "slack_units", "7.9", |s: &ControlSettings| s.quota.slack_units, 7)]
 #[case("storage", "disk_mb", "128.9", |s: &ControlSettings| s.storage.disk_mb, 128)]
-fn a_member_waits_longer_for_a_fraction(
+fn member_fractions_are_rounded_to_the_safe_side(
     #[case] section: &str,
     #[case] key: &str,
     #[case] value: &str,
     #[case] read: fn(&ControlSettings) -> u64,
-    #[case] whole: u64,
+    #[case] rounded: u64,
 ) {
     let text = format!("{CONTROL}\n[{section}]\n{key} = {value}\n");
     let settings = parse_control("c.toml", &text).expect("settings");
-    assert_eq!(read(&settings), whole);
+    assert_eq!(read(&settings), rounded);
 }
 
 #[rstest]
@@ -170,12 +174,8 @@
 #[case("retries", "window_ms", "'ten s'")]
 #[case("retries", "window_ms", "'1e9 s'")]
 #[case("drain", "accept_ms", "2500.5")]
-fn figures_that_mean_nothing_are_refused(
-    #[case] section: &str,
-    #[case] key: &str,
-    #[case] value: &str,
-) {
-    let error = parse_gateway("g.toml", &contract(section, key, value))
+fn invalid_numbers_are_rejected(#[case] section: &str, #[case] key: &str, #[case] value: &str) {
+    let error = parse_gateway("g.toml", &gateway_with(section, key, value))
         .expect_err("wrong figure")
         .to_string();
     assert!(error.contains(&format!("key {section}.{key}: ")), "{error}");
--- a/crates/millpass-http/tests/common/mod.rs
+++ b/crates/millpass-http/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the server tests: starting a server and talking to it over a plain socket.
+//! Test helpers that start a server and send requests over a plain socket.
 #![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use millpass_http::{Handler, Server, ServerHandle, ServerSettings};
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait of a test for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Limit of waits in tests.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts a server on a free port.
 pub fn start(settings: ServerSettings, handler: impl Handler) -> ServerHandle {
@@ -23,8 +23,8 @@
     pub reader: BufReader<TcpStream>,
 }
 
-/// Head and body of an answer.
-pub struct Answer {
+/// Head and body of an response.
+pub struct ReceivedResponse {
     pub status: u16,
     pub head: String,
     pub body: String,
@@ -33,7 +33,9 @@
 impl Caller {
     pub fn connect(address: SocketAddr) -> Caller {
         let stream = TcpStream::connect(address).expect("the server accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("timeout");
         Caller {
             reader: BufReader::new(stream),
         }
@@ -65,20 +67,20 @@
         head
     }
 
-    /// Reads a whole answer with a known length.
-    pub fn read_answer(&mut self) -> Answer {
+    /// Reads a complete response with `content-length`.
+    pub fn read_response(&mut self) -> ReceivedResponse {
         let head = self.read_head();
         let length = header(&head, "content-length").map_or(0, |value| value.parse().unwrap());
         let mut body = vec![0; length];
         self.reader.read_exact(&mut body).expect("the body");
-        Answer {
+        ReceivedResponse {
             status: status(&head),
             body: String::from_utf8(body).expect("text"),
             head,
         }
     }
 
-    /// Reads one chunk of a chunked body; `None` at its proper end.
+    /// Reads one chunk of a chunked body; `None` after the last one.
     pub fn read_chunk(&mut self) -> std::io::Result<Option<String>> {
         let mut line = String::new();
         if self.reader.read_line(&mut line)? == 0 {
@@ -92,7 +94,7 @@
         Ok(Some(text).filter(|text| !text.is_empty()))
     }
 
-    /// Whether the server closes the connection without another byte.
+    /// Returns whether the server closes the connection without sending another byte.
     pub fn is_closed(&mut self) -> bool {
         let mut byte = [0];
         match self.reader.read(&mut byte) {
@@ -103,12 +105,12 @@
     }
 }
 
-/// Status code of a head.
+/// Returns the status code of a response head.
 pub fn status(head: &str) -> u16 {
     head.split(' ').nth(1).expect("a status").parse().unwrap()
 }
 
-/// Value of a header.
+/// Returns the value of a header.
 pub fn header(head: &str, name: &str) -> Option<String> {
     let mut lines = head.lines().skip(1);
     lines.find_map(|line| {
@@ -120,9 +122,9 @@
 
 /// Waits until a condition holds.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < until, "never happened: {what}");
+        assert!(Instant::now() < until, "timed out waiting: {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
--- a/crates/millpass-telemetry/src/bounded_writer.rs
+++ b/crates/millpass-telemetry/src/bounded_writer.rs
@@ -1,7 +1,7 @@
-//! A writer that never waits: lines go through a bounded queue to a thread of their own.
+//! A non-blocking line writer: a background thread writes lines from a bounded queue.
 //!
-//! What does not fit the queue is dropped and counted; the count is written as a line of its own once
-//! the destination takes lines again.
+//! Lines that do not fit into the queue are dropped. Their number is logged once the destination
+//! accepts lines again.
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use std::io::{self, Write};
@@ -10,29 +10,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that may wait.
+/// Capacity of the queue.
 const QUEUE_LINES: usize = 2_048;
-/// Stack of the writing thread, in bytes.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// Longest wait of a flush for lines to be written. A destination that takes none must not keep a process that is about
-/// to end: whoever starts ended processes again sees none.
-const FLUSH_WAIT: Duration = Duration::from_millis(200);
-/// Pause between two looks at what is written.
-const FLUSH_LOOK: Duration = Duration::from_millis(2);
+/// Limit of a flush, so that a blocked destination cannot keep a process from exiting.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Hands whole lines to a thread that writes them.
+/// Passes complete lines to a thread that writes them to the destination.
 pub struct BoundedWriter {
     queue: Sender<Vec<u8>>,
     line: Vec<u8>,
     dropped: Arc<AtomicU64>,
     queued: u64,
-    /// Lines that the thread is done with.
+    /// Lines that the thread has written or dropped.
     done: Arc<AtomicU64>,
 }
 
 impl BoundedWriter {
-    /// Starts the writing thread.
+    /// Starts the thread that writes to `destination`.
     pub fn start(destination: impl Write + Send + 'static) -> io::Result<BoundedWriter> {
         let (queue, lines) = bounded(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -70,46 +67,47 @@
         Ok(bytes.len())
     }
 
-    /// Waits until what was queued is written, for a bounded time.
+    /// Waits until all queued lines are written; fails with `TimedOut` after a bounded time.
     fn flush(&mut self) -> io::Result<()> {
-        let until = Instant::now() + FLUSH_WAIT;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         while self.done.load(Ordering::Acquire) < self.queued {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            thread::sleep(FLUSH_LOOK);
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
         Ok(())
     }
 }
 
-/// What the writing thread counts.
+/// Counters of the writing thread.
 struct Counts {
-    /// Lines lost since the last line that said so.
+    /// Lines dropped since the last report.
     dropped: Arc<AtomicU64>,
-    /// Lines written, or lost by a destination that refused them.
+    /// Lines written, or dropped because the destination failed.
     done: Arc<AtomicU64>,
 }
 
-/// Writes all lines that wait at once; ends when the other end is dropped.
+/// Writes queued lines in batches until the sender is dropped.
 fn write_lines(mut destination: impl Write, lines: &Receiver<Vec<u8>>, counts: &Counts) {
     while let Ok(first) = lines.recv() {
-        let mut text = first;
+        let mut batch = first;
         let mut count = 1;
         while let Ok(line) = lines.try_recv() {
-            text.extend_from_slice(&line);
+            batch.extend_from_slice(&line);
             count += 1;
         }
-        let lost = counts.dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            text.extend_from_slice(format!("event=log_lines_dropped lines={lost}\n").as_bytes());
+        let dropped = counts.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            batch
+                .extend_from_slice(format!("event=log_lines_dropped lines={dropped}\n").as_bytes());
         }
         let written = destination
-            .write_all(&text)
+            .write_all(&batch)
             .and_then(|()| destination.flush());
         if written.is_err() {
-            // Said once it takes lines again: there is no other place for it.
-            counts.dropped.fetch_add(lost + count, Ordering::Relaxed);
+            // Reported with the next successful write.
+            counts.dropped.fetch_add(dropped + count, Ordering::Relaxed);
         }
         counts.done.fetch_add(count, Ordering::Release);
     }
--- a/crates/millpass-telemetry/src/hang_watch.rs
+++ b/crates/millpass-telemetry/src/hang_watch.rs
@@ -1,4 +1,4 @@
-//! Notices that a thread which a process cannot do without makes no more progress.
+//! Detects that a critical thread no longer makes progress.
 
 use std::io;
 use std::sync::Arc;
@@ -6,18 +6,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time between two looks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Looks in a row without progress after which a thread counts as hanging. They are counted, not the time: a process that
-/// is stopped or gets no processor looks as seldom as it works. The watched threads come round every 5 ms and every second.
+/// Consecutive checks without progress after which a thread counts as hung. Checks are counted
+/// instead of time, so that a stopped or starved process is not taken for a hung one.
 const HANG_CHECKS: u32 = 15;
 
-/// Counts the rounds of a thread.
+/// Counts the loop iterations of a thread.
 #[derive(Clone, Debug, Default)]
 pub struct Heartbeat(Arc<AtomicU64>);
 
 impl Heartbeat {
-    /// The thread has come round.
+    /// Records an iteration.
     pub fn beat(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
@@ -27,7 +26,7 @@
     }
 }
 
-/// Counts looks without progress.
+/// Counts consecutive checks without progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HangDetector {
     last: Option<u64>,
@@ -35,19 +34,20 @@
 }
 
 impl HangDetector {
-    /// Takes the count of rounds; whether the thread hangs.
-    pub fn check(&mut self, rounds: u64) -> bool {
-        if self.last == Some(rounds) {
+    /// Takes the current number of iterations and returns whether the thread is hung.
+    pub fn check(&mut self, iterations: u64) -> bool {
+        if self.last == Some(iterations) {
             self.without_progress += 1;
         } else {
-            self.last = Some(rounds);
+            self.last = Some(iterations);
             self.without_progress = 0;
         }
         self.without_progress >= HANG_CHECKS
     }
 }
 
-/// Starts a thread that calls back once, when the other makes no progress. It must not wait for that one.
+/// Starts a thread that calls `on_hang` once if the thread behind `heartbeat` hangs. The callback must
+/// not wait for that thread.
 pub fn watch_for_hang(
     heartbeat: Heartbeat,
     on_hang: impl FnOnce() + Send + 'static,
--- a/crates/millpass-telemetry/src/lib.rs
+++ b/crates/millpass-telemetry/src/lib.rs
@@ -1,5 +1,4 @@
-//! Structured logs (one line of key=value pairs per event), Prometheus metrics, and the clocks of
-//! a process.
+//! Structured logs (one line of key=value pairs per event), Prometheus metrics and process clocks.
 
 mod bounded_writer;
 mod clock;
--- a/crates/millpass-telemetry/src/logging.rs
+++ b/crates/millpass-telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! The process's logger: `simplelog` writes each record as one line of key=value pairs.
+//! Process logger: each record becomes one line of key=value pairs.
 
 use crate::bounded_writer::BoundedWriter;
 use crate::event_line;
@@ -7,52 +7,52 @@
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Name of the destination that stands for standard output.
+/// Value of `file` that selects standard output.
 const STANDARD_OUTPUT: &str = "-";
 
-/// Where logs go and from which level on.
+/// Log destination and level.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// Least severe level written.
+    /// Lowest severity that is logged.
     pub level: String,
-    /// File to append to; empty for standard error, `-` for standard output. A thread of its own writes it: nothing waits
-    /// for a reader or a disk.
+    /// File to append to; empty for standard error, `-` for standard output. It is written by a
+    /// background thread.
     pub file: String,
 }
 
-/// Why logging could not start.
+/// Error starting the logger.
 #[derive(Debug, thiserror::Error)]
 pub enum TelemetryError {
-    /// The level is not known.
+    /// Unknown log level.
     #[error("log level {0:?} is not known; write one of off, error, warn, info, debug")]
     UnknownLevel(String),
-    /// The file cannot be written.
+    /// Opening the log file or starting its thread failed.
     #[error("log file {file}: {source}; check the path and its permissions")]
     File {
-        /// File.
+        /// Path from the settings.
         file: String,
-        /// Cause.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// Logging was started before in this process.
-    #[error("logging was started before in this process; start it once")]
+    /// A logger is already set in this process.
+    #[error("logging is already started in this process; start it once")]
     AlreadyStarted,
 }
 
-/// Starts the process's logger. Call once.
+/// Starts the process logger. Must be called once only.
 pub fn start_logging(settings: &LogSettings) -> Result<(), TelemetryError> {
     let level: LevelFilter = settings
         .level
         .parse()
         .map_err(|_| TelemetryError::UnknownLevel(settings.level.clone()))?;
-    let writer = WriteLogger::new(level, undecorated(), destination(&settings.file)?);
+    let writer = WriteLogger::new(level, unprefixed_config(), destination(&settings.file)?);
     log::set_max_level(level);
     log::set_boxed_logger(Box::new(EventLogger { writer }))
         .map_err(|_| TelemetryError::AlreadyStarted)
 }
 
 fn destination(file: &str) -> Result<Box<dyn Write + Send>, TelemetryError> {
-    let failed = |source| TelemetryError::File {
+    let file_error = |source| TelemetryError::File {
         file: file.to_owned(),
         source,
     };
@@ -65,11 +65,11 @@
             .open(file)
             .and_then(BoundedWriter::start),
     };
-    Ok(Box::new(writer.map_err(failed)?))
+    Ok(Box::new(writer.map_err(file_error)?))
 }
 
-/// The writer adds nothing of its own: time and level become pairs of the line.
-fn undecorated() -> Config {
+/// Returns a configuration without prefixes: time and level are written as pairs of the line.
+fn unprefixed_config() -> Config {
     ConfigBuilder::new()
         .set_time_level(LevelFilter::Off)
         .set_max_level(LevelFilter::Off)
@@ -92,8 +92,8 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let line = line_of(record);
-        // The arguments must live as long as the record, hence one expression.
+        let line = format_line(record);
+        // A single expression, as `format_args!` borrows until the record is logged.
         self.writer.log(
             &Record::builder()
                 .metadata(record.metadata().clone())
@@ -107,13 +107,13 @@
     }
 }
 
-fn line_of(record: &Record<'_>) -> String {
+fn format_line(record: &Record<'_>) -> String {
     let unix_millis = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_millis());
     let level = record.level().as_str().to_ascii_lowercase();
     let message = record.args().to_string();
-    // A record that is no event line yet (a library's) becomes one.
+    // Records of third-party libraries are wrapped in an event.
     let event = if message.starts_with("event=") {
         message.replace('\n', "\\n")
     } else {
--- a/crates/millpass-telemetry/src/metrics.rs
+++ b/crates/millpass-telemetry/src/metrics.rs
@@ -2,13 +2,13 @@
 
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// A registry whose metric names all start with `millpass_`.
+/// Creates a registry that prefixes metric names with `millpass_`.
 pub fn registry() -> Registry {
-    // Only an empty prefix is refused.
+    // Only fails for an empty prefix.
     Registry::new_custom(Some("millpass".to_owned()), None).unwrap_or_default()
 }
 
-/// The registry's metrics as Prometheus text.
+/// Encodes the registry's metrics in the Prometheus text format; empty if encoding fails.
 pub fn exposition(registry: &Registry) -> String {
     let mut text = Vec::new();
     if TextEncoder::new()
--- a/crates/millpass-telemetry/src/suspension.rs
+++ b/crates/millpass-telemetry/src/suspension.rs
@@ -1,38 +1,38 @@
-//! Notices that the machine was suspended.
+//! Detects suspensions of the machine.
 
 use crate::clock::{boot_time, monotonic_time};
 use std::time::Duration;
 
-/// Shortest suspension that is told; the two clocks are read one after the other.
-const SHORTEST: Duration = Duration::from_millis(50);
+/// Shortest suspension that is reported, as the two clocks are not read at the same instant.
+const MINIMUM_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Compares the clock that counts suspensions with the one that does not.
+/// Compares the clock that includes time in suspension with the one that excludes it.
 #[derive(Debug)]
 pub struct SuspensionDetector {
-    /// How far the one is ahead of the other.
-    ahead: Duration,
+    /// Last seen difference of the clocks.
+    offset: Duration,
 }
 
 impl Default for SuspensionDetector {
     fn default() -> Self {
-        // Read first, so that the start of the other does not look like a suspension.
-        let awake = monotonic_time();
+        // Read first, so that its initialization does not count as a suspension.
+        let monotonic = monotonic_time();
         SuspensionDetector {
-            ahead: boot_time().saturating_sub(awake),
+            offset: boot_time().saturating_sub(monotonic),
         }
     }
 }
 
 impl SuspensionDetector {
-    /// How long the machine was suspended since the last look, if it was.
+    /// Returns how long the machine was suspended since the last check, or `None` if it was not.
     pub fn check(&mut self) -> Option<Duration> {
-        let awake = monotonic_time();
-        let ahead = boot_time().saturating_sub(awake);
-        let suspended = ahead.saturating_sub(self.ahead);
-        if suspended < SHORTEST {
+        let monotonic = monotonic_time();
+        let offset = boot_time().saturating_sub(monotonic);
+        let suspended = offset.saturating_sub(self.offset);
+        if suspended < MINIMUM_SUSPENSION {
             return None;
         }
-        self.ahead = ahead;
+        self.offset = offset;
         Some(suspended)
     }
 }
--- a/crates/millpass-telemetry/tests/bounded_writer.rs
+++ b/crates/millpass-telemetry/tests/bounded_writer.rs
@@ -1,19 +1,19 @@
-//! Log lines through a bounded queue.
+//! Tests of the non-blocking log writer.
 
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use millpass_telemetry::BoundedWriter;
 use std::io::{self, Write};
 
-/// More lines than the queue holds.
+/// More lines than the queue can hold.
 const MANY_LINES: usize = 5_000;
 
-/// A destination that takes nothing until it is allowed to.
-struct Gate {
+/// A destination that blocks until it is released.
+struct BlockingDestination {
     allowed: Receiver<()>,
     taken: Sender<Vec<u8>>,
 }
 
-impl Write for Gate {
+impl Write for BlockingDestination {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.allowed.recv();
         let _ = self.taken.send(bytes.to_vec());
@@ -25,16 +25,16 @@
     }
 }
 
-/// Were a write to wait for the destination, this test would never end.
+/// Guards against writes that block on the destination, and against uncounted lost lines.
 #[test]
-fn a_reader_that_stops_reading_stops_no_writer_and_learns_what_was_lost() {
+fn a_blocked_destination_does_not_block_writes_and_lost_lines_are_counted() {
     let (allow, allowed) = bounded::<()>(0);
     let (taken, lines) = unbounded();
-    let mut writer = BoundedWriter::start(Gate { allowed, taken }).expect("thread");
+    let mut writer = BoundedWriter::start(BlockingDestination { allowed, taken }).expect("thread");
     for line in 0..MANY_LINES {
         writeln!(writer, "event=test line={line}").expect("never fails");
     }
-    // From now on the destination takes everything.
+    // The destination accepts everything from here on.
     drop(allow);
     drop(writer);
     let text: Vec<u8> = lines.iter().flatten().collect();
@@ -52,12 +52,12 @@
     assert_eq!(written + lost, MANY_LINES, "every lost line is counted");
 }
 
-/// The end of a process waits for its log: for a reader that takes it, and not for one that does not.
+/// Guards against an exit that loses log lines, or that hangs on a blocked destination.
 #[test]
-fn a_flush_waits_for_what_is_taken_and_not_for_what_is_not() {
+fn a_flush_waits_for_pending_lines_and_times_out_on_a_blocked_destination() {
     let (allow, allowed) = bounded::<()>(0);
     let (taken, lines) = unbounded();
-    let mut writer = BoundedWriter::start(Gate { allowed, taken }).expect("thread");
+    let mut writer = BoundedWriter::start(BlockingDestination { allowed, taken }).expect("thread");
     writeln!(writer, "event=test").expect("never fails");
     writer.flush().expect_err("nobody takes it");
     drop(allow);
@@ -65,16 +65,16 @@
     assert_eq!(lines.try_iter().count(), 1);
 }
 
-/// A destination that refuses lines, as a full disk does, and takes them later.
-struct Refusing {
-    refused: usize,
+/// A destination that fails at first, as a full disk does, and accepts lines later.
+struct FailingDestination {
+    failures: usize,
     taken: Sender<Vec<u8>>,
 }
 
-impl Write for Refusing {
+impl Write for FailingDestination {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if self.refused > 0 {
-            self.refused -= 1;
+        if self.failures > 0 {
+            self.failures -= 1;
             return Err(io::ErrorKind::StorageFull.into());
         }
         let _ = self.taken.send(bytes.to_vec());
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn lines_that_a_destination_refuses_are_counted() {
+fn lines_lost_to_a_failed_write_are_counted() {
     let (taken, lines) = unbounded();
-    let destination = Refusing { refused: 1, taken };
+    let destination = FailingDestination { failures: 1, taken };
     let mut writer = BoundedWriter::start(destination).expect("thread");
     writeln!(writer, "event=refused").expect("never fails");
     writer.flush().expect("done with");
--- a/crates/millpass-telemetry/tests/events.rs
+++ b/crates/millpass-telemetry/tests/events.rs
@@ -1,4 +1,4 @@
-//! The form of log lines and metrics.
+//! Tests of the format of log lines and metrics.
 
 use millpass_telemetry::{LogSettings, event_line, exposition, registry, start_logging};
 use rstest::rstest;
--- a/crates/millpass-telemetry/tests/hang_watch.rs
+++ b/crates/millpass-telemetry/tests/hang_watch.rs
@@ -1,20 +1,20 @@
-//! When a thread counts as hanging.
+//! Tests of hang detection.
 
 use millpass_telemetry::{HangDetector, Heartbeat, watch_for_hang};
 
-/// More looks than any pause of a thread that works takes.
+/// Far more checks than the detector tolerates without progress.
 const MANY_CHECKS: u64 = 1_000;
 
 #[test]
-fn a_thread_that_comes_round_now_and_then_does_not_hang() {
+fn a_thread_that_progresses_slowly_is_not_hung() {
     let mut detector = HangDetector::default();
-    for look in 0..MANY_CHECKS {
-        assert!(!detector.check(look / 10), "look {look}");
+    for check in 0..MANY_CHECKS {
+        assert!(!detector.check(check / 10), "check {check}");
     }
 }
 
 #[test]
-fn a_thread_without_progress_hangs_after_some_looks_and_not_before() {
+fn a_thread_without_progress_is_hung_after_fifteen_checks() {
     let mut detector = HangDetector::default();
     let first = (0..MANY_CHECKS).position(|_| detector.check(7));
     assert_eq!(first, Some(15));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_watch_can_be_started() {
+fn the_watch_thread_starts() {
     let heartbeat = Heartbeat::default();
     heartbeat.beat();
     watch_for_hang(heartbeat, || {}).expect("thread");
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,5 +1,5 @@
-//! Maintenance tasks. `cargo xtask generate` writes the generated code; `cargo xtask check` fails
-//! when the committed code is not what the schema gives.
+//! Maintenance tasks. `cargo xtask generate` writes the generated files; `cargo xtask check` fails if
+//! the committed files differ from the generator's output.
 
 mod messages;
 mod settings;
@@ -7,11 +7,11 @@
 use anyhow::{Context, Result, bail};
 use std::path::{Path, PathBuf};
 
-/// A generated file: its path from the workspace root, and its content.
+/// A generated file.
 pub struct GeneratedFile {
-    /// Path from the workspace root.
+    /// Path relative to the workspace root.
     pub path: PathBuf,
-    /// Whole content.
+    /// Content.
     pub content: String,
 }
 
@@ -40,10 +40,10 @@
 
 fn check_all(root: &Path, files: &[GeneratedFile]) -> Result<()> {
     for file in files {
-        let found = std::fs::read_to_string(root.join(&file.path)).unwrap_or_default();
-        if found != file.content {
+        let committed = std::fs::read_to_string(root.join(&file.path)).unwrap_or_default();
+        if committed != file.content {
             bail!(
-                "{} is not current: run `cargo xtask generate` and commit",
+                "{} is out of date: run `cargo xtask generate` and commit",
                 file.path.display()
             );
         }
--- a/xtask/src/messages.rs
+++ b/xtask/src/messages.rs
@@ -13,7 +13,7 @@
     "//! Message types. Generated from `schema/*.yaml` by `cargo xtask generate`; do not edit.\n\n";
 const DERIVES: [&str; 6] = ["Clone", "Debug", "PartialEq", "Eq", "PartialOrd", "Ord"];
 
-/// One type of the schema.
+/// A type definition of the schema.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TypeDefinition {
@@ -23,7 +23,7 @@
     variants: Option<Vec<(String, Option<TypeExpression>, String)>>,
 }
 
-/// A type as written in the schema.
+/// A type expression of the schema.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum TypeExpression {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads every schema file and renders the Rust module.
+/// Generates the Rust module from all message schemas.
 pub fn generate(schema: &Path) -> Result<GeneratedFile> {
     let definitions = read_definitions(schema)?;
     let mut registry = Registry::new();
--- a/xtask/src/settings.rs
+++ b/xtask/src/settings.rs
@@ -1,4 +1,4 @@
-//! Generates the settings types, their key tables, the reference and the templates from
+//! Generates settings types, key tables, reference documentation and templates from
 //! `schema/settings.yaml`.
 
 use crate::GeneratedFile;
@@ -11,7 +11,7 @@
 
 const HEADER: &str = "//! Settings types. Generated from `schema/settings.yaml` by `cargo xtask generate`; do not edit.\n\n";
 
-/// One settings file.
+/// A settings file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileDefinition {
@@ -20,7 +20,7 @@
     sections: Vec<SectionDefinition>,
 }
 
-/// One section, or list of tables.
+/// A section: a table or an array of tables.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SectionDefinition {
@@ -31,7 +31,7 @@
     keys: Vec<KeyDefinition>,
 }
 
-/// One key.
+/// A settings key.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct KeyDefinition {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The default as TOML source.
+    /// Returns the default as TOML source.
     fn default_toml(&self) -> String {
         match self.kind.as_str() {
             "integer" => self.default_text(),
@@ -68,7 +68,9 @@
     fn range_text(&self) -> String {
         match (self.minimum, self.maximum) {
             (Some(minimum), Some(maximum)) => match &self.round {
-                Some(side) => format!("{minimum} to {maximum}; a fraction is rounded {side}"),
+                Some(direction) => {
+                    format!("{minimum} to {maximum}; a fraction is rounded {direction}")
+                }
                 None => format!("{minimum} to {maximum}"),
             },
             _ if !self.choices.is_empty() => self.choices.join(", "),
@@ -77,7 +79,7 @@
     }
 }
 
-/// Reads the settings schema and renders everything that comes from it.
+/// Generates all files derived from the settings schema.
 pub fn generate(schema: &Path) -> Result<Vec<GeneratedFile>> {
     let path = schema.join("settings.yaml");
     let text = std::fs::read_to_string(&path).context("read schema/settings.yaml")?;
@@ -101,7 +103,7 @@
     Ok(generated)
 }
 
-fn camel(name: &str) -> String {
+fn to_camel_case(name: &str) -> String {
     let mut chars = name.chars();
     match chars.next() {
         Some(first) => first.to_uppercase().collect::<String>() + chars.as_str(),
@@ -127,7 +129,11 @@
 }
 
 fn section_type(file: &FileDefinition, section: &SectionDefinition) -> proc_macro2::Ident {
-    format_ident!("{}{}Section", camel(&file.name), camel(&section.name))
+    format_ident!(
+        "{}{}Section",
+        to_camel_case(&file.name),
+        to_camel_case(&section.name)
+    )
 }
 
 fn section_struct(file: &FileDefinition, section: &SectionDefinition) -> Result<TokenStream> {
@@ -164,7 +170,7 @@
 }
 
 fn file_struct(file: &FileDefinition) -> TokenStream {
-    let name = format_ident!("{}Settings", camel(&file.name));
+    let name = format_ident!("{}Settings", to_camel_case(&file.name));
     let doc = format!(" {}", file.doc);
     let fields = file.sections.iter().map(|section| {
         let field = format_ident!("{}", section.name);
@@ -239,9 +245,9 @@
 fn reference(files: &[FileDefinition]) -> String {
     let mut page = String::from(
         "# Settings\n\nGenerated from `schema/settings.yaml` by `cargo xtask generate`; do not edit. \
-         Files are TOML. `millpass check FILE` checks one and names each wrong key with its remedy.\n\n\
-         Where a fraction is allowed it is rounded to the side on which nothing is promised that it does not bear; such a \
-         key in milliseconds also takes a text with a unit, `\"10.5 s\"` or `\"250 ms\"`.\n",
+         Settings files are TOML. `millpass check FILE` checks a file and reports each invalid key with its remedy.\n\n\
+         Keys that accept fractions round them in the direction shown, which is the conservative one. Such keys in \
+         milliseconds also accept a string with a unit, such as `\"10.5 s\"` or `\"250 ms\"`.\n",
     );
     for file in files {
         let _ = write!(page, "\n## {}\n\n{}\n", file.name, file.doc);
