--- a/crates/millpass-control/src/administration/failure.rs
+++ b/crates/millpass-control/src/administration/failure.rs
@@ -59,7 +59,7 @@
     }
 
     pub(crate) fn method_not_allowed(allowed: &'static str) -> Self {
-        let message = "this path does not take this method";
+        let message = "method not allowed for this path";
         let remedy = format!("use {allowed}");
         Failure {
             allowed_methods: Some(allowed),
@@ -138,7 +138,8 @@
 
     /// It is unknown whether the change was or will be made.
     pub(crate) fn outcome_unknown(resend: &str) -> Self {
-        let message = "no answer of a majority in time; it may have been done or may yet be";
+        let message =
+            "no response from a majority in time; the call may have been or may still be executed";
         Failure::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "outcome_unknown",
--- a/crates/millpass-control/src/administration/operations.rs
+++ b/crates/millpass-control/src/administration/operations.rs
@@ -26,9 +26,9 @@
 const BOOTSTRAP_RESEND_RECORDS: usize = millpass_state::MAXIMUM_REMEMBERED_CHANGES / 2;
 /// Remedy when the outcome of a change of an object is unknown.
 const RESEND_CHANGE: &str =
-    "resend it with the same change id until it is answered; it takes effect once at most";
+    "resend it with the same change id until it succeeds; it takes effect at most once";
 /// Remedy when the outcome of a call without change id is unknown; such calls are idempotent.
-const RESEND_CALL: &str = "send it again until it is answered; a repeat does no harm";
+const RESEND_CALL: &str = "resend it until it succeeds; the call is idempotent";
 
 /// Executes the route on behalf of the caller.
 pub(crate) fn execute(
@@ -272,7 +272,7 @@
         AdministrationResponse::NotLeader { leader_address } => Failure::not_leader(leader_address),
         AdministrationResponse::Unknown => Failure::outcome_unknown(RESEND_CALL),
         AdministrationResponse::Busy => {
-            Failure::busy("too many changes are under way; none was done")
+            Failure::busy("too many calls are in progress; nothing was done")
         }
         AdministrationResponse::Refused(reason) => Failure::busy(reason),
         _ => Failure::internal("the core returned a response of another type"),
--- a/crates/millpass-control/src/error.rs
+++ b/crates/millpass-control/src/error.rs
@@ -23,7 +23,7 @@
     },
     /// The data folder belongs to another group.
     #[error(
-        "the data folder belongs to group {found}, the settings say {wanted}; correct \
+        "the data folder belongs to group {found}, but the settings name group {wanted}; correct \
          `member.group` or use another folder"
     )]
     WrongGroup {
--- a/crates/millpass-control/tests/administration_api.rs
+++ b/crates/millpass-control/tests/administration_api.rs
@@ -26,9 +26,9 @@
     let fixture = Fixture::with_operators();
     fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", tenant(1));
     for path in ["/v1/status", "/v1/tenants", "/v1/audit", "/v1/operators"] {
-        let answer = fixture.send("GET", path, key, b"");
-        assert_eq!((answer.status, answer.kind()), (401, "unauthenticated"));
-        assert!(answer.detail("remedy").as_str().unwrap().contains("key"));
+        let response = fixture.send("GET", path, key, b"");
+        assert_eq!((response.status, response.kind()), (401, "unauthenticated"));
+        assert!(response.detail("remedy").as_str().unwrap().contains("key"));
     }
 }
 
@@ -73,8 +73,8 @@
         _ => json!({"expected_version": 0, "change_id": "c", "spec": tenant(1)}),
     };
     let revision = fixture.group.revision();
-    let answer = fixture.send(method, path, Some(key), body.to_string().as_bytes());
-    assert_eq!(answer.status, expected, "{answer:?}");
+    let response = fixture.send(method, path, Some(key), body.to_string().as_bytes());
+    assert_eq!(response.status, expected, "{response:?}");
     if expected == 403 {
         assert_eq!(fixture.group.revision(), revision);
     }
@@ -86,17 +86,17 @@
     let first = operator(ADMINISTRATOR_KEY, "Administrator");
     let path = "/v1/operators/ada";
     let viewer = operator(VIEWER_KEY, "Viewer");
-    let answer = fixture.put(path, BOOTSTRAP_KEY, 0, "c0", viewer);
-    assert_eq!(answer.status, 422, "no administrator would be left");
+    let response = fixture.put(path, BOOTSTRAP_KEY, 0, "c0", viewer);
+    assert_eq!(response.status, 422, "no administrator would be left");
     let accepted = fixture.put(path, BOOTSTRAP_KEY, 0, "c1", first.clone());
     assert_eq!(accepted.status, 200, "{accepted:?}");
     let resent = fixture.put(path, BOOTSTRAP_KEY, 0, "c1", first.clone());
     assert_eq!((resent.status, &resent.body), (200, &accepted.body));
     let other_content = operator("another-key", "Administrator");
-    let answer = fixture.put(path, BOOTSTRAP_KEY, 0, "c1", other_content);
-    assert_eq!(answer.status, 422, "{answer:?}");
-    let answer = fixture.put("/v1/operators/eve", BOOTSTRAP_KEY, 0, "c2", first);
-    assert_eq!(answer.status, 401, "{answer:?}");
+    let response = fixture.put(path, BOOTSTRAP_KEY, 0, "c1", other_content);
+    assert_eq!(response.status, 422, "{response:?}");
+    let response = fixture.put("/v1/operators/eve", BOOTSTRAP_KEY, 0, "c2", first);
+    assert_eq!(response.status, 401, "{response:?}");
     assert_eq!(fixture.group.revision(), 1);
 }
 
@@ -104,16 +104,16 @@
 fn the_last_administrator_cannot_be_removed() {
     let fixture = Fixture::with_operators();
     let delete = "/v1/operators/ada?expected_version=1&change_id=c1";
-    let answer = fixture.send("DELETE", delete, Some(ADMINISTRATOR_KEY), b"");
-    assert_eq!(answer.status, 422, "{answer:?}");
+    let response = fixture.send("DELETE", delete, Some(ADMINISTRATOR_KEY), b"");
+    assert_eq!(response.status, 422, "{response:?}");
     let demoted = operator(ADMINISTRATOR_KEY, "Editor");
-    let answer = fixture.put("/v1/operators/ada", ADMINISTRATOR_KEY, 1, "c2", demoted);
-    assert_eq!(answer.status, 422, "{answer:?}");
+    let response = fixture.put("/v1/operators/ada", ADMINISTRATOR_KEY, 1, "c2", demoted);
+    assert_eq!(response.status, 422, "{response:?}");
     let second = operator("second-key", "Administrator");
-    let answer = fixture.put("/v1/operators/bea", ADMINISTRATOR_KEY, 0, "c3", second);
-    assert_eq!(answer.status, 200, "{answer:?}");
-    let answer = fixture.send("DELETE", delete, Some(ADMINISTRATOR_KEY), b"");
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = fixture.put("/v1/operators/bea", ADMINISTRATOR_KEY, 0, "c3", second);
+    assert_eq!(response.status, 200, "{response:?}");
+    let response = fixture.send("DELETE", delete, Some(ADMINISTRATOR_KEY), b"");
+    assert_eq!(response.status, 200, "{response:?}");
     assert_eq!(fixture.get("/v1/status", ADMINISTRATOR_KEY).status, 401);
 }
 
@@ -162,9 +162,13 @@
 )]
 fn a_malformed_body_changes_nothing(#[case] body: &[u8], #[case] status: u16, #[case] kind: &str) {
     let fixture = Fixture::with_operators();
-    let answer = fixture.send("PUT", "/v1/tenants/north", Some(EDITOR_KEY), body);
-    assert_eq!((answer.status, answer.kind()), (status, kind), "{answer:?}");
-    assert!(!answer.detail("remedy").as_str().unwrap().is_empty());
+    let response = fixture.send("PUT", "/v1/tenants/north", Some(EDITOR_KEY), body);
+    assert_eq!(
+        (response.status, response.kind()),
+        (status, kind),
+        "{response:?}"
+    );
+    assert!(!response.detail("remedy").as_str().unwrap().is_empty());
     assert!(fixture.group.object(ObjectKind::Tenant, "north").is_none());
 }
 
@@ -173,9 +177,9 @@
     let fixture = Fixture::with_operators();
     let mut spec = tenant(1);
     spec["share_wieght"] = json!(2);
-    let answer = fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", spec);
-    assert_eq!(answer.status, 422);
-    let message = answer.detail("message").as_str().unwrap();
+    let response = fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", spec);
+    assert_eq!(response.status, 422);
+    let message = response.detail("message").as_str().unwrap();
     assert!(message.contains("share_wieght"), "{message}");
 }
 
@@ -187,8 +191,8 @@
         let nested = format!("{}{}", "[".repeat(depth), "]".repeat(depth));
         let body = format!(r#"{{"expected_version":0,"change_id":"c","spec":{nested}}}"#);
         let path = "/v1/tenants/north";
-        let answer = fixture.send("PUT", path, Some(EDITOR_KEY), body.as_bytes());
-        assert!([400, 422].contains(&answer.status), "{answer:?}");
+        let response = fixture.send("PUT", path, Some(EDITOR_KEY), body.as_bytes());
+        assert!([400, 422].contains(&response.status), "{response:?}");
     }
     assert_eq!(fixture.get("/v1/tenants", VIEWER_KEY).status, 200);
 }
@@ -206,9 +210,9 @@
         limit + 1
     );
     caller.write_all(head.as_bytes()).unwrap();
-    let mut answer = [0; 12];
-    caller.read_exact(&mut answer).unwrap();
-    assert_eq!(&answer, b"HTTP/1.1 413");
+    let mut response = [0; 12];
+    caller.read_exact(&mut response).unwrap();
+    assert_eq!(&response, b"HTTP/1.1 413");
     let sent = change(0, "c1", Value::String("x".repeat(limit)));
     let ended = fixture
         .client(EDITOR_KEY)
@@ -234,8 +238,12 @@
     #[case] kind: &str,
 ) {
     let fixture = Fixture::with_operators();
-    let answer = fixture.send(method, path, Some(ADMINISTRATOR_KEY), b"{}");
-    assert_eq!((answer.status, answer.kind()), (status, kind), "{answer:?}");
+    let response = fixture.send(method, path, Some(ADMINISTRATOR_KEY), b"{}");
+    assert_eq!(
+        (response.status, response.kind()),
+        (status, kind),
+        "{response:?}"
+    );
 }
 
 #[test]
@@ -251,20 +259,20 @@
     let accepted = fixture.put(path, EDITOR_KEY, 0, "c1", policy("true", true));
     assert_eq!(accepted.status, 200, "{accepted:?}");
     let broken = policy("tenant == 'a' &&\n  model ==", true);
-    let answer = fixture.put(path, EDITOR_KEY, 1, "c2", broken);
-    assert_eq!((answer.status, answer.kind()), (422, "policy_rejected"));
-    assert_eq!(answer.detail("program"), "allow");
-    assert_eq!(answer.detail("line"), 2, "{answer:?}");
+    let response = fixture.put(path, EDITOR_KEY, 1, "c2", broken);
+    assert_eq!((response.status, response.kind()), (422, "policy_rejected"));
+    assert_eq!(response.detail("program"), "allow");
+    assert_eq!(response.detail("line"), 2, "{response:?}");
     assert!(
-        answer
+        response
             .detail("remedy")
             .as_str()
             .unwrap()
             .contains("in force")
     );
     let wrong_example = policy("tenant == 'b'", true);
-    let answer = fixture.put(path, EDITOR_KEY, 1, "c3", wrong_example);
-    assert_eq!((answer.status, answer.kind()), (422, "policy_rejected"));
+    let response = fixture.put(path, EDITOR_KEY, 1, "c3", wrong_example);
+    assert_eq!((response.status, response.kind()), (422, "policy_rejected"));
     let stored = fixture.group.object(ObjectKind::Policy, "open").unwrap();
     assert_eq!(stored["allow"], "true");
 }
@@ -274,11 +282,11 @@
     let fixture = Fixture::with_operators();
     let mut spec = tenant(1);
     spec["api_key_hashes"] = json!(["tenant-key"]);
-    let answer = fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", spec);
-    assert_eq!(answer.status, 422);
+    let response = fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", spec);
+    assert_eq!(response.status, 422);
     let spec = json!({"key_hash": "K".repeat(64), "role": "Viewer"});
-    let answer = fixture.put("/v1/operators/eve", ADMINISTRATOR_KEY, 0, "c2", spec);
-    assert_eq!(answer.status, 422);
+    let response = fixture.put("/v1/operators/eve", ADMINISTRATOR_KEY, 0, "c2", spec);
+    assert_eq!(response.status, 422);
 }
 
 #[test]
@@ -287,9 +295,9 @@
     let spec = json!({
         "model": "m", "label": "1", "weights_bytes": 1, "cache_bytes": 0, "checkpoint": "c",
     });
-    let answer = fixture.put("/v1/versions/m@1", EDITOR_KEY, 0, "c1", spec);
-    assert_eq!(answer.status, 422);
-    let message = answer.detail("message").as_str().unwrap_or_default();
+    let response = fixture.put("/v1/versions/m@1", EDITOR_KEY, 0, "c1", spec);
+    assert_eq!(response.status, 422);
+    let message = response.detail("message").as_str().unwrap_or_default();
     assert!(message.contains("cache_bytes is 0"), "{message}");
 }
 
@@ -307,10 +315,10 @@
 ) {
     let fixture = Fixture::with_operators();
     fixture.group.inject(fault.clone());
-    let answer = fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", tenant(1));
-    assert_eq!((answer.status, answer.kind()), (status, kind));
-    assert_eq!(answer.retry_after.as_deref(), retry_after);
-    let leader = answer.detail("leader_address").as_str();
+    let response = fixture.put("/v1/tenants/north", EDITOR_KEY, 0, "c1", tenant(1));
+    assert_eq!((response.status, response.kind()), (status, kind));
+    assert_eq!(response.retry_after.as_deref(), retry_after);
+    let leader = response.detail("leader_address").as_str();
     match fault {
         Fault::NotLeader(expected) => assert_eq!(leader, expected.as_deref()),
         _ => assert_eq!(leader, None),
@@ -324,8 +332,8 @@
     fixture.group.inject(Fault::Refused(reason.to_owned()));
     let body = br#"{"state":"asleep"}"#;
     let path = "/v1/backends/e1/state";
-    let answer = fixture.send("PUT", path, Some(ADMINISTRATOR_KEY), body);
-    assert_eq!((answer.status, answer.kind()), (422, "rejected"));
+    let response = fixture.send("PUT", path, Some(ADMINISTRATOR_KEY), body);
+    assert_eq!((response.status, response.kind()), (422, "rejected"));
 }
 
 #[test]
@@ -333,8 +341,8 @@
     let fixture = Fixture::with_operators();
     for number in 0..MANY_CONNECTIONS {
         // A new agent each time, so a new connection.
-        let answer = fixture.get("/v1/tenants", VIEWER_KEY);
-        assert_eq!(answer.status, 200, "connection {number}");
+        let response = fixture.get("/v1/tenants", VIEWER_KEY);
+        assert_eq!(response.status, 200, "connection {number}");
     }
 }
 
@@ -498,6 +506,6 @@
         assert_eq!(&start, b"HTTP/1.1 200", "connection {}", idle.len());
         idle.push(stream);
     }
-    let answer = fixture.send("GET", "/v1/tenants", Some(VIEWER_KEY), b"");
-    assert_eq!(answer.status, 200);
+    let response = fixture.send("GET", "/v1/tenants", Some(VIEWER_KEY), b"");
+    assert_eq!(response.status, 200);
 }
--- a/crates/millpass-control/tests/administration_support/mod.rs
+++ b/crates/millpass-control/tests/administration_support/mod.rs
@@ -157,13 +157,13 @@
 
 /// Response of a raw call.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ApiResponse {
     pub status: u16,
     pub retry_after: Option<String>,
     pub body: Value,
 }
 
-impl Answer {
+impl ApiResponse {
     pub fn kind(&self) -> &str {
         self.body["error"]["kind"].as_str().unwrap_or_default()
     }
@@ -202,7 +202,7 @@
     }
 
     /// Sends a raw request.
-    pub fn send(&self, method: &str, path: &str, key: Option<&str>, body: &[u8]) -> Answer {
+    pub fn send(&self, method: &str, path: &str, key: Option<&str>, body: &[u8]) -> ApiResponse {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None)
@@ -214,24 +214,24 @@
         if let Some(key) = key {
             request = request.header("Authorization", format!("Bearer {key}"));
         }
-        let mut answer = agent.run(request.body(body).unwrap()).unwrap();
-        let retry_after = answer.headers().get("retry-after");
-        Answer {
-            status: answer.status().as_u16(),
+        let mut response = agent.run(request.body(body).unwrap()).unwrap();
+        let retry_after = response.headers().get("retry-after");
+        ApiResponse {
+            status: response.status().as_u16(),
             retry_after: retry_after.map(|value| value.to_str().unwrap().to_owned()),
             body: {
-                let text = answer.body_mut().read_to_string().unwrap();
+                let text = response.body_mut().read_to_string().unwrap();
                 serde_json::from_str(&text).unwrap_or(Value::String(text))
             },
         }
     }
 
-    pub fn get(&self, path: &str, key: &str) -> Answer {
+    pub fn get(&self, path: &str, key: &str) -> ApiResponse {
         self.send("GET", path, Some(key), b"")
     }
 
     /// Submits a change of an object.
-    pub fn put(&self, path: &str, key: &str, version: u64, id: &str, spec: Value) -> Answer {
+    pub fn put(&self, path: &str, key: &str, version: u64, id: &str, spec: Value) -> ApiResponse {
         let body = json!({"expected_version": version, "change_id": id, "spec": spec});
         self.send("PUT", path, Some(key), body.to_string().as_bytes())
     }
--- a/crates/millpass-control/tests/backlog.rs
+++ b/crates/millpass-control/tests/backlog.rs
@@ -68,7 +68,7 @@
         fill(&mut backlog, class);
     }
     for number in 0..100 {
-        backlog.push(Priority::Consensus, number).expect("room");
+        backlog.push(Priority::Consensus, number).expect("capacity");
         assert_eq!(take(&mut backlog), Some((Priority::Consensus, number)));
         let (class, _) = take(&mut backlog).expect("others wait");
         assert_ne!(class, Priority::Consensus);
@@ -79,8 +79,8 @@
 fn a_class_keeps_its_order() {
     let mut backlog = Backlog::default();
     for number in 0..50 {
-        backlog.push(Priority::Reports, number).expect("room");
-        backlog.push(Priority::Credit, number).expect("room");
+        backlog.push(Priority::Reports, number).expect("capacity");
+        backlog.push(Priority::Credit, number).expect("capacity");
     }
     let mut last = [None; 2];
     while let Some((class, number)) = take(&mut backlog) {
@@ -116,7 +116,7 @@
             refill(&mut backlog);
             take(&mut backlog);
         }
-        backlog.push(class, 7).expect("room");
+        backlog.push(class, 7).expect("capacity");
         let mut before = 0;
         loop {
             refill(&mut backlog);
@@ -135,11 +135,11 @@
 fn consensus_does_not_starve_other_classes() {
     let mut backlog = Backlog::default();
     fill(&mut backlog, Priority::Announcements);
-    backlog.push(Priority::Consensus, 0).expect("room");
+    backlog.push(Priority::Consensus, 0).expect("capacity");
     let mut others = 0;
     for _ in 0..10_000 {
-        backlog.push(Priority::Consensus, 0).expect("room");
-        backlog.push(Priority::Consensus, 0).expect("room");
+        backlog.push(Priority::Consensus, 0).expect("capacity");
+        backlog.push(Priority::Consensus, 0).expect("capacity");
         let first = take(&mut backlog).map(|(class, _)| class);
         let second = take(&mut backlog).map(|(class, _)| class);
         for class in [first, second] {
--- a/crates/millpass-control/tests/call_schedule.rs
+++ b/crates/millpass-control/tests/call_schedule.rs
@@ -130,10 +130,10 @@
         let mut in_progress: Vec<String> = Vec::new();
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
         let mut expires_at: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut gone = 0;
+        let mut dropped = 0;
         for act in acts {
             let expired = schedule.take_expired(at(now));
-            gone += expired.len();
+            dropped += expired.len();
             for call in expired {
                 prop_assert!(expires_at.remove(&call).expect("waits") < now);
             }
@@ -143,7 +143,7 @@
                     expires_at.insert(pushed, now + 600);
                     if schedule.push(&peer(number), at(now + 600), pushed).is_err() {
                         expires_at.remove(&pushed);
-                        gone += 1;
+                        dropped += 1;
                     }
                 }
                 Act::Take => {
@@ -174,7 +174,7 @@
             taken += 1;
         }
         prop_assert!(expires_at.is_empty(), "{} left of {}", expires_at.len(), pushed);
-        prop_assert!(gone + taken <= pushed as usize);
+        prop_assert!(dropped + taken <= pushed as usize);
         prop_assert!(!schedule.has_ready());
     }
 }
@@ -183,18 +183,18 @@
 fn an_engine_that_responds_again_is_reachable() {
     let mut schedule = CallSchedule::new(4, 64);
     for engine in 0..2 {
-        schedule.push(&peer(engine), at(600), 0).expect("room");
+        schedule.push(&peer(engine), at(600), 0).expect("capacity");
         let (peer, _) = schedule.take().expect("ready");
         schedule.finish(&peer, CallOutcome::Unreachable);
     }
     for engine in 0..2 {
-        schedule.push(&peer(engine), at(600), 1).expect("room");
+        schedule.push(&peer(engine), at(600), 1).expect("capacity");
     }
     let (first, _) = schedule.take().expect("one unreachable engine at a time");
     assert!(schedule.take().is_none());
     schedule.finish(&first, CallOutcome::Responded);
     let (second, _) = schedule.take().expect("the other");
-    schedule.push(&first, at(600), 2).expect("room");
+    schedule.push(&first, at(600), 2).expect("capacity");
     assert!(
         schedule.take().is_some(),
         "a reachable engine does not wait for unreachable ones"
--- a/crates/millpass-control/tests/process.rs
+++ b/crates/millpass-control/tests/process.rs
@@ -51,7 +51,7 @@
     let hint = wait_for("hint", || {
         let mut router = TestRouter::connect(&members[follower].address(), "router-1").ok()?;
         match router.report().ok()? {
-            ControlToRouter::NotLeader(answer) => answer.leader_address,
+            ControlToRouter::NotLeader(response) => response.leader_address,
             _ => None,
         }
     });
@@ -114,8 +114,8 @@
 #[test]
 fn a_port_in_use_is_reported() {
     let folder = tempfile::tempdir().expect("folder");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("bind");
-    let address = taken.local_addr().expect("address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+    let address = listener.local_addr().expect("address").to_string();
     let mut settings = ControlProcessSettings::single(folder.path());
     settings.peer_listen = address.clone();
     let error = start(settings).err().expect("refused").to_string();
--- a/crates/millpass-control/tests/slow_gateway.rs
+++ b/crates/millpass-control/tests/slow_gateway.rs
@@ -31,9 +31,9 @@
             document: document(version),
             source: Default::default(),
         }));
-        let answer = calls.call(put);
-        let done = matches!(answer, AdministrationResponse::Done);
-        self.0.lock().expect("answers").push(answer);
+        let response = calls.call(put);
+        let done = matches!(response, AdministrationResponse::Done);
+        self.0.lock().expect("responses").push(response);
         let status = if done { 200 } else { 503 };
         let status = http::StatusCode::from_u16(status).expect("a status");
         Some(Response::text(status, ""))
@@ -82,9 +82,9 @@
     let folder = tempfile::tempdir().expect("folder");
     let mut settings = ControlProcessSettings::single(folder.path());
     settings.fleet = Some(FleetSettings::default());
-    let answers = Arc::new(Mutex::new(Vec::new()));
+    let responses = Arc::new(Mutex::new(Vec::new()));
     let extensions = Extensions {
-        api: Some(Arc::new(Calls(answers.clone()))),
+        api: Some(Arc::new(Calls(responses.clone()))),
         engines: None,
     };
     let handle = start_extended(settings, extensions).expect("start");
@@ -103,7 +103,7 @@
     }
     let mut documents = Vec::new();
     while documents.last() != Some(&VERSIONS) {
-        match read_frame(&mut stream).expect("the connection goes on") {
+        match read_frame(&mut stream).expect("the connection stays open") {
             ControlToRouter::Gateway(update) => {
                 documents.extend(update.document.map(|document| document.version));
             }
