--- a/crates/millpass-control/src/administration/admission.rs
+++ b/crates/millpass-control/src/administration/admission.rs
@@ -1,7 +1,7 @@
 //! Validation of objects beyond the checks of the replicated state.
 //!
-//! Checks must be deterministic in the content, so that a resend of an accepted change still gets the
-//! first response. [`check_administrator_left`] handles resends explicitly.
+//! Checks must be deterministic in the content, so that a resend of an accepted change still gets
+//! the first response. [`check_administrator_left`] handles resends explicitly.
 
 use super::failure::Failure;
 use blake3::Hash;
@@ -30,8 +30,8 @@
     }
 }
 
-/// Compiles a policy and runs its examples on a separate thread: the recursive compiler needs a larger
-/// stack than the server's threads have.
+/// Compiles a policy and runs its examples on a separate thread: the recursive compiler needs a
+/// larger stack than the server's threads have.
 fn check_policy(name: &PolicyName, policy: &PolicySpec) -> Result<(), Failure> {
     let result = std::thread::scope(|scope| {
         let builder = Builder::new().name("policy-check".to_owned());
@@ -65,7 +65,8 @@
     )))
 }
 
-/// Rejects a change of operators that leaves accounts but no administrator, which could not be undone.
+/// Rejects a change of operators that leaves accounts but no administrator, which could not be
+/// undone.
 ///
 /// A change that expects another version than the current one passes: it is a resend or a conflict,
 /// and the state tells them apart.
--- a/crates/millpass-control/src/administration/authentication.rs
+++ b/crates/millpass-control/src/administration/authentication.rs
@@ -22,7 +22,8 @@
     pub(crate) role: OperatorRole,
     /// All accounts, as read for authentication.
     pub(crate) operators: Vec<StoredObject>,
-    /// Whether this is the bootstrap key although accounts exist; it may then only resend its own changes.
+    /// Whether this is the bootstrap key although accounts exist; it may then only resend its own
+    /// changes.
     pub(crate) is_superseded: bool,
 }
 
@@ -106,8 +107,8 @@
     })
 }
 
-/// Compares the hash with every account, in constant time. If two accounts have the same key, the first by
-/// name is returned.
+/// Compares the hash with every account, in constant time. If two accounts have the same key, the
+/// first by name is returned.
 fn find_account(
     operators: &[StoredObject],
     key_hash: Hash,
--- a/crates/millpass-control/src/administration/operations.rs
+++ b/crates/millpass-control/src/administration/operations.rs
@@ -21,8 +21,8 @@
 use serde_json::json;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Number of newest audit records searched for a resend with the superseded bootstrap key. The state
-/// remembers more changes than that, so it is certain to recognize the resend.
+/// Number of newest audit records searched for a resend with the superseded bootstrap key. The
+/// state remembers more changes than that, so it is certain to recognize the resend.
 const BOOTSTRAP_RESEND_RECORDS: usize = millpass_state::MAXIMUM_REMEMBERED_CHANGES / 2;
 /// Remedy when the outcome of a change of an object is unknown.
 const RESEND_CHANGE: &str =
@@ -110,14 +110,15 @@
     match calls.call(AdministrationRequest::Change(change)) {
         AdministrationResponse::Change(outcome) => change_response(outcome),
         AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CHANGE)),
-        // The core rejects invalid content in the outcome; it refuses a change only when overloaded.
+        // The core rejects invalid content in the outcome; it refuses a change only when
+        // overloaded.
         AdministrationResponse::Refused(reason) => Err(Failure::busy(reason)),
         other => Err(unexpected_response(other)),
     }
 }
 
-/// Allows only a resend of a change that the bootstrap key already made: the response to the change that
-/// created the first account may have been lost.
+/// Allows only a resend of a change that the bootstrap key already made: the response to the change
+/// that created the first account may have been lost.
 fn check_bootstrap_resend(calls: &dyn AdministrationCalls, change: &Change) -> Result<(), Failure> {
     let request = AdministrationRequest::Audit(ConfigurationRevision(0));
     let records = match calls.call(request) {
--- a/crates/millpass-control/src/administration/server.rs
+++ b/crates/millpass-control/src/administration/server.rs
@@ -23,9 +23,9 @@
 /// Bounds of the administration API.
 #[derive(Clone, Debug)]
 pub struct AdministrationLimits {
-    /// Maximum number of open connections; further ones get status 503 and are closed. Announcing instances
-    /// keep a connection to the leader each. The default leaves a quarter of 4,096 file descriptors to
-    /// members, gateways and engines.
+    /// Maximum number of open connections; further ones get status 503 and are closed. Announcing
+    /// instances keep a connection to the leader each. The default leaves a quarter of 4,096 file
+    /// descriptors to members, gateways and engines.
     pub maximum_connections: usize,
     /// Maximum number of concurrent calls; further ones wait.
     pub maximum_calls: usize,
--- a/crates/millpass-control/src/api/kinds.rs
+++ b/crates/millpass-control/src/api/kinds.rs
@@ -2,8 +2,8 @@
 
 use millpass_proto::ObjectKind;
 
-/// Kinds with their name in bodies and their plural in paths. A kind refers only to kinds before it;
-/// operators come last.
+/// Kinds with their name in bodies and their plural in paths. A kind refers only to kinds before
+/// it; operators come last.
 pub const KINDS: [(ObjectKind, &str, &str); 7] = [
     (ObjectKind::Tenant, "tenant", "tenants"),
     (ObjectKind::Model, "model", "models"),
--- a/crates/millpass-control/src/api/mod.rs
+++ b/crates/millpass-control/src/api/mod.rs
@@ -1,7 +1,7 @@
 //! JSON bodies of the administration API.
 //!
-//! The content of an object has the field names of the message types, like the `[[kind]]` tables of object
-//! files; [`spec_to_json`] and [`spec_from_json`] convert.
+//! The content of an object has the field names of the message types, like the `[[kind]]` tables of
+//! object files; [`spec_to_json`] and [`spec_from_json`] convert.
 
 mod kinds;
 mod membership;
--- a/crates/millpass-control/src/api/specs.rs
+++ b/crates/millpass-control/src/api/specs.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// Parses content of this kind. All required fields must be present, and unknown fields are rejected.
+/// Parses content of this kind. All required fields must be present, and unknown fields are
+/// rejected.
 pub fn spec_from_json(kind: ObjectKind, json: &Value) -> Result<ObjectSpec, SpecError> {
     match kind {
         ObjectKind::Tenant => read(json).map(ObjectSpec::Tenant),
--- a/crates/millpass-control/src/backlog.rs
+++ b/crates/millpass-control/src/backlog.rs
@@ -1,7 +1,7 @@
 //! Inputs waiting for the core, by priority.
 //!
-//! Each class has a bounded FIFO queue. A due tick comes first, then the classes in order of priority, each
-//! up to its quota per turn, so that no class starves another.
+//! Each class has a bounded FIFO queue. A due tick comes first, then the classes in order of
+//! priority, each up to its quota per turn, so that no class starves another.
 
 use crate::priority::Priority;
 use std::collections::VecDeque;
@@ -29,8 +29,9 @@
     quota: usize,
 }
 
-/// Returns the bounds of a class. The consensus queue exceeds what members' windows allow to be in flight; the
-/// others fit a few inputs from each of 1,000 connections. Quotas keep a turn well below the timeouts of senders.
+/// Returns the bounds of a class. The consensus queue exceeds what members' windows allow to be in
+/// flight; the others fit a few inputs from each of 1,000 connections. Quotas keep a turn well
+/// below the timeouts of senders.
 fn bounds(class: Priority) -> Bounds {
     let (length, quota) = match class {
         Priority::Consensus => (2_048, 256),
@@ -83,8 +84,8 @@
         self.waiting[class as usize].push_back(input);
     }
 
-    /// Returns the next action. The caller measures the time to `tick_due` from the end of the previous tick, so
-    /// that ticks leave time for inputs.
+    /// Returns the next action. The caller measures the time to `tick_due` from the end of the
+    /// previous tick, so that ticks leave time for inputs.
     pub fn next(&mut self, now: Instant, tick_due: Instant) -> Next<T> {
         if now >= tick_due {
             return Next::Tick;
--- a/crates/millpass-control/src/call_schedule.rs
+++ b/crates/millpass-control/src/call_schedule.rs
@@ -1,8 +1,9 @@
 //! Schedules calls to peers: engines and the platform.
 //!
-//! A peer gets one call at a time, in order. A peer whose last call got no response counts as unreachable. Unreachable
-//! peers together may use only a fraction of the concurrent calls, so that their timeouts do not delay calls to others.
-//! Calls that have waited past their expiry are never made.
+//! A peer gets one call at a time, in order. A peer whose last call got no response counts as
+//! unreachable. Unreachable peers together may use only a fraction of the concurrent calls, so that
+//! their timeouts do not delay calls to others. Calls that have waited past their expiry are never
+//! made.
 
 use millpass_proto::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -93,7 +94,8 @@
             && self.unreachable_in_progress < self.maximum_unreachable_in_progress
     }
 
-    /// Takes the next call and its peer. The caller must call [`CallSchedule::finish`] after the call.
+    /// Takes the next call and its peer. The caller must call [`CallSchedule::finish`] after the
+    /// call.
     pub fn take(&mut self) -> Option<(String, T)> {
         let peer = match self.ready.pop_front() {
             Some(peer) => peer,
--- a/crates/millpass-control/src/calls.rs
+++ b/crates/millpass-control/src/calls.rs
@@ -18,8 +18,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 /// Maximum number of waiting calls per class; the API's handler threads bound it further.
 const MAXIMUM_CALLS: usize = 1_024;
-/// Maximum number of waiting announcements and reads: three quarters of the API's handler threads, so that changes
-/// and departures always find a thread.
+/// Maximum number of waiting announcements and reads: three quarters of the API's handler threads,
+/// so that changes and departures always find a thread.
 const MAXIMUM_ANNOUNCEMENT_CALLS: usize = 192;
 
 /// Time between two log lines about refused announcements. All are counted in metrics.
@@ -88,7 +88,8 @@
     pub(crate) inputs: Inputs,
     pub(crate) table: Arc<CallTable>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Throttles log lines about refused announcements. Its lock is never held together with another.
+    /// Throttles log lines about refused announcements. Its lock is never held together with
+    /// another.
     pub(crate) refusal_log: Mutex<Throttle>,
 }
 
--- a/crates/millpass-control/src/client/call.rs
+++ b/crates/millpass-control/src/client/call.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Error for an oversized body. Checked locally, as a member may close the connection before its error
-/// response is read.
+/// Error for an oversized body. Checked locally, as a member may close the connection before its
+/// error response is read.
 fn too_large() -> ClientError {
     ClientError::Rejected {
         status: StatusCode::PAYLOAD_TOO_LARGE.as_u16(),
--- a/crates/millpass-control/src/client/error.rs
+++ b/crates/millpass-control/src/client/error.rs
@@ -47,7 +47,8 @@
         /// Error of the last attempt.
         last: String,
     },
-    /// The deadline has passed and the response was lost: the call may have been or may still be executed.
+    /// The deadline has passed and the response was lost: the call may have been or may still be
+    /// executed.
     #[error(
         "the response was lost ({last}) and the outcome is unknown; read the state before you \
          submit anything else, or resend with the same change id"
--- a/crates/millpass-control/src/client/mod.rs
+++ b/crates/millpass-control/src/client/mod.rs
@@ -1,8 +1,8 @@
 //! Client of the administration API, for the command line and the lab.
 //!
-//! A call tries the members in turn, follows the leader that a member names, and is resent with the same
-//! change id until it succeeds or its deadline passes. Resending is safe: changes are deduplicated by change
-//! id, and the other calls are idempotent.
+//! A call tries the members in turn, follows the leader that a member names, and is resent with the
+//! same change id until it succeeds or its deadline passes. Resending is safe: changes are
+//! deduplicated by change id, and the other calls are idempotent.
 
 mod call;
 mod error;
@@ -211,8 +211,9 @@
         }
     }
 
-    /// Selects the reported leader, or else the next address of the list. The position in the list is kept, so
-    /// that a follower that names an unreachable leader does not hide the other members.
+    /// Selects the reported leader, or else the next address of the list. The position in the list
+    /// is kept, so that a follower that names an unreachable leader does not hide the other
+    /// members.
     fn select_next(&mut self, leader: Option<String>) {
         // Only a socket address is followed, never any other text.
         let leader = leader.filter(|address| address.parse::<SocketAddr>().is_ok());
--- a/crates/millpass-control/src/connections.rs
+++ b/crates/millpass-control/src/connections.rs
@@ -1,8 +1,8 @@
 //! Inbound connections of members, routers and joiners.
 //!
-//! One thread serves all of them as tasks, as there may be thousands. A router that does not read is disconnected when
-//! its queue is full, and reconnects. At most one gateway update waits behind the one being written: the core is
-//! notified, and sends the next one after both are written.
+//! One thread serves all of them as tasks, as there may be thousands. A router that does not read
+//! is disconnected when its queue is full, and reconnects. At most one gateway update waits behind
+//! the one being written: the core is notified, and sends the next one after both are written.
 
 use crate::frames::{read_frame, write_frame};
 use crate::inputs::Inputs;
@@ -25,14 +25,15 @@
 use std::time::Duration;
 
 const READ_BUFFER_BYTES: usize = 2 * 1024;
-/// Send buffer of a router's socket; the kernel doubles it. Kept small, as buffered updates cannot be replaced by newer
-/// ones.
+/// Send buffer of a router's socket; the kernel doubles it. Kept small, as buffered updates cannot
+/// be replaced by newer ones.
 const SEND_BUFFER_BYTES: usize = 64 * 1024;
 /// Delay after a failed accept, so that a lack of file descriptors does not spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Connect timeout of the connection that wakes the accepting thread.
 const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before an input is retried after its class was full. Meanwhile, later messages wait in the socket.
+/// Delay before an input is retried after its class was full. Meanwhile, later messages wait in the
+/// socket.
 const FULL_QUEUE_DELAY: Duration = Duration::from_millis(5);
 
 struct Connection {
@@ -58,7 +59,8 @@
 }
 
 impl Connections {
-    /// Creates the connections of a listener; [`Connections::accept`] accepts them, [`Connections::run`] serves them.
+    /// Creates the connections of a listener; [`Connections::accept`] accepts them,
+    /// [`Connections::run`] serves them.
     pub(crate) fn new(
         listener: &TcpListener,
         limits: ProcessLimits,
@@ -117,8 +119,8 @@
         self.stop.close();
     }
 
-    /// Sends to a router without blocking; the router is disconnected if its queue is full. Returns true when a gateway
-    /// update becomes the first to wait behind another.
+    /// Sends to a router without blocking; the router is disconnected if its queue is full. Returns
+    /// true when a gateway update becomes the first to wait behind another.
     pub(crate) fn send(&self, connection: ConnectionId, message: ControlToRouter) -> bool {
         let mut open = self.lock();
         let Some(entry) = open.get(&connection) else {
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Applies the connection timeout to routers, which report several times within it. Members may be idle.
+    /// Applies the connection timeout to routers, which report several times within it. Members may
+    /// be idle.
     async fn with_timeout<T>(
         &self,
         is_router: bool,
@@ -262,7 +265,8 @@
         Ok(())
     }
 
-    /// Writes until the connection is removed from the table. Notifies the core when the backlog is written.
+    /// Writes until the connection is removed from the table. Notifies the core when the backlog is
+    /// written.
     async fn write_all(
         &self,
         connection: ConnectionId,
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -2,9 +2,10 @@
 //!
 //! Engines of announced instances are called through [`EngineCalls`](crate::EngineCalls).
 //!
-//! [`CallSchedule`] determines the order of calls. Threads are started on demand and end after an idle timeout. An order
-//! may be lost or delivered twice; its fence makes that harmless. A call that cannot be queued or expires while waiting
-//! is reported as not sent, and the core decides anew.
+//! [`CallSchedule`] determines the order of calls. Threads are started on demand and end after an
+//! idle timeout. An order may be lost or delivered twice; its fence makes that harmless. A call
+//! that cannot be queued or expires while waiting is reported as not sent, and the core decides
+//! anew.
 
 use crate::call_schedule::{CallOutcome, CallSchedule};
 use crate::inputs::Inputs;
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Returns the input that reports to the core that the call was not made; `None` if the core does not wait for it.
+    /// Returns the input that reports to the core that the call was not made; `None` if the core
+    /// does not wait for it.
     fn not_sent(self, queue_time: Duration) -> Option<ControlInput> {
         let (instance, call) = match self {
             Delivery::Order(_, order) => {
@@ -156,7 +158,8 @@
         (deliveries, pool)
     }
 
-    /// Submits a call. It expires after the call timeout; an instruction expires at its own deadline.
+    /// Submits a call. It expires after the call timeout; an instruction expires at its own
+    /// deadline.
     pub(crate) fn submit(&self, delivery: Delivery) {
         let now = self.shared.clock.now();
         let expires_at = match &delivery {
@@ -198,7 +201,8 @@
 }
 
 impl DeliveryPool {
-    /// Body of the thread that owns the pool's threads; returns after the submitting end is dropped and they have ended.
+    /// Body of the thread that owns the pool's threads; returns after the submitting end is dropped
+    /// and they have ended.
     pub(crate) fn run(self) {
         let worker = &self.worker;
         thread::scope(|scope| {
@@ -217,11 +221,12 @@
     }
 }
 
-/// Size of a connection's buffers. Messages are small, and the default of 128 KiB adds up over the pool.
+/// Size of a connection's buffers. Messages are small, and the default of 128 KiB adds up over the
+/// pool.
 const BUFFER_BYTES: usize = 8 * 1024;
 
-/// Creates the HTTP agent of the pool. Engines of an announced fleet state refusals by status, so error statuses are
-/// then read as responses.
+/// Creates the HTTP agent of the pool. Engines of an announced fleet state refusals by status, so
+/// error statuses are then read as responses.
 fn agent(timeout: Duration, read_error_statuses: bool) -> ureq::Agent {
     ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
@@ -258,7 +263,8 @@
         }
     }
 
-    /// Body of a thread. Catches panics, so that a malformed response fails only one call instead of every leader in turn.
+    /// Body of a thread. Catches panics, so that a malformed response fails only one call instead
+    /// of every leader in turn.
     fn run(&self) {
         while let Some((peer, waiting)) = self.next() {
             let outcome = catch_unwind(AssertUnwindSafe(|| self.execute(waiting)));
--- a/crates/millpass-control/src/disk.rs
+++ b/crates/millpass-control/src/disk.rs
@@ -1,5 +1,5 @@
-//! The disk thread: batches the core's writes under one sync, and reports each as persisted only after
-//! the sync. A failed write ends the member, as the content of the disk is then unknown.
+//! The disk thread: batches the core's writes under one sync, and reports each as persisted only
+//! after the sync. A failed write ends the member, as the content of the disk is then unknown.
 
 use crate::disk_watch::{DiskWatch, SpaceWatch};
 use crate::inputs::Inputs;
--- a/crates/millpass-control/src/disk_wait.rs
+++ b/crates/millpass-control/src/disk_wait.rs
@@ -1,7 +1,8 @@
 //! Waits at startup until the disk is available.
 //!
-//! A failed write ends the member, so that the next process reads the disk afresh. That process waits until the data
-//! folder can be opened and has space, instead of crash-looping under its supervisor.
+//! A failed write ends the member, so that the next process reads the disk afresh. That process
+//! waits until the data folder can be opened and has space, instead of crash-looping under its
+//! supervisor.
 
 use crate::error::ControlError;
 use crate::interface::Extensions;
@@ -18,7 +19,8 @@
 /// Time between two log lines while the disk is unavailable.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Like [`start_extended`], but waits while the disk is full or failing, as long as `may_wait` returns true.
+/// Like [`start_extended`], but waits while the disk is full or failing, as long as `may_wait`
+/// returns true.
 pub fn start_when_disk_available(
     settings: &ControlProcessSettings,
     extensions: &Extensions,
--- a/crates/millpass-control/src/disk_watch.rs
+++ b/crates/millpass-control/src/disk_watch.rs
@@ -21,7 +21,8 @@
     next_report: Duration,
 }
 
-/// Shared by the disk thread and the core's thread. Its lock is never held together with another or across calls.
+/// Shared by the disk thread and the core's thread. Its lock is never held together with another or
+/// across calls.
 #[derive(Default)]
 pub(crate) struct DiskWatch {
     writing: Mutex<Option<Writing>>,
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Returns the duration of the write in progress, if any. Logs a stalled write, again each time its duration doubles.
+    /// Returns the duration of the write in progress, if any. Logs a stalled write, again each time
+    /// its duration doubles.
     pub(crate) fn check(&self) -> Option<Duration> {
         let mut state = self.lock();
         let writing = state.as_mut()?;
--- a/crates/millpass-control/src/freshness.rs
+++ b/crates/millpass-control/src/freshness.rs
@@ -1,7 +1,8 @@
-//! Responds to gateways' freshness queries, one UDP datagram each, on the port of members and routers.
+//! Responds to gateways' freshness queries, one UDP datagram each, on the port of members and
+//! routers.
 //!
-//! The thread only reads the state that the core last published, so a member responds even while its core, disk or
-//! connections are busy.
+//! The thread only reads the state that the core last published, so a member responds even while
+//! its core, disk or connections are busy.
 
 use crate::metrics::Metrics;
 use millpass_proto::codec::{decode, encode};
@@ -42,8 +43,9 @@
         }))
     }
 
-    /// Publishes the response. The core's thread does so after each step and before it executes the step's outputs, so
-    /// that no acknowledgement is sent before the entry that it depends on is published.
+    /// Publishes the response. The core's thread does so after each step and before it executes the
+    /// step's outputs, so that no acknowledgement is sent before the entry that it depends on is
+    /// published.
     pub(crate) fn publish(&self, response: FreshnessResponse) {
         *self.lock() = Some(response);
     }
--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -1,8 +1,8 @@
 //! Bounded queues to the core, by priority.
 //!
-//! Inputs of one class keep their order. Credit requests and crash reports may overtake other messages of their
-//! connection, and may be processed after its end, as they do not depend on them. The end of a connection never
-//! overtakes its reports or claims.
+//! Inputs of one class keep their order. Credit requests and crash reports may overtake other
+//! messages of their connection, and may be processed after its end, as they do not depend on them.
+//! The end of a connection never overtakes its reports or claims.
 
 use crate::backlog::{Backlog, Next};
 use crate::priority::Priority;
@@ -101,7 +101,8 @@
         self.push(&mut state, input).is_ok()
     }
 
-    /// Adds an input, or returns it if its class is full. Returns `Ok(false)` once the core has ended.
+    /// Adds an input, or returns it if its class is full. Returns `Ok(false)` once the core has
+    /// ended.
     pub(crate) fn try_send(&self, input: ControlInput) -> Result<bool, Box<ControlInput>> {
         let mut state = self.shared.lock();
         if !state.has_ended && !state.backlog.has_capacity(Priority::of(&input)) {
@@ -110,13 +111,14 @@
         Ok(self.push(&mut state, input).is_ok())
     }
 
-    /// Adds an input, or refuses it at once if its class is full. For inputs that the sender repeats.
+    /// Adds an input, or refuses it at once if its class is full. For inputs that the sender
+    /// repeats.
     pub(crate) fn try_submit(&self, input: ControlInput) -> Result<(), SendError> {
         self.push(&mut self.shared.lock(), input)
     }
 
-    /// Adds an input caused by the core's thread, regardless of capacity. The thread cannot block, and bounds these
-    /// inputs by its calls in progress.
+    /// Adds an input caused by the core's thread, regardless of capacity. The thread cannot block,
+    /// and bounds these inputs by its calls in progress.
     pub(crate) fn send_unbounded(&self, input: ControlInput) {
         let waiting = waiting(input);
         self.shared
--- a/crates/millpass-control/src/interface.rs
+++ b/crates/millpass-control/src/interface.rs
@@ -1,5 +1,5 @@
-//! Extensions of a deployment with its own wire formats: additional API calls, and calls to its engines.
-//! Implementations translate; they make no decisions.
+//! Extensions of a deployment with its own wire formats: additional API calls, and calls to its
+//! engines. Implementations translate; they make no decisions.
 
 use crate::administration::AdministrationCalls;
 use millpass_http::{Request, Response};
@@ -14,7 +14,8 @@
 
 /// Calls to engines of announced instances.
 pub trait EngineCalls: Send + Sync {
-    /// Sends an instruction. Its last byte must be sent within this time or not at all. The agent bounds the response time.
+    /// Sends an instruction. Its last byte must be sent within this time or not at all. The agent
+    /// bounds the response time.
     fn instruct(
         &self,
         agent: &ureq::Agent,
--- a/crates/millpass-control/src/lateness.rs
+++ b/crates/millpass-control/src/lateness.rs
@@ -3,8 +3,8 @@
 use crate::priority::Priority;
 use std::time::{Duration, Instant};
 
-/// Lateness of an input or tick from which it is logged: a quarter of the default lease, so that it is logged before
-/// a lease is lost.
+/// Lateness of an input or tick from which it is logged: a quarter of the default lease, so that it
+/// is logged before a lease is lost.
 pub const LATENESS_THRESHOLD: Duration = Duration::from_millis(150);
 /// Minimum time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -28,7 +28,8 @@
 }
 
 impl LatenessWatch {
-    /// Records the lateness of one input (with its class) or tick. Returns what to log now, if anything.
+    /// Records the lateness of one input (with its class) or tick. Returns what to log now, if
+    /// anything.
     pub fn record(
         &mut self,
         now: Instant,
--- a/crates/millpass-control/src/lib.rs
+++ b/crates/millpass-control/src/lib.rs
@@ -27,8 +27,8 @@
 //! | `administration`, `api`, `client` | the administration API, its bodies and its client |
 //! | `metrics` | Prometheus metrics |
 //!
-//! `inputs`, `calls`, `connections`, `deliveries`, `freshness`, `disk_watch` and each queue of `peers` have
-//! one lock each; no thread holds two of them.
+//! `inputs`, `calls`, `connections`, `deliveries`, `freshness`, `disk_watch` and each queue of
+//! `peers` have one lock each; no thread holds two of them.
 
 pub mod administration;
 pub mod api;
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -1,7 +1,7 @@
 //! The core's thread: passes inputs to the decision core and executes its outputs in order.
 //!
-//! This thread owns the core. It never blocks on a disk, a connection or an engine: these have their own
-//! queues and threads, and respond through [`Inputs`](crate::inputs::Inputs).
+//! This thread owns the core. It never blocks on a disk, a connection or an engine: these have
+//! their own queues and threads, and respond through [`Inputs`](crate::inputs::Inputs).
 
 use crate::calls::CallTable;
 use crate::connections::Connections;
@@ -29,12 +29,12 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// Time between two updates of metrics and checks whether to join.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a leader after which a member requests to join, as it may have been replaced while it was
-/// partitioned.
+/// Time without a leader after which a member requests to join, as it may have been replaced while
+/// it was partitioned.
 pub(crate) const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time an instance waits for the response to its announcement, as the protocol defines (docs/PLATFORM.md). Older
-/// announcements are refused unprocessed.
+/// Time an instance waits for the response to its announcement, as the protocol defines
+/// (docs/PLATFORM.md). Older announcements are refused unprocessed.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The core with the queues and connections that execute its outputs.
@@ -175,7 +175,8 @@
         for output in outputs {
             stopped |= self.execute(output);
         }
-        // Before any other input, as the notification that the backlog was written may already be queued.
+        // Before any other input, as the notification that the backlog was written may already be
+        // queued.
         while let Some(connection) = self.backlogged.pop() {
             let backlogged = true;
             stopped |= self.step(ControlInput::RouterBacklog {
@@ -257,8 +258,8 @@
         false
     }
 
-    /// The queue is bounded by the writes that consensus has in flight. Sending fails only after the disk has
-    /// failed, which is already reported to the input queue.
+    /// The queue is bounded by the writes that consensus has in flight. Sending fails only after
+    /// the disk has failed, which is already reported to the input queue.
     fn write(&self, work: DiskWork) {
         let _ = self.disk.send(work);
     }
@@ -313,7 +314,8 @@
         }
     }
 
-    /// Returns whether no leader has been known for [`LEADERLESS_TIMEOUT`]. Logs it, again each time that time doubles.
+    /// Returns whether no leader has been known for [`LEADERLESS_TIMEOUT`]. Logs it, again each
+    /// time that time doubles.
     fn is_leaderless(&mut self, no_leader: bool) -> bool {
         if !no_leader {
             self.leaderless_since = None;
@@ -361,8 +363,8 @@
     }
 }
 
-/// Returns the call of an announcement whose sender has timed out. Announcements of leaving instances have a
-/// higher priority and are always processed.
+/// Returns the call of an announcement whose sender has timed out. Announcements of leaving
+/// instances have a higher priority and are always processed.
 fn expired_announcement(waiting: &WaitingInput) -> Option<u64> {
     let ControlInput::Administration { call, request } = &waiting.input else {
         return None;
--- a/crates/millpass-control/src/peer_queue.rs
+++ b/crates/millpass-control/src/peer_queue.rs
@@ -1,17 +1,18 @@
-//! Messages waiting to be sent to one address, bounded in number and bytes, without superseded heartbeats.
+//! Messages waiting to be sent to one address, bounded in number and bytes, without superseded
+//! heartbeats.
 //!
-//! After a stall or reconnect, queued entries are still sent, as lost ones would have to be resent. A heartbeat is
-//! dropped once a later append request to the same member follows: a stale one would only prolong the lease of a leader
-//! that may have been deposed.
+//! After a stall or reconnect, queued entries are still sent, as lost ones would have to be resent.
+//! A heartbeat is dropped once a later append request to the same member follows: a stale one would
+//! only prolong the lease of a leader that may have been deposed.
 //!
-//! An address can belong to two members: a process that lost its disk is a learner beside its old identity. A message
-//! to one never supersedes a message to the other.
+//! An address can belong to two members: a process that lost its disk is a learner beside its old
+//! identity. A message to one never supersedes a message to the other.
 
 use millpass_proto::{Command, EntryPayload, LinkMessage, LogEntry, MemberId, PeerMessage};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum bytes in one queue: fits the 32 requests that a leader has in flight, with a large document each (256 KiB
-/// as sent, twice that in memory).
+/// Maximum bytes in one queue: fits the 32 requests that a leader has in flight, with a large
+/// document each (256 KiB as sent, twice that in memory).
 const MAXIMUM_BYTES: usize = 16 * 1024 * 1024;
 /// Assumed size of a message or entry without documents and snapshots.
 const BASE_BYTES: usize = 512;
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Adds a message; returns false if the queue is full and the message is dropped. An empty queue accepts any message.
+    /// Adds a message; returns false if the queue is full and the message is dropped. An empty
+    /// queue accepts any message.
     pub fn push(&mut self, message: LinkMessage) -> bool {
         let bytes = message_bytes(&message);
         let has_capacity = self.waiting.len() < self.maximum_messages
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Removes an append request from the count; returns whether another one to the same member follows.
+    /// Removes an append request from the count; returns whether another one to the same member
+    /// follows.
     fn remove_request(&mut self, message: &LinkMessage) -> bool {
         let Some(member) = append_target(message) else {
             return false;
--- a/crates/millpass-control/src/peers.rs
+++ b/crates/millpass-control/src/peers.rs
@@ -1,6 +1,7 @@
 //! Outbound connections to other members: one thread and one bounded queue per address.
 //!
-//! Messages that exceed the queue, or are in flight when a connection breaks, are dropped; consensus resends.
+//! Messages that exceed the queue, or are in flight when a connection breaks, are dropped;
+//! consensus resends.
 
 use crate::metrics::Metrics;
 use crate::peer_queue::PeerQueue;
@@ -14,7 +15,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Connect timeout, below the election timeout so that a voter that restarts during a hanging attempt is soon reached.
+/// Connect timeout, below the election timeout so that a voter that restarts during a hanging
+/// attempt is soon reached.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout for writes, and for bytes to be acknowledged.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -97,7 +99,8 @@
 }
 
 impl Peers {
-    /// Creates the connections. `own` is sent as hello on each; `queue_length` bounds the queue of each address.
+    /// Creates the connections. `own` is sent as hello on each; `queue_length` bounds the queue of
+    /// each address.
     pub(crate) fn new(own: MemberAddress, queue_length: usize, metrics: Arc<Metrics>) -> Self {
         Peers {
             peers: BTreeMap::new(),
@@ -184,7 +187,8 @@
     let stream = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(SEND_TIMEOUT))?;
-    // Heartbeats alone never fill the send buffer of a dead connection, so only this timeout detects it quickly.
+    // Heartbeats alone never fill the send buffer of a dead connection, so only this timeout
+    // detects it quickly.
     SockRef::from(&stream).set_tcp_user_timeout(Some(SEND_TIMEOUT))?;
     Ok(stream)
 }
--- a/crates/millpass-control/src/priority.rs
+++ b/crates/millpass-control/src/priority.rs
@@ -1,7 +1,8 @@
 //! Priority classes of the core's inputs.
 //!
-//! Classes are ordered by the cost of a delay: late votes and heartbeats cost the leadership, late changes and
-//! departures are not in force, requests wait for credit, while reports and announcements are repeated.
+//! Classes are ordered by the cost of a delay: late votes and heartbeats cost the leadership, late
+//! changes and departures are not in force, requests wait for credit, while reports and
+//! announcements are repeated.
 
 use millpass_control_plane::{AdministrationRequest, ControlInput};
 use millpass_proto::{ObjectKind, RouterToControl};
@@ -11,7 +12,8 @@
 pub enum Priority {
     /// Messages of members and completed writes: elections, leases and commits wait for them.
     Consensus,
-    /// Changes by operators and departures of instances with the reads that precede them; joins and planned stops.
+    /// Changes by operators and departures of instances with the reads that precede them; joins and
+    /// planned stops.
     Promised,
     /// Credit and permit requests, crash reports, engine responses, and instance shares of members.
     Credit,
@@ -53,7 +55,8 @@
             ControlInput::Join(_) | ControlInput::Drain => Priority::Promised,
             ControlInput::Administration { request, .. } => Priority::of_call(request),
             ControlInput::Router { message, .. } => router_priority(message),
-            // In the class of reports, so that it is processed after the last one of its connection.
+            // In the class of reports, so that it is processed after the last one of its
+            // connection.
             ControlInput::RouterDisconnected(_)
             | ControlInput::RouterBacklog { .. }
             | ControlInput::PlatformListed(_) => Priority::Reports,
@@ -89,8 +92,9 @@
     }
 }
 
-/// Returns the class of a router message. Credit, crashes and permits depend on no earlier message of their connection.
-/// Claims and reports depend on the hello, so these share a class to keep their order.
+/// Returns the class of a router message. Credit, crashes and permits depend on no earlier message
+/// of their connection. Claims and reports depend on the hello, so these share a class to keep
+/// their order.
 fn router_priority(message: &RouterToControl) -> Priority {
     match message {
         RouterToControl::Credit(_) | RouterToControl::Crashes(_) | RouterToControl::Permits(_) => {
--- a/crates/millpass-control/src/process.rs
+++ b/crates/millpass-control/src/process.rs
@@ -44,14 +44,14 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Starts a member. The data folder and the settings determine whether it is a group of one, an initial member or
-/// a joiner.
+/// Starts a member. The data folder and the settings determine whether it is a group of one, an
+/// initial member or a joiner.
 pub fn start(settings: ControlProcessSettings) -> Result<ControlHandle, ControlError> {
     start_extended(settings, Extensions::default())
 }
 
-/// Binds TCP and UDP to the same port. A port that the system picks for TCP may be in use for UDP; then another one is
-/// tried.
+/// Binds TCP and UDP to the same port. A port that the system picks for TCP may be in use for UDP;
+/// then another one is tried.
 fn listen(
     settings: &ControlProcessSettings,
 ) -> Result<(TcpListener, Option<UdpSocket>), ControlError> {
@@ -271,8 +271,8 @@
         self.core.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Calls `act` once the member has ended, for any reason. The process should then exit, so that its supervisor
-    /// restarts it.
+    /// Calls `act` once the member has ended, for any reason. The process should then exit, so that
+    /// its supervisor restarts it.
     pub fn on_exit(&mut self, act: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
         let ended = self.core_ended.clone();
         let watch = spawn("control-end", move || {
--- a/crates/millpass-control/src/router_backlog.rs
+++ b/crates/millpass-control/src/router_backlog.rs
@@ -15,7 +15,8 @@
 pub(crate) struct RouterBacklog(Mutex<Counts>);
 
 impl RouterBacklog {
-    /// Records a queued update. Returns true if it is the first to wait behind another: notify the core.
+    /// Records a queued update. Returns true if it is the first to wait behind another: notify the
+    /// core.
     pub(crate) fn queued(&self) -> bool {
         let mut counts = self.lock();
         counts.updates += 1;
@@ -24,7 +25,8 @@
         is_first
     }
 
-    /// Records a written update. Returns true if the reported backlog is now empty: notify the core.
+    /// Records a written update. Returns true if the reported backlog is now empty: notify the
+    /// core.
     pub(crate) fn written(&self) -> bool {
         let mut counts = self.lock();
         counts.updates = counts.updates.saturating_sub(1);
--- a/crates/millpass-control/src/settings.rs
+++ b/crates/millpass-control/src/settings.rs
@@ -15,7 +15,8 @@
     pub heartbeat_interval: Duration,
     /// Duration of the leader lease after a heartbeat that a quorum acknowledged.
     pub lease_length: Duration,
-    /// Time for which the leader's disk may stall, while a majority's disks work, before it transfers leadership.
+    /// Time for which the leader's disk may stall, while a majority's disks work, before it
+    /// transfers leadership.
     pub stalled_disk_limit: Duration,
     /// Maximum number of log entries in one message.
     pub maximum_append_entries: usize,
@@ -61,11 +62,13 @@
 pub struct ProcessLimits {
     /// Maximum number of inbound connections of members, routers and joiners.
     pub maximum_connections: usize,
-    /// Maximum number of messages queued for one member; later ones are dropped and resent by consensus.
+    /// Maximum number of messages queued for one member; later ones are dropped and resent by
+    /// consensus.
     pub peer_queue: usize,
     /// Maximum number of messages queued for one router; when exceeded, the router is disconnected.
     pub router_queue: usize,
-    /// Maximum number of concurrent calls to engines and the platform; each uses a thread, started on demand.
+    /// Maximum number of concurrent calls to engines and the platform; each uses a thread, started
+    /// on demand.
     pub delivery_threads: usize,
     /// Maximum number of calls that wait for a thread; later ones are not sent.
     pub delivery_queue: usize,
@@ -136,7 +139,8 @@
     pub member_replacement_delay: Duration,
     /// Time for which a machine must be missing from the platform's list before it counts as gone.
     pub machine_gone_delay: Duration,
-    /// Target number of voters, up to which caught-up members are promoted; 0 to keep the current number.
+    /// Target number of voters, up to which caught-up members are promoted; 0 to keep the current
+    /// number.
     pub target_voters: usize,
     /// Settings of announced instances; `None` if the platform lists machines instead.
     pub fleet: Option<FleetSettings>,
--- a/crates/millpass-control/src/startup.rs
+++ b/crates/millpass-control/src/startup.rs
@@ -21,7 +21,8 @@
     pub(crate) restored: RestoredStorage,
 }
 
-/// Initializes the data folder of an initial member. Fails if the folder already belongs to a member.
+/// Initializes the data folder of an initial member. Fails if the folder already belongs to a
+/// member.
 pub fn initialize(settings: &ControlProcessSettings) -> Result<(), ControlError> {
     check(settings)?;
     let address = own_peer_address(settings);
@@ -96,9 +97,10 @@
     )?)
 }
 
-/// Opens the data folder, and initializes an empty one for a seed that forms the group or for a joiner with a new id.
-/// Returns `None` for an empty folder of a group of one, as [`create_group`] needs the bound addresses. Called before
-/// the process listens, so that callers get connection errors while the disk is unavailable.
+/// Opens the data folder, and initializes an empty one for a seed that forms the group or for a
+/// joiner with a new id. Returns `None` for an empty folder of a group of one, as [`create_group`]
+/// needs the bound addresses. Called before the process listens, so that callers get connection
+/// errors while the disk is unavailable.
 pub(crate) fn open(
     settings: &ControlProcessSettings,
 ) -> Result<Option<OpenedMember>, ControlError> {
@@ -141,8 +143,8 @@
     Ok(OpenedMember { storage, restored })
 }
 
-/// Returns this member's index among the seeds, ordered by address; `None` if the group is not formed from seeds
-/// or this member is not one of them.
+/// Returns this member's index among the seeds, ordered by address; `None` if the group is not
+/// formed from seeds or this member is not one of them.
 fn seed_index(settings: &ControlProcessSettings) -> Option<usize> {
     if !settings.form_from_seeds {
         return None;
@@ -159,8 +161,8 @@
     seeds
 }
 
-/// Returns the initial voters, which must be the same on each seed: ids are derived from the order of the
-/// addresses, and zones, unknown for other seeds, are empty.
+/// Returns the initial voters, which must be the same on each seed: ids are derived from the order
+/// of the addresses, and zones, unknown for other seeds, are empty.
 fn seed_voters(settings: &ControlProcessSettings) -> Vec<MemberAddress> {
     sorted_seeds(settings)
         .into_iter()
--- a/crates/millpass-control/src/threads.rs
+++ b/crates/millpass-control/src/threads.rs
@@ -5,7 +5,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::Instant;
 
-/// Maximum wait for threads at shutdown. A thread that hangs in a disk write or a call must not keep the process alive.
+/// Maximum wait for threads at shutdown. A thread that hangs in a disk write or a call must not
+/// keep the process alive.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 const JOIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -16,8 +17,8 @@
     thread::Builder::new().name(name.to_owned()).spawn(body)
 }
 
-/// Starts a critical thread: when it ends, also by a panic, the core stops. Otherwise a member without its disk or
-/// listening thread would still count as a voter.
+/// Starts a critical thread: when it ends, also by a panic, the core stops. Otherwise a member
+/// without its disk or listening thread would still count as a voter.
 pub(crate) fn spawn_critical(
     name: &'static str,
     inputs: &Inputs,
--- a/crates/millpass-control/tests/backlog.rs
+++ b/crates/millpass-control/tests/backlog.rs
@@ -1,7 +1,7 @@
 //! Priorities in the core's input queue.
 //!
-//! Guards against lost elections: after the loss of a member, inputs of reconnecting gateways and instances must not
-//! delay ticks, votes and heartbeats.
+//! Guards against lost elections: after the loss of a member, inputs of reconnecting gateways and
+//! instances must not delay ticks, votes and heartbeats.
 
 use millpass_control::backlog::{Backlog, Next};
 use millpass_control::priority::Priority;
--- a/crates/millpass-control/tests/call_schedule.rs
+++ b/crates/millpass-control/tests/call_schedule.rs
@@ -1,6 +1,7 @@
 //! Order of calls to engines and the platform.
 //!
-//! Guards against head-of-line blocking: timeouts of calls to unreachable engines must not delay calls to the others.
+//! Guards against head-of-line blocking: timeouts of calls to unreachable engines must not delay
+//! calls to the others.
 
 use millpass_control::call_schedule::{CallOutcome, CallSchedule};
 use millpass_proto::Timestamp;
--- a/crates/millpass-control/tests/peer_queue.rs
+++ b/crates/millpass-control/tests/peer_queue.rs
@@ -121,8 +121,8 @@
     assert!(queue.push(vote()));
 }
 
-/// Guards against a learner that never catches up: after a disk loss, its old identity has the same address, and
-/// heartbeats to one must not supersede heartbeats to the other.
+/// Guards against a learner that never catches up: after a disk loss, its old identity has the same
+/// address, and heartbeats to one must not supersede heartbeats to the other.
 #[test]
 fn a_heartbeat_is_superseded_only_by_requests_to_the_same_member() {
     let mut queue = PeerQueue::new(100);
--- a/crates/millpass-control/tests/racing_operators.rs
+++ b/crates/millpass-control/tests/racing_operators.rs
@@ -1,5 +1,5 @@
-//! Ten operators race on one object in a group of three members: exactly one wins each version, and each
-//! resend gets the first response, also from the next leader.
+//! Ten operators race on one object in a group of three members: exactly one wins each version, and
+//! each resend gets the first response, also from the next leader.
 
 mod common;
 
--- a/crates/millpass-control/tests/slow_gateway.rs
+++ b/crates/millpass-control/tests/slow_gateway.rs
@@ -1,5 +1,5 @@
-//! Guards against stale configuration: a gateway that stops reading must later receive the newest update, not a queue of
-//! older ones.
+//! Guards against stale configuration: a gateway that stops reading must later receive the newest
+//! update, not a queue of older ones.
 
 mod common;
 
@@ -15,9 +15,11 @@
 
 /// Number of versions applied while the gateway does not read.
 const VERSIONS: u64 = 20;
-/// Services per document. They differ between versions, so that each document of 400 kB is sent in full.
+/// Services per document. They differ between versions, so that each document of 400 kB is sent in
+/// full.
 const SERVICES: u64 = 4_000;
-/// Maximum number of documents received: buffered in the socket, being written, waiting, and the newest.
+/// Maximum number of documents received: buffered in the socket, being written, waiting, and the
+/// newest.
 const MAXIMUM_DOCUMENTS: usize = 4;
 
 /// Puts documents on request of the test.
--- a/crates/millpass-gateway/src/credit.rs
+++ b/crates/millpass-gateway/src/credit.rs
@@ -6,7 +6,8 @@
 use millpass_tenancy::{CreditClaim, CreditOutcome};
 use std::sync::Arc;
 
-/// Fraction of a request's objective that may be spent waiting for the leader; the rest is left to serve it.
+/// Fraction of a request's objective that may be spent waiting for the leader; the rest is left to
+/// serve it.
 const LEADER_WAIT_FRACTION: f64 = 0.8;
 
 /// Why a request was denied credit.
--- a/crates/millpass-gateway/src/events.rs
+++ b/crates/millpass-gateway/src/events.rs
@@ -1,7 +1,7 @@
 //! Splits a stream into complete events.
 //!
-//! A resumable stream is forwarded in complete events only: after a failure it resumes behind the last
-//! one, so a partial event must not reach the caller.
+//! A resumable stream is forwarded in complete events only: after a failure it resumes behind the
+//! last one, so a partial event must not reach the caller.
 
 use bytes::{Bytes, BytesMut};
 
--- a/crates/millpass-gateway/src/exchange.rs
+++ b/crates/millpass-gateway/src/exchange.rs
@@ -31,8 +31,9 @@
 }
 
 impl RequestTemplate {
-    /// Builds the template from a caller's request. This is the only place where a caller's headers enter:
-    /// hop-by-hop and reserved headers are removed here, so no send, retry or resume can forward them.
+    /// Builds the template from a caller's request. This is the only place where a caller's headers
+    /// enter: hop-by-hop and reserved headers are removed here, so no send, retry or resume can
+    /// forward them.
     pub(crate) fn new(interface: &dyn Interface, head: http::request::Parts, body: Bytes) -> Self {
         let mut headers = head.headers;
         remove_hop_by_hop_headers(&mut headers);
@@ -143,7 +144,8 @@
                 let unsent_request = error.take_message();
                 let reason = error.into_error().to_string();
                 match unsent_request {
-                    // The instance had closed the pooled connection and received nothing: retry on a new one.
+                    // The instance had closed the pooled connection and received nothing: retry on
+                    // a new one.
                     Some(message) if used.reused => request = message,
                     Some(_) => return Err(SendFailure::Unreachable(reason)),
                     None => return Err(SendFailure::Broken(reason)),
--- a/crates/millpass-gateway/src/forward.rs
+++ b/crates/millpass-gateway/src/forward.rs
@@ -45,8 +45,8 @@
     body: Bytes,
 }
 
-/// Counts a request as in flight until dropped. Logs the request if it is dropped before its end, which
-/// happens when the caller disconnects.
+/// Counts a request as in flight until dropped. Logs the request if it is dropped before its end,
+/// which happens when the caller disconnects.
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
     /// Attempt and arrival of a request that was routed and has not ended.
@@ -155,8 +155,8 @@
     forward.serve_within_quota().await
 }
 
-/// Resolves the route of a request. Waits briefly for a confirmed configuration, as a gateway that has just
-/// started or lost the leader usually gets one soon.
+/// Resolves the route of a request. Waits briefly for a confirmed configuration, as a gateway that
+/// has just started or lost the leader usually gets one soon.
 async fn resolve_route(
     shared: &Shared,
     host: &str,
@@ -332,7 +332,8 @@
         }
     }
 
-    /// Handles a 5xx response: the request ran. The response is relayed unless the request can be repeated.
+    /// Handles a 5xx response: the request ran. The response is relayed unless the request can be
+    /// repeated.
     async fn handle_server_error(
         &mut self,
         active: ActiveSend,
@@ -417,7 +418,8 @@
     }
 }
 
-/// Records a send without a response. One that did not reach the instance does not count as an attempt.
+/// Records a send without a response. One that did not reach the instance does not count as an
+/// attempt.
 pub(crate) fn record_failure(
     shared: &Shared,
     ticket: &mut Ticket,
--- a/crates/millpass-gateway/src/freshness.rs
+++ b/crates/millpass-gateway/src/freshness.rs
@@ -1,7 +1,8 @@
 //! Queries members by datagram whether the cached state is stale, and who leads.
 //!
-//! Datagrams cost members little: gateways that have lost the leader query this way and connect only to the
-//! reported leader, since hundreds of gateways reconnecting to every member in turn would delay the election.
+//! Datagrams cost members little: gateways that have lost the leader query this way and connect
+//! only to the reported leader, since hundreds of gateways reconnecting to every member in turn
+//! would delay the election.
 
 use crate::shared::Shared;
 use async_io::{Async, Timer};
@@ -17,11 +18,13 @@
 
 /// Time between two query rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two query rounds while the cached state is unconfirmed, as all requests wait for it.
+/// Time between two query rounds while the cached state is unconfirmed, as all requests wait for
+/// it.
 const URGENT_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two checks while no query is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(350);
-/// Most doublings of the time between rounds while no member responds, so that many gateways do not overload members.
+/// Most doublings of the time between rounds while no member responds, so that many gateways do not
+/// overload members.
 const MAXIMUM_BACKOFF_DOUBLINGS: u32 = 2;
 /// Maximum size of a response.
 const MAXIMUM_RESPONSE_BYTES: usize = 4 * 1024;
--- a/crates/millpass-gateway/src/interface.rs
+++ b/crates/millpass-gateway/src/interface.rs
@@ -1,4 +1,5 @@
-//! Wire format between callers, gateway and instances. Implementations translate; they make no decisions.
+//! Wire format between callers, gateway and instances. Implementations translate; they make no
+//! decisions.
 
 use http::{HeaderMap, Method, StatusCode, Uri};
 use millpass_dispatch::{ReportedLoad, RequestDescription, Statement};
@@ -26,7 +27,8 @@
     pub attempt: Option<String>,
     /// The instance states that the request did not run.
     pub not_executed: bool,
-    /// Another incarnation is at the address, or the requested resource is not there; the request did not run.
+    /// Another incarnation is at the address, or the requested resource is not there; the request
+    /// did not run.
     pub misdirected: bool,
     /// Instance that responded, if stated; its incarnation is not.
     pub instance: Option<InstanceId>,
@@ -46,7 +48,8 @@
     /// Describes a request.
     fn describe(&self, headers: &HeaderMap) -> RequestDescription;
 
-    /// Removes headers that only the system may set or that no instance may see from a caller's request.
+    /// Removes headers that only the system may set or that no instance may see from a caller's
+    /// request.
     fn strip_reserved(&self, headers: &mut HeaderMap);
 
     /// Adds the facts of a send to the headers sent to the instance.
--- a/crates/millpass-gateway/src/link.rs
+++ b/crates/millpass-gateway/src/link.rs
@@ -20,14 +20,15 @@
 
 /// Initial maximum delay before the next member is tried.
 const RECONNECT_DELAY: Duration = Duration::from_millis(40);
-/// Most doublings of the delay after failed attempts, so that many gateways do not overload members.
+/// Most doublings of the delay after failed attempts, so that many gateways do not overload
+/// members.
 const MAXIMUM_BACKOFF_DOUBLINGS: u32 = 4;
 /// Delay while no member is known.
 const NO_MEMBERS_DELAY: Duration = Duration::from_millis(150);
 /// Maximum wait for members to report a leader before the next member is tried anyway.
 const LEADER_WAIT_LIMIT: Duration = Duration::from_millis(1_500);
-/// Multiple of `leader_timeout` after which the link to a leader that responds to queries but sends no updates
-/// is closed anyway, as its core may hang.
+/// Multiple of `leader_timeout` after which the link to a leader that responds to queries but sends
+/// no updates is closed anyway, as its core may hang.
 const BUSY_LEADER_TIMEOUT_FACTOR: u32 = 4;
 /// Time between two checks of the leader timeout.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -110,8 +111,8 @@
     }
 }
 
-/// Waits while members report that there is no leader and no update is missing, as connecting would slow down the
-/// election. Selects the leader once one is reported.
+/// Waits while members report that there is no leader and no update is missing, as connecting would
+/// slow down the election. Selects the leader once one is reported.
 async fn wait_for_leader(shared: &Shared, members: &mut Members) {
     let until = shared.now() + LEADER_WAIT_LIMIT;
     loop {
@@ -158,8 +159,8 @@
     changes.with_label_values(&[change]).inc();
 }
 
-/// Waits with exponential backoff before the next attempt, or until members report a leader other than the previous
-/// member.
+/// Waits with exponential backoff before the next attempt, or until members report a leader other
+/// than the previous member.
 async fn back_off(shared: &Shared, previous: SocketAddr, failed_attempts: usize) {
     let doublings = u32::try_from(failed_attempts)
         .unwrap_or(u32::MAX)
@@ -318,8 +319,8 @@
     }
 }
 
-/// Completes when no message has arrived for too long. A leader that still responds to queries is only busy and gets
-/// a longer limit, as a reconnect would add to its load.
+/// Completes when no message has arrived for too long. A leader that still responds to queries is
+/// only busy and gets a longer limit, as a reconnect would add to its load.
 async fn leader_timeout<T>(shared: &Shared, address: SocketAddr) -> Result<T, CodecError> {
     let last_contact = shared.now();
     let limit = shared.settings.leader_timeout;
--- a/crates/millpass-gateway/src/pool.rs
+++ b/crates/millpass-gateway/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connection pool. A connection serves one request at a time and is returned to the pool only after a
-//! complete response.
+//! Connection pool. A connection serves one request at a time and is returned to the pool only
+//! after a complete response.
 
 use async_executor::Executor;
 use async_io::{Async, Timer};
@@ -23,14 +23,14 @@
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time before the stated idle timeout at which a connection is no longer reused.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Delay before a connection is reused: excess bytes that a faulty instance sends after a response arrive
-/// meanwhile and close it.
+/// Delay before a connection is reused: excess bytes that a faulty instance sends after a response
+/// arrive meanwhile and close it.
 const REUSE_DELAY: Duration = Duration::from_millis(3);
 /// Time after which unacknowledged bytes or keep-alive probes end a connection.
 const USER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Idle time before a keep-alive probe, and between probes. They detect a dead peer while a response is
-/// pending, when no unacknowledged bytes are left.
+/// Idle time before a keep-alive probe, and between probes. They detect a dead peer while a
+/// response is pending, when no unacknowledged bytes are left.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Why a connection could not be made.
@@ -53,8 +53,8 @@
 }
 
 impl ConnectError {
-    /// Returns whether nothing listens at the address. Timeouts and resets do not prove that: the machine may be
-    /// partitioned or overloaded.
+    /// Returns whether nothing listens at the address. Timeouts and resets do not prove that: the
+    /// machine may be partitioned or overloaded.
     pub(crate) fn is_refused(&self) -> bool {
         let refused = io::ErrorKind::ConnectionRefused;
         matches!(self, ConnectError::Failed(error) if error.kind() == refused)
--- a/crates/millpass-gateway/src/process.rs
+++ b/crates/millpass-gateway/src/process.rs
@@ -87,7 +87,8 @@
         self.heartbeat.clone()
     }
 
-    /// Serves on this thread until `stop` completes, then drains requests in flight within the grace period.
+    /// Serves on this thread until `stop` completes, then drains requests in flight within the
+    /// grace period.
     pub fn run(self, stop: impl Future<Output = ()>) {
         let shared = self.shared;
         let executor = shared.executor;
@@ -129,9 +130,9 @@
     }
 }
 
-/// Drains the gateway. At once it reports not ready and closes each connection after its response. After
-/// `drain_accept` it accepts no new connections and closes idle ones. Returns when no connection is left
-/// or `drain_grace` has elapsed.
+/// Drains the gateway. At once it reports not ready and closes each connection after its response.
+/// After `drain_accept` it accepts no new connections and closes idle ones. Returns when no
+/// connection is left or `drain_grace` has elapsed.
 async fn drain(shared: &Shared) {
     shared.draining.store(true, Ordering::Release);
     let started = shared.now();
--- a/crates/millpass-gateway/src/relay.rs
+++ b/crates/millpass-gateway/src/relay.rs
@@ -94,7 +94,8 @@
         loop {
             match self.read().await {
                 BodyRead::Bytes(bytes) => {
-                    // hyper drops a body with a content length after its last byte, without polling for the end.
+                    // hyper drops a body with a content length after its last byte, without polling
+                    // for the end.
                     if self.events.is_none() && self.body.is_end_stream() {
                         self.finish();
                     }
@@ -174,8 +175,8 @@
         self.in_flight.as_mut().is_some_and(InFlight::finish)
     }
 
-    /// Aborts the response, so that the caller detects the truncation. Yields first, as hyper discards
-    /// unflushed bytes when a body fails.
+    /// Aborts the response, so that the caller detects the truncation. Yields first, as hyper
+    /// discards unflushed bytes when a body fails.
     async fn abort(
         mut self,
         outcome: &'static str,
@@ -204,7 +205,8 @@
         (Err(error), self)
     }
 
-    /// Resumes the stream at another instance after the last complete event; false if none can take it.
+    /// Resumes the stream at another instance after the last complete event; false if none can take
+    /// it.
     async fn resume(&mut self, reason: &str) -> bool {
         self.sender = None;
         if let Some(active) = self.active.take() {
--- a/crates/millpass-gateway/src/report_schedule.rs
+++ b/crates/millpass-gateway/src/report_schedule.rs
@@ -4,11 +4,12 @@
 
 /// Minimum time between two reports.
 const MINIMUM_INTERVAL: Duration = Duration::from_millis(5);
-/// Intervals for which a report that is not urgent waits for the response to the previous one, so that gateways
-/// report no faster than a busy leader responds.
+/// Intervals for which a report that is not urgent waits for the response to the previous one, so
+/// that gateways report no faster than a busy leader responds.
 const UNACKNOWLEDGED_INTERVALS: u32 = 3;
 
-/// Report schedule of one connection. The first report is due at once, as it registers the gateway with the leader.
+/// Report schedule of one connection. The first report is due at once, as it registers the gateway
+/// with the leader.
 pub struct ReportSchedule {
     interval: Duration,
     last: Option<Timestamp>,
@@ -23,7 +24,8 @@
         }
     }
 
-    /// Returns whether a report is due, given whether the last one was acknowledged and whether one is urgent.
+    /// Returns whether a report is due, given whether the last one was acknowledged and whether one
+    /// is urgent.
     pub fn is_due(&self, now: Timestamp, acknowledged: bool, urgent: bool) -> bool {
         let Some(last) = self.last else {
             return true;
--- a/crates/millpass-gateway/src/responses.rs
+++ b/crates/millpass-gateway/src/responses.rs
@@ -71,7 +71,8 @@
     gateway_response(shared, attempt, status, &error.to_string(), retry_after)
 }
 
-/// Returns the applied version, and its freshness with the milliseconds since the last confirmation.
+/// Returns the applied version, and its freshness with the milliseconds since the last
+/// confirmation.
 fn configuration_state(shared: &Shared) -> (u64, String) {
     let now = shared.now();
     let core = shared.core();
--- a/crates/millpass-gateway/src/shared.rs
+++ b/crates/millpass-gateway/src/shared.rs
@@ -14,7 +14,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Maximum time between two clock checks while waiting for a deadline: bounds the overrun after a suspension.
+/// Maximum time between two clock checks while waiting for a deadline: bounds the overrun after a
+/// suspension.
 const MAXIMUM_SLEEP: Duration = Duration::from_millis(1_000);
 
 /// State shared by all tasks.
@@ -86,7 +87,8 @@
         self.clock.now()
     }
 
-    /// Decides what to do with a request now. Triggers a report if the leader must be notified at once.
+    /// Decides what to do with a request now. Triggers a report if the leader must be notified at
+    /// once.
     pub(crate) fn choose(&self, now: Timestamp, ticket: &mut Ticket) -> Choice {
         let mut core = self.core();
         let choice = core.choose(now, ticket);
@@ -112,13 +114,14 @@
         self.close.notify(usize::MAX);
     }
 
-    /// Waits for a change, at most until `until`. Callers create `changed` before they check the awaited
-    /// condition, so that no change is missed.
+    /// Waits for a change, at most until `until`. Callers create `changed` before they check the
+    /// awaited condition, so that no change is missed.
     pub(crate) async fn wait_for_change(&self, changed: EventListener, until: Timestamp) {
         future::or(changed, self.sleep_until(until)).await;
     }
 
-    /// Sleeps until a point in time. Timers stop while the machine is suspended, so the clock is rechecked.
+    /// Sleeps until a point in time. Timers stop while the machine is suspended, so the clock is
+    /// rechecked.
     pub(crate) async fn sleep_until(&self, until: Timestamp) {
         loop {
             let left = self.clock.left_until(until);
--- a/crates/millpass-gateway/tests/report_schedule.rs
+++ b/crates/millpass-gateway/tests/report_schedule.rs
@@ -11,7 +11,8 @@
     ReportSchedule::new(Duration::from_millis(300))
 }
 
-/// Guards against a slow recovery after a leader change: a new connection must not wait for an older response.
+/// Guards against a slow recovery after a leader change: a new connection must not wait for an
+/// older response.
 #[test]
 fn the_first_report_on_a_connection_is_due_at_once() {
     assert!(schedule().is_due(at(1_000), false, false));
