--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -85,13 +85,13 @@
     }
 }
 
-struct Waiting {
+struct WaitingDelivery {
     since: Timestamp,
     delivery: Delivery,
 }
 
 struct State {
-    schedule: CallSchedule<Waiting>,
+    schedule: CallSchedule<WaitingDelivery>,
     threads: usize,
     idle: usize,
     is_closed: bool,
@@ -167,7 +167,7 @@
             _ => now + self.call_timeout,
         };
         let peer = delivery.peer().to_owned();
-        let waiting = Waiting {
+        let waiting = WaitingDelivery {
             since: now,
             delivery,
         };
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Body of a thread. Catches panics, so that a malformed response fails only one call instead
-    /// of every leader in turn.
+    /// Body of a thread. Catches panics, so that a malformed response cannot crash one leader after
+    /// the other.
     fn run(&self) {
         while let Some((peer, waiting)) = self.next() {
             let outcome = catch_unwind(AssertUnwindSafe(|| self.execute(waiting)));
@@ -277,7 +277,7 @@
     }
 
     /// Returns the next call; `None` after the idle timeout or when the pool ends.
-    fn next(&self) -> Option<(String, Waiting)> {
+    fn next(&self) -> Option<(String, WaitingDelivery)> {
         let mut state = self.shared.lock();
         let idle_until = self.shared.clock.now() + IDLE_TIMEOUT;
         loop {
@@ -317,7 +317,7 @@
     }
 
     /// Reports expired calls to the core as not sent.
-    fn report_expired(&self, expired: Vec<Waiting>, now: Timestamp) {
+    fn report_expired(&self, expired: Vec<WaitingDelivery>, now: Timestamp) {
         for waiting in expired {
             let queue_time = now.since(waiting.since);
             if let Some(input) = waiting.delivery.not_sent(queue_time) {
@@ -326,7 +326,7 @@
         }
     }
 
-    fn execute(&self, waiting: Waiting) -> CallOutcome {
+    fn execute(&self, waiting: WaitingDelivery) -> CallOutcome {
         let now = self.shared.clock.now();
         let queue_time = now.since(waiting.since);
         match waiting.delivery {
--- a/crates/millpass-gateway/src/link.rs
+++ b/crates/millpass-gateway/src/link.rs
@@ -47,14 +47,14 @@
     let mut members = Members::new(&shared);
     loop {
         wait_for_leader(&shared, &mut members).await;
-        let Some(address) = members.choice.next_member() else {
+        let Some(address) = members.selector.next_member() else {
             Timer::after(NO_MEMBERS_DELAY).await;
             continue;
         };
         let mut known = Vec::new();
         let (end, served) = serve(&shared, address, &mut known).await;
         shared.request_query();
-        record_end(&shared, address, end, served, &mut members.choice);
+        record_end(&shared, address, end, served, &mut members.selector);
         members.merge(&shared, address, known);
         members.count_attempt(&shared, served);
         back_off(&shared, address, members.failed_attempts).await;
@@ -64,7 +64,7 @@
 /// Known members, the next one to try, and the number of consecutive failed attempts.
 struct Members {
     known: Vec<SocketAddr>,
-    choice: MemberSelector,
+    selector: MemberSelector,
     failed_attempts: usize,
 }
 
@@ -72,7 +72,7 @@
     fn new(shared: &Shared) -> Self {
         let mut members = Members {
             known: Vec::new(),
-            choice: MemberSelector::new(Vec::new()),
+            selector: MemberSelector::new(Vec::new()),
             failed_attempts: 0,
         };
         members.replace(shared, shared.settings.members.clone());
@@ -81,7 +81,7 @@
 
     fn replace(&mut self, shared: &Shared, known: Vec<SocketAddr>) {
         shared.core().set_members(known.iter().copied().collect());
-        self.choice = MemberSelector::new(known.clone());
+        self.selector = MemberSelector::new(known.clone());
         self.known = known;
     }
 
@@ -95,7 +95,7 @@
         reported.dedup();
         if reported != self.known {
             self.replace(shared, reported);
-            self.choice.mark_unreachable(from);
+            self.selector.mark_unreachable(from);
         }
     }
 
@@ -123,7 +123,7 @@
             (core.leadership(now), core.is_missing_updates())
         };
         match leadership {
-            Leadership::Leader(leader) => return members.choice.set_leader_hint(Some(leader)),
+            Leadership::Leader(leader) => return members.selector.set_leader_hint(Some(leader)),
             Leadership::NoLeader if !missing_updates && now < until => {
                 shared.wait_for_change(responded, until).await;
             }
@@ -137,15 +137,15 @@
     address: SocketAddr,
     end: LinkEnd,
     served: bool,
-    choice: &mut MemberSelector,
+    selector: &mut MemberSelector,
 ) {
     let change = match end {
         LinkEnd::NotLeader(leader) => {
-            choice.set_leader_hint(leader);
+            selector.set_leader_hint(leader);
             "not-leader"
         }
         LinkEnd::Lost(reason) => {
-            choice.mark_unreachable(address);
+            selector.mark_unreachable(address);
             let pairs = [("member", address.to_string()), ("reason", reason)];
             if served {
                 log::warn!("{}", event_line("leader_lost", &pairs));
@@ -171,8 +171,8 @@
         let responded = shared.member_responded.listen();
         let now = shared.now();
         let leadership = shared.core().leadership(now);
-        let named = matches!(leadership, Leadership::Leader(leader) if leader != previous);
-        if now >= until || (named && failed_attempts > 0) {
+        let has_new_leader = matches!(leadership, Leadership::Leader(leader) if leader != previous);
+        if now >= until || (has_new_leader && failed_attempts > 0) {
             return;
         }
         shared.wait_for_change(responded, until).await;
@@ -182,8 +182,8 @@
 /// Reloads the members of the settings. Returns them with the known ones if any is new.
 fn reload_members(shared: &Shared, known: &[SocketAddr]) -> Option<Vec<SocketAddr>> {
     let source = shared.settings.member_source.as_ref()?;
-    let named = (source.0)()?;
-    let new: Vec<SocketAddr> = named
+    let configured = (source.0)()?;
+    let new: Vec<SocketAddr> = configured
         .into_iter()
         .filter(|address| !known.contains(address))
         .collect();
