--- a/crates/millpass-control/src/calls.rs
+++ b/crates/millpass-control/src/calls.rs
@@ -111,7 +111,7 @@
             return AdministrationResponse::Busy;
         };
         let input = ControlInput::Administration { call, request };
-        if let Err(reason) = self.inputs.try_submit(input) {
+        if let Err(reason) = self.inputs.offer(input) {
             self.table.remove(call);
             return refused_response(reason);
         }
--- a/crates/millpass-control/src/disk_wait.rs
+++ b/crates/millpass-control/src/disk_wait.rs
@@ -2,7 +2,7 @@
 //!
 //! A failed write ends the member, so that the next process reads the disk afresh. That process
 //! waits until the data folder can be opened and has space, instead of crash-looping under its
-//! supervisor.
+//! supervisor. A first start thereby also keeps its settings for forming the group.
 
 use crate::error::ControlError;
 use crate::interface::Extensions;
--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -113,7 +113,7 @@
 
     /// Adds an input, or refuses it at once if its class is full. For inputs that the sender
     /// repeats.
-    pub(crate) fn try_submit(&self, input: ControlInput) -> Result<(), SendError> {
+    pub(crate) fn offer(&self, input: ControlInput) -> Result<(), SendError> {
         self.push(&mut self.shared.lock(), input)
     }
 
--- a/crates/millpass-gateway/src/forward.rs
+++ b/crates/millpass-gateway/src/forward.rs
@@ -125,7 +125,8 @@
     let body = match read_body(shared, body).await {
         Ok(body) => body,
         Err(status) => {
-            let reason = "the body exceeds the limit of the configuration or came too slowly";
+            let reason =
+                "the request body exceeds the configured limit or was not received in time";
             return gateway_response(shared, &attempt, status, reason, None);
         }
     };
