--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -1,8 +1,8 @@
-//! The way into the core: bounded queues by priority that its thread empties.
+//! Bounded queues to the core, by priority.
 //!
-//! Inputs of one class keep their order. Of one connection, credit and crash reports may overtake its
-//! other messages, and may be taken after its end: they rest on neither. Its end never overtakes a report
-//! or claim.
+//! Inputs of one class keep their order. Credit requests and crash reports may overtake other messages of their
+//! connection, and may be processed after its end, as they do not depend on them. The end of a connection never
+//! overtakes its reports or claims.
 
 use crate::backlog::{Backlog, Next};
 use crate::priority::Priority;
@@ -11,32 +11,32 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// What the core's thread does next.
-pub(crate) enum HostInput {
+/// Next action of the core's thread.
+pub(crate) enum CoreInput {
     /// A tick is due.
     Tick,
-    /// Take this input up.
-    Core(WaitingInput),
-    /// A write failed: the member must not go on.
+    /// Process this input.
+    Input(WaitingInput),
+    /// A write failed: the member must stop.
     DiskFailed(StorageError),
-    /// The log on the disk is long: a snapshot would let a part of it go.
-    WantSnapshot,
-    /// A thread that the member cannot do without has ended.
+    /// A snapshot is requested, to truncate the log on disk.
+    SnapshotRequested,
+    /// A critical thread has ended.
     ThreadEnded(&'static str),
-    /// End without draining.
+    /// Stop without draining.
     Halt,
 }
 
-/// An input of the core, and since when it waits.
+/// An input of the core with its time of arrival.
 pub(crate) struct WaitingInput {
     pub(crate) class: Priority,
     pub(crate) since: Instant,
     pub(crate) input: ControlInput,
 }
 
-/// Why an input was not taken in.
+/// Why an input was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotTaken {
+pub(crate) enum SendError {
     /// Its class is full.
     Full,
     /// The core has ended.
@@ -48,18 +48,18 @@
     backlog: Backlog<Box<WaitingInput>>,
     disk_failure: Option<StorageError>,
     ended_thread: Option<&'static str>,
-    wants_snapshot: bool,
+    snapshot_requested: bool,
     is_halted: bool,
-    /// The core takes nothing more.
+    /// The core accepts no more inputs.
     has_ended: bool,
 }
 
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
-    /// The core's thread waits here.
+    /// Wakes the core's thread.
     filled: Condvar,
-    /// Senders wait here for room, by class.
+    /// Wakes senders that wait for capacity, by class.
     emptied: [Condvar; Priority::ALL.len()],
 }
 
@@ -75,13 +75,13 @@
     shared: Arc<Shared>,
 }
 
-/// The core's end of the queues.
+/// Receiving end of the queues.
 pub(crate) struct InputQueue {
     shared: Arc<Shared>,
 }
 
 impl Inputs {
-    /// The queues' two ends.
+    /// Creates both ends of the queues.
     pub(crate) fn new() -> (Inputs, InputQueue) {
         let shared = Arc::new(Shared::default());
         let inputs = Inputs {
@@ -90,8 +90,7 @@
         (inputs, InputQueue { shared })
     }
 
-    /// Waits for room: whoever reads a connection reads on when the core has caught up. False once the
-    /// core has ended.
+    /// Adds an input, blocking until its class has capacity. Returns false once the core has ended.
     pub(crate) fn send(&self, input: ControlInput) -> bool {
         let class = Priority::of(&input);
         let mut state = self.shared.lock();
@@ -102,7 +101,7 @@
         self.push(&mut state, input).is_ok()
     }
 
-    /// Hands the input back where its class has no room: its sender waits. False once the core has ended.
+    /// Adds an input, or returns it if its class is full. Returns `Ok(false)` once the core has ended.
     pub(crate) fn try_send(&self, input: ControlInput) -> Result<bool, Box<ControlInput>> {
         let mut state = self.shared.lock();
         if !state.has_ended && !state.backlog.has_capacity(Priority::of(&input)) {
@@ -111,14 +110,14 @@
         Ok(self.push(&mut state, input).is_ok())
     }
 
-    /// Refuses at once when the class is full: for what its sender repeats.
-    pub(crate) fn offer(&self, input: ControlInput) -> Result<(), NotTaken> {
+    /// Adds an input, or refuses it at once if its class is full. For inputs that the sender repeats.
+    pub(crate) fn try_submit(&self, input: ControlInput) -> Result<(), SendError> {
         self.push(&mut self.shared.lock(), input)
     }
 
-    /// Adds what the core's thread itself causes: it cannot wait for room, and bounds it by what it has
-    /// under way.
-    pub(crate) fn put(&self, input: ControlInput) {
+    /// Adds an input caused by the core's thread, regardless of capacity. The thread cannot block, and bounds these
+    /// inputs by its calls in progress.
+    pub(crate) fn send_unbounded(&self, input: ControlInput) {
         let waiting = waiting(input);
         self.shared
             .lock()
@@ -126,36 +125,36 @@
             .push_unbounded(waiting.class, waiting);
     }
 
-    fn push(&self, state: &mut State, input: ControlInput) -> Result<(), NotTaken> {
+    fn push(&self, state: &mut State, input: ControlInput) -> Result<(), SendError> {
         if state.has_ended {
-            return Err(NotTaken::Ended);
+            return Err(SendError::Ended);
         }
         let waiting = waiting(input);
         let pushed = state.backlog.push(waiting.class, waiting);
-        pushed.map_err(|_| NotTaken::Full)?;
+        pushed.map_err(|_| SendError::Full)?;
         self.shared.filled.notify_one();
         Ok(())
     }
 
-    /// Tells that a write failed.
+    /// Reports a failed write.
     pub(crate) fn disk_failed(&self, error: StorageError) {
         self.shared.lock().disk_failure = Some(error);
         self.shared.filled.notify_one();
     }
 
-    /// Asks for a snapshot, as the log on the disk is long.
-    pub(crate) fn want_snapshot(&self) {
-        self.shared.lock().wants_snapshot = true;
+    /// Requests a snapshot.
+    pub(crate) fn request_snapshot(&self) {
+        self.shared.lock().snapshot_requested = true;
         self.shared.filled.notify_one();
     }
 
-    /// Tells that a thread has ended; nothing once the core has.
+    /// Reports the end of a critical thread. Has no effect once the core has ended.
     pub(crate) fn thread_ended(&self, name: &'static str) {
         self.shared.lock().ended_thread = Some(name);
         self.shared.filled.notify_one();
     }
 
-    /// Ends the core without draining.
+    /// Stops the core without draining.
     pub(crate) fn halt(&self) {
         self.shared.lock().is_halted = true;
         self.shared.filled.notify_one();
@@ -163,28 +162,28 @@
 }
 
 impl InputQueue {
-    /// Waits for what to do next, at most until the tick is due.
-    pub(crate) fn next(&self, tick_due: Instant) -> HostInput {
+    /// Waits for the next action, at most until the tick is due.
+    pub(crate) fn next(&self, tick_due: Instant) -> CoreInput {
         let mut state = self.shared.lock();
         loop {
             if let Some(error) = state.disk_failure.take() {
-                return HostInput::DiskFailed(error);
+                return CoreInput::DiskFailed(error);
             }
             if state.is_halted {
-                return HostInput::Halt;
+                return CoreInput::Halt;
             }
-            if std::mem::take(&mut state.wants_snapshot) {
-                return HostInput::WantSnapshot;
+            if std::mem::take(&mut state.snapshot_requested) {
+                return CoreInput::SnapshotRequested;
             }
             if let Some(name) = state.ended_thread.take() {
-                return HostInput::ThreadEnded(name);
+                return CoreInput::ThreadEnded(name);
             }
             let now = Instant::now();
             match state.backlog.next(now, tick_due) {
-                Next::Tick => return HostInput::Tick,
+                Next::Tick => return CoreInput::Tick,
                 Next::Input(class, waiting) => {
                     self.shared.emptied[class as usize].notify_one();
-                    return HostInput::Core(*waiting);
+                    return CoreInput::Input(*waiting);
                 }
                 Next::Idle => {}
             }
@@ -194,7 +193,7 @@
         }
     }
 
-    /// Takes nothing more: whoever waits for room learns that the core has ended.
+    /// Closes the queues and wakes senders that wait for capacity.
     pub(crate) fn close(&self) {
         let mut state = self.shared.lock();
         state.has_ended = true;
@@ -203,7 +202,7 @@
         self.shared.emptied.iter().for_each(Condvar::notify_all);
     }
 
-    /// Inputs that wait, and inputs refused since the start, by class.
+    /// Returns the waiting inputs, and the inputs refused since startup, by class.
     pub(crate) fn lengths(&self) -> [(Priority, usize, u64); Priority::ALL.len()] {
         let state = self.shared.lock();
         let backlog = &state.backlog;
