--- a/crates/millpass-http/src/body.rs
+++ b/crates/millpass-http/src/body.rs
@@ -72,7 +72,7 @@
 /// Response body as read by hyper. The request counts as in flight until hyper drops it.
 pub(crate) struct ResponseBody {
     content: Content,
-    /// Declared before `in_flight`, so that it is dropped first.
+    /// Declared before `in_flight`: a request that no longer counts must not mark the connection.
     responding: Option<RespondingGuard>,
     in_flight: Option<InFlightGuard>,
 }
--- a/crates/millpass-http/src/server.rs
+++ b/crates/millpass-http/src/server.rs
@@ -231,7 +231,7 @@
     }
 }
 
-/// Accepts connections until the drain ends; then closes the listener.
+/// Accepts connections until `draining` is closed; then closes the listener.
 async fn accept_until_drain(
     listener: Async<TcpListener>,
     shared: Arc<Shared>,
--- a/crates/millpass-http/tests/common/mod.rs
+++ b/crates/millpass-http/tests/common/mod.rs
@@ -23,7 +23,7 @@
     pub reader: BufReader<TcpStream>,
 }
 
-/// Head and body of an response.
+/// A response as received.
 pub struct ReceivedResponse {
     pub status: u16,
     pub head: String,
