--- a/crates/millpass-consensus/src/candidacy.rs
+++ b/crates/millpass-consensus/src/candidacy.rs
@@ -1,6 +1,6 @@
 //! A candidacy under way, and what is told of one that ends without a leader.
 
-use crate::interface::{CandidacyAnswer, CandidacyEnd, ConsensusOutput, EndedCandidacy};
+use crate::interface::{CandidacyEnd, CandidacyResponse, ConsensusOutput, EndedCandidacy};
 use crate::{Consensus, RoleState};
 use millpass_proto::{Duration, MemberId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
     /// Members that granted what was asked for.
     pub(crate) granted: BTreeSet<MemberId>,
     /// First answer of each other member.
-    answers: BTreeMap<MemberId, (bool, Duration)>,
+    responses: BTreeMap<MemberId, (bool, Duration)>,
 }
 
 /// Votes for this member in its term.
@@ -28,14 +28,14 @@
         Candidacy {
             begun_at: now,
             granted: BTreeSet::new(),
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
         }
     }
 
     /// Takes the answer of another member.
     pub(crate) fn answered(&mut self, now: Timestamp, from: MemberId, is_granted: bool) {
-        let after = now.since(self.begun_at);
-        self.answers.entry(from).or_insert((is_granted, after));
+        let latency = now.since(self.begun_at);
+        self.responses.entry(from).or_insert((is_granted, latency));
         if is_granted {
             self.granted.insert(from);
         }
@@ -43,7 +43,7 @@
 
     /// Why it ends at its deadline.
     fn end_at_deadline(&self) -> CandidacyEnd {
-        let is_refused = self.answers.values().any(|(is_granted, _)| !is_granted);
+        let is_refused = self.responses.values().any(|(is_granted, _)| !is_granted);
         match is_refused {
             true => CandidacyEnd::Refused,
             false => CandidacyEnd::TimedOut,
@@ -68,7 +68,7 @@
 
     /// Tells that the candidacy under way, if any, ends because another member got further.
     pub(crate) fn candidacy_outvoted(&mut self) {
-        self.tell_candidacy_ended(CandidacyEnd::Outvoted);
+        self.tell_candidacy_ended(CandidacyEnd::Superseded);
     }
 
     fn tell_candidacy_ended(&mut self, end: CandidacyEnd) {
@@ -77,18 +77,18 @@
             RoleState::Candidate(candidacy) => (candidacy, false),
             RoleState::Follower | RoleState::Leader(_) => return,
         };
-        let answers = candidacy.answers.iter();
-        let answers = answers.map(|(member, (is_granted, after))| CandidacyAnswer {
+        let responses = candidacy.responses.iter();
+        let responses = responses.map(|(member, (is_granted, latency))| CandidacyResponse {
             member: *member,
             is_granted: *is_granted,
-            after: *after,
+            latency: *latency,
         });
         let ended = EndedCandidacy {
             term: self.hard_state.term,
             is_pre_vote,
             end,
-            lasted: self.now.since(candidacy.begun_at),
-            answers: answers.collect(),
+            duration: self.now.since(candidacy.begun_at),
+            responses: responses.collect(),
         };
         self.outputs.push(ConsensusOutput::CandidacyEnded(ended));
     }
--- a/crates/millpass-consensus/src/interface.rs
+++ b/crates/millpass-consensus/src/interface.rs
@@ -170,7 +170,7 @@
     /// Its time was over, and members had refused.
     Refused,
     /// Another member leads, or stands in a later term.
-    Outvoted,
+    Superseded,
     /// Its time was over, and no member had refused: answers are late or lost.
     TimedOut,
 }
@@ -185,20 +185,20 @@
     /// Why it ended.
     pub end: CandidacyEnd,
     /// How long it lasted.
-    pub lasted: Duration,
+    pub duration: Duration,
     /// Who had answered by then.
-    pub answers: Vec<CandidacyAnswer>,
+    pub responses: Vec<CandidacyResponse>,
 }
 
 /// A member's first answer to a candidate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CandidacyAnswer {
+pub struct CandidacyResponse {
     /// Member.
     pub member: MemberId,
     /// Whether it granted what was asked for.
     pub is_granted: bool,
     /// Time from the request to the answer.
-    pub after: Duration,
+    pub latency: Duration,
 }
 
 /// What a member believes.
@@ -229,5 +229,5 @@
     /// Last index known to be synced there.
     pub match_index: u64,
     /// Milliseconds since its last answer.
-    pub silent_millis: u64,
+    pub since_contact_millis: u64,
 }
--- a/crates/millpass-consensus/src/lib.rs
+++ b/crates/millpass-consensus/src/lib.rs
@@ -173,8 +173,8 @@
 
     /// Index of the last entry of the log that binds gateways, committed or not; 0 if none is known. What a snapshot
     /// covers, the applied state knows.
-    pub fn binding_index(&self) -> u64 {
-        self.log.binding_index()
+    pub fn required_index(&self) -> u64 {
+        self.log.required_index()
     }
 
     /// Index of the entry that brought the membership of the log, committed or not.
@@ -202,7 +202,7 @@
         let describe = |(member, progress): (&MemberId, &progress::Progress)| MemberProgress {
             member: *member,
             match_index: progress.match_index,
-            silent_millis: self.now.since(progress.heard_at).as_millis() as u64,
+            since_contact_millis: self.now.since(progress.heard_at).as_millis() as u64,
         };
         leader.members.iter().map(describe).collect()
     }
--- a/crates/millpass-consensus/src/log.rs
+++ b/crates/millpass-consensus/src/log.rs
@@ -149,7 +149,7 @@
 
     /// Index of the last entry that binds gateways, committed or not; 0 if none is known. One that a snapshot covers
     /// may be unknown here: the applied state knows it.
-    pub(crate) fn binding_index(&self) -> u64 {
+    pub(crate) fn required_index(&self) -> u64 {
         self.binding.last().copied().unwrap_or(0)
     }
 
--- a/crates/millpass-consensus/tests/overload.rs
+++ b/crates/millpass-consensus/tests/overload.rs
@@ -204,7 +204,7 @@
     assert!(!ended.is_empty());
     for ended in ended {
         assert_eq!(ended.end, CandidacyEnd::TimedOut);
-        assert!(ended.is_pre_vote && ended.answers.is_empty());
+        assert!(ended.is_pre_vote && ended.responses.is_empty());
     }
 }
 
@@ -221,9 +221,9 @@
     assert!(!cluster.candidacies.is_empty());
     for (machine, ended) in &cluster.candidacies {
         assert_eq!((*machine, ended.end), (deaf, CandidacyEnd::Refused));
-        let answer = ended.answers.iter().find(|answer| answer.member == other);
+        let answer = ended.responses.iter().find(|answer| answer.member == other);
         let answer = answer.expect("the third member answers");
-        assert!(!answer.is_granted && answer.after <= ended.lasted);
+        assert!(!answer.is_granted && answer.latency <= ended.duration);
     }
     assert_eq!(cluster.leader(), Some(leader));
 }
--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -99,7 +99,7 @@
         }
         let latest = self.fleet.as_ref();
         let latest = latest.and_then(|fleet| fleet.latest_run(&instance));
-        let recorded = || self.state.latest_noted_run(&instance).cloned();
+        let recorded = || self.state.latest_recorded_run(&instance).cloned();
         latest.or_else(recorded).unwrap_or(instance)
     }
 
@@ -221,8 +221,8 @@
     /// Initializes the fleet from the replicated state, once per leadership.
     pub(crate) fn start_fleet(&mut self, now: Timestamp) {
         if let Some(fleet) = self.fleet.as_mut().filter(|fleet| !fleet.has_begun()) {
-            let recorded = self.state.noted_instances().cloned();
-            let quarantined = self.state.held_requests().cloned();
+            let recorded = self.state.recorded_instances().cloned();
+            let quarantined = self.state.quarantined_requests().cloned();
             let state = &self.state;
             fleet.take_departures(&|instance| state.departed(instance));
             fleet.begin(now, recorded, quarantined, &self.instructions);
--- a/crates/millpass-control-plane/src/drain.rs
+++ b/crates/millpass-control-plane/src/drain.rs
@@ -78,7 +78,7 @@
             let missing = progress.map_or(u64::MAX, |found| {
                 status.last.saturating_sub(found.match_index)
             });
-            let since_contact = progress.map_or(u64::MAX, |found| found.silent_millis);
+            let since_contact = progress.map_or(u64::MAX, |found| found.since_contact_millis);
             (missing, since_contact, voter.member)
         })
         .collect();
--- a/crates/millpass-control-plane/src/freshness.rs
+++ b/crates/millpass-control-plane/src/freshness.rs
@@ -31,20 +31,20 @@
 impl RequiredIndex {
     /// Takes over the index of a restored snapshot without changing the replicated state.
     pub(crate) fn snapshot_restored(&mut self, state: &State, snapshot_index: u64) {
-        if state.binding_index() == 0 && state.document().is_some() {
+        if state.required_index() == 0 && state.document().is_some() {
             self.assumed = snapshot_index;
         }
     }
 
     /// Returns the highest known index of a committed required entry.
     fn committed(&self, state: &State) -> u64 {
-        state.binding_index().max(self.assumed)
+        state.required_index().max(self.assumed)
     }
 
     pub(crate) fn update(&mut self, consensus: &Consensus, state: &State) {
         self.highest = self
             .highest
-            .max(consensus.binding_index())
+            .max(consensus.required_index())
             .max(self.committed(state));
     }
 }
@@ -112,7 +112,7 @@
         }
         let is_newer = document.version > report.version;
         let instances = match is_initial {
-            true => self.state.noted_instances().cloned().collect(),
+            true => self.state.recorded_instances().cloned().collect(),
             false => Vec::new(),
         };
         let update = GatewayUpdate {
--- a/crates/millpass-control-plane/src/missing_voters.rs
+++ b/crates/millpass-control-plane/src/missing_voters.rs
@@ -113,7 +113,7 @@
 }
 
 fn since_contact(progress: &MemberProgress) -> Duration {
-    Duration::from_millis(progress.silent_millis)
+    Duration::from_millis(progress.since_contact_millis)
 }
 
 /// Returns the next expected step that restores fault tolerance.
--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -473,7 +473,7 @@
         let expiry = ExpireClaims {
             created_before_unix_millis: unix_millis.saturating_sub(retention),
         };
-        if expiry.created_before_unix_millis > self.state.claims_born_after() {
+        if expiry.created_before_unix_millis > self.state.claims_expired_before() {
             let command = Command::ExpireClaims(expiry);
             self.propose_internal(now, InternalKey::ExpireClaims, command, out);
         }
--- a/crates/millpass-control-plane/src/repair.rs
+++ b/crates/millpass-control-plane/src/repair.rs
@@ -108,7 +108,9 @@
     }
 
     fn since_contact(&self, member: MemberId) -> Duration {
-        let millis = self.progress(member).map_or(0, |found| found.silent_millis);
+        let millis = self
+            .progress(member)
+            .map_or(0, |found| found.since_contact_millis);
         Duration::from_millis(millis)
     }
 
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -361,18 +361,18 @@
 fn log_candidacy(ended: &EndedCandidacy, out: &mut Outputs) {
     let reason = match ended.end {
         CandidacyEnd::Refused => "refused",
-        CandidacyEnd::Outvoted => "outvoted",
+        CandidacyEnd::Superseded => "outvoted",
         CandidacyEnd::TimedOut => "timed-out",
     };
     let votes: Vec<String> = ended
-        .answers
+        .responses
         .iter()
         .map(|response| {
             let vote = if response.is_granted { "yes" } else { "no" };
             format!(
                 "{}:{vote}:{}ms",
                 response.member,
-                response.after.as_millis()
+                response.latency.as_millis()
             )
         })
         .collect();
@@ -380,7 +380,7 @@
         ("reason", reason.to_owned()),
         ("term", ended.term.to_string()),
         ("pre_vote", ended.is_pre_vote.to_string()),
-        ("lasted_ms", ended.lasted.as_millis().to_string()),
+        ("lasted_ms", ended.duration.as_millis().to_string()),
         ("answers", votes.join(",")),
     ];
     out.event("candidacy-ended", pairs);
--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -272,7 +272,7 @@
             placement: self.placement_for(report.placement),
             watch: self.watch_change(router),
             load_estimates: self.ready_estimates(now, report),
-            claims_created_after_unix_millis: self.state.claims_born_after(),
+            claims_created_after_unix_millis: self.state.claims_expired_before(),
         }
     }
 
--- a/crates/millpass-control/src/api/status.rs
+++ b/crates/millpass-control/src/api/status.rs
@@ -173,7 +173,7 @@
         zone: address.zone.0.clone(),
         role: role.to_owned(),
         peer_address: address.peer_address.clone(),
-        silent_millis: known.map(|progress| progress.silent_millis),
+        silent_millis: known.map(|progress| progress.since_contact_millis),
         match_index: known.map(|progress| progress.match_index),
     }
 }
--- a/crates/millpass-control/src/disk.rs
+++ b/crates/millpass-control/src/disk.rs
@@ -88,7 +88,7 @@
         for note in self.storage.take_notes() {
             log::warn!("event=disk_repaired {note}");
         }
-        if self.storage.wants_snapshot() && self.snapshot_requests.is_due() {
+        if self.storage.is_snapshot_due() && self.snapshot_requests.is_due() {
             self.inputs.want_snapshot();
         }
         self.room
--- a/crates/millpass-control/src/disk_wait.rs
+++ b/crates/millpass-control/src/disk_wait.rs
@@ -34,7 +34,7 @@
     };
     loop {
         match start_extended(settings.clone(), extensions.clone()) {
-            Err(ControlError::Storage(error)) if error.is_passing() && may_wait() => {
+            Err(ControlError::Storage(error)) if error.is_transient() && may_wait() => {
                 wait.refused(&error);
                 thread::sleep(TRY_PAUSE);
             }
--- a/crates/millpass-control/src/disk_watch.rs
+++ b/crates/millpass-control/src/disk_watch.rs
@@ -82,7 +82,7 @@
     /// For a storage with these options.
     pub(crate) fn new(options: &StorageOptions) -> Self {
         RoomWatch {
-            most_bytes: options.most_bytes(),
+            most_bytes: options.maximum_bytes(),
             largest_state_bytes: options.largest_state_bytes,
             looks: Throttle::new(LOOK_INTERVAL),
             warnings: Throttle::new(WARNING_INTERVAL),
--- a/crates/millpass-control/tests/failing_disk.rs
+++ b/crates/millpass-control/tests/failing_disk.rs
@@ -5,7 +5,7 @@
 
 use common::wait_for;
 use millpass_control::{ControlProcessSettings, start};
-use millpass_storage::{AppendFile, FileSystem, open_cut};
+use millpass_storage::{AppendFile, FileSystem, open_truncated};
 use rstest::rstest;
 use std::fs::File;
 use std::io;
@@ -35,7 +35,7 @@
 impl FileSystem for FailingFiles {
     fn open_append(&self, path: &Path, length: u64) -> io::Result<Box<dyn AppendFile>> {
         Ok(Box::new(FailingAppend {
-            file: open_cut(path, length)?,
+            file: open_truncated(path, length)?,
             failure: self.failure,
             fails: self.fails.clone(),
         }))
--- a/crates/millpass-state/src/catalog.rs
+++ b/crates/millpass-state/src/catalog.rs
@@ -3,7 +3,7 @@
 use crate::State;
 use crate::audit::{AuditLog, RememberedChanges, Resend};
 use crate::changes::ChangeIndex;
-use crate::validation::{Invalid, check_change, version_name};
+use crate::validation::{InvalidObject, check_change, version_name};
 use millpass_proto::{
     AdapterName, AdapterSpec, AuditRecord, ChangeAccepted, ConfigurationDelta,
     ConfigurationRevision, ModelName, ModelSpec, ObjectChange, ObjectChangeOutcome, ObjectKey,
@@ -38,7 +38,7 @@
     pub(crate) fn apply(&mut self, change: &ObjectChange) -> ObjectChangeOutcome {
         match self.remembered.find(change) {
             Some(Resend::Accepted(accepted)) => return ObjectChangeOutcome::Accepted(accepted),
-            Some(Resend::OtherContent) => return rejected(Invalid::ChangeIdUsed),
+            Some(Resend::OtherContent) => return rejected(InvalidObject::ChangeIdUsed),
             None => {}
         }
         let current_version = self.object(&change.key).map_or(0, |object| object.version);
@@ -49,7 +49,7 @@
             return rejected(invalid);
         }
         if current_version == 0 && self.objects.len() >= MAXIMUM_OBJECTS {
-            return rejected(Invalid::CatalogFull);
+            return rejected(InvalidObject::CatalogFull);
         }
         ObjectChangeOutcome::Accepted(self.accept(change))
     }
@@ -296,6 +296,6 @@
     }
 }
 
-fn rejected(invalid: Invalid) -> ObjectChangeOutcome {
+fn rejected(invalid: InvalidObject) -> ObjectChangeOutcome {
     ObjectChangeOutcome::Rejected(invalid.to_string())
 }
--- a/crates/millpass-state/src/deployment.rs
+++ b/crates/millpass-state/src/deployment.rs
@@ -11,7 +11,7 @@
 pub const MAXIMUM_DEPARTED_INSTANCES: usize = 4_096;
 
 /// Most instances noted; far above the fleets that one group serves.
-pub const MAXIMUM_NOTED_INSTANCES: usize = 16_384;
+pub const MAXIMUM_RECORDED_INSTANCES: usize = 16_384;
 
 /// Document, departures and noted instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
         for record in &note.instances {
             let departed = self.departed(&record.instance);
             let known = self.noted.contains_key(&record.instance);
-            let full = !known && self.noted.len() >= MAXIMUM_NOTED_INSTANCES;
+            let full = !known && self.noted.len() >= MAXIMUM_RECORDED_INSTANCES;
             if departed == Some(true) || full {
                 continue;
             }
--- a/crates/millpass-state/src/document.rs
+++ b/crates/millpass-state/src/document.rs
@@ -11,10 +11,10 @@
 pub enum InvalidDocument {
     /// Version 0 stands for none.
     #[error("version 0 is reserved; write a version from 1")]
-    NoVersion,
+    ZeroVersion,
     /// Two services have one name.
     #[error("service {0} stands twice; give each service one entry")]
-    ServiceTwice(String),
+    DuplicateService(String),
     /// A route names a service that is not there.
     #[error(
         "route {route} names service {service}, which the document lacks; add it or correct the name"
@@ -27,22 +27,22 @@
     },
     /// Two routes share host and prefix.
     #[error("route {route} has the host and prefix of another route; change one of them")]
-    SamePlace {
+    DuplicateRoute {
         /// Route.
         route: String,
     },
     /// No target of a route has a weight.
     #[error("route {route}: the weights add up to 0; give a service a weight above 0")]
-    NoWeight {
+    ZeroWeight {
         /// Route.
         route: String,
     },
     /// A tenant has no name.
     #[error("a tenant has no name; name each tenant")]
-    TenantNameless,
+    UnnamedTenant,
     /// Two tenants have one name.
     #[error("tenant {0} stands twice; give each tenant one entry")]
-    TenantTwice(String),
+    DuplicateTenant(String),
     /// Two tenants share a key.
     #[error("tenants {first} and {second} share a key; give each its own")]
     SharedKey {
@@ -55,7 +55,7 @@
     #[error(
         "tenant {tenant}: the quota states {units} units; write {MAXIMUM_UNITS} at most, or 0 for none"
     )]
-    AbsurdQuota {
+    QuotaTooLarge {
         /// Tenant.
         tenant: String,
         /// Units stated.
@@ -63,7 +63,7 @@
     },
     /// A route's time-out is 0.
     #[error("route {route}: the time-out is 0; write milliseconds above 0")]
-    NoTimeout {
+    ZeroTimeout {
         /// Route.
         route: String,
     },
@@ -72,18 +72,18 @@
 /// Checks a document as a whole.
 pub fn check_document(document: &DeploymentDocument) -> Result<(), InvalidDocument> {
     if document.version == 0 {
-        return Err(InvalidDocument::NoVersion);
+        return Err(InvalidDocument::ZeroVersion);
     }
     let mut services = BTreeSet::new();
     for service in &document.services {
         if !services.insert(&service.name) {
-            return Err(InvalidDocument::ServiceTwice(service.name.0.clone()));
+            return Err(InvalidDocument::DuplicateService(service.name.0.clone()));
         }
     }
     let mut places = BTreeSet::new();
     for route in &document.routes {
         if !places.insert((&route.host, &route.path_prefix)) {
-            return Err(InvalidDocument::SamePlace {
+            return Err(InvalidDocument::DuplicateRoute {
                 route: route.name.clone(),
             });
         }
@@ -98,10 +98,10 @@
     for tenant in tenants {
         let name = || tenant.name.0.clone();
         if tenant.name.0.is_empty() {
-            return Err(InvalidDocument::TenantNameless);
+            return Err(InvalidDocument::UnnamedTenant);
         }
         if !names.insert(&tenant.name) {
-            return Err(InvalidDocument::TenantTwice(name()));
+            return Err(InvalidDocument::DuplicateTenant(name()));
         }
         for key in &tenant.key_hashes {
             let owner = owners.insert(key, tenant);
@@ -118,7 +118,7 @@
             tenant.plain_cost,
         ] {
             if units > MAXIMUM_UNITS {
-                return Err(InvalidDocument::AbsurdQuota {
+                return Err(InvalidDocument::QuotaTooLarge {
                     tenant: name(),
                     units,
                 });
@@ -144,10 +144,10 @@
         });
     }
     if route.targets.iter().all(|target| target.weight == 0) {
-        return Err(InvalidDocument::NoWeight { route: name() });
+        return Err(InvalidDocument::ZeroWeight { route: name() });
     }
     if route.timeout_millis == 0 {
-        return Err(InvalidDocument::NoTimeout { route: name() });
+        return Err(InvalidDocument::ZeroTimeout { route: name() });
     }
     Ok(())
 }
--- a/crates/millpass-state/src/encoding.rs
+++ b/crates/millpass-state/src/encoding.rs
@@ -1,7 +1,7 @@
 //! Snapshot encoding of the whole state.
 
 use crate::State;
-use crate::held_requests::HeldRequests;
+use crate::quarantine::QuarantinedRequests;
 use millpass_proto::codec;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -9,9 +9,9 @@
 /// Format of the encoding; grows when the layout changes. What is new stands behind what was there.
 const SNAPSHOT_FORMAT: u32 = 4;
 /// The format without the log indexes of what binds gateways; read, no longer written.
-const FORMAT_WITHOUT_BINDING_INDEX: u32 = 3;
+const FORMAT_WITHOUT_REQUIRED_INDEX: u32 = 3;
 /// The format without requests that are held back; read, no longer written.
-const FORMAT_WITHOUT_HELD_REQUESTS: u32 = 2;
+const FORMAT_WITHOUT_QUARANTINE: u32 = 2;
 
 /// Why an encoded state could not be read.
 #[derive(Debug, thiserror::Error)]
@@ -22,8 +22,8 @@
 struct SnapshotOut<'a> {
     format: u32,
     state: &'a State,
-    held_requests: &'a HeldRequests,
-    binding_index: u64,
+    quarantined_requests: &'a QuarantinedRequests,
+    required_index: u64,
     departure_indexes: &'a VecDeque<u64>,
 }
 
@@ -31,22 +31,22 @@
 struct SnapshotIn {
     format: u32,
     state: State,
-    held_requests: HeldRequests,
-    binding_index: u64,
+    quarantined_requests: QuarantinedRequests,
+    required_index: u64,
     departure_indexes: VecDeque<u64>,
 }
 
-/// A snapshot of [`FORMAT_WITHOUT_BINDING_INDEX`].
+/// A snapshot of [`FORMAT_WITHOUT_REQUIRED_INDEX`].
 #[derive(Deserialize)]
-struct SnapshotWithoutBindingIndex {
+struct SnapshotWithoutRequiredIndex {
     format: u32,
     state: State,
-    held_requests: HeldRequests,
+    quarantined_requests: QuarantinedRequests,
 }
 
-/// A snapshot of [`FORMAT_WITHOUT_HELD_REQUESTS`].
+/// A snapshot of [`FORMAT_WITHOUT_QUARANTINE`].
 #[derive(Deserialize)]
-struct SnapshotWithoutHeldRequests {
+struct SnapshotWithoutQuarantine {
     format: u32,
     state: State,
 }
@@ -57,8 +57,8 @@
         let snapshot = SnapshotOut {
             format: SNAPSHOT_FORMAT,
             state: self,
-            held_requests: &self.held_requests,
-            binding_index: self.binding_index,
+            quarantined_requests: &self.quarantined_requests,
+            required_index: self.required_index,
             departure_indexes: self.deployment.departure_indexes(),
         };
         // Encoding into memory fails for no value of these types.
@@ -71,27 +71,25 @@
             && snapshot.format == SNAPSHOT_FORMAT
         {
             let state = State {
-                held_requests: snapshot.held_requests,
-                binding_index: snapshot.binding_index,
+                quarantined_requests: snapshot.quarantined_requests,
+                required_index: snapshot.required_index,
                 ..snapshot.state
             };
             return Ok(state.with_departure_indexes(snapshot.departure_indexes));
         }
-        if let Ok(snapshot) = codec::decode::<SnapshotWithoutBindingIndex>(bytes)
-            && snapshot.format == FORMAT_WITHOUT_BINDING_INDEX
+        if let Ok(snapshot) = codec::decode::<SnapshotWithoutRequiredIndex>(bytes)
+            && snapshot.format == FORMAT_WITHOUT_REQUIRED_INDEX
         {
             let state = State {
-                held_requests: snapshot.held_requests,
+                quarantined_requests: snapshot.quarantined_requests,
                 ..snapshot.state
             };
             return Ok(state.with_departure_indexes(VecDeque::new()));
         }
-        let snapshot = codec::decode::<SnapshotWithoutHeldRequests>(bytes)
+        let snapshot = codec::decode::<SnapshotWithoutQuarantine>(bytes)
             .map_err(|error| StateError(error.to_string()))?;
         match snapshot.format {
-            FORMAT_WITHOUT_HELD_REQUESTS => {
-                Ok(snapshot.state.with_departure_indexes(VecDeque::new()))
-            }
+            FORMAT_WITHOUT_QUARANTINE => Ok(snapshot.state.with_departure_indexes(VecDeque::new())),
             other => Err(StateError(format!("format {other}"))),
         }
     }
--- a/crates/millpass-state/src/lib.rs
+++ b/crates/millpass-state/src/lib.rs
@@ -13,10 +13,10 @@
 mod document;
 mod encoding;
 mod fleet;
-mod held_requests;
 mod ledger;
 mod orders;
 mod placement;
+mod quarantine;
 mod refusal;
 mod routes;
 mod settlements;
@@ -31,15 +31,15 @@
     MAXIMUM_CLAIMS, MAXIMUM_CLAIMS_PER_TENANT, MAXIMUM_CLOCK_SKEW_MILLIS,
     MAXIMUM_TOTAL_ANSWER_BYTES,
 };
-pub use deployment::{MAXIMUM_DEPARTED_INSTANCES, MAXIMUM_NOTED_INSTANCES};
+pub use deployment::{MAXIMUM_DEPARTED_INSTANCES, MAXIMUM_RECORDED_INSTANCES};
 pub use document::{InvalidDocument, check_document};
 pub use encoding::StateError;
-pub use held_requests::MAXIMUM_HELD_REQUESTS;
 pub use ledger::{adapter_bytes_each, replica_bytes_each, version_bytes_each};
 pub use placement::MAXIMUM_ADAPTERS_PER_REPLICA;
+pub use quarantine::MAXIMUM_QUARANTINED_REQUESTS;
 pub use refusal::Refusal;
 pub use routes::MAXIMUM_ROUTE_REMOVALS;
-pub use validation::{Invalid, kind_of, version_name};
+pub use validation::{InvalidObject, kind_of, version_name};
 
 use millpass_proto::{
     BackendName, BackendState, Command, CommandOutcome, ConfigurationDelta, ConfigurationRevision,
@@ -60,17 +60,17 @@
     deployment: deployment::Deployment,
     /// Encoded behind the rest of the state, so that snapshots without it can be read.
     #[serde(skip)]
-    held_requests: held_requests::HeldRequests,
+    quarantined_requests: quarantine::QuarantinedRequests,
     /// Index of the last applied command that binds gateways; encoded behind the rest, too.
     #[serde(skip)]
-    binding_index: u64,
+    required_index: u64,
 }
 
 impl State {
     /// Applies one committed command.
     pub fn apply(&mut self, at: LogPosition, command: &Command) -> CommandOutcome {
         if command.is_required_by_gateways() {
-            self.binding_index = at.index;
+            self.required_index = at.index;
         }
         let outcome = match command {
             Command::ChangeObject(change) => CommandOutcome::Object(self.change_object(change)),
@@ -113,11 +113,11 @@
             // Each member keeps what it tells with the time at which it came.
             Command::RecordInstructionIntent(_) | Command::RecordStoreCapacity(_) => Ok(()),
             Command::QuarantineRequest(note) => {
-                self.held_requests.note(note);
+                self.quarantined_requests.note(note);
                 Ok(())
             }
             Command::LiftQuarantine(request) => {
-                self.held_requests.lift(request);
+                self.quarantined_requests.lift(request);
                 Ok(())
             }
             Command::DepartInstance(departure) => {
@@ -151,8 +151,8 @@
     }
 
     /// Requests that end the instances that run them.
-    pub fn held_requests(&self) -> impl Iterator<Item = &QuarantineRecord> {
-        self.held_requests.iter()
+    pub fn quarantined_requests(&self) -> impl Iterator<Item = &QuarantineRecord> {
+        self.quarantined_requests.iter()
     }
 
     /// The deployment document in force.
@@ -171,12 +171,12 @@
     }
 
     /// The latest run of an instance that a leader noted, where runs state their incarnations.
-    pub fn latest_noted_run(&self, instance: &InstanceId) -> Option<&InstanceId> {
+    pub fn latest_recorded_run(&self, instance: &InstanceId) -> Option<&InstanceId> {
         self.deployment.latest_noted(instance)
     }
 
     /// Instances as a leader last noted them.
-    pub fn noted_instances(&self) -> impl Iterator<Item = &InstanceRecord> {
+    pub fn recorded_instances(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.deployment.noted()
     }
 
@@ -271,12 +271,12 @@
 
     /// Log index of the last applied command that binds gateways; 0 for none, or where the snapshot of an earlier
     /// release does not say.
-    pub fn binding_index(&self) -> u64 {
-        self.binding_index
+    pub fn required_index(&self) -> u64 {
+        self.required_index
     }
 
     /// Birth time below which claims are forgotten, in Unix milliseconds.
-    pub fn claims_born_after(&self) -> u64 {
+    pub fn claims_expired_before(&self) -> u64 {
         self.claims.born_after()
     }
 
--- a/crates/millpass-state/src/placement.rs
+++ b/crates/millpass-state/src/placement.rs
@@ -76,7 +76,7 @@
         check_accelerators(&place.accelerators, model, available)?;
         let each = version_bytes_each(version, model.accelerators_per_replica);
         if !record.ledger.fits(&place.accelerators, each) {
-            return Err(Refusal::Memory);
+            return Err(Refusal::InsufficientMemory);
         }
         Ok(())
     }
@@ -86,7 +86,7 @@
         let replica = self.replica(decision.slot).ok_or(Refusal::UnknownSlot)?;
         let adapter = self.adapter_of(&replica.model, &decision.adapter)?;
         if replica.phase != ReplicaPhase::Loaded {
-            return Err(Refusal::Phase);
+            return Err(Refusal::WrongPhase);
         }
         if attachment(replica, &decision.adapter).is_some() {
             return Err(Refusal::AdapterPresent);
@@ -99,7 +99,7 @@
         record.check_live_engine(replica.incarnation)?;
         let each = adapter_bytes_each(adapter.bytes, replica.accelerators.len());
         if !record.ledger.fits(&replica.accelerators, each) {
-            return Err(Refusal::Memory);
+            return Err(Refusal::InsufficientMemory);
         }
         Ok(())
     }
@@ -200,7 +200,7 @@
         let replica = self.placement.replicas.get_mut(&decision.slot);
         let replica = replica.ok_or(Refusal::UnknownSlot)?;
         if replica.phase == ReplicaPhase::Unloading {
-            return Err(Refusal::Phase);
+            return Err(Refusal::WrongPhase);
         }
         let backend = replica.backend.clone();
         let attachment = attachment_mut(replica, &decision.adapter);
@@ -368,7 +368,7 @@
     let wanted = model.accelerators_per_replica as usize;
     let in_range = distinct.iter().all(|one| (*one as usize) < available);
     if accelerators.len() != wanted || distinct.len() != wanted || !in_range {
-        return Err(Refusal::Accelerators);
+        return Err(Refusal::InvalidAccelerators);
     }
     Ok(())
 }
--- a/crates/millpass-state/src/held_requests.rs
+++ b/crates/millpass-state/src/quarantine.rs
@@ -5,17 +5,17 @@
 use std::collections::VecDeque;
 
 /// Most requests kept; the one that was noted first gives way. As many as a leader holds back.
-pub const MAXIMUM_HELD_REQUESTS: usize = 256;
+pub const MAXIMUM_QUARANTINED_REQUESTS: usize = 256;
 
 /// Requests held back, the one noted first in front.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct HeldRequests(VecDeque<QuarantineRecord>);
+pub(crate) struct QuarantinedRequests(VecDeque<QuarantineRecord>);
 
-impl HeldRequests {
+impl QuarantinedRequests {
     /// Keeps a request; a later word of it replaces the earlier one.
     pub(crate) fn note(&mut self, note: &QuarantineRecord) {
         self.lift(&note.request);
-        if self.0.len() >= MAXIMUM_HELD_REQUESTS {
+        if self.0.len() >= MAXIMUM_QUARANTINED_REQUESTS {
             self.0.pop_front();
         }
         self.0.push_back(note.clone());
--- a/crates/millpass-state/src/refusal.rs
+++ b/crates/millpass-state/src/refusal.rs
@@ -37,16 +37,16 @@
     MaximumReplicas,
     /// The accelerators are not what the model needs.
     #[error("accelerators must be distinct, in range and as many as a replica spans")]
-    Accelerators,
+    InvalidAccelerators,
     /// Memory lacks on an accelerator.
     #[error("memory lacks on an accelerator; unload something first")]
-    Memory,
+    InsufficientMemory,
     /// The slot is not there.
     #[error("slot is not there; it was released")]
     UnknownSlot,
     /// The slot is in another phase.
     #[error("slot is in another phase; read the state again")]
-    Phase,
+    WrongPhase,
     /// The adapter is not in the catalog or adapts another model.
     #[error("adapter does not exist for this model; create it first")]
     UnknownAdapter,
--- a/crates/millpass-state/src/validation.rs
+++ b/crates/millpass-state/src/validation.rs
@@ -19,7 +19,7 @@
 
 /// Why an object is rejected: reason and remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
+pub enum InvalidObject {
     /// A name is empty, too long, or has characters that do not belong.
     #[error(
         "{0} must have 1 to {MAXIMUM_NAME_BYTES} printable characters and no space at its ends"
@@ -27,10 +27,10 @@
     Name(&'static str),
     /// `@` separates model and label.
     #[error("{0} must not contain `@`; choose another name")]
-    At(&'static str),
+    ContainsAtSign(&'static str),
     /// The content is of another kind than the key.
     #[error("content is of another kind than the key; submit content of the key's kind")]
-    Kind,
+    KindMismatch,
     /// The name of a version is not `model@label`.
     #[error("name of a version must be `{0}`, as its content says")]
     VersionName(String),
@@ -47,16 +47,16 @@
     TooLarge,
     /// The model that it belongs to is missing.
     #[error("model `{0}` does not exist; create it first")]
-    ModelMissing(ModelName),
+    UnknownModel(ModelName),
     /// The model still has versions or adapters.
     #[error("model still has `{0}`; delete its versions and adapters first")]
     ModelInUse(String),
     /// An adapter cannot move to another model.
     #[error("adapter belongs to model `{0}`; create a new adapter for the other model")]
-    AdapterMoves(ModelName),
+    AdapterModelChanged(ModelName),
     /// Another group has the path prefix.
     #[error("path prefix is taken by group `{0}`; choose another")]
-    PathTaken(String),
+    PathPrefixTaken(String),
     /// The catalog is full.
     #[error("catalog holds its maximum of objects; delete some first")]
     CatalogFull,
@@ -69,7 +69,7 @@
 }
 
 /// Checks a change against the catalog, apart from its version.
-pub(crate) fn check_change(catalog: &Catalog, change: &ObjectChange) -> Result<(), Invalid> {
+pub(crate) fn check_change(catalog: &Catalog, change: &ObjectChange) -> Result<(), InvalidObject> {
     check_name("change id", &change.change_id.0)?;
     check_name("object name", &change.key.name)?;
     match &change.spec {
@@ -78,13 +78,13 @@
     }
 }
 
-fn check_spec(catalog: &Catalog, key: &ObjectKey, spec: &ObjectSpec) -> Result<(), Invalid> {
+fn check_spec(catalog: &Catalog, key: &ObjectKey, spec: &ObjectSpec) -> Result<(), InvalidObject> {
     if kind_of(spec) != key.kind {
-        return Err(Invalid::Kind);
+        return Err(InvalidObject::KindMismatch);
     }
     let encoded = millpass_proto::codec::encode(spec);
     if encoded.map_or(usize::MAX, |bytes| bytes.len()) > MAXIMUM_SPEC_BYTES {
-        return Err(Invalid::TooLarge);
+        return Err(InvalidObject::TooLarge);
     }
     match spec {
         ObjectSpec::Tenant(tenant) => check_tenant(tenant),
@@ -110,30 +110,30 @@
     }
 }
 
-fn check_name(what: &'static str, name: &str) -> Result<(), Invalid> {
+fn check_name(what: &'static str, name: &str) -> Result<(), InvalidObject> {
     let printable = name.trim() == name && !name.chars().any(char::is_control);
     if name.is_empty() || name.len() > MAXIMUM_NAME_BYTES || !printable {
-        return Err(Invalid::Name(what));
+        return Err(InvalidObject::Name(what));
     }
     Ok(())
 }
 
-fn check_part(what: &'static str, name: &str) -> Result<(), Invalid> {
+fn check_part(what: &'static str, name: &str) -> Result<(), InvalidObject> {
     check_name(what, name)?;
     if name.contains('@') {
-        return Err(Invalid::At(what));
+        return Err(InvalidObject::ContainsAtSign(what));
     }
     Ok(())
 }
 
-fn check_range(field: &'static str, range: &'static str, holds: bool) -> Result<(), Invalid> {
+fn check_range(field: &'static str, range: &'static str, holds: bool) -> Result<(), InvalidObject> {
     if !holds {
-        return Err(Invalid::Range { field, range });
+        return Err(InvalidObject::Range { field, range });
     }
     Ok(())
 }
 
-fn check_tenant(tenant: &TenantSpec) -> Result<(), Invalid> {
+fn check_tenant(tenant: &TenantSpec) -> Result<(), InvalidObject> {
     check_range("share_weight", "1 or more", tenant.share_weight >= 1)?;
     for hash in &tenant.api_key_hashes {
         check_name("API key hash", hash)?;
@@ -141,7 +141,7 @@
     Ok(())
 }
 
-fn check_model(key: &ObjectKey, model: &ModelSpec) -> Result<(), Invalid> {
+fn check_model(key: &ObjectKey, model: &ModelSpec) -> Result<(), InvalidObject> {
     check_part("model name", &key.name)?;
     check_part("current_version", &model.current_version.0)?;
     let accelerators = model.accelerators_per_replica;
@@ -155,11 +155,15 @@
     check_range("concurrency_per_replica", "1 or more", in_range)
 }
 
-fn check_version(catalog: &Catalog, key: &ObjectKey, version: &VersionSpec) -> Result<(), Invalid> {
+fn check_version(
+    catalog: &Catalog,
+    key: &ObjectKey,
+    version: &VersionSpec,
+) -> Result<(), InvalidObject> {
     check_part("label", &version.label.0)?;
     let name = version_name(&version.model, &version.label.0);
     if key.name != name {
-        return Err(Invalid::VersionName(name));
+        return Err(InvalidObject::VersionName(name));
     }
     check_name("checkpoint", &version.checkpoint)?;
     let weights_fit = (1..=MAXIMUM_OBJECT_BYTES).contains(&version.weights_bytes);
@@ -169,14 +173,18 @@
     check_model_exists(catalog, &version.model)
 }
 
-fn check_adapter(catalog: &Catalog, key: &ObjectKey, adapter: &AdapterSpec) -> Result<(), Invalid> {
+fn check_adapter(
+    catalog: &Catalog,
+    key: &ObjectKey,
+    adapter: &AdapterSpec,
+) -> Result<(), InvalidObject> {
     check_name("checkpoint", &adapter.checkpoint)?;
     let fits = (1..=MAXIMUM_OBJECT_BYTES).contains(&adapter.bytes);
     check_range("bytes", "1 to 2^50", fits)?;
     check_model_exists(catalog, &adapter.model)?;
     match catalog.spec(key) {
         Some(ObjectSpec::Adapter(old)) if old.model != adapter.model => {
-            Err(Invalid::AdapterMoves(old.model.clone()))
+            Err(InvalidObject::AdapterModelChanged(old.model.clone()))
         }
         _ => Ok(()),
     }
@@ -186,7 +194,7 @@
     catalog: &Catalog,
     key: &ObjectKey,
     group: &BackendGroupSpec,
-) -> Result<(), Invalid> {
+) -> Result<(), InvalidObject> {
     let starts = group.path_prefix.starts_with('/');
     check_range("path_prefix", "a path that starts with `/`", starts)?;
     let mut paths = group.non_repeatable_paths.iter();
@@ -201,38 +209,38 @@
             continue;
         };
         if other.key != *key && spec.path_prefix == group.path_prefix {
-            return Err(Invalid::PathTaken(other.key.name.clone()));
+            return Err(InvalidObject::PathPrefixTaken(other.key.name.clone()));
         }
     }
     Ok(())
 }
 
 /// The programs are compiled and their examples run by whoever proposes the change.
-fn check_policy(policy: &PolicySpec) -> Result<(), Invalid> {
+fn check_policy(policy: &PolicySpec) -> Result<(), InvalidObject> {
     let stated = !policy.allow.trim().is_empty();
     check_range("allow", "an expression, such as `true`", stated)
 }
 
-fn check_operator(operator: &OperatorSpec) -> Result<(), Invalid> {
+fn check_operator(operator: &OperatorSpec) -> Result<(), InvalidObject> {
     check_name("key_hash", &operator.key_hash)
 }
 
-fn check_deletion(catalog: &Catalog, key: &ObjectKey) -> Result<(), Invalid> {
+fn check_deletion(catalog: &Catalog, key: &ObjectKey) -> Result<(), InvalidObject> {
     if catalog.object(key).is_none() {
-        return Err(Invalid::NothingToDelete);
+        return Err(InvalidObject::NothingToDelete);
     }
     if key.kind != ObjectKind::Model {
         return Ok(());
     }
     match catalog.dependant_of(&ModelName(key.name.clone())) {
-        Some(dependant) => Err(Invalid::ModelInUse(dependant)),
+        Some(dependant) => Err(InvalidObject::ModelInUse(dependant)),
         None => Ok(()),
     }
 }
 
-fn check_model_exists(catalog: &Catalog, model: &ModelName) -> Result<(), Invalid> {
+fn check_model_exists(catalog: &Catalog, model: &ModelName) -> Result<(), InvalidObject> {
     if catalog.model(model).is_none() {
-        return Err(Invalid::ModelMissing(model.clone()));
+        return Err(InvalidObject::UnknownModel(model.clone()));
     }
     Ok(())
 }
--- a/crates/millpass-state/tests/claims.rs
+++ b/crates/millpass-state/tests/claims.rs
@@ -168,7 +168,7 @@
     assert_eq!(fixture.state.claim_count(), 0);
     assert_eq!(fixture.state.open_claim_runs().count(), 0);
     fixture.must_ignore(expire(NOW));
-    assert_eq!(fixture.state.claims_born_after(), NOW + 1);
+    assert_eq!(fixture.state.claims_expired_before(), NOW + 1);
     let again = begin("k", "r1", 1);
     assert_eq!(decide(&mut fixture, &again), ClaimDecision::Expired);
 }
--- a/crates/millpass-state/tests/deployment.rs
+++ b/crates/millpass-state/tests/deployment.rs
@@ -151,5 +151,5 @@
 #[test]
 fn version_zero_stands_for_none() {
     let refused = check_document(&document(0, Vec::new()));
-    assert_eq!(refused, Err(InvalidDocument::NoVersion));
+    assert_eq!(refused, Err(InvalidDocument::ZeroVersion));
 }
--- a/crates/millpass-state/tests/placement.rs
+++ b/crates/millpass-state/tests/placement.rs
@@ -59,9 +59,9 @@
 #[case::slot_count(|place: &mut PlaceReplica| place.expected_slots = 1,
     Refusal::SlotCount { found: 0, expected: 1 })]
 #[case::accelerator_count(|place: &mut PlaceReplica| place.accelerators = vec![0, 1],
-    Refusal::Accelerators)]
+    Refusal::InvalidAccelerators)]
 #[case::out_of_range(|place: &mut PlaceReplica| place.accelerators = vec![2],
-    Refusal::Accelerators)]
+    Refusal::InvalidAccelerators)]
 #[case::incarnation(|place: &mut PlaceReplica| place.incarnation = Incarnation(9),
     Refusal::OtherIncarnation)]
 #[case::version(|place: &mut PlaceReplica| place.version = "v9".into(),
@@ -89,7 +89,10 @@
     let mut fixture = fixture();
     fixture.place("m", "e1");
     let mut place = fixture.placement("m", "e1");
-    assert_eq!(fixture.state.check_place(&place), Err(Refusal::Memory));
+    assert_eq!(
+        fixture.state.check_place(&place),
+        Err(Refusal::InsufficientMemory)
+    );
     place.accelerators = vec![1];
     fixture.must(Command::PlaceReplica(place.clone()));
     place.expected_slots = 2;
@@ -163,7 +166,7 @@
         adapter: adapter.into(),
     };
     let check = fixture.state.check_attach(&attach("a"));
-    assert_eq!(check, Err(Refusal::Phase));
+    assert_eq!(check, Err(Refusal::WrongPhase));
     fixture.settle(slot, OrderResult::Loaded);
     let check = fixture.state.check_attach(&attach("foreign"));
     assert_eq!(check, Err(Refusal::UnknownAdapter));
--- a/crates/millpass-state/tests/held_requests.rs
+++ b/crates/millpass-state/tests/quarantine.rs
@@ -1,7 +1,7 @@
 //! Requests held back in the replicated state, and in its snapshots.
 
 use millpass_proto::*;
-use millpass_state::{MAXIMUM_HELD_REQUESTS, State};
+use millpass_state::{MAXIMUM_QUARANTINED_REQUESTS, State};
 
 fn request(number: u64) -> RequestFingerprint {
     RequestFingerprint {
@@ -29,21 +29,27 @@
     let mut state = State::default();
     held(&mut state, 1, 5, 3);
     held(&mut state, 2, 5, 4);
-    let ends: Vec<u32> = state.held_requests().map(|note| note.crashes).collect();
+    let ends: Vec<u32> = state
+        .quarantined_requests()
+        .map(|note| note.crashes)
+        .collect();
     assert_eq!(ends, vec![4]);
     apply(&mut state, 3, &Command::LiftQuarantine(request(5)));
-    assert_eq!(state.held_requests().count(), 0);
+    assert_eq!(state.quarantined_requests().count(), 0);
 }
 
 #[test]
 fn they_are_bounded_and_the_first_gives_way() {
     let mut state = State::default();
-    for number in 0..MAXIMUM_HELD_REQUESTS as u64 + 3 {
+    for number in 0..MAXIMUM_QUARANTINED_REQUESTS as u64 + 3 {
         held(&mut state, number + 1, number, 3);
     }
-    assert_eq!(state.held_requests().count(), MAXIMUM_HELD_REQUESTS);
+    assert_eq!(
+        state.quarantined_requests().count(),
+        MAXIMUM_QUARANTINED_REQUESTS
+    );
     let first = state
-        .held_requests()
+        .quarantined_requests()
         .next()
         .map(|note| note.request.clone());
     assert_eq!(first, Some(request(3)));
--- a/crates/millpass-storage/src/error.rs
+++ b/crates/millpass-storage/src/error.rs
@@ -68,14 +68,14 @@
     },
     /// The disk cannot hold what a member may need.
     #[error(
-        "the disk has {disk} bytes (storage.disk_mb), and a member may need {may_need}; enlarge the disk, or lower \
+        "the disk has {disk} bytes (storage.disk_mb), and a member may need {required}; enlarge the disk, or lower \
          storage.segment_mb or storage.largest_state_mb"
     )]
     DiskTooSmall {
         /// Size of the disk in bytes.
         disk: u64,
         /// Bytes that the folder may hold.
-        may_need: u64,
+        required: u64,
     },
     /// A write or sync failed earlier, so what the disk holds is not known any more.
     #[error("an earlier write to {path} failed; restart the member, which reads its disk again")]
@@ -109,7 +109,7 @@
     }
 
     /// Whether the same may succeed later without anybody's doing in the settings: the disk is full or fails.
-    pub fn is_passing(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             StorageError::DiskFull { .. } | StorageError::Poisoned { .. } => true,
             StorageError::Inaccessible { source, .. } => !matches!(
--- a/crates/millpass-storage/src/file_system.rs
+++ b/crates/millpass-storage/src/file_system.rs
@@ -67,7 +67,7 @@
 
     /// Opens a file to append to; it is cut to this length first.
     fn open_append(&self, path: &Path, length: u64) -> io::Result<Box<dyn AppendFile>> {
-        Ok(Box::new(open_cut(path, length)?))
+        Ok(Box::new(open_truncated(path, length)?))
     }
 
     /// Gives a file another name, over one that has it.
@@ -87,7 +87,7 @@
 }
 
 /// Opens a file to append to, cut to this length.
-pub fn open_cut(path: &Path, length: u64) -> io::Result<File> {
+pub fn open_truncated(path: &Path, length: u64) -> io::Result<File> {
     let mut file = File::options().write(true).open(path)?;
     if file.metadata()?.len() != length {
         file.set_len(length)?;
--- a/crates/millpass-storage/src/lib.rs
+++ b/crates/millpass-storage/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use append_file::AppendFile;
 pub use error::StorageError;
-pub use file_system::{FileSystem, SystemFiles, open_cut};
+pub use file_system::{FileSystem, SystemFiles, open_truncated};
 pub use options::StorageOptions;
 pub use restored::{MemberIdentity, RecoveryNote, RestoredStorage};
 pub use storage::{Storage, StorageWrite};
--- a/crates/millpass-storage/src/opening.rs
+++ b/crates/millpass-storage/src/opening.rs
@@ -63,7 +63,10 @@
         notes: Vec::new(),
     };
     notes.extend(storage.remove_covered_files());
-    notes.extend(try_room(&storage.folder, storage.options.start_room_bytes)?);
+    notes.extend(try_room(
+        &storage.folder,
+        storage.options.minimum_free_bytes,
+    )?);
     let mut entries = loaded.replay.entries;
     if reaches_snapshot {
         entries.retain(|entry| entry.position.index > covered.index);
--- a/crates/millpass-storage/src/options.rs
+++ b/crates/millpass-storage/src/options.rs
@@ -10,12 +10,12 @@
 /// Room in bytes that a folder must have to be opened: for votes, some changes and a small snapshot. With less, a member
 /// would take part and end at one of its first writes: on a full disk, whoever started it each 0.7 s saw it end 7 times
 /// in 5 s, and one that waits longer each time kept it away after there was room.
-const START_ROOM_BYTES: u64 = 256 * 1024;
+const MINIMUM_FREE_BYTES: u64 = 256 * 1024;
 /// Segments that there are at most: one whose snapshot is being taken, its successor, and the one after that.
-const MOST_SEGMENTS: u64 = 3;
+const MAXIMUM_SEGMENTS: u64 = 3;
 /// States that there are at most beside the segments: the newest snapshot, the one that is written, and a write as large
 /// as a state at the end of the log.
-const MOST_STATES: u64 = 3;
+const MAXIMUM_STATE_COPIES: u64 = 3;
 
 /// Settings of the storage.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// Size in bytes from which a new segment is started.
     pub segment_bytes: u64,
     /// Room in bytes without which a folder is not opened.
-    pub start_room_bytes: u64,
+    pub minimum_free_bytes: u64,
     /// Largest replicated state to be expected, in bytes; so large is a snapshot, and a write at most.
     pub largest_state_bytes: u64,
     /// Size of the disk in bytes; none where it is not known.
@@ -36,7 +36,7 @@
     fn default() -> Self {
         StorageOptions {
             segment_bytes: 8 * MEGABYTE,
-            start_room_bytes: START_ROOM_BYTES,
+            minimum_free_bytes: MINIMUM_FREE_BYTES,
             largest_state_bytes: 16 * MEGABYTE,
             disk_bytes: None,
             files: Arc::new(SystemFiles),
@@ -46,19 +46,19 @@
 
 impl StorageOptions {
     /// Bytes that a folder holds at most, as long as the state is not larger than expected.
-    pub fn most_bytes(&self) -> u64 {
-        let segments = MOST_SEGMENTS.saturating_mul(self.segment_bytes);
-        let states = MOST_STATES.saturating_mul(self.largest_state_bytes);
+    pub fn maximum_bytes(&self) -> u64 {
+        let segments = MAXIMUM_SEGMENTS.saturating_mul(self.segment_bytes);
+        let states = MAXIMUM_STATE_COPIES.saturating_mul(self.largest_state_bytes);
         segments
             .saturating_add(states)
-            .saturating_add(self.start_room_bytes)
+            .saturating_add(self.minimum_free_bytes)
     }
 
     /// Refuses a disk that cannot hold that.
     pub(crate) fn check(&self) -> Result<(), StorageError> {
-        let may_need = self.most_bytes();
+        let required = self.maximum_bytes();
         match self.disk_bytes {
-            Some(disk) if disk < may_need => Err(StorageError::DiskTooSmall { disk, may_need }),
+            Some(disk) if disk < required => Err(StorageError::DiskTooSmall { disk, required }),
             _ => Ok(()),
         }
     }
--- a/crates/millpass-storage/src/storage.rs
+++ b/crates/millpass-storage/src/storage.rs
@@ -181,7 +181,7 @@
     }
 
     /// Whether the log is longer than a segment: a snapshot would let the first one go.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn is_snapshot_due(&self) -> bool {
         self.segments.len() > 1
     }
 
--- a/crates/millpass-storage/tests/bounds.rs
+++ b/crates/millpass-storage/tests/bounds.rs
@@ -20,7 +20,7 @@
     StorageOptions {
         segment_bytes: SEGMENT_BYTES,
         largest_state_bytes: LARGEST_STATE_BYTES,
-        start_room_bytes: 1_000,
+        minimum_free_bytes: 1_000,
         ..StorageOptions::default()
     }
 }
@@ -38,7 +38,7 @@
         last += WRITE_ENTRIES;
         let entries: Vec<_> = range.map(|index| entry(1, index, BODY_BYTES)).collect();
         storage.write(None, None, &entries).expect("write");
-        wanted += u64::from(storage.wants_snapshot());
+        wanted += u64::from(storage.is_snapshot_due());
         if wanted > LATE_WRITES {
             storage.save_snapshot(&snapshot(1, last)).expect("snapshot");
             wanted = 0;
@@ -48,27 +48,27 @@
         assert_eq!(bytes, found);
         most = most.max(bytes);
     }
-    assert!(most <= options().most_bytes(), "{most} bytes");
+    assert!(most <= options().maximum_bytes(), "{most} bytes");
     assert!(most > SEGMENT_BYTES, "more than a segment was written");
 }
 
 #[test]
 fn a_disk_that_cannot_hold_what_may_be_needed_is_refused_with_the_remedy() {
     let (_root, folder) = new_folder();
-    let may_need = options().most_bytes();
+    let required = options().maximum_bytes();
     let with_disk = |bytes| StorageOptions {
         disk_bytes: Some(bytes),
         ..options()
     };
-    let error = Storage::open_with(&folder, with_disk(may_need - 1)).err();
+    let error = Storage::open_with(&folder, with_disk(required - 1)).err();
     let error = error.expect("too small");
     assert!(
         matches!(error, StorageError::DiskTooSmall { .. }),
         "{error}"
     );
     assert!(error.to_string().contains("enlarge the disk"), "{error}");
-    assert!(!error.is_passing(), "waiting does not help");
-    Storage::open_with(&folder, with_disk(may_need)).expect("large enough");
+    assert!(!error.is_transient(), "waiting does not help");
+    Storage::open_with(&folder, with_disk(required)).expect("large enough");
 }
 
 /// A process is killed after its snapshot was written and before the older files were removed; then the disk is full.
--- a/crates/millpass-storage/tests/common/mod.rs
+++ b/crates/millpass-storage/tests/common/mod.rs
@@ -8,7 +8,7 @@
 };
 use millpass_storage::{
     AppendFile, FileSystem, MemberIdentity, RestoredStorage, Storage, StorageError, StorageOptions,
-    open_cut,
+    open_truncated,
 };
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -110,7 +110,7 @@
 
 impl FileSystem for AppendedThrough {
     fn open_append(&self, path: &Path, length: u64) -> std::io::Result<Box<dyn AppendFile>> {
-        Ok((self.0)(open_cut(path, length)?))
+        Ok((self.0)(open_truncated(path, length)?))
     }
 }
 
--- a/crates/millpass-storage/tests/faults.rs
+++ b/crates/millpass-storage/tests/faults.rs
@@ -11,7 +11,7 @@
 use common::*;
 use millpass_proto::HardState;
 use millpass_storage::{
-    AppendFile, FileSystem, RestoredStorage, Storage, StorageError, StorageOptions, open_cut,
+    AppendFile, FileSystem, RestoredStorage, Storage, StorageError, StorageOptions, open_truncated,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -130,7 +130,7 @@
     }
 
     fn open_append(&self, path: &Path, length: u64) -> io::Result<Box<dyn AppendFile>> {
-        let file = self.0.call(|| open_cut(path, length))?;
+        let file = self.0.call(|| open_truncated(path, length))?;
         Ok(Box::new(FaultyAppend {
             file,
             disk: self.0.clone(),
@@ -217,7 +217,7 @@
             folder: root.join("data").join("member"),
             options: StorageOptions {
                 segment_bytes: SEGMENT_BYTES,
-                start_room_bytes: START_ROOM,
+                minimum_free_bytes: START_ROOM,
                 files: Arc::new(FaultyFiles(disk.clone())),
                 ..StorageOptions::default()
             },
@@ -272,7 +272,7 @@
                     return storage;
                 }
                 Err(error) => {
-                    assert!(error.is_passing(), "a start is refused: {error}");
+                    assert!(error.is_transient(), "a start is refused: {error}");
                     assert!(starts < MOST_STARTS, "a disk that is well: {error}");
                 }
             }
