--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -315,7 +315,7 @@
         models
             .into_iter()
             .take(MAXIMUM_READY_ESTIMATES)
-            .map(|model| self.scheduler.outlook(now, &self.state, model))
+            .map(|model| self.scheduler.ready_estimate(now, &self.state, model))
             .collect()
     }
 
--- a/crates/millpass-control-plane/src/shares.rs
+++ b/crates/millpass-control-plane/src/shares.rs
@@ -47,11 +47,11 @@
         let Some(fleet) = &mut self.fleet else {
             return;
         };
-        fleet.keep_share(now);
-        if self.role == Role::Leader || !fleet.is_share_due(now) {
+        fleet.maintain_share(now);
+        if self.role == Role::Leader || !fleet.is_share_report_due(now) {
             return;
         }
-        if fleet.is_share_unanswered(now) {
+        if fleet.is_share_report_timed_out(now) {
             self.share_link.failed_reports += 1;
         }
         let leader = self.leader_peer_address();
@@ -62,7 +62,7 @@
         let process_run = *self.share_link.process_run.get_or_insert(unix_millis);
         let own = &self.settings.address;
         if let Some(fleet) = &mut self.fleet {
-            let report = fleet.share_report(now, process_run, own, is_leader);
+            let report = fleet.next_share_report(now, process_run, own, is_leader);
             out.push(ControlOutput::SendShare { address, report });
         }
     }
@@ -95,7 +95,7 @@
         let state = &self.state;
         let departed = |instance: &_| state.departed(instance);
         let fleet = self.fleet.as_mut()?;
-        Some(fleet.take_share(now, report, own, &departed))
+        Some(fleet.handle_share_report(now, report, own, &departed))
     }
 
     fn leader_hint(&self, report: &ShareReport) -> ShareResponse {
@@ -112,7 +112,7 @@
     /// Handles the response to this member's report.
     pub(crate) fn handle_share_response(&mut self, response: &ShareResponse) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.share_answered(response);
+            fleet.handle_share_response(response);
         }
         let own = self.settings.address.member;
         let named = response.leader.as_ref();
--- a/crates/millpass-control-plane/tests/harness/mod.rs
+++ b/crates/millpass-control-plane/tests/harness/mod.rs
@@ -18,7 +18,7 @@
 
 use millpass_consensus::{ConsensusSettings, RestoredLog};
 use millpass_control_plane::{
-    AdministrationRequest, AdministrationResponse, CallAnswer, ConnectionId, ControlInput,
+    AdministrationRequest, AdministrationResponse, CallResult, ConnectionId, ControlInput,
     ControlOutput, ControlPlane, ControlPlaneSettings, FleetSettings,
 };
 use millpass_proto::*;
@@ -405,12 +405,12 @@
         call: CallId,
         result: InstructionResult,
     ) {
-        let completed = CallAnswer {
+        let completed = CallResult {
             instance: instance.clone(),
             call,
-            answer: result,
-            waited: std::time::Duration::ZERO,
-            took: std::time::Duration::ZERO,
+            result,
+            queue_time: std::time::Duration::ZERO,
+            response_time: std::time::Duration::ZERO,
         };
         self.input(member, ControlInput::EngineCallCompleted(completed));
     }
--- a/crates/millpass-fleet/examples/leader_cost.rs
+++ b/crates/millpass-fleet/examples/leader_cost.rs
@@ -1,18 +1,17 @@
-//! Processor time of the leader's core at the sizes of growing deployments: one round of planning
-//! with many needs that nobody serves, and the updates of gateways; then processor time and bytes of what gateways
-//! are told when all of them come back, when one route changes, and when nothing does.
+//! Measures the leader's CPU time at several deployment sizes: one planning round with much unmet
+//! demand, and gateway updates after reconnects, a route change and no change at all.
 //!
 //! `cargo run --release -p millpass-fleet --example leader_cost`
 
 use millpass_fleet::{
-    CallAnswer, DocumentHistory, Fleet, FleetOutput, FleetSettings, GatewayContext,
+    CallResult, DocumentHistory, Fleet, FleetOutput, FleetSettings, GatewayContext,
     InstructionHistory,
 };
 use millpass_proto::{codec, *};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// One size: engines, models, gateways, needs that nobody serves.
+/// Engines, models, gateways and unmet demands of each size.
 const SIZES: [(usize, usize, u64, usize); 4] = [
     (18, 61, 7, 10),
     (140, 288, 70, 60),
@@ -22,7 +21,7 @@
 const ROUNDS: u64 = 20;
 const HELD_MODELS: usize = 3;
 
-const NOBODY: GatewayContext<'static> = GatewayContext {
+const EMPTY_CONTEXT: GatewayContext<'static> = GatewayContext {
     as_of: 0,
     members: &Vec::new,
     departed: &|_| Vec::new(),
@@ -80,7 +79,7 @@
         draining: false,
         warmup_millis: 0,
         sequence: 1,
-        // Half of the models are held by nobody.
+        // No engine holds the other half of the models.
         models: (0..HELD_MODELS)
             .map(|number| held(number * 2))
             .filter(|held| held.model.0.len().is_multiple_of(2) || models < 100)
@@ -115,15 +114,15 @@
 }
 
 fn main() {
-    planning();
-    telling();
+    measure_planning();
+    measure_updates();
 }
 
-/// Gateways and instances of what gateways are told.
-const TOLD_SIZES: [(u64, usize); 4] = [(70, 144), (70, 3_000), (490, 144), (490, 3_000)];
-/// Routes of the document; it has about 34 kB.
+/// Gateways and instances of each size in the update measurement.
+const UPDATE_SIZES: [(u64, usize); 4] = [(70, 144), (70, 3_000), (490, 144), (490, 3_000)];
+/// Results in a document of about 34 kB.
 const ROUTES: usize = 370;
-/// Departed instances that the log remembers.
+/// Departed instances kept in the log.
 const DEPARTED: usize = 256;
 
 fn route(number: usize) -> RouteSpec {
@@ -148,10 +147,10 @@
     }
 }
 
-/// A document without engines.
-fn plain() -> DeploymentDocument {
-    let mut plain = document(0);
-    plain.services = (0..20)
+/// Returns a document whose services have no engines.
+fn document_without_engines() -> DeploymentDocument {
+    let mut document = document(0);
+    document.services = (0..20)
         .map(|number| ServiceSpec {
             name: format!("service-{number}").into(),
             health_path: "/health".to_owned(),
@@ -159,7 +158,7 @@
             engine: None,
         })
         .collect();
-    plain
+    document
 }
 
 fn load(engine: usize) -> InstanceLoad {
@@ -169,7 +168,7 @@
     }
 }
 
-/// What a step took of the leader: in its core, to encode, and on the wire.
+/// Cost of one step at the leader: CPU time, encoding time and bytes sent.
 #[derive(Default)]
 struct Cost {
     core: std::time::Duration,
@@ -178,14 +177,14 @@
     updates: u64,
 }
 
-struct Told {
+struct UpdateRun {
     fleet: Fleet,
     documents: DocumentHistory,
     now: u64,
 }
 
-impl Told {
-    /// Gateways' reports, of gateway N on connection N and on, and what they are answered.
+impl UpdateRun {
+    /// Delivers gateway reports and measures the updates sent in response.
     fn exchange(
         &mut self,
         reports: &[(u64, GatewayReport)],
@@ -208,7 +207,7 @@
         };
         let started = Instant::now();
         for (connection, report) in reports {
-            self.fleet.report(now, *connection, report);
+            self.fleet.handle_report(now, *connection, report);
         }
         let outputs = self.fleet.run(now, 1, Some(document), &context);
         cost.core = started.elapsed();
@@ -241,35 +240,35 @@
     reports.collect()
 }
 
-fn telling() {
+fn measure_updates() {
     println!();
     println!(
         "gateways instances | step               | updates | bytes each | ms core | ms encoding"
     );
-    for (gateways, instances) in TOLD_SIZES {
-        let mut first = plain();
+    for (gateways, instances) in UPDATE_SIZES {
+        let mut first = document_without_engines();
         first.routes = (0..ROUTES).map(route).collect();
-        let mut told = Told {
+        let mut run = UpdateRun {
             fleet: Fleet::new(FleetSettings {
-                instance_silence: Duration::from_secs(3_600),
+                instance_timeout: Duration::from_secs(3_600),
                 ..FleetSettings::default()
             }),
             documents: DocumentHistory::new(),
             now: 1_000,
         };
-        told.documents.applied(Timestamp::ZERO, &first);
+        run.documents.record(Timestamp::ZERO, &first);
         let begin = Timestamp::ZERO;
         let history = InstructionHistory::new(begin, Duration::ZERO);
-        told.fleet
-            .begin(begin, std::iter::empty(), std::iter::empty(), &history);
+        run.fleet
+            .start_leading(begin, std::iter::empty(), std::iter::empty(), &history);
         let mut held = Vec::new();
         for number in 0..instances {
             let mut record = record(number, 288);
             record.service = format!("service-{}", number % 20).into();
             held.push(record.digest());
-            told.fleet.announce(begin, record, false);
+            run.fleet.handle_announcement(begin, record, false);
         }
-        let show = |step: &str, cost: &Cost| {
+        let print_cost = |step: &str, cost: &Cost| {
             println!(
                 "{gateways:8} {instances:9} | {step:18} | {:7} | {:10} | {:7.2} | {:11.2}",
                 cost.updates,
@@ -279,39 +278,38 @@
             );
         };
         let first_reports = reports(gateways, 0, 0, &[]);
-        show("first, has nothing", &told.exchange(&first_reports, &first));
-        told.exchange(&reports(gateways, 0, 1, &[]), &first);
-        told.now += 60_000;
+        print_cost("first connection", &run.exchange(&first_reports, &first));
+        run.exchange(&reports(gateways, 0, 1, &[]), &first);
+        run.now += 60_000;
         for connection in 0..gateways {
-            told.fleet
-                .disconnected(Timestamp::from_millis(told.now), connection);
+            run.fleet
+                .handle_disconnect(Timestamp::from_millis(run.now), connection);
         }
         let again = reports(gateways, 1_000, 1, &held);
-        show("comes back", &told.exchange(&again, &first));
-        told.exchange(&reports(gateways, 1_000, 1, &[]), &first);
-        show(
+        print_cost("reconnect", &run.exchange(&again, &first));
+        run.exchange(&reports(gateways, 1_000, 1, &[]), &first);
+        print_cost(
             "nothing changed",
-            &told.exchange(&reports(gateways, 1_000, 1, &[]), &first),
+            &run.exchange(&reports(gateways, 1_000, 1, &[]), &first),
         );
         let mut busy = reports(gateways, 1_000, 1, &[]);
         for (_, report) in &mut busy {
             report.in_flight = (0..64).map(load).collect();
         }
-        told.exchange(&busy, &first);
-        show("loads as before", &told.exchange(&busy, &first));
+        run.exchange(&busy, &first);
+        print_cost("loads unchanged", &run.exchange(&busy, &first));
         let mut next = first.clone();
         next.version = 2;
         next.routes[7].timeout_millis += 1;
-        told.documents
-            .applied(Timestamp::from_millis(told.now), &next);
-        show("one route changed", &told.exchange(&[], &next));
+        run.documents.record(Timestamp::from_millis(run.now), &next);
+        print_cost("one route changed", &run.exchange(&[], &next));
     }
-    let mut whole = plain();
-    whole.routes = (0..ROUTES).map(route).collect();
-    println!("document: {} bytes", codec::encoded_bytes(&whole));
+    let mut document = document_without_engines();
+    document.routes = (0..ROUTES).map(route).collect();
+    println!("document: {} bytes", codec::encoded_bytes(&document));
 }
 
-fn planning() {
+fn measure_planning() {
     println!(
         "engines models gateways needs | ms first | ms a round | ms a report | orders | updates"
     );
@@ -323,7 +321,7 @@
         });
         let begin = Timestamp::from_millis(1_000);
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-        fleet.begin(begin, std::iter::empty(), std::iter::empty(), &history);
+        fleet.start_leading(begin, std::iter::empty(), std::iter::empty(), &history);
         let mut states = BTreeMap::new();
         for engine in 0..engines {
             let record = record(engine, models);
@@ -336,22 +334,22 @@
                 loading_adapters: Vec::new(),
             };
             let instance = record.instance.clone();
-            fleet.announce(begin, record, false);
+            fleet.handle_announcement(begin, record, false);
             states.insert(instance, state);
         }
-        for output in fleet.run(begin, 1, Some(&document), &NOBODY) {
+        for output in fleet.run(begin, 1, Some(&document), &EMPTY_CONTEXT) {
             let FleetOutput::ReadEngine { instance, call, .. } = output else {
                 continue;
             };
             let state = states.remove(&instance).expect("each engine is read once");
-            let answer = CallAnswer {
+            let answer = CallResult {
                 instance,
                 call,
-                answer: InstructionResult::State(state),
-                waited: Duration::ZERO,
-                took: Duration::ZERO,
+                result: InstructionResult::State(state),
+                queue_time: Duration::ZERO,
+                response_time: Duration::ZERO,
             };
-            fleet.answered(begin, &answer);
+            fleet.handle_call_result(begin, &answer);
         }
         let (mut orders, mut updates) = (0, 0);
         let mut planning = std::time::Duration::ZERO;
@@ -362,11 +360,11 @@
             for gateway in 0..gateways {
                 let report = report(gateway, needs.div_ceil(4), models);
                 let started = Instant::now();
-                fleet.report(now, gateway, &report);
+                fleet.handle_report(now, gateway, &report);
                 reporting += started.elapsed();
             }
             let started = Instant::now();
-            for output in fleet.run(now, 1, Some(&document), &NOBODY) {
+            for output in fleet.run(now, 1, Some(&document), &EMPTY_CONTEXT) {
                 match output {
                     FleetOutput::Instruct(_) => orders += 1,
                     FleetOutput::Update { .. } => updates += 1,
--- a/crates/millpass-fleet/src/engines/calls.rs
+++ b/crates/millpass-fleet/src/engines/calls.rs
@@ -1,344 +1,360 @@
-//! Calls to an engine, one at a time, and what their answers change.
+//! Calls to an engine, one at a time, and the handling of their responses.
 
-use super::{CALL_LIMIT, Engine, REPORT_LAG, Reading, adapters, lists};
-use crate::pending::Pending;
+use super::{CALL_TIMEOUT, Engine, PendingRead, REPORT_LAG, adapters, lists_adapter};
+use crate::pending::PendingInstruction;
 use millpass_proto::{
     CallId, Duration, EngineState, InstructionOperation, InstructionResult, ModelName, Timestamp,
 };
 
-/// Time added to the expected end of an instruction before the engine's state is read.
+/// Time beyond the expected end of an instruction after which the engine's state is read.
 const OVERDUE_MARGIN: Duration = Duration::from_millis(700);
-/// Pause before the state of an engine that did not answer is read.
-const READ_PAUSE: Duration = Duration::from_millis(400);
-/// Longest such pause: it doubles with each read that is not answered. Engines out of reach then take a quarter of the
-/// calls that they would.
-const LONGEST_READ_PAUSE: Duration = Duration::from_millis(1_600);
-/// How old a reported state may be at the very most ("some hundred milliseconds", docs/PLATFORM.md). A report of
-/// fewer orders than the engine has accepted, in answer to a read sent later than that after the last of them, is newer
-/// all the same: an acceptance that counted for nothing would else keep the engine from use for good.
-const LONGEST_REPORT_LAG: Duration = Duration::from_millis(2_000);
-/// Pause between two reads of a state that is awaited: the engine has said that it is done.
-const CHANGE_PAUSE: Duration = Duration::from_millis(100);
-/// Time from the acceptance of an adapter's instruction to its end.
-const ADAPTER_SETTLING: Duration = Duration::from_millis(15);
+/// Delay before the state is read again after an unanswered read.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Upper bound of the delay, which doubles with each unanswered read.
+const MAX_READ_RETRY_DELAY: Duration = Duration::from_millis(1_600);
+/// Maximum age of a reported state. A lower revision reported in response to a read sent later than
+/// this after the last accepted order is taken as current; otherwise an acceptance that the engine
+/// did not count would block it forever.
+const MAX_REPORT_LAG: Duration = Duration::from_millis(2_000);
+/// Interval between reads while the completion of an order is expected.
+const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time from acceptance to completion of an adapter instruction.
+const ADAPTER_COMPLETION_TIME: Duration = Duration::from_millis(15);
 
-/// Whether an answer was awaited.
+/// Whether a response belongs to the pending call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
-    /// It was the answer to the call under way.
-    Awaited,
-    /// No such call is under way: the state is read before the next order.
-    NotAwaited,
+pub(crate) enum ResponseMatch {
+    Pending,
+    /// No such call is pending: the state must be read before the next order.
+    NotPending,
 }
 
 impl Engine {
-    /// Takes the answer to a call. One to none that is awaited changes nothing but that the state is read: it may be of an
-    /// order that was given up, and carried out all the same.
-    pub(crate) fn answered(
+    /// Applies the response to a call. A response to a call that is not pending may belong to an
+    /// abandoned order that the engine carried out, so it only invalidates the recorded state.
+    pub(crate) fn handle_response(
         &mut self,
         now: Timestamp,
         call: CallId,
-        answer: &InstructionResult,
-    ) -> Heard {
-        if let Some(reading) = self.reading.take_if(|reading| reading.call == call) {
-            self.read_answered(now, reading.since, answer);
-            return Heard::Awaited;
+        result: &InstructionResult,
+    ) -> ResponseMatch {
+        if let Some(read) = self.pending_read.take_if(|read| read.call == call) {
+            self.handle_read_response(now, read.sent_at, result);
+            return ResponseMatch::Pending;
         }
-        if self.confirming.take_if(|asked| *asked == call).is_some() {
-            self.confirmed(now, answer);
-            return Heard::Awaited;
+        if self
+            .confirmation
+            .take_if(|expected| *expected == call)
+            .is_some()
+        {
+            self.handle_confirmation(now, result);
+            return ResponseMatch::Pending;
         }
-        if self.awaits_order(call) {
-            self.order_answered(now, answer);
-            return Heard::Awaited;
+        if self.awaits_order_response(call) {
+            self.handle_order_response(now, result);
+            return ResponseMatch::Pending;
         }
-        if *answer != InstructionResult::NotSent {
-            self.doubt(now);
+        if *result != InstructionResult::NotSent {
+            self.invalidate_state(now);
         }
-        Heard::NotAwaited
+        ResponseMatch::NotPending
     }
 
-    /// Whether this call, an order, is under way and not answered.
-    pub(crate) fn awaits_order(&self, call: CallId) -> bool {
+    /// Returns whether this order is pending and has no response yet.
+    pub(crate) fn awaits_order_response(&self, call: CallId) -> bool {
         let pending = self.pending.as_ref();
         let ordered = pending.is_some_and(|pending| pending.call == call && !pending.accepted);
-        ordered || self.confirming == Some(call)
+        ordered || self.confirmation == Some(call)
     }
 
-    /// The model whose unload, taken and by an announcement done, is to be ordered once more to be sure of it.
-    pub(crate) fn to_confirm(&self) -> Option<&ModelName> {
+    /// Returns the model whose accepted unload is announced as done and must be confirmed by
+    /// repeating the order.
+    pub(crate) fn unload_to_confirm(&self) -> Option<&ModelName> {
         let pending = self.pending.as_ref()?;
         let is_unload =
             pending.operation == InstructionOperation::Unload && pending.adapter.is_none();
-        let asks = self.says_done && self.confirming.is_none() && self.reading.is_none();
-        let due = is_unload && asks && pending.accepted && !pending.was_confirmed;
-        (due && self.revision.is_some()).then_some(&pending.model)
+        let is_unconfirmed =
+            self.unload_announced && self.confirmation.is_none() && self.pending_read.is_none();
+        let is_due = is_unload && is_unconfirmed && pending.accepted && !pending.confirmation_sent;
+        (is_due && self.revision.is_some()).then_some(&pending.model)
     }
 
-    /// Notes that the unload under way is ordered once more.
-    pub(crate) fn confirms(&mut self, now: Timestamp, call: CallId) {
-        self.confirming = Some(call);
-        self.read_after = now + CALL_LIMIT;
+    /// Records that the pending unload is being repeated.
+    pub(crate) fn record_confirmation(&mut self, now: Timestamp, call: CallId) {
+        self.confirmation = Some(call);
+        self.next_read_at = now + CALL_TIMEOUT;
         if let Some(pending) = &mut self.pending {
-            pending.was_confirmed = true;
+            pending.confirmation_sent = true;
         }
     }
 
-    /// Takes the answer to an unload that was ordered once more.
-    fn confirmed(&mut self, now: Timestamp, answer: &InstructionResult) {
-        match answer {
+    /// Applies the response to a repeated unload.
+    fn handle_confirmation(&mut self, now: Timestamp, result: &InstructionResult) {
+        match result {
             InstructionResult::AlreadySo => {
-                // What is done already is no order taken. If the engine counts it, it refuses the next one.
+                // The repeated order does not count as accepted. If the engine counts it, it
+                // refuses the next order.
                 let Some(pending) = self.pending.take() else {
                     return;
                 };
                 self.held.retain(|held| held.model != pending.model);
-                self.forget_moving(&pending.model);
+                self.discard_adapter_transitions(&pending.model);
             }
             InstructionResult::Accepted => {
-                // The model was there all the same, and goes by this order.
+                // The model was still loaded and is unloaded by the repeated order.
                 if let Some(pending) = &mut self.pending {
                     pending.expected_revision += 1;
                 }
-                self.accepted(now);
+                self.record_accepted(now);
             }
-            InstructionResult::Conflict | InstructionResult::NotSent => self.read_after = now,
-            InstructionResult::Refused(_) => self.give_up(now),
+            InstructionResult::Conflict | InstructionResult::NotSent => self.next_read_at = now,
+            InstructionResult::Refused(_) => self.abandon_pending(now),
             _ => {
-                self.give_up(now);
-                self.read_after = now + READ_PAUSE;
+                self.abandon_pending(now);
+                self.next_read_at = now + READ_RETRY_DELAY;
             }
         }
     }
 
-    /// Whether this call is under way.
-    pub(crate) fn awaits(&self, call: CallId) -> bool {
-        let reading = self.reading.is_some_and(|reading| reading.call == call);
-        reading || self.awaits_order(call)
+    /// Returns whether this call is pending.
+    pub(crate) fn awaits_response(&self, call: CallId) -> bool {
+        let is_read = self.pending_read.is_some_and(|read| read.call == call);
+        is_read || self.awaits_order_response(call)
     }
 
-    fn read_answered(&mut self, now: Timestamp, asked_at: Timestamp, answer: &InstructionResult) {
-        match answer {
-            InstructionResult::State(state) => self.read(now, asked_at, state),
-            InstructionResult::NotSent => self.read_after = now + READ_PAUSE,
+    fn handle_read_response(
+        &mut self,
+        now: Timestamp,
+        requested_at: Timestamp,
+        result: &InstructionResult,
+    ) {
+        match result {
+            InstructionResult::State(state) => self.apply_report(now, requested_at, state),
+            InstructionResult::NotSent => self.next_read_at = now + READ_RETRY_DELAY,
             _ => {
                 self.unreachable = true;
-                self.give_up(now);
-                self.read_after = now + self.silent_pause();
-                self.silent_reads += 1;
+                self.abandon_pending(now);
+                self.next_read_at = now + self.read_retry_delay();
+                self.unanswered_reads += 1;
             }
         }
     }
 
-    fn silent_pause(&self) -> Duration {
-        let doublings = self.silent_reads.min(8);
-        (READ_PAUSE * 2_u32.pow(doublings)).min(LONGEST_READ_PAUSE)
+    fn read_retry_delay(&self) -> Duration {
+        let doublings = self.unanswered_reads.min(8);
+        (READ_RETRY_DELAY * 2_u32.pow(doublings)).min(MAX_READ_RETRY_DELAY)
     }
 
-    fn order_answered(&mut self, now: Timestamp, answer: &InstructionResult) {
-        match answer {
-            InstructionResult::Accepted => self.accepted(now),
-            InstructionResult::AlreadySo => self.already_so(now),
+    fn handle_order_response(&mut self, now: Timestamp, result: &InstructionResult) {
+        match result {
+            InstructionResult::Accepted => self.record_accepted(now),
+            InstructionResult::AlreadySo => self.handle_already_done(now),
             InstructionResult::NotSent => {
-                // Nothing has left: what is known holds.
+                // The order was not sent: the recorded state remains valid.
                 self.pending = None;
-                self.reserved = None;
+                self.reserved_model = None;
+            }
+            InstructionResult::Conflict | InstructionResult::Refused(_) => {
+                self.abandon_pending(now)
             }
-            InstructionResult::Conflict | InstructionResult::Refused(_) => self.give_up(now),
             _ => {
-                // It may have been taken, or be taken later.
-                self.note_lost(now);
-                self.give_up(now);
-                self.read_after = now + READ_PAUSE;
+                // The order may have been accepted, or may be accepted later.
+                self.record_unanswered_load(now);
+                self.abandon_pending(now);
+                self.next_read_at = now + READ_RETRY_DELAY;
             }
         }
     }
 
-    fn note_lost(&mut self, now: Timestamp) {
+    fn record_unanswered_load(&mut self, now: Timestamp) {
         let pending = self.pending.as_ref();
-        self.lost
-            .extend(pending.and_then(|pending| pending.lost(now)));
+        self.unanswered_loads
+            .extend(pending.and_then(|pending| pending.unanswered_load(now)));
     }
 
-    fn give_up(&mut self, now: Timestamp) {
+    fn abandon_pending(&mut self, now: Timestamp) {
         self.pending = None;
-        self.reserved = None;
-        self.doubt(now);
+        self.reserved_model = None;
+        self.invalidate_state(now);
     }
 
-    /// Takes the engine's state as read. A report lags: one of fewer orders than the engine has
-    /// surely taken is read again.
-    fn read(&mut self, now: Timestamp, asked_at: Timestamp, state: &EngineState) {
+    /// Applies a state read from the engine. Reports lag behind: one with a lower revision than
+    /// already confirmed is read again.
+    fn apply_report(&mut self, now: Timestamp, requested_at: Timestamp, state: &EngineState) {
         self.unreachable = false;
-        self.silent_reads = 0;
-        let may_be_older = asked_at.since(self.accepted_at) < LONGEST_REPORT_LAG;
-        if state.revision < self.least_revision && may_be_older {
-            self.read_after = now + CHANGE_PAUSE;
+        self.unanswered_reads = 0;
+        let may_be_stale = requested_at.since(self.accepted_at) < MAX_REPORT_LAG;
+        if state.revision < self.min_revision && may_be_stale {
+            self.next_read_at = now + COMPLETION_POLL_INTERVAL;
             return;
         }
         self.revision = Some(state.revision);
-        self.least_revision = state.revision;
-        self.take(state);
-        self.busy_elsewhere_at = None;
+        self.min_revision = state.revision;
+        self.replace_state(state);
+        self.unknown_order_seen_at = None;
         if !state.busy {
             self.pending = None;
             return;
         }
-        let own = self.pending.as_mut().filter(|pending| {
+        let expected = self.pending.as_mut().filter(|pending| {
             pending.adapter.is_none() && pending.expected_revision + 1 == state.revision
         });
-        if let Some(pending) = own {
-            pending.done_at = pending.done_at.max(now);
-            self.read_after = now
-                + if self.says_done {
-                    CHANGE_PAUSE
+        if let Some(pending) = expected {
+            pending.expected_end = pending.expected_end.max(now);
+            self.next_read_at = now
+                + if self.unload_announced {
+                    COMPLETION_POLL_INTERVAL
                 } else {
-                    READ_PAUSE
+                    READ_RETRY_DELAY
                 };
         } else {
-            // An order of somebody else, or a late one: look again.
+            // The engine carries out an unknown or late order: read again.
             self.pending = None;
-            self.busy_elsewhere_at = Some(now);
+            self.unknown_order_seen_at = Some(now);
             self.revision = None;
-            self.read_after = now + READ_PAUSE;
+            self.next_read_at = now + READ_RETRY_DELAY;
         }
     }
 
-    fn take(&mut self, state: &EngineState) {
+    fn replace_state(&mut self, state: &EngineState) {
         self.held.clone_from(&state.models);
         self.in_memory.clone_from(&state.in_memory);
         self.on_disk.clone_from(&state.on_disk);
-        let coming = adapters(&state.loading_adapters)
-            .filter(|(model, name)| !lists(&state.models, model, name));
-        self.coming = coming
+        let loading = adapters(&state.loading_adapters)
+            .filter(|(model, name)| !lists_adapter(&state.models, model, name));
+        self.loading_adapters = loading
             .map(|(model, name)| (model.clone(), name.clone()))
             .collect();
-        self.leaving
-            .retain(|(model, name)| lists(&state.models, model, name));
-        self.differs_since = None;
+        self.unloading_adapters
+            .retain(|(model, name)| lists_adapter(&state.models, model, name));
+        self.adapters_differ_since = None;
     }
 
-    /// Notes an instruction that is being sent.
-    pub(crate) fn sent(&mut self, now: Timestamp, pending: Pending) {
+    /// Records an instruction that is being sent.
+    pub(crate) fn record_sent(&mut self, now: Timestamp, pending: PendingInstruction) {
         if pending.operation == InstructionOperation::Load && pending.adapter.is_none() {
-            self.loaded_at.insert(pending.model.clone(), now);
-            self.reserved = None;
+            self.load_sent_at.insert(pending.model.clone(), now);
+            self.reserved_model = None;
         }
-        self.says_done = false;
+        self.unload_announced = false;
         self.pending = Some(pending);
     }
 
-    /// The instruction was taken: the engine has taken one more order than it names. One for an adapter ends
-    /// shortly, and the engine does not say when.
-    fn accepted(&mut self, now: Timestamp) {
-        // Reports of the time before would show an older state.
-        self.read_after = self.read_after.max(now + REPORT_LAG);
+    /// Records the acceptance of the pending instruction, which increments the engine's revision.
+    /// Adapter instructions complete shortly afterwards without notification.
+    fn record_accepted(&mut self, now: Timestamp) {
+        // Earlier reports would show the state before the instruction.
+        self.next_read_at = self.next_read_at.max(now + REPORT_LAG);
         let Some(pending) = &mut self.pending else {
             return;
         };
         pending.accepted = true;
         let revision = pending.expected_revision + 1;
-        let taken = now.since(pending.sent_at);
-        pending.done_at = if pending.adapter.is_some() {
-            now + ADAPTER_SETTLING
+        let acceptance_time = now.since(pending.sent_at);
+        pending.expected_end = if pending.adapter.is_some() {
+            now + ADAPTER_COMPLETION_TIME
         } else {
-            pending.done_at + taken
+            pending.expected_end + acceptance_time
         };
-        self.counted(now, revision);
+        self.record_revision(now, revision);
     }
 
-    /// Ends an adapter's instruction whose time has come: one that was loaded serves, one that was unloaded keeps its
-    /// place until a report shows it gone. True if something changed.
-    pub(crate) fn adapter_settled(&mut self, now: Timestamp) -> bool {
-        let settled = self.pending.take_if(|pending| {
-            pending.accepted && pending.adapter.is_some() && now >= pending.done_at
+    /// Completes an adapter instruction whose expected time has elapsed. A loaded adapter is
+    /// served; an unloaded one keeps its slot until a report shows it gone. Returns whether
+    /// anything changed.
+    pub(crate) fn complete_adapter_instruction(&mut self, now: Timestamp) -> bool {
+        let completed = self.pending.take_if(|pending| {
+            pending.accepted && pending.adapter.is_some() && now >= pending.expected_end
         });
-        let Some(Pending {
+        let Some(PendingInstruction {
             operation,
             model,
             adapter: Some(adapter),
             ..
-        }) = settled
+        }) = completed
         else {
             return false;
         };
         self.adapters_changed_at = now;
         match operation {
             InstructionOperation::Load => self.add_adapter(&model, adapter),
-            InstructionOperation::Unload => self.leaving.push((model, adapter)),
+            InstructionOperation::Unload => self.unloading_adapters.push((model, adapter)),
         }
         true
     }
 
-    /// The engine did it at once, or it held already: whether that counts as an order taken is to be read. A count that is
-    /// believed too high would let an order that is late pass at a state that nobody has seen: one of 8,000 seeded runs had
-    /// an engine ordered over its room so, as an adapter had left by itself before its unload came.
-    fn already_so(&mut self, now: Timestamp) {
-        let done = self.pending.take();
-        self.doubt(now);
-        let Some(Pending {
+    /// Handles an order that was already fulfilled. Whether the engine counted it must be read: a
+    /// recorded revision that is too high would let a late order pass at an unknown state.
+    fn handle_already_done(&mut self, now: Timestamp) {
+        let completed = self.pending.take();
+        self.invalidate_state(now);
+        let Some(PendingInstruction {
             operation,
             model,
             adapter: Some(adapter),
             ..
-        }) = done
+        }) = completed
         else {
             return;
         };
         self.adapters_changed_at = now;
         match operation {
             InstructionOperation::Load => self.add_adapter(&model, adapter),
-            InstructionOperation::Unload => self.drop_adapter(&model, &adapter),
+            InstructionOperation::Unload => self.remove_adapter(&model, &adapter),
         }
     }
 
-    /// The engine has surely taken so many orders, the last of them now.
-    fn counted(&mut self, now: Timestamp, revision: u64) {
+    /// Records the lowest revision that the engine can have, as of now.
+    fn record_revision(&mut self, now: Timestamp, revision: u64) {
         self.accepted_at = now;
-        self.least_revision = self.least_revision.max(revision);
+        self.min_revision = self.min_revision.max(revision);
         if self.revision.is_some() {
-            self.revision = Some(self.least_revision);
+            self.revision = Some(self.min_revision);
         }
     }
 
-    /// What the engine did or will do is not known: read its state before the next instruction.
-    pub(crate) fn doubt(&mut self, now: Timestamp) {
+    /// Invalidates the recorded state, which must be read before the next instruction.
+    pub(crate) fn invalidate_state(&mut self, now: Timestamp) {
         self.revision = None;
-        self.reading = None;
-        self.confirming = None;
-        self.differs_since = None;
-        self.read_after = now + REPORT_LAG;
+        self.pending_read = None;
+        self.confirmation = None;
+        self.adapters_differ_since = None;
+        self.next_read_at = now + REPORT_LAG;
     }
 
-    /// Whether the engine's state is to be read now.
-    pub(crate) fn read_due(&self, now: Timestamp) -> bool {
-        let lost = |at: Timestamp| now.since(at) > CALL_LIMIT;
-        if self.reading.is_some_and(|reading| !lost(reading.since)) || now < self.read_after {
+    /// Returns whether the engine's state should be read now.
+    pub(crate) fn is_read_due(&self, now: Timestamp) -> bool {
+        let is_timed_out = |at: Timestamp| now.since(at) > CALL_TIMEOUT;
+        if self
+            .pending_read
+            .is_some_and(|read| !is_timed_out(read.sent_at))
+            || now < self.next_read_at
+        {
             return false;
         }
         let Some(pending) = &self.pending else {
-            return self.revision.is_none() || !self.leaving.is_empty();
+            return self.revision.is_none() || !self.unloading_adapters.is_empty();
         };
         if !pending.accepted {
-            return lost(pending.sent_at);
+            return is_timed_out(pending.sent_at);
         }
-        let overdue = now > pending.done_at + OVERDUE_MARGIN;
-        overdue || self.says_done || self.revision.is_none()
+        let overdue = now > pending.expected_end + OVERDUE_MARGIN;
+        overdue || self.unload_announced || self.revision.is_none()
     }
 
-    /// Notes that the state is being read.
-    pub(crate) fn reads(&mut self, now: Timestamp, call: CallId) {
+    /// Records that the state is being read.
+    pub(crate) fn record_read(&mut self, now: Timestamp, call: CallId) {
         if self
             .pending
             .as_ref()
             .is_some_and(|pending| !pending.accepted)
         {
-            // Its answer was lost in this process.
-            self.note_lost(now);
-            self.give_up(now);
+            // The response was lost within this process.
+            self.record_unanswered_load(now);
+            self.abandon_pending(now);
         }
-        self.confirming = None;
-        self.reading = Some(Reading { call, since: now });
-        self.read_after = now + READ_PAUSE;
+        self.confirmation = None;
+        self.pending_read = Some(PendingRead { call, sent_at: now });
+        self.next_read_at = now + READ_RETRY_DELAY;
     }
 }
--- a/crates/millpass-fleet/src/rollout.rs
+++ b/crates/millpass-fleet/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The way of a document's version to each gateway: how long each took to report it, and who lacks it.
+//! Propagation of documents and departures to gateways.
 
 use crate::fleet::Fleet;
 use crate::gateways::GatewaySession;
@@ -7,91 +7,92 @@
 use millpass_proto::{DeploymentDocument, Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time after which a gateway that does not report the version in force lags. Gateways report several times a
-/// second, so this is some reports late, and well within the time in which a change has to be in force.
-pub(crate) const LAG: Duration = Duration::from_millis(1_000);
-/// Most gateways named in one look at those that lag.
-const MAXIMUM_NAMED: usize = 8;
-/// Most lost gateways remembered.
-const MAXIMUM_LOST: usize = 1_024;
-/// Most departures whose way is followed; a wave of restarts in a second is fewer.
-const MAXIMUM_DEPARTURES: usize = 256;
-/// Time for which a lost gateway is looked for.
-const LOST_MEMORY: Duration = Duration::from_secs(60);
+/// Time after which a gateway that has not reported the current version counts as lagging. Several
+/// report intervals, and well below the time within which a change must be in force.
+pub(crate) const LAG_THRESHOLD: Duration = Duration::from_millis(1_000);
+/// Lagging gateways logged per check.
+const MAX_LOGGED: usize = 8;
+const MAX_DISCONNECTED: usize = 1_024;
+/// Departures tracked; more than a wave of restarts produces in a second.
+const MAX_DEPARTURES: usize = 256;
+/// Time for which a disconnected gateway is included in lag checks.
+const DISCONNECTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// A gateway whose connection ended.
-struct LostGateway {
-    reported: u64,
-    heard_at: Timestamp,
-    lost_at: Timestamp,
+struct DisconnectedGateway {
+    reported_version: u64,
+    last_report_at: Timestamp,
+    disconnected_at: Timestamp,
 }
 
-/// Who has the version in force.
+/// Progress of the current document version.
 #[derive(Default)]
 pub(crate) struct Rollout {
     version: u64,
-    /// When it was committed, as far as this member knows.
+    /// When the version was committed, as far as this member knows.
     since: Timestamp,
-    /// All gateways that were connected at one time had it.
-    everywhere: bool,
-    /// When those that lag are named next, and the pause after that; it doubles while they do.
-    next_look: Timestamp,
-    pause: Duration,
-    lost: BTreeMap<String, LostGateway>,
+    /// Whether all connected gateways have reported the version at some point.
+    is_complete: bool,
+    /// Time of the next lag check. The interval doubles while gateways lag.
+    next_check: Timestamp,
+    check_interval: Duration,
+    disconnected: BTreeMap<String, DisconnectedGateway>,
     /// Log index and time of the last departures, the newest last.
     departures: VecDeque<(u64, Timestamp)>,
 }
 
 impl Rollout {
-    /// A departure was committed at this index of the log.
-    pub(crate) fn departed(&mut self, now: Timestamp, index: u64) {
+    /// Records a departure committed at this log index.
+    pub(crate) fn record_departure(&mut self, now: Timestamp, index: u64) {
         self.departures.push_back((index, now));
-        if self.departures.len() > MAXIMUM_DEPARTURES {
+        if self.departures.len() > MAX_DEPARTURES {
             self.departures.pop_front();
         }
     }
 
-    /// A gateway's connection ended.
-    pub(crate) fn lost(&mut self, now: Timestamp, session: &GatewaySession) {
-        if self.lost.len() >= MAXIMUM_LOST {
+    /// Records that a gateway's connection ended.
+    pub(crate) fn record_disconnect(&mut self, now: Timestamp, session: &GatewaySession) {
+        if self.disconnected.len() >= MAX_DISCONNECTED {
             return;
         }
-        let lost = LostGateway {
-            reported: session.reported_version,
-            heard_at: session.heard_at,
-            lost_at: now,
+        let gateway = DisconnectedGateway {
+            reported_version: session.reported_version,
+            last_report_at: session.last_report_at,
+            disconnected_at: now,
         };
-        self.lost.insert(session.name.clone(), lost);
+        self.disconnected.insert(session.name.clone(), gateway);
     }
 
-    /// Version that a lost gateway had.
-    pub(crate) fn held_when_lost(&self, name: &str) -> Option<u64> {
-        self.lost.get(name).map(|lost| lost.reported)
+    /// Returns the version last reported by a disconnected gateway.
+    pub(crate) fn last_reported_version(&self, name: &str) -> Option<u64> {
+        self.disconnected
+            .get(name)
+            .map(|gateway| gateway.reported_version)
     }
 
-    /// A gateway is connected again, or for the first time.
-    pub(crate) fn connected(&mut self, name: &str) {
-        self.lost.remove(name);
+    /// Records that a gateway has connected.
+    pub(crate) fn record_connect(&mut self, name: &str) {
+        self.disconnected.remove(name);
     }
 
     fn begin(&mut self, version: u64, since: Timestamp) {
         self.version = version;
         self.since = since;
-        self.everywhere = false;
-        self.pause = LAG;
-        self.next_look = since + LAG;
+        self.is_complete = false;
+        self.check_interval = LAG_THRESHOLD;
+        self.next_check = since + LAG_THRESHOLD;
     }
 
-    fn forget_lost(&mut self, now: Timestamp) {
-        self.lost
-            .retain(|_, lost| now.since(lost.lost_at) < LOST_MEMORY);
+    fn expire_disconnected(&mut self, now: Timestamp) {
+        self.disconnected
+            .retain(|_, gateway| now.since(gateway.disconnected_at) < DISCONNECTED_RETENTION);
     }
 }
 
 impl GatewaySession {
-    /// Why it does not report a version that others have.
+    /// Returns why the gateway has not reported a version.
     fn lag_reason(&self, version: u64) -> &'static str {
-        if self.behind_since.is_some() {
+        if self.backlogged_since.is_some() {
             "not-taken"
         } else if self.sent_version >= version {
             "sent-not-reported"
@@ -102,8 +103,8 @@
 }
 
 impl Fleet {
-    /// Follows the version in force; names who lags.
-    pub(crate) fn follow_rollout(
+    /// Tracks the current version and logs lagging gateways.
+    pub(crate) fn track_rollout(
         &mut self,
         now: Timestamp,
         document: Option<&DeploymentDocument>,
@@ -114,53 +115,54 @@
             let since = context.documents.applied_at(version).unwrap_or(now);
             self.rollout.begin(version, since);
         }
-        if version == 0 || now < self.rollout.next_look {
+        if version == 0 || now < self.rollout.next_check {
             return;
         }
-        self.rollout.next_look = now + self.rollout.pause;
-        self.rollout.pause *= 2;
-        self.rollout.forget_lost(now);
-        self.name_lagging(now);
+        self.rollout.next_check = now + self.rollout.check_interval;
+        self.rollout.check_interval *= 2;
+        self.rollout.expire_disconnected(now);
+        self.log_lagging(now);
     }
 
-    fn name_lagging(&mut self, now: Timestamp) {
+    fn log_lagging(&mut self, now: Timestamp) {
         let version = self.rollout.version;
         let after = now.since(self.rollout.since);
         let mut lines = Vec::new();
         for session in self.gateways.sessions.values() {
-            // One that has just connected is told with the first update.
+            // The first update of a new connection is still on its way.
             let age = now.since(session.connected_at);
-            if session.reported_version >= version || age < LAG {
+            if session.reported_version >= version || age < LAG_THRESHOLD {
                 continue;
             }
             lines.push(vec![
                 ("gateway", session.name.clone()),
                 ("held", session.reported_version.to_string()),
                 ("why", session.lag_reason(version).to_owned()),
-                ("heard_ms", millis(now.since(session.heard_at))),
+                ("heard_ms", millis(now.since(session.last_report_at))),
                 ("sent_ms", millis(now.since(session.sent_at))),
                 ("connected_ms", millis(age)),
             ]);
         }
-        for (name, lost) in &self.rollout.lost {
-            if lost.reported >= version {
+        for (name, gateway) in &self.rollout.disconnected {
+            if gateway.reported_version >= version {
                 continue;
             }
             lines.push(vec![
                 ("gateway", name.clone()),
-                ("held", lost.reported.to_string()),
+                ("held", gateway.reported_version.to_string()),
                 ("why", "not-connected".to_owned()),
-                ("heard_ms", millis(now.since(lost.heard_at))),
-                ("lost_ms", millis(now.since(lost.lost_at))),
+                ("heard_ms", millis(now.since(gateway.last_report_at))),
+                ("lost_ms", millis(now.since(gateway.disconnected_at))),
             ]);
         }
         if lines.is_empty() {
-            // Whoever connects with an older version later is looked at soon.
-            self.rollout.pause = LAG;
+            // Resets the interval, so that a gateway that connects later with an older version is
+            // logged soon.
+            self.rollout.check_interval = LAG_THRESHOLD;
             return;
         }
         let lagging = lines.len();
-        for line in lines.into_iter().take(MAXIMUM_NAMED) {
+        for line in lines.into_iter().take(MAX_LOGGED) {
             let mut pairs = vec![
                 ("version", version.to_string()),
                 ("after_ms", millis(after)),
@@ -171,41 +173,52 @@
         }
     }
 
-    /// A gateway that had been told up to `before` reports to have been told up to `as_of`.
-    pub(crate) fn departures_reached(&mut self, now: Timestamp, before: Option<u64>, as_of: u64) {
-        let Some(before) = before else {
-            // What it was told earlier is not known here.
+    /// Outputs the propagation time of departures that a gateway received between two reports.
+    pub(crate) fn acknowledge_departures(
+        &mut self,
+        now: Timestamp,
+        previous: Option<u64>,
+        as_of: u64,
+    ) {
+        let Some(previous) = previous else {
+            // What the gateway received earlier is unknown.
             return;
         };
         let newest_first = self.rollout.departures.iter().rev();
-        let new = newest_first
+        let acknowledged = newest_first
             .skip_while(|(index, _)| *index > as_of)
-            .take_while(|(index, _)| *index > before);
-        let reached = new.map(|(_, since)| FleetOutput::DepartureReached(now.since(*since)));
-        self.out.extend(reached);
+            .take_while(|(index, _)| *index > previous);
+        let outputs =
+            acknowledged.map(|(_, since)| FleetOutput::DepartureAcknowledged(now.since(*since)));
+        self.out.extend(outputs);
     }
 
-    /// A gateway reported a version. `before` is what it had reported earlier; one that was not known to this leader
-    /// may have had it for long, and is not measured.
-    pub(crate) fn reached(&mut self, now: Timestamp, before: Option<u64>, reported: u64) {
+    /// Outputs the propagation time of the current version. Without a `previous` version, the
+    /// gateway may have had it before this leader was elected, and no time is output.
+    pub(crate) fn acknowledge_version(
+        &mut self,
+        now: Timestamp,
+        previous: Option<u64>,
+        reported: u64,
+    ) {
         let version = self.rollout.version;
-        if version == 0 || before >= Some(version) || reported < version {
+        if version == 0 || previous >= Some(version) || reported < version {
             return;
         }
         let after = now.since(self.rollout.since);
-        if before.is_some() {
-            self.out.push(FleetOutput::DocumentReached(after));
+        if previous.is_some() {
+            self.out.push(FleetOutput::DocumentAcknowledged(after));
         }
         let sessions = &self.gateways.sessions;
-        let lacks = |session: &GatewaySession| session.reported_version < version;
-        if self.rollout.everywhere || sessions.values().any(lacks) {
+        let is_behind = |session: &GatewaySession| session.reported_version < version;
+        if self.rollout.is_complete || sessions.values().any(is_behind) {
             return;
         }
-        self.rollout.everywhere = true;
+        self.rollout.is_complete = true;
         let pairs = vec![
             ("version", version.to_string()),
             ("gateways", sessions.len().to_string()),
-            ("not_connected", self.rollout.lost.len().to_string()),
+            ("not_connected", self.rollout.disconnected.len().to_string()),
             ("after_ms", millis(after)),
         ];
         self.event("document-everywhere", pairs);
--- a/crates/millpass-fleet/tests/harness/shares.rs
+++ b/crates/millpass-fleet/tests/harness/shares.rs
@@ -1,31 +1,31 @@
-//! Members with instances that announce themselves there, one of them the leader. Time is virtual; what members say to each
-//! other is counted, and may be lost, late or doubled.
+//! Members with self-announcing instances, one of them the leader, in virtual time. Messages
+//! between members are counted and may be lost, delayed and duplicated.
 
 use super::at;
-use super::documents::{Room, engine_document, model as model_spec};
+use super::documents::{EngineCapacity, engine_document, model as model_spec};
 use millpass_fleet::{
     DocumentHistory, Fleet, FleetOutput, FleetSettings, GatewayContext, InstructionHistory,
 };
 use millpass_proto::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Time between two announcements of an instance, in milliseconds.
-const INTERVAL: u64 = 2_000;
-/// Time between two steps.
+/// Announcement interval of an instance, in milliseconds.
+const ANNOUNCE_INTERVAL: u64 = 2_000;
+/// Time step, in milliseconds.
 const STEP: u64 = 10;
-/// Models; each engine holds two.
+/// Number of models; each engine holds two.
 pub const MODELS: u64 = 100;
 const ZONES: u64 = 4;
-/// Time after which an announcement that is not taken goes to another member.
-const PATIENCE: u64 = 1_000;
+/// Time after which an instance retries at another member, in milliseconds.
+const RETRY_DELAY: u64 = 1_000;
 
 pub fn model(number: u64) -> ModelName {
     format!("m-{number:03}").as_str().into()
 }
 
-/// What was said to the leader.
+/// Reports received by the leader.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sizes {
+pub struct ReportStats {
     pub reports: usize,
     pub bytes: usize,
     pub largest: usize,
@@ -37,12 +37,12 @@
     incarnation: u64,
     sequence: u64,
     member: usize,
-    next: u64,
+    next_announcement: u64,
 }
 
 impl Instance {
     fn id(&self) -> InstanceId {
-        InstanceId::of_run(&Group::name(self.number), self.incarnation)
+        InstanceId::of_run(&Cluster::name(self.number), self.incarnation)
     }
 
     fn record(&self) -> InstanceRecord {
@@ -81,82 +81,81 @@
     }
 }
 
-enum Word {
+enum Message {
     Report(ShareReport),
-    Answer(usize, ShareResponse),
+    Response(usize, ShareResponse),
 }
 
-/// The group.
-pub struct Group {
+pub struct Cluster {
     pub now: u64,
     members: Vec<Fleet>,
-    ended: BTreeSet<usize>,
-    cut: BTreeSet<usize>,
+    stopped: BTreeSet<usize>,
+    partitioned: BTreeSet<usize>,
     leader: usize,
     instances: BTreeMap<u64, Instance>,
     muted: bool,
-    under_way: BTreeMap<(u64, u64), Word>,
-    words: u64,
+    messages: BTreeMap<(u64, u64), Message>,
+    message_count: u64,
     seed: u64,
-    failures: u64,
+    failure_percent: u64,
     document: DeploymentDocument,
     documents: DocumentHistory,
-    pub sizes: Sizes,
-    pub forgotten: Vec<String>,
+    pub report_stats: ReportStats,
+    pub removed: Vec<String>,
     pub reads: usize,
     pub loads: usize,
-    answers: VecDeque<(InstanceId, CallId)>,
+    pending_reads: VecDeque<(InstanceId, CallId)>,
     updates: Vec<(u64, GatewayUpdate)>,
     demand: Option<(u64, u64)>,
 }
 
-impl Group {
-    /// Members, the first of them the leader, and instances that begin to announce themselves at any of them.
-    pub fn new(members: u64, instances: u64) -> Group {
+impl Cluster {
+    /// Creates members, the first of them the leader, and instances spread over them.
+    pub fn new(members: u64, instances: u64) -> Cluster {
         let settings = FleetSettings {
-            announce_interval: Duration::from_millis(INTERVAL),
+            announce_interval: Duration::from_millis(ANNOUNCE_INTERVAL),
             ..FleetSettings::default()
         };
         let models = (0..MODELS).map(|number| model_spec(&model(number).0, 60, 0));
-        let room = Room {
+        let capacity = EngineCapacity {
             weights_kilobytes: 130,
             adapter_slots: 2,
             milliloads_per_second: 2_000,
         };
-        let document = engine_document(models.collect(), &room);
+        let document = engine_document(models.collect(), &capacity);
         let mut documents = DocumentHistory::new();
-        documents.applied(at(0), &document);
-        let mut group = Group {
+        documents.record(at(0), &document);
+        let mut cluster = Cluster {
             now: 0,
             members: (0..members).map(|_| Fleet::new(settings.clone())).collect(),
-            ended: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            stopped: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             leader: 0,
             instances: BTreeMap::new(),
             muted: false,
-            under_way: BTreeMap::new(),
-            words: 0,
+            messages: BTreeMap::new(),
+            message_count: 0,
             seed: 1,
-            failures: 0,
+            failure_percent: 0,
             document,
             documents,
-            sizes: Sizes::default(),
-            forgotten: Vec::new(),
+            report_stats: ReportStats::default(),
+            removed: Vec::new(),
             reads: 0,
             loads: 0,
-            answers: VecDeque::new(),
+            pending_reads: VecDeque::new(),
             updates: Vec::new(),
             demand: None,
         };
-        group.add(instances, INTERVAL);
-        group
+        cluster.add(instances, ANNOUNCE_INTERVAL);
+        cluster
     }
 
     pub fn name(number: u64) -> String {
         format!("i-{number:05}")
     }
 
-    /// Instances that first announce themselves within a time.
+    /// Adds instances that first announce themselves within this time.
     pub fn add(&mut self, instances: u64, within: u64) {
         for number in 0..instances {
             let instance = Instance {
@@ -164,44 +163,44 @@
                 incarnation: 1,
                 sequence: 0,
                 member: number as usize % self.members.len(),
-                next: self.now + number % within.max(1),
+                next_announcement: self.now + number % within.max(1),
             };
             self.instances.insert(number, instance);
         }
     }
 
-    /// Of a hundred words between members, so many are lost, as many are late, and as many are doubled.
-    pub fn fail(&mut self, seed: u64, percent: u64) {
+    /// Makes this percentage of messages lost, delayed and duplicated each.
+    pub fn set_failures(&mut self, seed: u64, percent: u64) {
         self.seed = seed;
-        self.failures = percent;
+        self.failure_percent = percent;
     }
 
-    /// Instances say nothing, or go on.
+    /// Stops or resumes all announcements.
     pub fn mute(&mut self, muted: bool) {
         self.muted = muted;
     }
 
-    /// A member ends.
-    pub fn ends(&mut self, member: usize) {
-        self.ended.insert(member);
+    /// Stops a member.
+    pub fn stop_member(&mut self, member: usize) {
+        self.stopped.insert(member);
     }
 
-    /// A member is cut off from the others, or not any more; instances reach it.
-    pub fn cut(&mut self, member: usize, is_cut: bool) {
-        match is_cut {
-            true => self.cut.insert(member),
-            false => self.cut.remove(&member),
+    /// Cuts a member off from the other members, but not from instances, or reconnects it.
+    pub fn set_partitioned(&mut self, member: usize, is_partitioned: bool) {
+        match is_partitioned {
+            true => self.partitioned.insert(member),
+            false => self.partitioned.remove(&member),
         };
     }
 
-    /// Another member leads; the one before follows.
-    pub fn lead(&mut self, member: u64) {
-        self.members[self.leader].clear();
+    /// Makes another member the leader.
+    pub fn elect(&mut self, member: u64) {
+        self.members[self.leader].reset();
         self.leader = member as usize;
         let leader = &mut self.members[self.leader];
-        leader.clear();
+        leader.reset();
         let history = InstructionHistory::new(at(self.now), Duration::ZERO);
-        leader.begin(
+        leader.start_leading(
             at(self.now),
             std::iter::empty(),
             std::iter::empty(),
@@ -209,36 +208,36 @@
         );
     }
 
-    /// An instance ends without a word.
+    /// Ends an instance without a departure.
     pub fn crash(&mut self, number: u64) {
         self.instances.remove(&number);
     }
 
-    pub fn crash_zone(&mut self, lost: u64) {
+    pub fn crash_zone(&mut self, in_zone: u64) {
         self.instances
-            .retain(|number, _| zone(*number) != zone(lost));
+            .retain(|number, _| zone(*number) != zone(in_zone));
     }
 
-    /// An instance announces itself at another member from now on.
-    pub fn moves(&mut self, number: u64) {
+    /// Makes an instance announce itself at the next member.
+    pub fn move_instance(&mut self, number: u64) {
         let members = self.members.len();
         if let Some(instance) = self.instances.get_mut(&number) {
             instance.member = (instance.member + 1) % members;
-            instance.next = self.now;
+            instance.next_announcement = self.now;
         }
     }
 
-    /// An instance starts again under its name, at another member.
+    /// Restarts an instance under its name, at the next member.
     pub fn restart(&mut self, number: u64) {
         if let Some(instance) = self.instances.get_mut(&number) {
             instance.incarnation += 1;
             instance.sequence = 0;
         }
-        self.moves(number);
+        self.move_instance(number);
     }
 
-    /// A model is asked for so many prompt tokens a second from now on.
-    pub fn ask_for(&mut self, model: u64, tokens: u64) {
+    /// Sets the demand for a model, in prompt tokens a second.
+    pub fn set_demand(&mut self, model: u64, tokens: u64) {
         self.demand = Some((model, tokens));
     }
 
@@ -248,8 +247,8 @@
             self.now += STEP;
             self.announce();
             self.deliver();
-            self.lead_on();
-            self.report();
+            self.run_leader();
+            self.send_reports();
         }
     }
 
@@ -258,92 +257,96 @@
             return;
         }
         for instance in self.instances.values_mut() {
-            if instance.next > self.now {
+            if instance.next_announcement > self.now {
                 continue;
             }
-            if self.ended.contains(&instance.member) {
+            if self.stopped.contains(&instance.member) {
                 instance.member = (instance.member + 1) % self.members.len();
-                instance.next = self.now + PATIENCE;
+                instance.next_announcement = self.now + RETRY_DELAY;
                 continue;
             }
             instance.sequence += 1;
-            instance.next += INTERVAL;
+            instance.next_announcement += ANNOUNCE_INTERVAL;
             let record = instance.record();
-            self.members[instance.member].announce(at(self.now), record, false);
+            self.members[instance.member].handle_announcement(at(self.now), record, false);
         }
     }
 
     fn deliver(&mut self) {
-        let later = self.under_way.split_off(&(self.now + 1, 0));
-        let arrived = std::mem::replace(&mut self.under_way, later);
-        for word in arrived.into_values() {
-            match word {
-                Word::Report(report) => self.take_report(report),
-                Word::Answer(member, answer) => self.members[member].share_answered(&answer),
+        let later = self.messages.split_off(&(self.now + 1, 0));
+        let arrived = std::mem::replace(&mut self.messages, later);
+        for message in arrived.into_values() {
+            match message {
+                Message::Report(report) => self.deliver_report(report),
+                Message::Response(member, response) => {
+                    self.members[member].handle_share_response(&response)
+                }
             }
         }
     }
 
-    fn take_report(&mut self, report: ShareReport) {
+    fn deliver_report(&mut self, report: ShareReport) {
         let member = report.from.member.0 as usize - 1;
         let size = codec::encode(&LinkMessage::Share(report.clone()));
-        let size = size.expect("a report encodes").len();
-        self.sizes.reports += 1;
-        self.sizes.bytes += size;
-        self.sizes.largest = self.sizes.largest.max(size);
-        self.sizes.most_records = self.sizes.most_records.max(report.instances.len());
+        let size = size.expect("the report can be encoded").len();
+        self.report_stats.reports += 1;
+        self.report_stats.bytes += size;
+        self.report_stats.largest = self.report_stats.largest.max(size);
+        self.report_stats.most_records = self.report_stats.most_records.max(report.instances.len());
         let leader = &mut self.members[self.leader];
         let own = address(self.leader);
-        let answer = leader.take_share(at(self.now), &report, own, &|_| None);
-        self.send(Word::Answer(member, answer));
+        let response = leader.handle_share_report(at(self.now), &report, own, &|_| None);
+        self.send(Message::Response(member, response));
     }
 
-    fn report(&mut self) {
+    fn send_reports(&mut self) {
         for member in 0..self.members.len() {
             let fleet = &mut self.members[member];
-            fleet.keep_share(at(self.now));
-            let silent = member == self.leader || self.ended.contains(&member);
-            if silent || !fleet.is_share_due(at(self.now)) {
+            fleet.maintain_share(at(self.now));
+            let is_silent = member == self.leader || self.stopped.contains(&member);
+            if is_silent || !fleet.is_share_report_due(at(self.now)) {
                 continue;
             }
-            let report = fleet.share_report(at(self.now), 77, &address(member), true);
-            if !self.cut.contains(&member) {
-                self.send(Word::Report(report));
+            let report = fleet.next_share_report(at(self.now), 77, &address(member), true);
+            if !self.partitioned.contains(&member) {
+                self.send(Message::Report(report));
             }
         }
     }
 
-    fn send(&mut self, word: Word) {
-        let copy = match &word {
-            Word::Report(report) => Word::Report(report.clone()),
-            Word::Answer(member, answer) => Word::Answer(*member, answer.clone()),
+    fn send(&mut self, message: Message) {
+        let copy = match &message {
+            Message::Report(report) => Message::Report(report.clone()),
+            Message::Response(member, response) => Message::Response(*member, response.clone()),
         };
-        if self.chance() {
+        if self.should_fail() {
             return;
         }
-        let delay = if self.chance() { 1_200 } else { 2 };
-        self.words += 1;
-        self.under_way.insert((self.now + delay, self.words), word);
-        if self.chance() {
-            self.words += 1;
-            self.under_way.insert((self.now + 700, self.words), copy);
+        let delay = if self.should_fail() { 1_200 } else { 2 };
+        self.message_count += 1;
+        self.messages
+            .insert((self.now + delay, self.message_count), message);
+        if self.should_fail() {
+            self.message_count += 1;
+            self.messages
+                .insert((self.now + 700, self.message_count), copy);
         }
     }
 
-    /// SplitMix64.
-    fn chance(&mut self) -> bool {
+    /// Returns true for `failure_percent` of the calls, using SplitMix64.
+    fn should_fail(&mut self) -> bool {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.seed ^ (self.seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (mixed ^ (mixed >> 31)) % 100 < self.failures
+        (mixed ^ (mixed >> 31)) % 100 < self.failure_percent
     }
 
-    fn lead_on(&mut self) {
+    fn run_leader(&mut self) {
         if let Some((number, tokens)) = self.demand
             && self.now.is_multiple_of(100)
         {
             let report = self.demand_report(number, tokens / 10);
-            self.members[self.leader].report(at(self.now), 9, &report);
+            self.members[self.leader].handle_report(at(self.now), 9, &report);
         }
         let context = GatewayContext {
             members: &Vec::new,
@@ -357,7 +360,7 @@
             match output {
                 FleetOutput::ReadEngine { instance, call, .. } => {
                     self.reads += 1;
-                    self.answers.push_back((instance, call));
+                    self.pending_reads.push_back((instance, call));
                 }
                 FleetOutput::Instruct(instruction) => {
                     self.loads += usize::from(instruction.operation == InstructionOperation::Load);
@@ -368,24 +371,26 @@
                 FleetOutput::Event(event) if event.name == "instance-forgotten" => {
                     let name = &event.pairs[0].1;
                     let name = name.split('#').next().unwrap_or_default();
-                    self.forgotten.push(name.to_owned());
+                    self.removed.push(name.to_owned());
                 }
                 _ => {}
             }
         }
-        self.answer_reads();
+        self.respond_to_reads();
     }
 
-    fn answer_reads(&mut self) {
-        for (instance, call) in std::mem::take(&mut self.answers) {
-            let number: u64 = instance.name()[2..].parse().expect("a number");
+    fn respond_to_reads(&mut self) {
+        for (instance, call) in std::mem::take(&mut self.pending_reads) {
+            let number: u64 = instance.name()[2..]
+                .parse()
+                .expect("instance names end in a number");
             let Some(found) = self.instances.get(&number) else {
                 continue;
             };
-            let answer = millpass_fleet::CallAnswer {
+            let result = millpass_fleet::CallResult {
                 instance,
                 call,
-                answer: InstructionResult::State(EngineState {
+                result: InstructionResult::State(EngineState {
                     revision: 0,
                     busy: false,
                     models: found.record().models,
@@ -393,15 +398,15 @@
                     on_disk: Vec::new(),
                     loading_adapters: Vec::new(),
                 }),
-                waited: Duration::ZERO,
-                took: Duration::ZERO,
+                queue_time: Duration::ZERO,
+                response_time: Duration::ZERO,
             };
-            self.members[self.leader].answered(at(self.now), &answer);
+            self.members[self.leader].handle_call_result(at(self.now), &result);
         }
     }
 
     fn demand_report(&self, number: u64, tokens: u64) -> GatewayReport {
-        let needs = match tokens {
+        let demand = match tokens {
             0 => Vec::new(),
             _ => vec![GatewayModelDemand {
                 service: "text".into(),
@@ -419,7 +424,7 @@
             zone: "zone-0".into(),
             sequence: self.now,
             version: 1,
-            demand: needs,
+            demand,
             inconsistent: Vec::new(),
             in_flight: Vec::new(),
             as_of: 0,
@@ -427,38 +432,38 @@
         }
     }
 
-    /// What a gateway that connects now is told first.
+    /// Returns the first update of a newly connected gateway.
     pub fn first_update(&mut self) -> GatewayUpdate {
         let report = self.demand_report(0, 0);
-        self.members[self.leader].report(at(self.now), 5, &report);
+        self.members[self.leader].handle_report(at(self.now), 5, &report);
         self.run(STEP);
         let first = self.updates.iter().find(|(connection, _)| *connection == 5);
-        first.expect("an update").1.clone()
+        first.expect("a first update is sent").1.clone()
     }
 
-    /// Instances that the leader knows.
-    pub fn known(&self) -> usize {
-        self.known_runs().len()
+    /// Returns the number of instances known to the leader.
+    pub fn known_count(&self) -> usize {
+        self.known_incarnations().len()
     }
 
-    pub fn known_runs(&self) -> BTreeSet<String> {
+    pub fn known_incarnations(&self) -> BTreeSet<String> {
         let known = self.members[self.leader].known_instances();
         known.map(|instance| instance.0.clone()).collect()
     }
 
-    pub fn living_runs(&self) -> BTreeSet<String> {
+    pub fn live_incarnations(&self) -> BTreeSet<String> {
         self.instances.values().map(|it| it.id().0).collect()
     }
 
-    /// Instances that announce themselves at a member.
-    pub fn held_at(&self, member: usize) -> usize {
+    /// Returns the number of instances that announce themselves at a member.
+    pub fn count_at(&self, member: usize) -> usize {
         self.instances
             .values()
             .filter(|it| it.member == member)
             .count()
     }
 
-    /// Active engines that hold a model.
+    /// Returns the number of active engines that hold a model.
     pub fn active_replicas(&self, number: u64) -> usize {
         let name = model(number);
         let active = self.members[self.leader].active_instances();
@@ -466,13 +471,13 @@
         active.filter(holds).count()
     }
 
-    /// Those of them that live.
-    pub fn living_replicas(&self, number: u64) -> usize {
+    /// Returns the number of live active engines that hold a model.
+    pub fn live_replicas(&self, number: u64) -> usize {
         let name = model(number);
-        let living = self.living_runs();
+        let live = self.live_incarnations();
         let active = self.members[self.leader].active_instances();
         let holds = |record: &&InstanceRecord| record.models.iter().any(|it| it.model == name);
         let active = active.filter(holds);
-        active.filter(|it| living.contains(&it.instance.0)).count()
+        active.filter(|it| live.contains(&it.instance.0)).count()
     }
 }
--- a/crates/millpass-fleet/tests/incarnations.rs
+++ b/crates/millpass-fleet/tests/incarnations.rs
@@ -1,7 +1,8 @@
-//! Runs of one instance: whatever order its words come in, however often and with whatever losses, the newest run that spoke
-//! is the one that is known, at the leader and at the gateways, and by its own words only.
+//! Whatever order the announcements of several incarnations of an instance arrive in, leader and
+//! gateways end with the newest incarnation, in the state it announced.
 //!
-//! What users would see: a server that came back serves nothing, or is drained by what its life before had said.
+//! Guards against a restarted server that gets no requests or is drained by messages of its
+//! predecessor.
 
 mod harness;
 
@@ -13,18 +14,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const NAME: &str = "i-1";
-/// Time between two messages in milliseconds: a run of the leader falls between them.
-const PAUSE: u64 = 50;
+/// Time between two messages, in milliseconds: long enough for a run of the leader.
+const MESSAGE_INTERVAL_MILLIS: u64 = 50;
 
-/// One heartbeat.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Heartbeat {
     incarnation: u64,
     sequence: u64,
     draining: bool,
 }
 
-impl Word {
+impl Heartbeat {
     fn record(self) -> InstanceRecord {
         InstanceRecord {
             instance: InstanceId::of_run(NAME, self.incarnation),
@@ -35,11 +35,11 @@
     }
 }
 
-fn word() -> impl Strategy<Value = Word> {
-    // The first run does not state which it is: servers of an earlier release.
+fn heartbeat() -> impl Strategy<Value = Heartbeat> {
+    // Servers of an earlier release do not state their incarnation.
     let incarnation = prop_oneof![Just(0), Just(1_000), Just(2_000)];
     (incarnation, 0..6_u64, prop::bool::weighted(0.2)).prop_map(
-        |(incarnation, sequence, draining)| Word {
+        |(incarnation, sequence, draining)| Heartbeat {
             incarnation,
             sequence,
             draining,
@@ -47,28 +47,30 @@
     )
 }
 
-/// What should be known after some words.
-fn expected(words: &[Word]) -> Option<(u64, bool)> {
-    let mut known: Option<Word> = None;
-    for word in words {
-        known = match known {
-            Some(held) if word.incarnation < held.incarnation => known,
-            Some(held) if word.incarnation == held.incarnation => match word.sequence {
-                sequence if sequence < held.sequence => known,
-                sequence => Some(Word {
-                    sequence,
-                    draining: held.draining || word.draining,
-                    ..held
-                }),
-            },
-            _ => Some(*word),
+/// Returns the incarnation that should be recorded, and whether it drains.
+fn expected(heartbeats: &[Heartbeat]) -> Option<(u64, bool)> {
+    let mut latest: Option<Heartbeat> = None;
+    for heartbeat in heartbeats {
+        latest = match latest {
+            Some(current) if heartbeat.incarnation < current.incarnation => latest,
+            Some(current) if heartbeat.incarnation == current.incarnation => {
+                match heartbeat.sequence {
+                    sequence if sequence < current.sequence => latest,
+                    sequence => Some(Heartbeat {
+                        sequence,
+                        draining: current.draining || heartbeat.draining,
+                        ..current
+                    }),
+                }
+            }
+            _ => Some(*heartbeat),
         };
     }
-    known.map(|word| (word.incarnation, word.draining))
+    latest.map(|heartbeat| (heartbeat.incarnation, heartbeat.draining))
 }
 
 #[test]
-fn any_order_of_the_words_of_three_runs_ends_in_the_newest() {
+fn newest_incarnation_wins_in_any_order_of_heartbeats() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -76,62 +78,64 @@
     };
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
-    let words = proptest::collection::vec(word(), 1..25);
-    let verdict = runner.run(&words, |words| {
+    let heartbeats = proptest::collection::vec(heartbeat(), 1..25);
+    let result = runner.run(&heartbeats, |heartbeats| {
         let mut leader = Leader::new(0, 0);
         let mut gateway = gateway();
-        let mut told: BTreeMap<InstanceId, InstanceRecord> = BTreeMap::new();
+        let mut held: BTreeMap<InstanceId, InstanceRecord> = BTreeMap::new();
         let mut now = 10_000;
-        for word in &words {
-            now += PAUSE;
-            leader.fleet.announce(at(now), word.record(), false);
+        for heartbeat in &heartbeats {
+            now += MESSAGE_INTERVAL_MILLIS;
+            leader
+                .fleet
+                .handle_announcement(at(now), heartbeat.record(), false);
             leader.report(now, 1, 1);
             for (_, update) in leader.updates(now) {
-                told.extend(
+                held.extend(
                     update
                         .instances
                         .iter()
                         .map(|it| (it.instance.clone(), it.clone())),
                 );
                 for removed in &update.removed {
-                    told.remove(removed);
+                    held.remove(removed);
                 }
                 gateway.update(at(now), update);
             }
         }
-        let (incarnation, draining) = expected(&words).expect("some word");
+        let (incarnation, draining) = expected(&heartbeats).expect("at least one heartbeat");
         let run = InstanceId::of_run(NAME, incarnation);
-        prop_assert_eq!(leader.fleet.latest_run(&run), Some(run.clone()));
-        prop_assert_eq!(told.keys().collect::<Vec<_>>(), vec![&run]);
-        prop_assert_eq!(told[&run].draining, draining);
+        prop_assert_eq!(leader.fleet.latest_incarnation(&run), Some(run.clone()));
+        prop_assert_eq!(held.keys().collect::<Vec<_>>(), vec![&run]);
+        prop_assert_eq!(held[&run].draining, draining);
         prop_assert_eq!(gateway.instance_count(), 1);
         Ok(())
     });
-    verdict.unwrap_or_else(|failure| panic!("{failure}"));
+    result.unwrap_or_else(|failure| panic!("{failure}"));
 }
 
-/// The log still knows the run before; the next leader hears the later one, and then a late word of the earlier.
+/// Guards against a stale announcement that replaces a later incarnation after a change of leader.
 #[test]
-fn a_leader_elected_between_two_runs_ends_with_the_later() {
+fn new_leader_keeps_the_later_incarnation() {
     let mut fleet = Fleet::new(FleetSettings::default());
-    let word = |incarnation, sequence| Word {
+    let heartbeat = |incarnation, sequence| Heartbeat {
         incarnation,
         sequence,
         draining: false,
     };
-    let noted = [word(1_000, 900).record()];
+    let recorded = [heartbeat(1_000, 900).record()];
     let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-    fleet.begin(at(0), noted.into_iter(), std::iter::empty(), &history);
-    fleet.announce(at(10), word(2_000, 0).record(), false);
-    fleet.announce(at(20), word(1_000, 901).record(), false);
+    fleet.start_leading(at(0), recorded.into_iter(), std::iter::empty(), &history);
+    fleet.handle_announcement(at(10), heartbeat(2_000, 0).record(), false);
+    fleet.handle_announcement(at(20), heartbeat(1_000, 901).record(), false);
     let run = InstanceId::of_run(NAME, 2_000);
-    assert_eq!(fleet.latest_run(&run), Some(run.clone()));
-    fleet.departed(&run, true);
-    fleet.announce(at(30), word(1_000, 902).record(), false);
+    assert_eq!(fleet.latest_incarnation(&run), Some(run.clone()));
+    fleet.handle_departure(&run, true);
+    fleet.handle_announcement(at(30), heartbeat(1_000, 902).record(), false);
     assert_eq!(
-        fleet.latest_run(&run),
+        fleet.latest_incarnation(&run),
         None,
-        "it does not come back after that"
+        "a departed instance is not restored by a stale heartbeat"
     );
 }
 
@@ -139,7 +143,7 @@
     #![proptest_config(Config { failure_persistence: None, ..Config::with_cases(256) })]
 
     #[test]
-    fn a_run_is_made_of_its_name_and_its_incarnation(name in "[a-z0-9#-]{0,12}", incarnation: u64, later: u64) {
+    fn instance_id_consists_of_name_and_incarnation(name in "[a-z0-9#-]{0,12}", incarnation: u64, later: u64) {
         let run = InstanceId::of_run(&name, incarnation);
         prop_assert_eq!(run.name(), name.as_str());
         prop_assert_eq!(run.incarnation(), incarnation);
@@ -149,7 +153,7 @@
         let table = BTreeMap::from([(run.clone(), ()), (other.clone(), ()), (InstanceId::of_run("x-other", later), ())]);
         let found: Vec<&InstanceId> = run.runs_in(&table).collect();
         let expected: BTreeSet<&InstanceId> = [&run, &other].into();
-        prop_assert_eq!(found.len(), expected.len(), "each once");
+        prop_assert_eq!(found.len(), expected.len(), "each incarnation is returned once");
         prop_assert_eq!(found.into_iter().collect::<BTreeSet<_>>(), expected);
     }
 }
--- a/crates/millpass-fleet/tests/limits.rs
+++ b/crates/millpass-fleet/tests/limits.rs
@@ -1,9 +1,9 @@
-//! Limits that instances state, as the leader takes them.
+//! Limits stated by instances, at the leader.
 
 mod harness;
 
 use harness::calls::Calls;
-use harness::documents::{self, NOBODY, Room, engine_document};
+use harness::documents::{self, EMPTY_CONTEXT, EngineCapacity, engine_document};
 use millpass_fleet::{Fleet, FleetOutput, FleetSettings, InstructionHistory};
 use millpass_proto::*;
 
@@ -31,13 +31,13 @@
     }
 }
 
-fn report(gateway: &str, sequence: u64, needs: Vec<GatewayModelDemand>) -> GatewayReport {
+fn report(gateway: &str, sequence: u64, demand: Vec<GatewayModelDemand>) -> GatewayReport {
     GatewayReport {
         gateway: gateway.to_owned(),
         zone: "z".into(),
         sequence,
         version: 1,
-        demand: needs,
+        demand,
         inconsistent: Vec::new(),
         in_flight: Vec::new(),
         as_of: 0,
@@ -59,15 +59,15 @@
 }
 
 fn document() -> DeploymentDocument {
-    let room = Room {
+    let capacity = EngineCapacity {
         weights_kilobytes: 130,
         adapter_slots: 2,
         milliloads_per_second: 20_000,
     };
-    engine_document(vec![documents::model("a", 60, 0)], &room)
+    engine_document(vec![documents::model("a", 60, 0)], &capacity)
 }
 
-/// The state of an engine that holds this and was ordered nothing.
+/// Returns the state of an engine that has received no orders.
 fn idle(models: Vec<HeldModel>) -> EngineState {
     EngineState {
         revision: 0,
@@ -79,7 +79,7 @@
     }
 }
 
-/// A leader with two gateways and two engines, of which the first holds model `a`.
+/// A leader with two gateways and two engines, the first of which holds model `a`.
 struct Leader(Fleet, Calls);
 
 impl Leader {
@@ -89,21 +89,21 @@
             ..FleetSettings::default()
         });
         let history = InstructionHistory::new(Timestamp::ZERO, Duration::ZERO);
-        fleet.begin(at(1), std::iter::empty(), std::iter::empty(), &history);
+        fleet.start_leading(at(1), std::iter::empty(), std::iter::empty(), &history);
         for (connection, gateway) in ["g-1", "g-2"].into_iter().enumerate() {
-            fleet.report(at(1), connection as u64, &report(gateway, 1, Vec::new()));
+            fleet.handle_report(at(1), connection as u64, &report(gateway, 1, Vec::new()));
         }
-        fleet.announce(at(2), record("i-1", &["a"]), false);
-        fleet.announce(at(2), record("i-2", &[]), false);
+        fleet.handle_announcement(at(2), record("i-1", &["a"]), false);
+        fleet.handle_announcement(at(2), record("i-2", &[]), false);
         let mut leader = Leader(fleet, Calls::default());
         leader.run(10);
         leader
     }
 
-    /// Runs once; reads of engines' state are answered: nothing was ordered yet.
+    /// Runs once and responds to state reads.
     fn run(&mut self, now: u64) -> Vec<FleetOutput> {
-        let outputs = self.0.run(at(now), 3, Some(&document()), &NOBODY);
-        self.1.note(&outputs);
+        let outputs = self.0.run(at(now), 3, Some(&document()), &EMPTY_CONTEXT);
+        self.1.record(&outputs);
         for output in &outputs {
             let FleetOutput::ReadEngine { instance, .. } = output else {
                 continue;
@@ -113,14 +113,14 @@
                 _ => Vec::new(),
             };
             let state = InstructionResult::State(idle(held));
-            let answer = self.1.answer(instance, &state);
-            self.0.answered(at(now), &answer);
+            let answer = self.1.response(instance, &state);
+            self.0.handle_call_result(at(now), &answer);
         }
         outputs
     }
 
-    fn hear_limit(&mut self, now: u64, milli_per_second: Option<u64>) {
-        let word = LimitObservation {
+    fn report_limit(&mut self, now: u64, milli_per_second: Option<u64>) {
+        let observation = LimitObservation {
             instance: "i-1".into(),
             milli_per_second,
             request_age_millis: 5,
@@ -129,53 +129,69 @@
         let request = PermitRequest {
             gateway: "g-1".to_owned(),
             sequence: now,
-            observations: vec![word],
+            observations: vec![observation],
             instances: Vec::new(),
         };
-        self.0.permit_request(at(now), 3, &request);
+        self.0.handle_permit_request(at(now), 3, &request);
     }
 
-    /// Engines that are told to load something while a need of model `a` is reported again and again.
-    fn loads(&mut self, from: u64) -> Vec<InstanceId> {
-        let mut loads = Vec::new();
+    /// Returns the engines instructed while unmet demand for model `a` is reported.
+    fn engines_loading(&mut self, from: u64) -> Vec<InstanceId> {
+        let mut engines = Vec::new();
         for now in (from..from + 1_000).step_by(100) {
-            let needs = vec![unserved("a")];
-            self.0.report(at(now), 0, &report("g-1", now, needs));
+            let demand = vec![unserved("a")];
+            self.0
+                .handle_report(at(now), 0, &report("g-1", now, demand));
             for output in self.run(now) {
-                if let FleetOutput::Instruct(given) = output {
-                    loads.push(given.instance);
+                if let FleetOutput::Instruct(instruction) = output {
+                    engines.push(instruction.instance);
                 }
             }
         }
-        loads
+        engines
     }
 
-    /// Limits that each gateway is told with the next run.
-    fn told(&mut self, now: u64) -> Vec<Vec<Option<u64>>> {
-        let told = self.run(now).into_iter().filter_map(|output| match output {
+    /// Returns the limits sent to each gateway by the next run.
+    fn limits_by_gateway(&mut self, now: u64) -> Vec<Vec<Option<u64>>> {
+        let updates = self.run(now).into_iter().filter_map(|output| match output {
             FleetOutput::Limits { update, .. } => Some(update.limits),
             _ => None,
         });
-        told.map(|words| words.iter().map(|word| word.milli_per_second).collect())
+        updates
+            .map(|observations| {
+                observations
+                    .iter()
+                    .map(|observation| observation.milli_per_second)
+                    .collect()
+            })
             .collect()
     }
 }
 
 #[test]
-fn a_model_that_only_a_limited_engine_holds_is_brought_to_no_other() {
+fn model_of_limited_engine_gets_a_replica() {
     let mut leader = Leader::new();
-    assert!(leader.loads(100).is_empty());
-    leader.hear_limit(1_200, Some(1_000));
-    assert_eq!(leader.loads(1_300).first(), Some(&"i-2".into()));
+    assert!(leader.engines_loading(100).is_empty());
+    leader.report_limit(1_200, Some(1_000));
+    assert_eq!(leader.engines_loading(1_300).first(), Some(&"i-2".into()));
 }
 
 #[test]
-fn a_gateway_is_not_told_of_a_limit_that_another_heard_or_of_its_end() {
+fn limit_and_its_end_are_sent_to_all_gateways() {
     let mut leader = Leader::new();
-    assert_eq!(leader.told(100), Vec::<Vec<Option<u64>>>::new());
-    leader.hear_limit(200, Some(1_000));
-    assert_eq!(leader.told(201), vec![vec![Some(1_000)], vec![Some(1_000)]]);
-    leader.hear_limit(300, None);
-    assert_eq!(leader.told(301), vec![vec![None], vec![None]]);
-    assert_eq!(leader.told(400), Vec::<Vec<Option<u64>>>::new());
+    assert_eq!(
+        leader.limits_by_gateway(100),
+        Vec::<Vec<Option<u64>>>::new()
+    );
+    leader.report_limit(200, Some(1_000));
+    assert_eq!(
+        leader.limits_by_gateway(201),
+        vec![vec![Some(1_000)], vec![Some(1_000)]]
+    );
+    leader.report_limit(300, None);
+    assert_eq!(leader.limits_by_gateway(301), vec![vec![None], vec![None]]);
+    assert_eq!(
+        leader.limits_by_gateway(400),
+        Vec::<Vec<Option<u64>>>::new()
+    );
 }
--- a/crates/millpass-gateway/src/link.rs
+++ b/crates/millpass-gateway/src/link.rs
@@ -11,7 +11,7 @@
 use millpass_proto::{
     ControlToRouter, CrashUpdate, Duration, GatewayUpdate, LinkMessage, RouterToControl,
 };
-use millpass_router::MemberChoice;
+use millpass_router::MemberSelector;
 use millpass_telemetry::event_line;
 use rand::RngExt;
 use socket2::SockRef;
@@ -46,7 +46,7 @@
     let mut members = Members::new(&shared);
     loop {
         wait_for_leader(&shared, &mut members).await;
-        let Some(address) = members.choice.turn() else {
+        let Some(address) = members.choice.next_member() else {
             Timer::after(NO_MEMBERS_DELAY).await;
             continue;
         };
@@ -63,7 +63,7 @@
 /// Known members, the next one to try, and the number of consecutive failed attempts.
 struct Members {
     known: Vec<SocketAddr>,
-    choice: MemberChoice,
+    choice: MemberSelector,
     failed_attempts: usize,
 }
 
@@ -71,7 +71,7 @@
     fn new(shared: &Shared) -> Self {
         let mut members = Members {
             known: Vec::new(),
-            choice: MemberChoice::new(Vec::new()),
+            choice: MemberSelector::new(Vec::new()),
             failed_attempts: 0,
         };
         members.replace(shared, shared.settings.members.clone());
@@ -80,7 +80,7 @@
 
     fn replace(&mut self, shared: &Shared, known: Vec<SocketAddr>) {
         shared.core().set_members(known.iter().copied().collect());
-        self.choice = MemberChoice::new(known.clone());
+        self.choice = MemberSelector::new(known.clone());
         self.known = known;
     }
 
@@ -94,7 +94,7 @@
         reported.dedup();
         if reported != self.known {
             self.replace(shared, reported);
-            self.choice.lost(from);
+            self.choice.mark_unreachable(from);
         }
     }
 
@@ -122,7 +122,7 @@
             (core.leadership(now), core.is_missing_updates())
         };
         match leadership {
-            Leadership::Leader(leader) => return members.choice.named(Some(leader)),
+            Leadership::Leader(leader) => return members.choice.set_leader_hint(Some(leader)),
             Leadership::NoLeader if !missing_updates && now < until => {
                 shared.wait_for_change(responded, until).await;
             }
@@ -136,15 +136,15 @@
     address: SocketAddr,
     end: LinkEnd,
     served: bool,
-    choice: &mut MemberChoice,
+    choice: &mut MemberSelector,
 ) {
     let change = match end {
         LinkEnd::NotLeader(leader) => {
-            choice.named(leader);
+            choice.set_leader_hint(leader);
             "not-leader"
         }
         LinkEnd::Lost(reason) => {
-            choice.lost(address);
+            choice.mark_unreachable(address);
             let pairs = [("member", address.to_string()), ("reason", reason)];
             if served {
                 log::warn!("{}", event_line("leader_lost", &pairs));
--- a/crates/millpass-router/tests/deadlines.rs
+++ b/crates/millpass-router/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! What a caller gets when its back end says nothing.
+//! Responses to callers whose backend does not respond.
 
 mod common;
 
@@ -16,33 +16,36 @@
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
-fn a_silent_back_end_ends_in_a_refusal_that_does_not_say_it_did_not_run(#[case] streamed: bool) {
+fn unresponsive_backend_causes_a_refusal_with_unknown_execution(#[case] streamed: bool) {
     let (keep, _kept) = unbounded();
     let engine = Engine::start(move |_, responder| keep.send(responder).unwrap());
     let control = Control::start();
     control.add_replica(1, engine.address());
     let router = start_router(&control);
     let request = completion(&router).header("Millpass-Deadline-Ms", "300");
-    let answer = call(request.body(prompt(streamed)).unwrap());
-    assert_eq!(answer.status, 504);
-    assert!(answer.body.contains("deadline_passed"), "{}", answer.body);
-    assert!(answer.body.contains("unknown"), "{}", answer.body);
+    let response = call(request.body(prompt(streamed)).unwrap());
+    assert_eq!(response.status, 504);
+    assert!(
+        response.body.contains("deadline_passed"),
+        "{}",
+        response.body
+    );
+    assert!(response.body.contains("unknown"), "{}", response.body);
 }
 
 #[test]
-fn the_core_speaks_before_a_read_times_out() {
+fn core_refuses_before_a_read_times_out() {
     let slack = BackendTimeouts::default().deadline_slack;
     let tick = RouterProcessSettings::default().tick_interval;
     assert!(slack > tick * 4);
 }
 
-/// An engine behind a cut takes requests and cancellations and answers neither. Were the refusal
-/// held until the cancellation is over, or until a read times out, the caller's patience would end
-/// first.
+/// An unreachable engine accepts requests and cancellations but responds to neither. Guards against
+/// a refusal that is delayed by the cancellation or a read timeout.
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
-fn a_refusal_waits_for_nothing_of_the_back_end(#[case] streamed: bool) {
+fn refusal_does_not_wait_for_the_backend(#[case] streamed: bool) {
     let (keep, _kept) = unbounded();
     let handler = move |_: Request, responder: Responder| keep.send(responder).unwrap();
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -51,13 +54,13 @@
     let control = Control::start();
     control.add_replica(1, engine.local_address());
     let mut settings = settings(vec![control.address()]);
-    settings.backends.cancel = Duration::from_secs(600);
+    settings.backends.cancel_timeout = Duration::from_secs(600);
     settings.backends.deadline_slack = Duration::from_secs(600);
     let router = start_with(&control, settings);
     let request = completion(&router).header("Millpass-Deadline-Ms", "200");
-    let answer = call(request.body(prompt(streamed)).unwrap());
-    assert_eq!(answer.status, 504);
-    assert_eq!(answer.error("executed"), "unknown");
-    // Cuts the cancellation, which holds a thread of the router.
+    let response = call(request.body(prompt(streamed)).unwrap());
+    assert_eq!(response.status, 504);
+    assert_eq!(response.error("executed"), "unknown");
+    // Aborts the cancellation, which blocks a thread of the router.
     engine.stop();
 }
