--- a/crates/millpass-consensus/src/backoff.rs
+++ b/crates/millpass-consensus/src/backoff.rs
@@ -1,42 +1,37 @@
-//! How long a member waits for a leader, or for the votes it asked for.
+//! Exponential backoff of election timeouts.
 //!
-//! Answers may come later than the election timeout, when a voter that is needed has little processor. A
-//! candidate that stood again after the same time would give each candidacy up before its votes are
-//! counted, and void those of others. So each candidacy without a result doubles the next wait, up to a
-//! bound, until a leader is heard or a quorum has answered this member as the leader.
+//! Responses of an overloaded voter may take longer than the election timeout. A candidate that retried at a fixed
+//! interval would abandon each candidacy before its votes arrive and disrupt those of others. Each failed candidacy
+//! therefore doubles the next wait, up to a limit, until a leader is in contact or a quorum acknowledges this leader.
 
 use millpass_proto::Duration;
 
-/// Most doublings: with 8 timeouts, answers that take 8 timeouts still elect. A member slower than that
-/// is of no use as a voter, and once it recovers the group waits 16 timeouts at most.
+/// Responses that take up to 8 election timeouts can still elect a leader; the longest wait is 16 timeouts.
 const MAXIMUM_DOUBLINGS: u32 = 3;
 
-/// Candidacies of this member in a row that made nobody the leader.
+/// Consecutive candidacies of this member that elected no leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// A candidacy ended and no leader is known.
-    pub(crate) fn failed(&mut self) {
+    pub(crate) fn candidacy_failed(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Members were asked whether they would vote, and not enough would. That raises no term and voids nobody, so it
-    /// counts once however often: a group that was split for 15 s would else wait up to 3 s for its leader after
-    /// it is joined (0.6 s at most before there was a back-off).
-    pub(crate) fn asked_in_vain(&mut self) {
+    /// Counts repeated pre-vote failures once: they raise no term and disrupt no other candidacy, and a longer wait
+    /// would delay the election after a partition heals.
+    pub(crate) fn pre_vote_failed(&mut self) {
         self.failures = self.failures.max(1);
     }
 
-    /// A leader is in contact.
-    pub(crate) fn succeeded(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The shortest wait; the real one is drawn between this and twice this.
-    pub(crate) fn shortest_wait(&self, election_timeout: Duration) -> Duration {
+    /// Returns the minimum wait; the actual one is drawn between this and twice this.
+    pub(crate) fn minimum_wait(&self, election_timeout: Duration) -> Duration {
         election_timeout * (1 << self.failures.min(MAXIMUM_DOUBLINGS))
     }
 }
--- a/crates/millpass-consensus/src/candidacy.rs
+++ b/crates/millpass-consensus/src/candidacy.rs
@@ -1,50 +1,50 @@
-//! A candidacy under way, and what is told of one that ends without a leader.
+//! State of an ongoing candidacy, and the report when one fails.
 
 use crate::interface::{CandidacyEnd, CandidacyResponse, ConsensusOutput, EndedCandidacy};
 use crate::{Consensus, RoleState};
 use millpass_proto::{Duration, MemberId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who answered a request for votes or pre-votes, and when.
+/// Responses to a request for votes or pre-votes.
 #[derive(Debug)]
 pub(crate) struct Candidacy {
-    begun_at: Timestamp,
-    /// Members that granted what was asked for.
+    started_at: Timestamp,
+    /// Members that granted the vote or pre-vote.
     pub(crate) granted: BTreeSet<MemberId>,
-    /// First answer of each other member.
+    /// First response of each other member, with its latency.
     responses: BTreeMap<MemberId, (bool, Duration)>,
 }
 
 /// Votes for this member in its term.
 #[derive(Debug)]
 pub(crate) struct Votes {
-    /// When they were asked for, in running time.
-    pub(crate) asked_at: Timestamp,
+    /// Running time of the vote request.
+    pub(crate) requested_at: Timestamp,
     pub(crate) granted: BTreeSet<MemberId>,
 }
 
 impl Candidacy {
-    pub(crate) fn begun(now: Timestamp) -> Self {
+    pub(crate) fn new(now: Timestamp) -> Self {
         Candidacy {
-            begun_at: now,
+            started_at: now,
             granted: BTreeSet::new(),
             responses: BTreeMap::new(),
         }
     }
 
-    /// Takes the answer of another member.
-    pub(crate) fn answered(&mut self, now: Timestamp, from: MemberId, is_granted: bool) {
-        let latency = now.since(self.begun_at);
+    /// Records the response of another member.
+    pub(crate) fn record_response(&mut self, now: Timestamp, from: MemberId, is_granted: bool) {
+        let latency = now.since(self.started_at);
         self.responses.entry(from).or_insert((is_granted, latency));
         if is_granted {
             self.granted.insert(from);
         }
     }
 
-    /// Why it ends at its deadline.
+    /// Returns why the candidacy ends at its deadline.
     fn end_at_deadline(&self) -> CandidacyEnd {
-        let is_refused = self.responses.values().any(|(is_granted, _)| !is_granted);
-        match is_refused {
+        let was_refused = self.responses.values().any(|(is_granted, _)| !is_granted);
+        match was_refused {
             true => CandidacyEnd::Refused,
             false => CandidacyEnd::TimedOut,
         }
@@ -52,7 +52,7 @@
 }
 
 impl Consensus {
-    /// Tells that the candidacy under way, if any, is over at its deadline.
+    /// Reports that the ongoing candidacy, if any, ended at its deadline.
     pub(crate) fn candidacy_expired(&mut self) {
         let (RoleState::PreCandidate(candidacy) | RoleState::Candidate(candidacy)) = &self.role
         else {
@@ -60,18 +60,18 @@
         };
         let end = candidacy.end_at_deadline();
         match self.role {
-            RoleState::PreCandidate(_) => self.backoff.asked_in_vain(),
-            _ => self.backoff.failed(),
+            RoleState::PreCandidate(_) => self.backoff.pre_vote_failed(),
+            _ => self.backoff.candidacy_failed(),
         }
-        self.tell_candidacy_ended(end);
+        self.report_candidacy_end(end);
     }
 
-    /// Tells that the candidacy under way, if any, ends because another member got further.
-    pub(crate) fn candidacy_outvoted(&mut self) {
-        self.tell_candidacy_ended(CandidacyEnd::Superseded);
+    /// Reports that another member ended the ongoing candidacy, if any.
+    pub(crate) fn candidacy_superseded(&mut self) {
+        self.report_candidacy_end(CandidacyEnd::Superseded);
     }
 
-    fn tell_candidacy_ended(&mut self, end: CandidacyEnd) {
+    fn report_candidacy_end(&mut self, end: CandidacyEnd) {
         let (candidacy, is_pre_vote) = match &self.role {
             RoleState::PreCandidate(candidacy) => (candidacy, true),
             RoleState::Candidate(candidacy) => (candidacy, false),
@@ -87,7 +87,7 @@
             term: self.hard_state.term,
             is_pre_vote,
             end,
-            duration: self.now.since(candidacy.begun_at),
+            duration: self.now.since(candidacy.started_at),
             responses: responses.collect(),
         };
         self.outputs.push(ConsensusOutput::CandidacyEnded(ended));
--- a/crates/millpass-consensus/src/disk_stall.rs
+++ b/crates/millpass-consensus/src/disk_stall.rs
@@ -1,17 +1,17 @@
-//! A leader whose disk stalls hands leadership over.
+//! Transfers leadership away from a leader whose disk stalls.
 //!
-//! It applies and acknowledges only what its own disk holds, and its heartbeats, which need no disk, keep the others from
-//! standing: no change was acknowledged for as long as a stall lasted, 17 s in a soak. A disk that is slow finishes writes
-//! all the same; where all disks stall, nothing beyond the leader's own is committed and nobody could do better.
+//! A leader acknowledges only what its own disk has synced, while its heartbeats need no disk and suppress elections:
+//! without a transfer, no change would be acknowledged until the stall ends. If all disks stall, nothing beyond the
+//! leader's own log is committed and no transfer happens.
 
 use crate::{Consensus, RoleState};
 use millpass_proto::{MemberId, Timestamp};
 
-/// For how many limits a leader leads before its disk may cost it the lead: disks that stall in turn change the leader no
-/// more often than that.
-const LEAST_LEAD: u32 = 2;
+/// Minimum leadership duration before a transfer, as a multiple of the stall limit. Bounds how often alternating stalls
+/// can change the leader.
+const MINIMUM_TENURE_FACTOR: u32 = 2;
 
-/// When the disk last finished a write, or had none to do, in running time.
+/// Running time at which the disk last completed a write or was idle.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DiskProgress {
     completed: u64,
@@ -28,8 +28,7 @@
 }
 
 impl Consensus {
-    /// Notes whether the disk makes progress.
-    pub(crate) fn watch_disk(&mut self) {
+    pub(crate) fn update_disk_progress(&mut self) {
         let completed = self.writes.completed();
         if self.writes.is_idle() || completed != self.disk.completed {
             self.disk = DiskProgress {
@@ -39,17 +38,17 @@
         }
     }
 
-    /// Hands over once this member's disk has stalled for the limit while a majority has synced more than it holds.
+    /// Transfers leadership once the disk has stalled for the limit while a majority has synced more than this member.
     pub(crate) fn tick_stalled_disk(&mut self) {
         let limit = self.settings.stalled_disk_limit;
         let RoleState::Leader(leader) = &self.role else {
             return;
         };
         let now = self.running.now();
-        let has_led = now.since(leader.elected_at) >= limit * LEAST_LEAD;
+        let has_minimum_tenure = now.since(leader.elected_at) >= limit * MINIMUM_TENURE_FACTOR;
         let is_stalled = now.since(self.disk.since) >= limit;
-        let others_go_on = self.commit > self.writes.durable_index();
-        if !has_led || !is_stalled || !others_go_on || leader.transfer.is_some() {
+        let majority_is_ahead = self.commit > self.writes.durable_index();
+        if !has_minimum_tenure || !is_stalled || !majority_is_ahead || leader.transfer.is_some() {
             return;
         }
         if let Some(successor) = self.most_advanced_voter() {
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Of the other voters, the one that holds most of the log.
+    /// Returns the other voter with the highest match index.
     pub(crate) fn most_advanced_voter(&self) -> Option<MemberId> {
         let RoleState::Leader(leader) = &self.role else {
             return None;
--- a/crates/millpass-consensus/src/dispatch.rs
+++ b/crates/millpass-consensus/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Routes inputs and messages to the part that handles them.
+//! Dispatches inputs and messages to their handlers.
 
 use crate::interface::{ConsensusInput, ConsensusOutput, ProposalRejection};
 use crate::quorum::is_member;
@@ -23,7 +23,7 @@
     }
 
     fn tick(&mut self) {
-        self.watch_disk();
+        self.update_disk_progress();
         match self.role {
             RoleState::Leader(_) => self.tick_leader(),
             _ => self.tick_election(),
@@ -35,13 +35,13 @@
             self.reject(ticket, reason);
             return;
         }
-        let position = self.append_own_entry(payload);
+        let position = self.append_entry(payload);
         self.outputs
             .push(ConsensusOutput::Appended { ticket, position });
         self.replicate_to_all();
     }
 
-    /// Why no proposal can be taken now, if so.
+    /// Returns why proposals are currently rejected, or `None` if they are accepted.
     pub(crate) fn proposal_obstacle(&self) -> Option<ProposalRejection> {
         match &self.role {
             RoleState::Leader(leader) if leader.transfer.is_some() => {
@@ -68,7 +68,7 @@
         self.advance_commit();
     }
 
-    /// Takes a message addressed to this very identity in this very group.
+    /// Handles a message; messages for another group or member are ignored.
     fn receive(&mut self, envelope: PeerEnvelope) {
         let own = self.settings.member;
         let addressed = envelope.group == self.settings.group && envelope.to == own;
@@ -85,12 +85,12 @@
             PeerMessage::PreVoteResponse(_)
             | PeerMessage::VoteResponse(_)
             | PeerMessage::AppendResponse(_)
-            | PeerMessage::SnapshotProgress(_) => self.receive_answer(envelope),
+            | PeerMessage::SnapshotProgress(_) => self.receive_response(envelope),
         }
     }
 
-    /// Answers count from members only: a removed or unknown one cannot raise the term.
-    fn receive_answer(&mut self, envelope: PeerEnvelope) {
+    /// Handles a response. Responses from non-members are ignored, so that they cannot raise the term.
+    fn receive_response(&mut self, envelope: PeerEnvelope) {
         if !is_member(self.log.membership(), envelope.from) {
             return;
         }
--- a/crates/millpass-consensus/src/election.rs
+++ b/crates/millpass-consensus/src/election.rs
@@ -9,16 +9,16 @@
 use std::collections::BTreeSet;
 
 impl Consensus {
-    /// Draws the next wait for a leader or for votes, between the shortest and twice that.
+    /// Draws the next election timeout, between the minimum and twice that.
     pub(crate) fn reset_election_deadline(&mut self) {
-        let shortest = self.backoff.shortest_wait(self.settings.election_timeout);
-        let shortest_micros = u64::try_from(shortest.as_micros()).unwrap_or(u64::MAX);
-        let jitter = self.random.random_range(0..=shortest_micros);
-        let wait = shortest + millpass_proto::Duration::from_micros(jitter);
+        let minimum = self.backoff.minimum_wait(self.settings.election_timeout);
+        let minimum_micros = u64::try_from(minimum.as_micros()).unwrap_or(u64::MAX);
+        let jitter = self.random.random_range(0..=minimum_micros);
+        let wait = minimum + millpass_proto::Duration::from_micros(jitter);
         self.election_deadline = self.running.now() + wait;
     }
 
-    /// Time passed for a member that does not lead.
+    /// Starts a pre-vote after the election timeout.
     pub(crate) fn tick_election(&mut self) {
         if self.running.now() < self.election_deadline {
             return;
@@ -27,15 +27,15 @@
         self.reset_election_deadline();
         self.leader = None;
         self.role = RoleState::Follower;
-        let may_stand = is_voter(self.log.membership(), self.settings.member);
-        if may_stand && !self.must_refuse_votes() {
+        let may_campaign = is_voter(self.log.membership(), self.settings.member);
+        if may_campaign && !self.must_refuse_votes() {
             self.start_pre_vote();
         }
     }
 
     fn start_pre_vote(&mut self) {
         let own = self.settings.member;
-        let mut candidacy = Candidacy::begun(self.now);
+        let mut candidacy = Candidacy::new(self.now);
         candidacy.granted.insert(own);
         self.role = RoleState::PreCandidate(candidacy);
         let request = PeerMessage::PreVoteRequest(self.vote_request(false));
@@ -53,21 +53,21 @@
         }
     }
 
-    /// A member would vote for this one in `term`.
+    /// Handles a granted pre-vote for `term`.
     pub(crate) fn receive_pre_vote(&mut self, from: MemberId, term: u64) {
         if term != self.hard_state.term + 1 {
             return;
         }
         if let RoleState::PreCandidate(candidacy) = &mut self.role {
-            candidacy.answered(self.now, from, true);
+            candidacy.record_response(self.now, from, true);
             self.campaign_if_pre_elected();
         }
     }
 
-    /// A member would not vote for this one.
+    /// Handles a refused pre-vote.
     pub(crate) fn receive_pre_vote_refusal(&mut self, from: MemberId) {
         if let RoleState::PreCandidate(candidacy) = &mut self.role {
-            candidacy.answered(self.now, from, false);
+            candidacy.record_response(self.now, from, false);
         }
     }
 
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Starts an election in the next term. The requests leave once term and own vote are synced.
+    /// Starts an election in the next term. Vote requests are sent once the term and own vote are synced.
     pub(crate) fn campaign(&mut self, leadership_transfer: bool) {
         let own = self.settings.member;
         self.enter_term(self.hard_state.term + 1);
         self.hard_state.voted_for = Some(own);
-        self.role = RoleState::Candidate(Candidacy::begun(self.now));
+        self.role = RoleState::Candidate(Candidacy::new(self.now));
         self.votes = Some(Votes {
-            asked_at: self.running.now(),
+            requested_at: self.running.now(),
             granted: BTreeSet::new(),
         });
         self.leader = None;
@@ -99,68 +99,68 @@
         }
     }
 
-    /// Counts this member's own vote, once it is synced.
+    /// Counts this member's own vote if it is synced.
     pub(crate) fn count_own_vote(&mut self) {
         if !self.writes.hard_state_is_durable() {
             return;
         }
-        self.take_vote(self.settings.member);
+        self.record_vote(self.settings.member);
     }
 
-    /// Takes another member's answer to the request for its vote in this term.
+    /// Handles a response to a vote request of the current term.
     pub(crate) fn receive_vote(&mut self, from: MemberId, is_granted: bool) {
         if let RoleState::Candidate(candidacy) = &mut self.role {
-            candidacy.answered(self.now, from, is_granted);
+            candidacy.record_response(self.now, from, is_granted);
         }
         if is_granted {
-            self.take_vote(from);
+            self.record_vote(from);
         }
     }
 
-    /// Counts a vote of this term. It may come after the candidacy's time: a quorum of votes of a term
-    /// makes its leader whenever the last one arrives, as long as the term lasts and has none yet.
-    fn take_vote(&mut self, from: MemberId) {
+    /// Records a vote of the current term. A quorum of votes elects this member even after the candidacy timed out,
+    /// as long as the term has not changed and has no leader.
+    fn record_vote(&mut self, from: MemberId) {
         let Some(votes) = &mut self.votes else {
             return;
         };
         votes.granted.insert(from);
         let granted = &votes.granted;
-        // The own vote joins only when synced, so a quorum without it may come first: wait.
+        // The own vote counts only once synced, so other votes may form a quorum before it.
         let own_vote_counts = granted.contains(&self.settings.member);
         let has_quorum = has_quorum(self.log.membership(), |member| granted.contains(&member));
         if own_vote_counts && has_quorum {
-            let election_took = self.running.now().since(votes.asked_at);
-            self.become_leader(election_took);
+            let election_duration = self.running.now().since(votes.requested_at);
+            self.become_leader(election_duration);
         }
     }
 
-    /// Answers a request for a vote or pre-vote.
+    /// Handles a request for a vote or pre-vote.
     pub(crate) fn receive_vote_request(&mut self, envelope: PeerEnvelope) {
         match envelope.message {
             PeerMessage::PreVoteRequest(request) => {
-                self.answer_pre_vote(envelope.from, envelope.term, &request);
+                self.respond_to_pre_vote(envelope.from, envelope.term, &request);
             }
             PeerMessage::VoteRequest(request) => {
-                self.answer_vote(envelope.from, envelope.term, &request);
+                self.respond_to_vote(envelope.from, envelope.term, &request);
             }
             _ => {}
         }
     }
 
-    /// A granted pre-vote carries the term of the candidacy, a refused one the own term, so that
-    /// a candidate that fell behind learns it. A pre-vote is no promise and is not written.
-    fn answer_pre_vote(&mut self, from: MemberId, term: u64, request: &VoteRequest) {
+    /// Responds to a pre-vote request. A granted pre-vote carries the candidate's term, a refused one this member's,
+    /// so that a stale candidate catches up. Pre-votes are not binding and not persisted.
+    fn respond_to_pre_vote(&mut self, from: MemberId, term: u64, request: &VoteRequest) {
         let granted = !self.must_refuse_votes()
             && term > self.hard_state.term
             && request.last >= self.log.last();
-        let answer_term = if granted { term } else { self.hard_state.term };
-        let answer = PeerMessage::PreVoteResponse(VoteResponse { granted });
-        self.send_in_term(from, Requirement::Nothing, answer_term, answer);
+        let response_term = if granted { term } else { self.hard_state.term };
+        let response = PeerMessage::PreVoteResponse(VoteResponse { granted });
+        self.send_in_term(from, Requirement::Nothing, response_term, response);
     }
 
-    /// While a leader may hold a lease by this member's word, a request is not even read: its
-    /// term would depose the leader. Only a transfer at the leader's own wish passes.
-    fn answer_vote(&mut self, from: MemberId, term: u64, request: &VoteRequest) {
+    /// Responds to a vote request. While a leader may hold a lease based on this member's promise, requests are
+    /// ignored, because their term would depose the leader; leadership transfers are exempt.
+    fn respond_to_vote(&mut self, from: MemberId, term: u64, request: &VoteRequest) {
         if self.must_refuse_votes() && !request.leadership_transfer {
             return;
         }
@@ -168,23 +168,23 @@
             self.become_follower(term, None);
         }
         let in_term = term == self.hard_state.term;
-        let vote_is_free = match self.hard_state.voted_for {
+        let may_vote = match self.hard_state.voted_for {
             None => true,
             Some(candidate) => candidate == from,
         };
-        let granted = in_term && vote_is_free && request.last >= self.log.last();
+        let granted = in_term && may_vote && request.last >= self.log.last();
         if granted && self.hard_state.voted_for.is_none() {
             self.hard_state.voted_for = Some(from);
             self.writes.hard_state_changed();
             self.reset_election_deadline();
         }
-        let answer = PeerMessage::VoteResponse(VoteResponse { granted });
-        self.send(from, Requirement::HardState, answer);
+        let response = PeerMessage::VoteResponse(VoteResponse { granted });
+        self.send(from, Requirement::HardState, response);
     }
 
-    /// Follows, in this term or a later one.
+    /// Becomes a follower in the current or a later term.
     pub(crate) fn become_follower(&mut self, term: u64, leader: Option<MemberId>) {
-        self.candidacy_outvoted();
+        self.candidacy_superseded();
         if term > self.hard_state.term {
             self.enter_term(term);
         }
--- a/crates/millpass-consensus/src/interface.rs
+++ b/crates/millpass-consensus/src/interface.rs
@@ -12,41 +12,41 @@
     pub group: GroupId,
     /// Identity of this member.
     pub member: MemberId,
-    /// Shortest election timeout; each wait is drawn between this and twice this.
+    /// Minimum election timeout; each wait is drawn between this and twice this.
     pub election_timeout: Duration,
-    /// Time between heartbeats of a leader.
+    /// Interval of a leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// Length of the leader lease from the sending time of an acknowledged heartbeat. Must be
-    /// shorter than `election_timeout`, by more than clocks drift in that time.
+    /// Duration of the leader lease from the sending time of an acknowledged request. Must be shorter
+    /// than `election_timeout` by more than the clock drift in that time.
     pub lease_length: Duration,
-    /// Time for which this member's disk may finish no write while a majority syncs more than it holds, before it hands
-    /// leadership over, in the time in which it runs.
+    /// Running time without a completed write, while a majority has synced more than this member, after which a
+    /// leader transfers leadership.
     pub stalled_disk_limit: Duration,
-    /// Most entries in one append request.
+    /// Maximum entries per append request.
     pub maximum_append_entries: usize,
-    /// Most bytes in one piece of a snapshot.
+    /// Maximum bytes per snapshot chunk.
     pub snapshot_chunk_bytes: usize,
     /// Seed of the election jitter.
     pub seed: u64,
 }
 
-/// What a member's disk holds when it starts.
+/// Persisted state from which a member starts.
 #[derive(Clone, Debug)]
 pub struct RestoredLog {
     /// Term and vote.
     pub hard_state: HardState,
-    /// What the newest snapshot covers. The initial membership is a snapshot at position zero.
+    /// Metadata of the newest snapshot. The initial membership is a snapshot at position zero.
     pub snapshot: SnapshotMeta,
     /// Entries after the snapshot, in order.
     pub entries: Vec<LogEntry>,
 }
 
-/// A change of members a leader is asked for.
+/// A requested membership change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// Add a member that receives the log and does not vote.
     AddLearner(MemberAddress),
-    /// Make a caught-up learner a voter, and remove a voter if given, in one joint change.
+    /// Promote a caught-up learner to voter and optionally remove a voter, in one joint change.
     Promote {
         /// The learner.
         learner: MemberId,
@@ -60,51 +60,51 @@
 /// An input of the core.
 #[derive(Clone, Debug)]
 pub enum ConsensusInput {
-    /// Time passed; sent at least every few milliseconds.
+    /// Passage of time; the host sends it every few milliseconds.
     Tick,
-    /// A message arrived.
+    /// A received message.
     Receive(PeerEnvelope),
     /// Append a command, if this member leads.
     Propose {
-        /// Host's number for it, echoed in the outputs.
+        /// Host-assigned number, echoed in the outputs.
         ticket: u64,
         /// Command.
         command: Command,
     },
-    /// Change the members, if this member leads and no change is under way.
+    /// Change the membership, if this member leads and no change is in progress.
     ChangeMembership {
-        /// Host's number for it, echoed in the outputs.
+        /// Host-assigned number, echoed in the outputs.
         ticket: u64,
         /// Change.
         change: MembershipChange,
     },
-    /// Hand leadership to a voter.
+    /// Transfer leadership to a voter.
     TransferLeadership(MemberId),
-    /// The write of this number is synced. Writes complete in order.
+    /// The write with this number is synced. Writes complete in order.
     Persisted {
         /// Number from [`PersistRequest::write`].
         write: u64,
     },
-    /// The host took a snapshot of the applied state; the log up to it may be dropped and the
-    /// snapshot sent to members that lag.
+    /// The host took a snapshot of the applied state. The log up to it may be compacted, and the
+    /// snapshot may be sent to lagging members.
     SnapshotTaken(Snapshot),
 }
 
-/// Something to write and sync, in order of `write`. The host answers with
+/// State to write and sync, in order of `write`. The host responds with
 /// [`ConsensusInput::Persisted`].
 #[derive(Clone, Debug)]
 pub struct PersistRequest {
-    /// Number of the write; grows by one.
+    /// Number of the write; increments by one.
     pub write: u64,
     /// New term and vote.
     pub hard_state: Option<HardState>,
-    /// A snapshot that replaces state and log (received from the leader).
+    /// Snapshot received from the leader, which replaces state and log.
     pub snapshot: Option<Snapshot>,
-    /// Entries to write; the log is first cut before the first one's index.
+    /// Entries to write. The log is first truncated before the index of the first one.
     pub entries: Vec<LogEntry>,
 }
 
-/// Why a proposal did not enter the log.
+/// Why a proposal was not appended to the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalRejection {
     /// This member does not lead.
@@ -113,10 +113,10 @@
         /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// A membership change is under way, or the change does not fit.
+    /// A membership change is in progress, or the change is not applicable.
     #[error("membership change refused: {0}; retry when the current one is done")]
     MembershipRefused(String),
-    /// Leadership is being handed over.
+    /// A leadership transfer is in progress.
     #[error("leadership is being handed over; retry shortly")]
     Transferring,
 }
@@ -124,110 +124,109 @@
 /// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks for votes (or pre-votes).
+    /// Requests votes or pre-votes.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
 }
 
-/// What the host must do.
+/// An action for the host to execute.
 #[derive(Clone, Debug)]
 pub enum ConsensusOutput {
-    /// Send a message; it may be lost, doubled, late or reordered.
+    /// Send a message; it may be lost, duplicated, delayed or reordered.
     Send(PeerEnvelope),
-    /// Write and sync.
+    /// Write and sync durable state.
     Persist(PersistRequest),
-    /// These entries are committed: apply them in order.
+    /// Apply these committed entries in order.
     Commit(Vec<LogEntry>),
-    /// Replace the state machine by this snapshot (already synced).
+    /// Replace the state machine with this snapshot, which is already synced.
     Restore(Snapshot),
-    /// A proposal entered the log at this position. It is committed if the entry committed at
-    /// that index carries this term; another term there means it is lost.
+    /// A proposal was appended at this position. It is committed if the entry committed at that index
+    /// has this term; if it has another term, the proposal is lost.
     Appended {
-        /// Host's number.
+        /// Host-assigned number.
         ticket: u64,
         /// Position.
         position: LogPosition,
     },
-    /// A proposal did not enter the log and never will.
+    /// A proposal was rejected and will not be appended.
     Rejected {
-        /// Host's number.
+        /// Host-assigned number.
         ticket: u64,
         /// Reason.
         reason: ProposalRejection,
     },
-    /// Role, term or known leader changed.
+    /// Role, term or known leader has changed.
     RoleChanged(ConsensusStatus),
-    /// A candidacy of this member ended and did not make it the leader; for the log.
+    /// A candidacy of this member failed; for logging.
     CandidacyEnded(EndedCandidacy),
 }
 
-/// Why a candidacy ended without a result.
+/// Why a candidacy failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidacyEnd {
-    /// Its time was over, and members had refused.
+    /// Timed out after at least one refusal.
     Refused,
-    /// Another member leads, or stands in a later term.
+    /// Another member leads or campaigns in a later term.
     Superseded,
-    /// Its time was over, and no member had refused: answers are late or lost.
+    /// Timed out without refusals: responses are late or lost.
     TimedOut,
 }
 
-/// A candidacy that did not make this member the leader.
+/// A failed candidacy of this member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedCandidacy {
-    /// Term of this member when it ended.
+    /// Term of this member at the end of the candidacy.
     pub term: u64,
-    /// Whether it only asked whether it would be elected.
+    /// Whether it was in the pre-vote phase.
     pub is_pre_vote: bool,
-    /// Why it ended.
+    /// Reason for the failure.
     pub end: CandidacyEnd,
-    /// How long it lasted.
+    /// Duration of the candidacy.
     pub duration: Duration,
-    /// Who had answered by then.
+    /// Responses received by then.
     pub responses: Vec<CandidacyResponse>,
 }
 
-/// A member's first answer to a candidate.
+/// A member's first response to a candidate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CandidacyResponse {
     /// Member.
     pub member: MemberId,
-    /// Whether it granted what was asked for.
+    /// Whether it granted the vote or pre-vote.
     pub is_granted: bool,
-    /// Time from the request to the answer.
+    /// Time from the request to the response.
     pub latency: Duration,
 }
 
-/// What a member believes.
+/// Observed state of the group on one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConsensusStatus {
     /// Role.
     pub role: Role,
     /// Term.
     pub term: u64,
-    /// Leader of that term, if known.
+    /// Leader of the term, if known.
     pub leader: Option<MemberId>,
     /// Commit index.
     pub commit: u64,
-    /// Last index in the log.
+    /// Index of the last log entry.
     pub last: u64,
-    /// Membership in force.
+    /// Current membership.
     pub membership: Membership,
-    /// For a leader: last index known to be on each other member, and how long ago it answered
-    /// in milliseconds.
+    /// Replication progress of each other member; empty unless this member leads.
     pub progress: Vec<MemberProgress>,
 }
 
-/// How far one member is, as its leader sees it.
+/// Replication progress of one member, as observed by its leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
     /// Member.
     pub member: MemberId,
-    /// Last index known to be synced there.
+    /// Last index known to be synced on the member.
     pub match_index: u64,
-    /// Milliseconds since its last answer.
+    /// Milliseconds since its last response.
     pub since_contact_millis: u64,
 }
--- a/crates/millpass-consensus/src/leader.rs
+++ b/crates/millpass-consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's state, its start, its heartbeats and its commit index.
+//! Leader state, heartbeats and commit index.
 
 use crate::leadership_transfer::Transfer;
 use crate::persistence::Requirement;
@@ -10,43 +10,42 @@
 };
 use std::collections::BTreeMap;
 
-/// For how many times the length of its election a leader may have late answers: one that took a needed
-/// voter's delay must be able to commit, which takes that voter two delays (the message and its disk), and
-/// to do so again. A leader whose answers stay late gives up then: the delay may be its own.
-const LATENESS_ELECTIONS: u32 = 4;
-/// Most election timeouts for the same, as long as the longest wait for votes.
-const MAXIMUM_LATENESS_TIMEOUTS: u32 = 16;
+/// Grace period of a new leader for late responses, as a multiple of the duration of its election. A commit takes a
+/// slow voter two delays (message and disk sync), and the grace period allows for two commits.
+const GRACE_ELECTION_FACTOR: u32 = 4;
+/// Maximum grace period in election timeouts; equals the longest election backoff.
+const MAXIMUM_GRACE_TIMEOUTS: u32 = 16;
 
-/// What only a leader keeps.
+/// State that only a leader has.
 pub(crate) struct LeaderState {
-    /// Every other member.
+    /// Progress of every other member.
     pub(crate) members: BTreeMap<MemberId, Progress>,
-    /// Number of the next append request.
+    /// Sequence number of the next append request.
     pub(crate) next_sequence: u64,
     /// When the next heartbeat is due.
     pub(crate) heartbeat_due: Timestamp,
-    /// When it was elected, in running time.
+    /// Running time of the election.
     pub(crate) elected_at: Timestamp,
-    /// Running time up to which answers of a quorum may be late.
-    pub(crate) lateness_allowed_until: Timestamp,
-    /// Index of the first entry of its term.
-    pub(crate) first_own_index: u64,
-    /// Leadership being handed over.
+    /// Running time until which late responses of a quorum are tolerated.
+    pub(crate) grace_period_end: Timestamp,
+    /// Index of the first entry of the leader's term.
+    pub(crate) first_index_in_term: u64,
+    /// Ongoing leadership transfer.
     pub(crate) transfer: Option<Transfer>,
-    /// Leadership was offered away in this term: another member may be elected at any time.
+    /// Set once `TimeoutNow` was sent in this term: another member may be elected at any time.
     pub(crate) lease_forfeited: bool,
 }
 
 impl Consensus {
-    /// Starts to lead, with an empty entry that commits what earlier leaders left.
-    pub(crate) fn become_leader(&mut self, election_took: Duration) {
+    /// Becomes leader and appends an empty entry, which commits the entries of earlier terms.
+    pub(crate) fn become_leader(&mut self, election_duration: Duration) {
         let state = LeaderState {
             members: BTreeMap::new(),
             next_sequence: 1,
             heartbeat_due: self.now + self.settings.heartbeat_interval,
             elected_at: self.running.now(),
-            lateness_allowed_until: self.running.now() + self.allowed_lateness(election_took),
-            first_own_index: self.log.last().index + 1,
+            grace_period_end: self.running.now() + self.response_grace(election_duration),
+            first_index_in_term: self.log.last().index + 1,
             transfer: None,
             lease_forfeited: false,
         };
@@ -54,17 +53,17 @@
         self.votes = None;
         self.leader = Some(self.settings.member);
         self.track_members();
-        self.append_own_entry(EntryPayload::Noop);
+        self.append_entry(EntryPayload::Noop);
         self.replicate_to_all();
     }
 
-    fn allowed_lateness(&self, election_took: Duration) -> Duration {
-        let most = self.settings.election_timeout * MAXIMUM_LATENESS_TIMEOUTS;
-        (election_took * LATENESS_ELECTIONS).min(most)
+    fn response_grace(&self, election_duration: Duration) -> Duration {
+        let maximum = self.settings.election_timeout * MAXIMUM_GRACE_TIMEOUTS;
+        (election_duration * GRACE_ELECTION_FACTOR).min(maximum)
     }
 
-    /// Adds an entry of the own term; the write goes out with this step.
-    pub(crate) fn append_own_entry(&mut self, payload: EntryPayload) -> LogPosition {
+    /// Appends an entry of the current term. It is written at the end of this step.
+    pub(crate) fn append_entry(&mut self, payload: EntryPayload) -> LogPosition {
         let position = LogPosition {
             term: self.hard_state.term,
             index: self.log.last().index + 1,
@@ -78,16 +77,16 @@
         position
     }
 
-    /// Brings the tracked members in line with the membership in force.
+    /// Updates the tracked members to the current membership.
     fn track_members(&mut self) {
-        let wanted = members_except(self.log.membership(), self.settings.member);
+        let current = members_except(self.log.membership(), self.settings.member);
         let last_index = self.log.last().index;
         let now = self.now;
         let RoleState::Leader(leader) = &mut self.role else {
             return;
         };
-        leader.members.retain(|member, _| wanted.contains(member));
-        for member in wanted {
+        leader.members.retain(|member, _| current.contains(member));
+        for member in current {
             leader
                 .members
                 .entry(member)
@@ -95,9 +94,8 @@
         }
     }
 
-    /// Time passed for a leader.
     pub(crate) fn tick_leader(&mut self) {
-        if self.gives_up_leading() {
+        if self.should_step_down() {
             self.become_follower(self.hard_state.term, None);
             return;
         }
@@ -116,8 +114,8 @@
         }
     }
 
-    /// Commits what a quorum has synced, counting only entries of the own term: one of those
-    /// commits all before it.
+    /// Advances the commit index to what a quorum has synced. Only entries of the current term count directly; they
+    /// commit all earlier ones.
     pub(crate) fn advance_commit(&mut self) {
         let RoleState::Leader(leader) = &self.role else {
             return;
@@ -135,31 +133,31 @@
             return;
         };
         let index = index.min(self.log.last().index);
-        if index <= self.commit || index < leader.first_own_index {
+        if index <= self.commit || index < leader.first_index_in_term {
             return;
         }
         self.commit = index;
-        self.membership_may_be_committed();
+        self.continue_membership_change();
     }
 
-    /// Goes on with a membership change whose entry is committed.
-    fn membership_may_be_committed(&mut self) {
+    /// Continues a membership change once its entry is committed.
+    fn continue_membership_change(&mut self) {
         if self.log.membership_index() > self.commit {
             return;
         }
         if let Some(next) = crate::membership::after_joint(self.log.membership()) {
-            self.append_own_entry(EntryPayload::Membership(next));
+            self.append_entry(EntryPayload::Membership(next));
             self.replicate_to_all();
             return;
         }
         if !is_member(self.log.membership(), self.settings.member) {
-            self.leave_leadership();
+            self.step_down_after_removal();
         }
     }
 
-    /// A leader that was removed tells the others what is committed, and the most advanced voter
-    /// to take over at once.
-    fn leave_leadership(&mut self) {
+    /// Steps down after this leader was removed: sends the commit index to all members, and `TimeoutNow` to the most
+    /// advanced voter.
+    fn step_down_after_removal(&mut self) {
         let RoleState::Leader(leader) = &self.role else {
             return;
         };
--- a/crates/millpass-consensus/src/leadership_transfer.rs
+++ b/crates/millpass-consensus/src/leadership_transfer.rs
@@ -1,11 +1,11 @@
-//! Handing leadership to another voter.
+//! Leadership transfer to another voter.
 
 use crate::persistence::Requirement;
 use crate::quorum::contains;
 use crate::{Consensus, RoleState};
 use millpass_proto::{MemberId, PeerMessage, Timestamp};
 
-/// A handover under way. Proposals are refused meanwhile.
+/// An ongoing leadership transfer. Proposals are rejected until it ends.
 #[derive(Clone, Debug)]
 pub(crate) struct Transfer {
     target: MemberId,
@@ -14,15 +14,15 @@
 }
 
 impl Consensus {
-    /// Starts a handover: the target first receives what it lacks.
+    /// Starts a transfer: the target first receives the entries it is missing.
     pub(crate) fn transfer_leadership(&mut self, target: MemberId) {
-        let fits =
+        let is_valid_target =
             target != self.settings.member && contains(&self.log.membership().voters, target);
         let deadline = self.now + self.settings.election_timeout;
         let RoleState::Leader(leader) = &mut self.role else {
             return;
         };
-        if !fits || leader.transfer.is_some() {
+        if !is_valid_target || leader.transfer.is_some() {
             return;
         }
         leader.transfer = Some(Transfer {
@@ -34,8 +34,8 @@
         self.offer_leadership_if_caught_up(target);
     }
 
-    /// Tells the target to stand, once it has the whole log. From then on this member gives up
-    /// the lease for the rest of its term: the offer may arrive at any later time.
+    /// Sends `TimeoutNow` to the target once it has the whole log. The lease is then forfeited for the rest of the
+    /// term, because the message may be delivered at any later time.
     pub(crate) fn offer_leadership_if_caught_up(&mut self, member: MemberId) {
         let last = self.log.last().index;
         let RoleState::Leader(leader) = &mut self.role else {
@@ -54,8 +54,8 @@
         self.send(member, Requirement::Nothing, PeerMessage::TimeoutNow);
     }
 
-    /// Ends a handover that takes too long: before the offer, leadership goes on; after it, this
-    /// member could never hold the lease again and steps down.
+    /// Aborts a transfer after its deadline. Once `TimeoutNow` was sent, this member cannot hold the lease again in
+    /// this term and steps down.
     pub(crate) fn tick_transfer(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
--- a/crates/millpass-consensus/src/lease.rs
+++ b/crates/millpass-consensus/src/lease.rs
@@ -1,12 +1,12 @@
-//! The leader lease, and the promise of followers it rests on.
+//! Leader lease and the follower promise it is based on.
 //!
-//! Promise: a member that heard from a leader refuses votes for the shortest election timeout
-//! after that, by its own clock, whatever the candidate's term. It is kept in memory only, so a
-//! member also refuses for that long after its start.
+//! Promise: after a message from a leader, a member refuses votes for the minimum election timeout
+//! by its own clock, whatever the candidate's term. The promise is kept in memory only, so a member
+//! also refuses votes for that long after its start.
 //!
-//! Lease: a leader counts each member's promise from the time it *sent* the request that the
-//! member answered, by its own clock, and for the shorter lease length. As long as a quorum's
-//! promises stand, no other member can be elected. The settings leave room for drift:
+//! Lease: the leader counts each member's promise from the time it *sent* the acknowledged request,
+//! by its own clock, and for the shorter lease length. While a quorum's promises hold, no other
+//! member can be elected. The settings must allow for clock drift:
 //! `lease_length / (1 - drift) < election_timeout / (1 + drift)`.
 
 use crate::leader::LeaderState;
@@ -15,17 +15,17 @@
 use millpass_proto::Timestamp;
 
 impl Consensus {
-    /// Whether this member leads and a quorum has acknowledged it recently enough that no other
-    /// leader can exist now, by this member's own clock.
+    /// Returns whether this member leads and a quorum has acknowledged it recently enough that no
+    /// other leader can exist now, by this member's own clock.
     ///
-    /// It also holds that every entry acknowledged by any earlier leader was handed out for
-    /// applying here (an entry of the own term was), so a read of the applied state under the
-    /// lease is linearizable. Never true again in a term in which leadership was offered away.
+    /// Under the lease, every entry acknowledged by an earlier leader was emitted here for applying,
+    /// because an entry of the current term was. A read of the applied state is then linearizable.
+    /// Once a leadership transfer was offered, this returns false for the rest of the term.
     pub fn holds_lease(&self, now: Timestamp) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
         };
-        if leader.lease_forfeited || self.emitted < leader.first_own_index {
+        if leader.lease_forfeited || self.emitted < leader.first_index_in_term {
             return false;
         }
         let Some(contact) = self.quorum_contact(now) else {
@@ -34,7 +34,7 @@
         now < contact + self.settings.lease_length
     }
 
-    /// Latest time such that a quorum answered requests sent at it or later.
+    /// Returns the latest time such that a quorum has acknowledged requests sent at or after it.
     pub(crate) fn quorum_contact(&self, now: Timestamp) -> Option<Timestamp> {
         let RoleState::Leader(leader) = &self.role else {
             return None;
@@ -52,7 +52,7 @@
         quorum_value(self.log.membership(), contact).flatten()
     }
 
-    /// The same in running time, for the question whether to go on leading.
+    /// The same in running time; decides whether the leader steps down.
     fn quorum_contact_running(&self, leader: &LeaderState) -> Option<Timestamp> {
         let own = self.settings.member;
         let contact = |member| {
@@ -65,8 +65,8 @@
         quorum_value(self.log.membership(), contact).flatten()
     }
 
-    /// Whether this member must refuse (pre-)votes: it may have promised to, or it leads with a
-    /// quorum behind it.
+    /// Returns whether this member must refuse votes and pre-votes, because of its promise or because it leads with
+    /// a quorum.
     pub(crate) fn must_refuse_votes(&self) -> bool {
         let promise = self.settings.election_timeout;
         if self.now < self.started_at + promise {
@@ -75,23 +75,23 @@
         if let RoleState::Leader(_) = self.role {
             return !self.lost_quorum();
         }
-        let heard_lately = self
-            .leader_heard_at
-            .is_some_and(|heard| self.now < heard + promise);
-        // The promise is over, but this member has not run for long enough to know the leader is silent.
-        let may_lie_unread = self
-            .leader_heard_running
-            .is_some_and(|heard| self.running.now() < heard + promise);
-        heard_lately || may_lie_unread
+        let has_recent_contact = self
+            .leader_contact_at
+            .is_some_and(|contact| self.now < contact + promise);
+        // The promise has expired, but messages of the leader may still be unread after a pause.
+        let may_have_unread_messages = self
+            .leader_contact_running
+            .is_some_and(|contact| self.running.now() < contact + promise);
+        has_recent_contact || may_have_unread_messages
     }
 
     /// Whether a leader gives up: it has lost its quorum, and answers may no longer be late as after a slow
     /// election.
-    pub(crate) fn gives_up_leading(&self) -> bool {
+    pub(crate) fn should_step_down(&self) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
         };
-        self.lost_quorum() && self.running.now() >= leader.lateness_allowed_until
+        self.lost_quorum() && self.running.now() >= leader.grace_period_end
     }
 
     /// Whether a leader has had no contact with a quorum for the shortest election timeout, in which it
@@ -105,14 +105,14 @@
         self.running.now() >= latest + self.settings.election_timeout
     }
 
-    /// Ends the longer waits once a quorum has answered this leader, and in time.
-    pub(crate) fn note_contact(&mut self) {
+    /// Resets the election backoff once a quorum has acknowledged this leader in time.
+    pub(crate) fn record_quorum_contact(&mut self) {
         let RoleState::Leader(leader) = &self.role else {
             return;
         };
-        let has_answered = self.quorum_contact_running(leader) >= Some(leader.elected_at);
-        if has_answered && !self.lost_quorum() {
-            self.backoff.succeeded();
+        let is_acknowledged = self.quorum_contact_running(leader) >= Some(leader.elected_at);
+        if is_acknowledged && !self.lost_quorum() {
+            self.backoff.reset();
         }
     }
 }
--- a/crates/millpass-consensus/src/lib.rs
+++ b/crates/millpass-consensus/src/lib.rs
@@ -1,12 +1,12 @@
-//! Consensus core of a control group: election with pre-vote, replication, leader lease,
-//! snapshots and membership change, as a state machine without input/output, clock or threads.
+//! Consensus core of a control group: elections with pre-vote, replication, leader lease,
+//! snapshots and membership changes, as a state machine without I/O, clock or threads.
 //!
-//! The host calls [`Consensus::step`] with one input at a time and carries out the outputs in
-//! order. Nothing that depends on a write leaves the core before the host reports the write as
-//! synced with [`ConsensusInput::Persisted`].
+//! The host calls [`Consensus::step`] with one input at a time and executes the outputs in order.
+//! No output that depends on a write is emitted before the host reports that write as synced with
+//! [`ConsensusInput::Persisted`].
 //!
-//! After a restart the host passes the snapshot it restored as [`ConsensusInput::SnapshotTaken`],
-//! so that a leader can send it to members that lag behind it.
+//! After a restart the host passes the restored snapshot as [`ConsensusInput::SnapshotTaken`], so
+//! that a leader can send it to lagging members.
 
 mod backoff;
 mod candidacy;
@@ -42,13 +42,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
 
-/// Entries kept behind a snapshot, so that a member that lags a little needs no snapshot.
+/// Entries kept before the snapshot position, so that slightly lagging members need no snapshot.
 const DEFAULT_TRAILING_ENTRIES: u64 = 1024;
 
-/// Role with what belongs to it.
+/// Role and its state.
 enum RoleState {
     Follower,
-    /// Asks whether it would be elected; its term is unchanged.
+    /// Collects pre-votes; the term is unchanged.
     PreCandidate(Candidacy),
     Candidate(Candidacy),
     Leader(Box<LeaderState>),
@@ -59,7 +59,7 @@
     settings: ConsensusSettings,
     trailing_entries: u64,
     random: ChaCha8Rng,
-    /// Time of the latest step.
+    /// Time of the last step.
     now: Timestamp,
     running: RunningTime,
     disk: DiskProgress,
@@ -69,19 +69,19 @@
     writes: WriteQueue,
     /// Highest index known to be committed.
     commit: u64,
-    /// Highest index handed to the host for applying, or covered by a restored snapshot.
+    /// Highest index emitted to the host for applying, or covered by a restored snapshot.
     emitted: u64,
     role: RoleState,
-    /// Votes for this member in its term, while they may still make it the leader: also after it has begun to
-    /// ask for the next term, so that a late vote counts. Taken at the election, which happens once a term.
+    /// Votes for this member in its current term. Kept while it collects pre-votes for the next term, so that a
+    /// late vote still counts; cleared on election.
     votes: Option<Votes>,
     backoff: Backoff,
     leader: Option<MemberId>,
-    /// When a leader was last heard. Survives changes of term: the promise not to vote does too.
-    leader_heard_at: Option<Timestamp>,
-    /// The same, in running time.
-    leader_heard_running: Option<Timestamp>,
-    /// In running time.
+    /// Time of the last message from a leader. Kept across terms, because the promise not to vote is too.
+    leader_contact_at: Option<Timestamp>,
+    /// The same in running time.
+    leader_contact_running: Option<Timestamp>,
+    /// Running time at which this member starts an election.
     election_deadline: Timestamp,
     /// Last index known to match the log of this term's leader.
     verified: u64,
@@ -91,7 +91,7 @@
 }
 
 impl Consensus {
-    /// Starts a member from what its disk holds.
+    /// Creates a member from its persisted state.
     pub fn new(settings: ConsensusSettings, restored: RestoredLog, now: Timestamp) -> Self {
         let covered = restored.snapshot.last.index;
         let log = Log::new(restored.snapshot, restored.entries);
@@ -115,8 +115,8 @@
             votes: None,
             backoff: Backoff::default(),
             leader: None,
-            leader_heard_at: None,
-            leader_heard_running: None,
+            leader_contact_at: None,
+            leader_contact_running: None,
             election_deadline: running.now(),
             verified: 0,
             incoming_snapshot: None,
@@ -127,28 +127,28 @@
         consensus
     }
 
-    /// Sets how many entries behind a snapshot stay in memory for members that lag.
+    /// Sets how many entries before the snapshot position stay in memory for lagging members.
     pub fn set_trailing_entries(&mut self, entries: u64) {
         self.trailing_entries = entries;
     }
 
-    /// Takes one input and returns what the host must do, in order.
+    /// Processes one input and returns the actions that the host must execute, in order.
     pub fn step(&mut self, now: Timestamp, input: ConsensusInput) -> Vec<ConsensusOutput> {
         self.running.advance(now.since(self.now));
         self.now = self.now.max(now);
-        let before = self.announced();
+        let before = self.reported_status();
         self.dispatch(input);
         self.emit_committed();
         self.flush_write();
         self.flush_messages();
-        if self.announced() != before {
+        if self.reported_status() != before {
             let status = self.status();
             self.outputs.push(ConsensusOutput::RoleChanged(status));
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// What this member believes.
+    /// Returns the observed state of the group.
     pub fn status(&self) -> ConsensusStatus {
         ConsensusStatus {
             role: self.visible_role(),
@@ -161,29 +161,29 @@
         }
     }
 
-    /// Leader of the term, if known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<MemberId> {
         self.leader
     }
 
-    /// Whether this member is in the membership of the log, in any role.
+    /// Returns whether this member is in the latest membership of the log, in any role.
     pub fn is_in_membership(&self) -> bool {
         self.log.membership().contains(self.settings.member)
     }
 
-    /// Index of the last entry of the log that binds gateways, committed or not; 0 if none is known. What a snapshot
-    /// covers, the applied state knows.
+    /// Returns the index of the last log entry that gateways must apply, committed or not; 0 if none is known.
+    /// Entries covered by a snapshot are recorded in the applied state.
     pub fn required_index(&self) -> u64 {
         self.log.required_index()
     }
 
-    /// Index of the entry that brought the membership of the log, committed or not.
+    /// Returns the index of the latest membership entry in the log, committed or not.
     pub fn membership_index(&self) -> u64 {
         self.log.membership_index()
     }
 
-    /// What a [`ConsensusOutput::RoleChanged`] announces the change of.
-    fn announced(&self) -> (Role, u64, Option<MemberId>) {
+    /// State whose change is reported with [`ConsensusOutput::RoleChanged`].
+    fn reported_status(&self) -> (Role, u64, Option<MemberId>) {
         (self.visible_role(), self.hard_state.term, self.leader)
     }
 
@@ -202,13 +202,13 @@
         let describe = |(member, progress): (&MemberId, &progress::Progress)| MemberProgress {
             member: *member,
             match_index: progress.match_index,
-            since_contact_millis: self.now.since(progress.heard_at).as_millis() as u64,
+            since_contact_millis: self.now.since(progress.last_contact_at).as_millis() as u64,
         };
         leader.members.iter().map(describe).collect()
     }
 
-    /// Hands out committed entries that are synced here, unless a received snapshot is still
-    /// being written (then nothing counts as synced).
+    /// Emits committed entries that are synced locally. While a received snapshot is being written, no entry counts
+    /// as synced.
     fn emit_committed(&mut self) {
         let target = self.commit.min(self.writes.durable_index());
         if target <= self.emitted {
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Queues a message under this member's term.
+    /// Queues a message with this member's current term.
     fn send(&mut self, to: MemberId, requirement: Requirement, message: PeerMessage) {
         self.send_in_term(to, requirement, self.hard_state.term, message);
     }
--- a/crates/millpass-consensus/src/log.rs
+++ b/crates/millpass-consensus/src/log.rs
@@ -1,28 +1,28 @@
-//! The replicated log in memory: the entries after a base position, and the memberships in them.
+//! In-memory replicated log: the entries after a base position and their memberships.
 
 use millpass_proto::{EntryPayload, LogEntry, LogPosition, Membership, SnapshotMeta};
 use std::collections::VecDeque;
 
-/// A membership and the index of the entry that brought it.
+/// A membership and the index of its entry.
 #[derive(Clone, Debug)]
 struct MembershipRecord {
     index: u64,
     membership: Membership,
 }
 
-/// Entries after `base`. Invariant: indexes are contiguous, and `memberships` is never empty; its
-/// first record is the membership in force at `base`.
+/// Entries after `base`. Invariant: indexes are contiguous, and `memberships` is never empty: its
+/// first record is the membership at `base`.
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
     base: LogPosition,
     entries: VecDeque<LogEntry>,
     memberships: Vec<MembershipRecord>,
-    /// Indexes of the entries that bind gateways, rising; those at or below the base may be missing.
-    binding: Vec<u64>,
+    /// Ascending indexes of the entries that gateways must apply; those at or below `base` may be missing.
+    required: Vec<u64>,
 }
 
 impl Log {
-    /// A log that starts after a snapshot.
+    /// Creates a log that starts after a snapshot.
     pub(crate) fn new(snapshot: SnapshotMeta, entries: Vec<LogEntry>) -> Self {
         let mut log = Log {
             base: snapshot.last,
@@ -31,7 +31,7 @@
                 index: snapshot.last.index,
                 membership: snapshot.membership,
             }],
-            binding: Vec::new(),
+            required: Vec::new(),
         };
         for entry in entries {
             log.append(entry);
@@ -39,19 +39,19 @@
         log
     }
 
-    /// Position before the first entry held.
+    /// Returns the position before the first entry.
     pub(crate) fn base(&self) -> LogPosition {
         self.base
     }
 
-    /// Position of the last entry, or the base of an empty log.
+    /// Returns the position of the last entry, or the base of an empty log.
     pub(crate) fn last(&self) -> LogPosition {
         self.entries
             .back()
             .map_or(self.base, |entry| entry.position)
     }
 
-    /// Position at an index, if the log still holds it or it is the base.
+    /// Returns the position at an index, if it is in the log or the base.
     pub(crate) fn position_at(&self, index: u64) -> Option<LogPosition> {
         if index == self.base.index {
             return Some(self.base);
@@ -59,7 +59,7 @@
         self.entry_at(index).map(|entry| entry.position)
     }
 
-    /// Whether the log holds this position, by index and term.
+    /// Returns whether the log contains this position, by index and term.
     pub(crate) fn contains(&self, position: LogPosition) -> bool {
         self.position_at(position.index) == Some(position)
     }
@@ -69,7 +69,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// At most `maximum` entries from an index on.
+    /// Returns at most `maximum` entries, starting at index `first`.
     pub(crate) fn entries_from(&self, first: u64, maximum: usize) -> Vec<LogEntry> {
         let offset = first.saturating_sub(self.base.index + 1) as usize;
         let start = offset.min(self.entries.len());
@@ -77,7 +77,7 @@
         self.entries.range(start..end).cloned().collect()
     }
 
-    /// First index that carries the same term as the entry at `index`.
+    /// Returns the first index with the same term as the entry at `index`.
     pub(crate) fn first_index_of_term_at(&self, index: u64) -> u64 {
         let Some(position) = self.position_at(index) else {
             return index;
@@ -92,7 +92,7 @@
         first
     }
 
-    /// Adds an entry right after the last one.
+    /// Appends an entry directly after the last one.
     pub(crate) fn append(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.position.index, self.last().index + 1);
         if let EntryPayload::Membership(membership) = &entry.payload {
@@ -102,12 +102,12 @@
             });
         }
         if entry.payload.is_required_by_gateways() {
-            self.binding.push(entry.position.index);
+            self.required.push(entry.position.index);
         }
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry at `first` and all later ones.
+    /// Drops all entries from index `first` on.
     pub(crate) fn truncate_from(&mut self, first: u64) {
         let keep = first.saturating_sub(self.base.index + 1) as usize;
         self.entries.truncate(keep);
@@ -115,10 +115,10 @@
         let base = self.base.index;
         self.memberships
             .retain(|record| record.index <= last || record.index <= base);
-        self.binding.retain(|index| *index <= last);
+        self.required.retain(|index| *index <= last);
     }
 
-    /// Drops the entries up to and with `index`; it must be held.
+    /// Drops the entries up to and including `index`, if the log contains it.
     pub(crate) fn compact_to(&mut self, index: u64) {
         let Some(position) = self.position_at(index) else {
             return;
@@ -132,25 +132,25 @@
             .filter(|record| record.index <= index)
             .count();
         self.memberships.drain(..at_or_below.saturating_sub(1));
-        let newest = self.binding.last().copied();
-        self.binding
-            .retain(|held| *held > index || Some(*held) == newest);
+        let newest = self.required.last().copied();
+        self.required
+            .retain(|required| *required > index || Some(*required) == newest);
     }
 
-    /// Membership in force: the latest in the log, committed or not.
+    /// Returns the current membership: the latest in the log, committed or not.
     pub(crate) fn membership(&self) -> &Membership {
         &self.latest_membership().membership
     }
 
-    /// Index of the entry that brought the membership in force.
+    /// Returns the index of the latest membership entry.
     pub(crate) fn membership_index(&self) -> u64 {
         self.latest_membership().index
     }
 
-    /// Index of the last entry that binds gateways, committed or not; 0 if none is known. One that a snapshot covers
-    /// may be unknown here: the applied state knows it.
+    /// Returns the index of the last entry that gateways must apply, committed or not; 0 if none is known. Entries
+    /// covered by a snapshot are recorded in the applied state.
     pub(crate) fn required_index(&self) -> u64 {
-        self.binding.last().copied().unwrap_or(0)
+        self.required.last().copied().unwrap_or(0)
     }
 
     fn latest_membership(&self) -> &MembershipRecord {
--- a/crates/millpass-consensus/src/membership.rs
+++ b/crates/millpass-consensus/src/membership.rs
@@ -1,11 +1,11 @@
-//! Membership changes: what each one leads to, and when it is refused.
+//! Membership changes: the resulting memberships and the conditions for rejection.
 
 use crate::interface::{ConsensusOutput, MembershipChange, ProposalRejection};
 use crate::quorum::{contains, is_member};
 use crate::{Consensus, RoleState};
 use millpass_proto::{EntryPayload, MemberAddress, MemberId, Membership};
 
-/// A learner this close to the end of the leader's log counts as caught up.
+/// Maximum number of entries that a caught-up learner may lag behind the leader's log.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 
 impl Consensus {
@@ -13,7 +13,7 @@
         match self.plan_change(change) {
             Err(reason) => self.reject(ticket, reason),
             Ok(next) => {
-                let position = self.append_own_entry(EntryPayload::Membership(next));
+                let position = self.append_entry(EntryPayload::Membership(next));
                 self.outputs
                     .push(ConsensusOutput::Appended { ticket, position });
                 self.replicate_to_all();
@@ -30,13 +30,15 @@
                 leader: self.leader,
             });
         };
-        if self.commit < leader.first_own_index {
-            return Err(refused("the leader is new and has committed nothing yet"));
+        if self.commit < leader.first_index_in_term {
+            return Err(rejection(
+                "the leader has not committed an entry of its term yet",
+            ));
         }
         let current = self.log.membership();
         let settled = self.log.membership_index() <= self.commit;
         if !settled || !current.outgoing_voters.is_empty() {
-            return Err(refused("another change is under way"));
+            return Err(rejection("another change is under way"));
         }
         if let MembershipChange::Promote { learner, .. } = change {
             self.check_caught_up(*learner)?;
@@ -49,26 +51,26 @@
             return Ok(());
         };
         let Some(progress) = leader.members.get(&learner) else {
-            return Err(refused("the learner is not a member"));
+            return Err(rejection("the learner is not a member"));
         };
-        let silent = self.now.since(progress.heard_at);
-        if silent >= self.settings.election_timeout {
-            return Err(refused("the learner does not answer"));
+        let since_contact = self.now.since(progress.last_contact_at);
+        if since_contact >= self.settings.election_timeout {
+            return Err(rejection("the learner does not answer"));
         }
         if progress.match_index + CAUGHT_UP_ENTRIES < self.log.last().index
             || progress.match_index == 0
         {
-            return Err(refused("the learner has not caught up"));
+            return Err(rejection("the learner has not caught up"));
         }
         Ok(())
     }
 }
 
-fn refused(reason: &str) -> ProposalRejection {
+fn rejection(reason: &str) -> ProposalRejection {
     ProposalRejection::MembershipRefused(reason.to_owned())
 }
 
-/// The membership that a change leads to at once; a change of voters starts as a joint one.
+/// Returns the membership to append for a change. A change of voters starts as a joint membership.
 fn next_membership(
     current: &Membership,
     change: &MembershipChange,
@@ -78,7 +80,7 @@
         MembershipChange::Promote { learner, replaces } => {
             with_promotion(current, *learner, *replaces)
         }
-        MembershipChange::Remove(member) => without(current, *member),
+        MembershipChange::Remove(member) => without_member(current, *member),
     }
 }
 
@@ -87,7 +89,7 @@
     address: &MemberAddress,
 ) -> Result<Membership, ProposalRejection> {
     if is_member(current, address.member) {
-        return Err(refused("that identity is a member already"));
+        return Err(rejection("the member to add is already in the group"));
     }
     let mut next = current.clone();
     next.learners.push(address.clone());
@@ -100,12 +102,12 @@
     replaces: Option<MemberId>,
 ) -> Result<Membership, ProposalRejection> {
     let Some(address) = find(&current.learners, learner) else {
-        return Err(refused("the member to promote is not a learner"));
+        return Err(rejection("the member to promote is not a learner"));
     };
     if let Some(replaced) = replaces
         && !contains(&current.voters, replaced)
     {
-        return Err(refused("the member to replace is not a voter"));
+        return Err(rejection("the member to replace is not a voter"));
     }
     let mut next = joint(current);
     next.voters.push(address.clone());
@@ -114,17 +116,17 @@
     Ok(next)
 }
 
-fn without(current: &Membership, member: MemberId) -> Result<Membership, ProposalRejection> {
+fn without_member(current: &Membership, member: MemberId) -> Result<Membership, ProposalRejection> {
     if contains(&current.learners, member) {
         let mut next = current.clone();
         next.learners.retain(|address| address.member != member);
         return Ok(next);
     }
     if !contains(&current.voters, member) {
-        return Err(refused("it is not a member"));
+        return Err(rejection("the member to remove is not in the group"));
     }
     if current.voters.len() == 1 {
-        return Err(refused("it is the last voter"));
+        return Err(rejection("the last voter cannot be removed"));
     }
     let mut next = joint(current);
     next.voters.retain(|voter| voter.member != member);
@@ -142,7 +144,7 @@
     list.iter().find(|address| address.member == member)
 }
 
-/// The membership that ends a joint one, or `None` if it is not joint.
+/// Returns the membership that completes a joint one, or `None` if `current` is not joint.
 pub(crate) fn after_joint(current: &Membership) -> Option<Membership> {
     if current.outgoing_voters.is_empty() {
         return None;
--- a/crates/millpass-consensus/src/persistence.rs
+++ b/crates/millpass-consensus/src/persistence.rs
@@ -1,40 +1,39 @@
-//! Writes under way, and the messages that must not leave before them.
+//! Pending writes and the messages that depend on them.
 //!
-//! Each step that changes durable state ends in one numbered write. A message that promises
-//! something durable waits until the write it rests on is reported as synced.
+//! Each step that changes durable state emits one numbered write. A message that asserts durable
+//! state is deferred until the write it depends on is reported as synced.
 
 use crate::interface::PersistRequest;
 use crate::log::Log;
 use millpass_proto::{HardState, PeerEnvelope, PeerMessage, Snapshot};
 use std::collections::VecDeque;
 
-/// What must be synced before a message may leave.
+/// State that must be synced before a message may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Requirement {
-    /// Nothing.
     Nothing,
-    /// The term and vote of now.
+    /// The current term and vote.
     HardState,
-    /// The term and vote, and the log, of now.
+    /// The current term, vote and log.
     Log,
 }
 
-/// A write that was handed out and not yet reported as synced.
+/// A write that was emitted and not yet reported as synced.
 #[derive(Debug)]
 struct PendingWrite {
     number: u64,
-    /// Last log index that this write makes durable; lowered when the log is cut below it.
+    /// Last log index that this write makes durable; lowered when the log is truncated below it.
     durable_index: Option<u64>,
     snapshot: Option<Snapshot>,
 }
 
 #[derive(Debug)]
-struct HeldMessage {
+struct DeferredMessage {
     after_write: u64,
     envelope: PeerEnvelope,
 }
 
-/// Numbered writes, their completion, and held messages.
+/// Numbered writes, their completion, and deferred messages.
 #[derive(Debug)]
 pub(crate) struct WriteQueue {
     last_number: u64,
@@ -47,18 +46,18 @@
     entries_changed_from: Option<u64>,
     received_snapshot: Option<Snapshot>,
     outbox: Vec<(Requirement, PeerEnvelope)>,
-    held: VecDeque<HeldMessage>,
+    deferred: VecDeque<DeferredMessage>,
 }
 
-/// What the completion of writes brings.
+/// Effects of completed writes.
 #[derive(Debug, Default)]
 pub(crate) struct Completion {
-    /// Snapshots now durable, to be restored, in order.
+    /// Snapshots that became durable and must be restored, in order.
     pub(crate) restored: Vec<Snapshot>,
 }
 
 impl WriteQueue {
-    /// A queue for a disk that holds the log up to `durable_index`.
+    /// Creates a queue for a disk that holds the log up to `durable_index`.
     pub(crate) fn new(durable_index: u64) -> Self {
         WriteQueue {
             last_number: 0,
@@ -71,36 +70,36 @@
             entries_changed_from: None,
             received_snapshot: None,
             outbox: Vec::new(),
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
         }
     }
 
-    /// Last log index known to be synced.
+    /// Returns the last log index known to be synced.
     pub(crate) fn durable_index(&self) -> u64 {
         self.durable_index
     }
 
-    /// Number of the newest write that is synced.
+    /// Returns the number of the newest synced write.
     pub(crate) fn completed(&self) -> u64 {
         self.completed
     }
 
-    /// Whether no write is under way.
+    /// Returns whether no write is pending.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Whether the newest term and vote are synced.
+    /// Returns whether the current term and vote are synced.
     pub(crate) fn hard_state_is_durable(&self) -> bool {
         !self.hard_state_changed && self.hard_state_write <= self.completed
     }
 
-    /// Notes that term or vote changed in this step.
+    /// Records that term or vote changed in this step.
     pub(crate) fn hard_state_changed(&mut self) {
         self.hard_state_changed = true;
     }
 
-    /// Notes that entries from this index on are new in this step.
+    /// Records that entries from `first` on are new in this step.
     pub(crate) fn entries_changed(&mut self, first: u64) {
         let earliest = self
             .entries_changed_from
@@ -108,9 +107,9 @@
         self.entries_changed_from = Some(earliest);
     }
 
-    /// Notes that the log was cut before `first`: what writes under way hold from there on no
-    /// longer counts as durable, even if the same entry comes back later.
-    pub(crate) fn log_cut(&mut self, first: u64) {
+    /// Records that the log was truncated before `first`. Later entries in pending writes no longer count as
+    /// durable, even if the same entry is appended again.
+    pub(crate) fn log_truncated(&mut self, first: u64) {
         let kept = first.saturating_sub(1);
         self.durable_index = self.durable_index.min(kept);
         for write in &mut self.pending {
@@ -118,19 +117,19 @@
         }
     }
 
-    /// Notes that a received snapshot replaces the whole log in this step.
+    /// Records that a received snapshot replaces the whole log in this step.
     pub(crate) fn log_replaced(&mut self, snapshot: Snapshot) {
-        self.log_cut(0);
+        self.log_truncated(0);
         self.entries_changed_from = None;
         self.received_snapshot = Some(snapshot);
     }
 
-    /// Queues a message of this step.
+    /// Queues a message for this step.
     pub(crate) fn send(&mut self, requirement: Requirement, envelope: PeerEnvelope) {
         self.outbox.push((requirement, envelope));
     }
 
-    /// Ends a step: the write it needs, if any.
+    /// Returns the write that this step requires, if any.
     pub(crate) fn take_write(
         &mut self,
         hard_state: &HardState,
@@ -163,7 +162,7 @@
         })
     }
 
-    /// Ends a step: the messages that may leave now. The others are held.
+    /// Returns the messages that may be sent now and defers the others.
     pub(crate) fn take_messages(&mut self) -> Vec<PeerEnvelope> {
         let mut ready = Vec::new();
         for (requirement, envelope) in std::mem::take(&mut self.outbox) {
@@ -175,7 +174,7 @@
             if after_write <= self.completed {
                 ready.push(self.limit_to_durable(envelope));
             } else {
-                self.held.push_back(HeldMessage {
+                self.deferred.push_back(DeferredMessage {
                     after_write,
                     envelope,
                 });
@@ -184,8 +183,8 @@
         ready
     }
 
-    /// Takes the report that a write, and so every earlier one, is synced. Messages that waited
-    /// for it leave with this step, unless the term moved on meanwhile.
+    /// Records that a write, and thus every earlier one, is synced. Messages deferred for it are sent in this step,
+    /// unless the term has changed since.
     pub(crate) fn complete(&mut self, number: u64, term: u64) -> Completion {
         let mut completion = Completion::default();
         if number > self.last_number {
@@ -205,23 +204,23 @@
             }
             completion.restored.extend(write.snapshot);
         }
-        self.release_held(term);
+        self.release_deferred(term);
         completion
     }
 
-    fn release_held(&mut self, term: u64) {
+    fn release_deferred(&mut self, term: u64) {
         let completed = self.completed;
-        let (ready, waiting): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.held)
+        let (ready, remaining): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.deferred)
             .into_iter()
-            .filter(|held| held.envelope.term == term)
-            .partition(|held| held.after_write <= completed);
-        self.held = waiting;
-        for held in ready {
-            self.outbox.push((Requirement::Nothing, held.envelope));
+            .filter(|message| message.envelope.term == term)
+            .partition(|message| message.after_write <= completed);
+        self.deferred = remaining;
+        for message in ready {
+            self.outbox.push((Requirement::Nothing, message.envelope));
         }
     }
 
-    /// An acknowledgement never names an index beyond what is synced.
+    /// Caps the acknowledged index at the last synced one.
     fn limit_to_durable(&self, mut envelope: PeerEnvelope) -> PeerEnvelope {
         if let PeerMessage::AppendResponse(response) = &mut envelope.message
             && response.accepted
--- a/crates/millpass-consensus/src/progress.rs
+++ b/crates/millpass-consensus/src/progress.rs
@@ -1,77 +1,77 @@
-//! What a leader knows of one other member.
+//! Replication progress of a member, as tracked by the leader.
 
 use millpass_proto::{Snapshot, Timestamp};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Append requests with entries that may be unanswered at once, per member.
+/// Maximum in-flight append requests with entries per member.
 const MAXIMUM_APPENDS_IN_FLIGHT: usize = 32;
 
-/// Sent requests remembered per member; an answer to an older one no longer counts.
-const MAXIMUM_REMEMBERED_REQUESTS: usize = 256;
+/// Maximum sent requests tracked per member. Responses to older requests are ignored.
+const MAXIMUM_TRACKED_REQUESTS: usize = 256;
 
 /// An append request that was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAppend {
-    /// Its number.
+    /// Sequence number.
     pub(crate) sequence: u64,
-    /// When it was sent, by the leader's clock.
+    /// Sending time by the leader's clock.
     pub(crate) sent_at: Timestamp,
-    /// When it was sent, in the leader's running time.
+    /// Sending time in the leader's running time.
     pub(crate) sent_running: Timestamp,
-    /// Index before its first entry.
+    /// Index before the first entry.
     pub(crate) previous_index: u64,
-    /// Index of its last entry; equal to `previous_index` for a heartbeat.
+    /// Index of the last entry; equal to `previous_index` for a heartbeat.
     pub(crate) last_index: u64,
 }
 
-/// A snapshot on its way to a member; one piece is under way at a time.
+/// An ongoing snapshot transfer to a member, with one chunk in flight at a time.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotTransfer {
-    /// The snapshot; kept until the transfer ends even if a newer one is taken.
+    /// Snapshot being sent; kept until the transfer ends, even if a newer one is taken.
     pub(crate) snapshot: Arc<Snapshot>,
-    /// Offset of the piece under way.
+    /// Offset of the chunk in flight.
     pub(crate) offset: u64,
-    /// When that piece was last sent.
+    /// When that chunk was last sent.
     pub(crate) sent_at: Timestamp,
 }
 
 /// How entries are sent to a member.
 #[derive(Clone, Debug)]
 pub(crate) enum Mode {
-    /// One request at a time until the point where the logs match is found.
+    /// One request at a time until the last matching entry is found.
     Probe {
-        /// Whether the request is under way.
+        /// Whether a request is in flight.
         waiting: bool,
     },
     /// Pipelined requests.
     Replicate,
-    /// The entries it needs are gone: it gets a snapshot.
+    /// The next entries were compacted: a snapshot is sent.
     Snapshot(SnapshotTransfer),
 }
 
-/// Progress of one member.
+/// Replication progress of one member.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Last index known to be synced there.
+    /// Last index known to be synced on the member.
     pub(crate) match_index: u64,
     /// Next index to send.
     pub(crate) next_index: u64,
     /// How entries are sent.
     pub(crate) mode: Mode,
-    /// Sending time of the newest request it answered. The lease counts from it.
+    /// Sending time of the newest acknowledged request; the lease starts from it.
     pub(crate) acknowledged_sent_at: Option<Timestamp>,
-    /// The same, in the leader's running time.
+    /// The same in the leader's running time.
     pub(crate) acknowledged_sent_running: Option<Timestamp>,
-    /// When it last answered anything; at first, when the leader began to track it.
-    pub(crate) heard_at: Timestamp,
-    /// Refusals of requests below this number are outdated.
-    refusals_count_from: u64,
+    /// Time of the last response; initially the time from which the leader tracks the member.
+    pub(crate) last_contact_at: Timestamp,
+    /// Rejections of requests with a lower sequence number are stale.
+    rejections_valid_from: u64,
     sent: VecDeque<SentAppend>,
 }
 
 impl Progress {
-    /// A member whose log is unknown: probing starts after `last_index`.
+    /// Creates the progress of a member whose log is unknown. Probing starts after `last_index`.
     pub(crate) fn new(last_index: u64, now: Timestamp) -> Self {
         Progress {
             match_index: 0,
@@ -79,32 +79,32 @@
             mode: Mode::Probe { waiting: false },
             acknowledged_sent_at: None,
             acknowledged_sent_running: None,
-            heard_at: now,
-            refusals_count_from: 0,
+            last_contact_at: now,
+            rejections_valid_from: 0,
             sent: VecDeque::new(),
         }
     }
 
-    /// Whether the window of unanswered requests with entries is full.
+    /// Returns whether the window of in-flight requests with entries is full.
     pub(crate) fn window_is_full(&self) -> bool {
-        let unanswered = self
+        let in_flight = self
             .sent
             .iter()
             .filter(|request| request.last_index > request.previous_index);
-        unanswered.count() >= MAXIMUM_APPENDS_IN_FLIGHT
+        in_flight.count() >= MAXIMUM_APPENDS_IN_FLIGHT
     }
 
-    /// Remembers a request.
-    pub(crate) fn remember(&mut self, request: SentAppend) {
-        if self.sent.len() >= MAXIMUM_REMEMBERED_REQUESTS {
+    pub(crate) fn record_sent(&mut self, request: SentAppend) {
+        if self.sent.len() >= MAXIMUM_TRACKED_REQUESTS {
             self.sent.pop_front();
         }
         self.sent.push_back(request);
     }
 
-    /// Takes the answer to a request: finds it, counts contact and lease from it.
-    pub(crate) fn answered(&mut self, sequence: u64, now: Timestamp) -> Option<SentAppend> {
-        self.heard_at = now;
+    /// Records a response: updates the contact and lease times and returns the matching request,
+    /// if it is still tracked.
+    pub(crate) fn record_response(&mut self, sequence: u64, now: Timestamp) -> Option<SentAppend> {
+        self.last_contact_at = now;
         let request = *self
             .sent
             .iter()
@@ -115,14 +115,14 @@
         Some(request)
     }
 
-    /// Takes an acceptance up to `match_index` (synced there).
-    pub(crate) fn accepted(&mut self, request: Option<SentAppend>, match_index: u64) {
+    /// Handles an acceptance: entries up to `match_index` are synced on the member.
+    pub(crate) fn handle_accepted(&mut self, request: Option<SentAppend>, match_index: u64) {
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index + 1);
         if let Some(request) = request {
-            self.forget_up_to(request.sequence);
-            let proves_the_match = request.last_index + 1 >= self.next_index;
-            if matches!(self.mode, Mode::Probe { .. }) && proves_the_match {
+            self.discard_heartbeats_up_to(request.sequence);
+            let confirms_match = request.last_index + 1 >= self.next_index;
+            if matches!(self.mode, Mode::Probe { .. }) && confirms_match {
                 self.mode = Mode::Replicate;
                 self.next_index = self.next_index.max(request.last_index + 1);
             }
@@ -133,22 +133,27 @@
         });
     }
 
-    /// Takes a refusal: sends from right after `hint` again. Returns whether it counted.
-    pub(crate) fn refused(&mut self, request: SentAppend, hint: u64, next_sequence: u64) -> bool {
-        self.forget_up_to(request.sequence);
-        if request.sequence < self.refusals_count_from || matches!(self.mode, Mode::Snapshot(_)) {
+    /// Handles a rejection: resumes right after `hint`. Returns false if the rejection is stale.
+    pub(crate) fn handle_rejected(
+        &mut self,
+        request: SentAppend,
+        hint: u64,
+        next_sequence: u64,
+    ) -> bool {
+        self.discard_heartbeats_up_to(request.sequence);
+        if request.sequence < self.rejections_valid_from || matches!(self.mode, Mode::Snapshot(_)) {
             return false;
         }
-        let wanted = (hint + 1).min(request.previous_index.max(1));
-        self.next_index = wanted.max(self.match_index + 1);
+        let next_index = (hint + 1).min(request.previous_index.max(1));
+        self.next_index = next_index.max(self.match_index + 1);
         self.mode = Mode::Probe { waiting: false };
-        self.refusals_count_from = next_sequence;
+        self.rejections_valid_from = next_sequence;
         self.sent
             .retain(|request| request.last_index == request.previous_index);
         true
     }
 
-    /// The snapshot up to `last_index` is installed and synced there.
+    /// Records that the member has installed and synced a snapshot up to `last_index`.
     pub(crate) fn snapshot_installed(&mut self, last_index: u64) {
         self.match_index = self.match_index.max(last_index);
         self.next_index = self.match_index + 1;
@@ -156,8 +161,8 @@
         self.sent.clear();
     }
 
-    /// Heartbeats up to this number are settled; requests with entries stay until synced.
-    fn forget_up_to(&mut self, sequence: u64) {
+    /// Stops tracking heartbeats up to `sequence`. Requests with entries stay until synced.
+    fn discard_heartbeats_up_to(&mut self, sequence: u64) {
         self.sent.retain(|request| {
             request.sequence > sequence || request.last_index > request.previous_index
         });
--- a/crates/millpass-consensus/src/quorum.rs
+++ b/crates/millpass-consensus/src/quorum.rs
@@ -1,8 +1,8 @@
-//! Majorities over a membership. During joint consensus both sets need one.
+//! Quorums of a membership. During joint consensus both voter sets need a majority.
 
 use millpass_proto::{MemberAddress, MemberId, Membership};
 
-/// The largest value that a majority of each voter set reaches, or `None` without voters.
+/// Returns the largest value reached by a majority of each voter set, or `None` without voters.
 pub(crate) fn quorum_value<T: Ord + Copy>(
     membership: &Membership,
     value: impl Fn(MemberId) -> T,
@@ -15,7 +15,7 @@
     Some(newer.min(older))
 }
 
-/// Whether a majority of each voter set agrees.
+/// Returns whether a majority of each voter set agrees.
 pub(crate) fn has_quorum(membership: &Membership, agrees: impl Fn(MemberId) -> bool) -> bool {
     quorum_value(membership, agrees).unwrap_or(false)
 }
@@ -29,22 +29,21 @@
     values.get(values.len() / 2).copied()
 }
 
-/// Whether a member votes, in the newer or the older set.
+/// Returns whether a member is in the current or the outgoing voter set.
 pub(crate) fn is_voter(membership: &Membership, member: MemberId) -> bool {
     contains(&membership.voters, member) || contains(&membership.outgoing_voters, member)
 }
 
-/// Whether a member is a voter or learner.
+/// Returns whether a member is a voter or a learner.
 pub(crate) fn is_member(membership: &Membership, member: MemberId) -> bool {
     is_voter(membership, member) || contains(&membership.learners, member)
 }
 
-/// Whether a list holds a member.
 pub(crate) fn contains(list: &[MemberAddress], member: MemberId) -> bool {
     list.iter().any(|address| address.member == member)
 }
 
-/// All members but one, each once, in order of identity.
+/// Returns all members but `excluded`, without duplicates, sorted by id.
 pub(crate) fn members_except(membership: &Membership, excluded: MemberId) -> Vec<MemberId> {
     let mut members: Vec<MemberId> = membership
         .voters
--- a/crates/millpass-consensus/src/replication.rs
+++ b/crates/millpass-consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! A leader's side of replication: pipelined append requests, and their answers.
+//! Leader side of replication: pipelined append requests and their responses.
 
 use crate::persistence::Requirement;
 use crate::progress::{Mode, SentAppend};
@@ -6,7 +6,7 @@
 use millpass_proto::{AppendRequest, AppendResponse, LogPosition, MemberId, PeerMessage};
 
 impl Consensus {
-    /// Sends every member what it lacks, as far as its window allows.
+    /// Sends missing entries to every member, as far as its window allows.
     pub(crate) fn replicate_to_all(&mut self) {
         let RoleState::Leader(leader) = &self.role else {
             return;
@@ -17,12 +17,12 @@
         }
     }
 
-    /// Sends one member what it lacks, as far as its window allows.
+    /// Sends missing entries to one member, as far as its window allows.
     pub(crate) fn replicate_to(&mut self, member: MemberId) {
         while self.send_next_append(member) {}
     }
 
-    /// Sends one request with entries. Returns whether another may follow at once.
+    /// Sends one request with entries. Returns whether another may be sent immediately.
     fn send_next_append(&mut self, member: MemberId) -> bool {
         let last = self.log.last().index;
         let RoleState::Leader(leader) = &mut self.role else {
@@ -41,15 +41,16 @@
             Mode::Replicate => {}
         }
         let is_probe = matches!(progress.mode, Mode::Probe { .. });
-        let is_silent = self.now.since(progress.heard_at) >= self.settings.election_timeout;
+        let is_unreachable =
+            self.now.since(progress.last_contact_at) >= self.settings.election_timeout;
         let Some(previous) = self.log.position_at(next - 1) else {
             if !self.start_snapshot_transfer(member) {
                 self.send_append(member, LogPosition::ZERO, 0);
             }
             return false;
         };
-        // A silent member is probed without entries: they would be sent in vain.
-        let maximum_entries = match is_probe && is_silent {
+        // An unreachable member is probed without entries to save bandwidth.
+        let maximum_entries = match is_probe && is_unreachable {
             true => 0,
             false => self.settings.maximum_append_entries,
         };
@@ -57,7 +58,7 @@
         !is_probe
     }
 
-    /// Sends a heartbeat. To a member being probed it carries entries, as the next probe.
+    /// Sends a heartbeat. In probe mode it carries entries and serves as the next probe.
     pub(crate) fn send_heartbeat(&mut self, member: MemberId) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
@@ -67,15 +68,14 @@
         };
         let previous = self.log.position_at(progress.next_index - 1);
         match (&progress.mode, previous) {
-            // A position before everything always matches. It keeps the lease of a leader whose
-            // member is busy with a snapshot.
+            // The zero position always matches, so the lease is renewed during a snapshot transfer.
             (Mode::Snapshot(_), _) => {
                 self.send_append(member, LogPosition::ZERO, 0);
-                self.resend_snapshot_piece(member);
+                self.resend_snapshot_chunk(member);
             }
             (Mode::Replicate, Some(previous)) => self.send_append(member, previous, 0),
-            // Also a pipelined member is probed anew when what it would be sent next is
-            // compacted away: a heartbeat could not show any more that requests were lost.
+            // If the next entries of a pipelined member were compacted, a heartbeat cannot reveal
+            // lost requests: go back to probing.
             (Mode::Replicate, None) | (Mode::Probe { .. }, _) => {
                 progress.mode = Mode::Probe { waiting: false };
                 self.replicate_to(member);
@@ -92,7 +92,7 @@
         leader.next_sequence += 1;
         let last_index = previous.index + entries.len() as u64;
         if let Some(progress) = leader.members.get_mut(&member) {
-            progress.remember(SentAppend {
+            progress.record_sent(SentAppend {
                 sequence,
                 sent_at: self.now,
                 sent_running: self.running.now(),
@@ -116,7 +116,7 @@
         );
     }
 
-    /// Takes a member's answer of this term.
+    /// Handles a response of the current term.
     pub(crate) fn receive_append_response(&mut self, from: MemberId, response: &AppendResponse) {
         let now = self.now;
         let RoleState::Leader(leader) = &mut self.role else {
@@ -126,15 +126,15 @@
         let Some(progress) = leader.members.get_mut(&from) else {
             return;
         };
-        let request = progress.answered(response.sequence, now);
+        let request = progress.record_response(response.sequence, now);
         match (response.accepted, request) {
-            (true, request) => progress.accepted(request, response.match_index),
+            (true, request) => progress.handle_accepted(request, response.match_index),
             (false, Some(request)) => {
-                progress.refused(request, response.match_index, next_sequence);
+                progress.handle_rejected(request, response.match_index, next_sequence);
             }
             (false, None) => {}
         }
-        self.note_contact();
+        self.record_quorum_contact();
         self.advance_commit();
         self.replicate_to(from);
         self.offer_leadership_if_caught_up(from);
--- a/crates/millpass-consensus/src/running_time.rs
+++ b/crates/millpass-consensus/src/running_time.rs
@@ -1,40 +1,37 @@
-//! Time in which this member ran.
+//! Clock of the time during which this member was scheduled.
 //!
-//! A member that gets no processor hears nobody, and nobody is to blame: the messages lie unread in its
-//! queues. Silence is therefore counted in running time, which stands still while the member does. It is
-//! never ahead of the clock, so what rests on it only comes later. The lease and the promise it rests on
-//! count by the clock.
+//! A member that gets no CPU time leaves messages unread in its queues, which must not look like lost contact.
+//! Contact timeouts are therefore measured in running time, which does not advance during pauses and is never
+//! ahead of the wall clock. The lease and the vote promise use the wall clock.
 
 use millpass_proto::{Duration, Timestamp};
 
-/// Twice the time between the host's ticks, so that ordinary ones count in full at any heartbeat interval.
-const ORDINARY_STEP: Duration = Duration::from_millis(10);
+/// Twice the host's tick interval, so that regular ticks count in full at any heartbeat interval.
+const MINIMUM_STEP_LIMIT: Duration = Duration::from_millis(10);
 
-/// A clock that leaves out pauses.
+/// A clock that excludes pauses.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunningTime {
     now: Timestamp,
     /// Longest time between two steps that counts in full.
-    longest_step: Duration,
+    step_limit: Duration,
 }
 
 impl RunningTime {
-    /// The host steps the core every few milliseconds. A pause of half a heartbeat interval hides no more than
-    /// one heartbeat; of a longer pause only that much counts.
+    /// Creates a clock that counts at most half a heartbeat interval per step, so that one pause hides at most one
+    /// heartbeat.
     pub(crate) fn new(heartbeat_interval: Duration) -> Self {
         RunningTime {
             now: Timestamp::default(),
-            longest_step: ORDINARY_STEP.max(heartbeat_interval / 2),
+            step_limit: MINIMUM_STEP_LIMIT.max(heartbeat_interval / 2),
         }
     }
 
-    /// Running time now.
     pub(crate) fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// A step comes this long after the one before.
     pub(crate) fn advance(&mut self, since_last_step: Duration) {
-        self.now = self.now + since_last_step.min(self.longest_step);
+        self.now = self.now + since_last_step.min(self.step_limit);
     }
 }
--- a/crates/millpass-consensus/src/snapshot_transfer.rs
+++ b/crates/millpass-consensus/src/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taken by the host, sent in pieces to members that lag, and installed from a leader.
+//! Snapshots: taken by the host, sent in chunks to lagging members, installed by followers.
 
 use crate::interface::ConsensusOutput;
 use crate::persistence::Requirement;
@@ -9,14 +9,14 @@
 };
 use std::sync::Arc;
 
-/// A snapshot being received. Dropped when the term changes.
+/// A partially received snapshot. Dropped when the term changes.
 pub(crate) struct IncomingSnapshot {
     meta: SnapshotMeta,
     data: Vec<u8>,
 }
 
 impl Consensus {
-    /// The host holds a snapshot of the applied state: older entries may go.
+    /// Records a snapshot of the applied state and compacts the log.
     pub(crate) fn snapshot_taken(&mut self, snapshot: Snapshot) {
         let last = snapshot.meta.last;
         let applied = last.index <= self.emitted && self.log.contains(last);
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Starts to send the latest snapshot to a member whose next entry is gone. Returns false if
-    /// there is none (the host has not passed the restored one yet).
+    /// Starts to send the latest snapshot to a member whose next entry was compacted. Returns false
+    /// if there is none, because the host has not passed the restored one yet.
     pub(crate) fn start_snapshot_transfer(&mut self, member: MemberId) -> bool {
         let Some(snapshot) = self.latest_snapshot.clone() else {
             return false;
@@ -48,7 +48,7 @@
             offset: 0,
             sent_at: self.now,
         });
-        self.send_snapshot_piece(member);
+        self.send_snapshot_chunk(member);
         true
     }
 
@@ -62,8 +62,8 @@
         }
     }
 
-    fn send_snapshot_piece(&mut self, member: MemberId) {
-        let piece_bytes = self.settings.snapshot_chunk_bytes.max(1);
+    fn send_snapshot_chunk(&mut self, member: MemberId) {
+        let chunk_bytes = self.settings.snapshot_chunk_bytes.max(1);
         let now = self.now;
         let Some(transfer) = self.transfer_to(member) else {
             return;
@@ -71,7 +71,7 @@
         transfer.sent_at = now;
         let data: &[u8] = &transfer.snapshot.data;
         let start = (transfer.offset as usize).min(data.len());
-        let end = start.saturating_add(piece_bytes).min(data.len());
+        let end = start.saturating_add(chunk_bytes).min(data.len());
         let chunk = SnapshotChunk {
             meta: transfer.snapshot.meta.clone(),
             offset: start as u64,
@@ -85,20 +85,24 @@
         );
     }
 
-    /// Sends a piece again that got no answer for an election timeout.
-    pub(crate) fn resend_snapshot_piece(&mut self, member: MemberId) {
-        let patience = self.settings.election_timeout;
+    /// Resends a chunk that was not acknowledged within an election timeout.
+    pub(crate) fn resend_snapshot_chunk(&mut self, member: MemberId) {
+        let timeout = self.settings.election_timeout;
         let now = self.now;
         let overdue = self
             .transfer_to(member)
-            .is_some_and(|transfer| now.since(transfer.sent_at) >= patience);
+            .is_some_and(|transfer| now.since(transfer.sent_at) >= timeout);
         if overdue {
-            self.send_snapshot_piece(member);
+            self.send_snapshot_chunk(member);
         }
     }
 
-    /// Takes a member's answer to a piece.
-    pub(crate) fn receive_snapshot_progress(&mut self, from: MemberId, answer: &SnapshotProgress) {
+    /// Handles a member's response to a chunk.
+    pub(crate) fn receive_snapshot_progress(
+        &mut self,
+        from: MemberId,
+        response: &SnapshotProgress,
+    ) {
         let now = self.now;
         let RoleState::Leader(leader) = &mut self.role else {
             return;
@@ -106,37 +110,37 @@
         let Some(progress) = leader.members.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
+        progress.last_contact_at = now;
         let Mode::Snapshot(transfer) = &mut progress.mode else {
             return;
         };
-        if transfer.snapshot.meta.last != answer.last {
+        if transfer.snapshot.meta.last != response.last {
             return;
         }
-        if answer.installed {
-            progress.snapshot_installed(answer.last.index);
+        if response.installed {
+            progress.snapshot_installed(response.last.index);
             self.advance_commit();
             self.replicate_to(from);
-        } else if answer.next_offset != transfer.offset {
-            transfer.offset = answer.next_offset;
-            self.send_snapshot_piece(from);
+        } else if response.next_offset != transfer.offset {
+            transfer.offset = response.next_offset;
+            self.send_snapshot_chunk(from);
         }
     }
 
-    /// Takes a piece from the leader.
+    /// Handles a chunk from the leader.
     pub(crate) fn receive_snapshot_chunk(&mut self, from: MemberId, chunk: SnapshotChunk) {
         let last = chunk.meta.last;
         if last.index <= self.commit || self.log.contains(last) {
-            self.answer_covered_snapshot(from, last);
+            self.acknowledge_covered_snapshot(from, last);
             return;
         }
-        let Some(received) = self.collect_piece(&chunk) else {
-            self.answer_snapshot(from, last, 0, false);
+        let Some(received) = self.append_chunk(&chunk) else {
+            self.send_snapshot_progress(from, last, 0, false);
             return;
         };
-        let whole = chunk.last_chunk && received == chunk.offset + chunk.data.len() as u64;
-        if !whole {
-            self.answer_snapshot(from, last, received, false);
+        let is_complete = chunk.last_chunk && received == chunk.offset + chunk.data.len() as u64;
+        if !is_complete {
+            self.send_snapshot_progress(from, last, received, false);
             return;
         }
         if let Some(incoming) = self.incoming_snapshot.take() {
@@ -147,19 +151,19 @@
         }
     }
 
-    /// The log already holds what the snapshot covers (or is about to, once its write is synced):
-    /// replacing the log could drop synced entries behind it.
-    fn answer_covered_snapshot(&mut self, from: MemberId, last: LogPosition) {
+    /// Responds to a snapshot whose entries are already in the log. Replacing the log could drop
+    /// synced entries after the snapshot.
+    fn acknowledge_covered_snapshot(&mut self, from: MemberId, last: LogPosition) {
         self.verified = self.verified.max(last.index);
         self.commit = self.commit.max(last.index);
         if self.writes.durable_index() >= last.index {
-            self.answer_snapshot(from, last, 0, true);
+            self.send_snapshot_progress(from, last, 0, true);
         }
     }
 
-    /// Adds a piece if it is the next one. Returns how many bytes of this snapshot are held, or
-    /// `None` if it is not the one being received.
-    fn collect_piece(&mut self, chunk: &SnapshotChunk) -> Option<u64> {
+    /// Appends a chunk if it is the next one. Returns the bytes received of this snapshot, or
+    /// `None` if another snapshot is being received.
+    fn append_chunk(&mut self, chunk: &SnapshotChunk) -> Option<u64> {
         let held = self.incoming_snapshot.as_ref();
         let is_current = held.is_some_and(|incoming| incoming.meta == chunk.meta);
         let is_newer = held.is_none_or(|incoming| chunk.meta.last > incoming.meta.last);
@@ -179,22 +183,26 @@
         Some(incoming.data.len() as u64)
     }
 
-    fn answer_snapshot(
+    fn send_snapshot_progress(
         &mut self,
         to: MemberId,
         last: LogPosition,
         next_offset: u64,
         installed: bool,
     ) {
-        let answer = SnapshotProgress {
+        let progress = SnapshotProgress {
             last,
             next_offset,
             installed,
         };
-        self.send(to, Requirement::Log, PeerMessage::SnapshotProgress(answer));
+        self.send(
+            to,
+            Requirement::Log,
+            PeerMessage::SnapshotProgress(progress),
+        );
     }
 
-    /// Replaces the log by a whole snapshot. The answer and the restore follow once it is synced.
+    /// Replaces the log with a snapshot. The response and the restore are emitted once it is synced.
     fn install_snapshot(&mut self, snapshot: Snapshot) {
         let meta = snapshot.meta.clone();
         self.commit = meta.last.index;
@@ -202,11 +210,11 @@
         self.log = crate::log::Log::new(meta.clone(), Vec::new());
         self.writes.log_replaced(snapshot);
         if let Some(leader) = self.leader {
-            self.answer_snapshot(leader, meta.last, 0, true);
+            self.send_snapshot_progress(leader, meta.last, 0, true);
         }
     }
 
-    /// A received snapshot is synced: the host restores it.
+    /// Emits the restore of a received snapshot that is now synced.
     pub(crate) fn snapshot_installed(&mut self, snapshot: Snapshot) {
         self.emitted = self.emitted.max(snapshot.meta.last.index);
         self.latest_snapshot = Some(Arc::new(snapshot.clone()));
