--- a/crates/millpass-consensus/src/lease.rs
+++ b/crates/millpass-consensus/src/lease.rs
@@ -85,8 +85,7 @@
         has_recent_contact || may_have_unread_messages
     }
 
-    /// Whether a leader gives up: it has lost its quorum, and answers may no longer be late as after a slow
-    /// election.
+    /// Returns whether a leader must step down: it has lost its quorum and its grace period for late responses is over.
     pub(crate) fn should_step_down(&self) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
@@ -94,8 +93,7 @@
         self.lost_quorum() && self.running.now() >= leader.grace_period_end
     }
 
-    /// Whether a leader has had no contact with a quorum for the shortest election timeout, in which it
-    /// ran itself.
+    /// Returns whether a leader has had no contact with a quorum for an election timeout of running time.
     pub(crate) fn lost_quorum(&self) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
--- a/crates/millpass-consensus/src/snapshot_transfer.rs
+++ b/crates/millpass-consensus/src/snapshot_transfer.rs
@@ -164,9 +164,9 @@
     /// Appends a chunk if it is the next one. Returns the bytes received of this snapshot, or
     /// `None` if another snapshot is being received.
     fn append_chunk(&mut self, chunk: &SnapshotChunk) -> Option<u64> {
-        let held = self.incoming_snapshot.as_ref();
-        let is_current = held.is_some_and(|incoming| incoming.meta == chunk.meta);
-        let is_newer = held.is_none_or(|incoming| chunk.meta.last > incoming.meta.last);
+        let current = self.incoming_snapshot.as_ref();
+        let is_current = current.is_some_and(|incoming| incoming.meta == chunk.meta);
+        let is_newer = current.is_none_or(|incoming| chunk.meta.last > incoming.meta.last);
         if !is_current && (!is_newer || chunk.offset != 0) {
             return None;
         }
--- a/crates/millpass-state/src/audit.rs
+++ b/crates/millpass-state/src/audit.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Accepted changes kept in the audit log.
+/// Maximum records in the audit log.
 pub const MAXIMUM_AUDIT_RECORDS: usize = 16_384;
-/// Accepted changes whose resend gets the first outcome. A resend that comes later than this many
-/// other changes meets the version check instead: it conflicts and changes nothing.
+/// Maximum accepted changes tracked for deduplication. A resend of an older change fails the version
+/// check instead and changes nothing.
 pub const MAXIMUM_REMEMBERED_CHANGES: usize = 4_096;
 
-/// The newest accepted changes, oldest first.
+/// The most recent accepted changes, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AuditLog {
     records: VecDeque<AuditRecord>,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Records after a revision, oldest first.
+    /// Returns the records after a revision, oldest first.
     pub(crate) fn since(&self, from: ConfigurationRevision) -> Vec<&AuditRecord> {
         let start = self
             .records
@@ -35,17 +35,17 @@
     }
 }
 
-/// What a resend said.
+/// Result of looking up a resent change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Resend {
-    /// The change was accepted before, so.
+    /// The change was already accepted, with this outcome.
     Accepted(ChangeAccepted),
-    /// The identity was used for another change.
+    /// The change id was used for another change.
     OtherContent,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct RememberedChange {
+struct AcceptedChange {
     /// Digest of object, expected version and content.
     digest: [u8; 32],
     accepted: ChangeAccepted,
@@ -53,26 +53,26 @@
 
 /// Accepted changes by operator and change id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct RememberedChanges {
-    changes: BTreeMap<(OperatorName, ChangeId), RememberedChange>,
+pub(crate) struct AcceptedChanges {
+    changes: BTreeMap<(OperatorName, ChangeId), AcceptedChange>,
     order: VecDeque<(OperatorName, ChangeId)>,
 }
 
-impl RememberedChanges {
+impl AcceptedChanges {
     pub(crate) fn find(&self, change: &ObjectChange) -> Option<Resend> {
-        let remembered = self.changes.get(&identity(change))?;
-        if remembered.digest != digest(change) {
+        let recorded = self.changes.get(&identity(change))?;
+        if recorded.digest != digest(change) {
             return Some(Resend::OtherContent);
         }
-        Some(Resend::Accepted(remembered.accepted.clone()))
+        Some(Resend::Accepted(recorded.accepted.clone()))
     }
 
-    pub(crate) fn remember(&mut self, change: &ObjectChange, accepted: ChangeAccepted) {
-        let remembered = RememberedChange {
+    pub(crate) fn record(&mut self, change: &ObjectChange, accepted: ChangeAccepted) {
+        let recorded = AcceptedChange {
             digest: digest(change),
             accepted,
         };
-        self.changes.insert(identity(change), remembered);
+        self.changes.insert(identity(change), recorded);
         self.order.push_back(identity(change));
         if self.order.len() > MAXIMUM_REMEMBERED_CHANGES
             && let Some(oldest) = self.order.pop_front()
@@ -86,10 +86,10 @@
     (change.operator.clone(), change.change_id.clone())
 }
 
-/// Digest of what a change asks for; who asks and when are left out.
+/// Digest of the content of a change, without operator and time.
 fn digest(change: &ObjectChange) -> [u8; 32] {
     let content = (&change.key, change.expected_version, &change.spec);
-    // Encoding into memory fails for no value of these types.
+    // Encoding these types into memory cannot fail.
     let bytes = millpass_proto::codec::encode(&content).unwrap_or_default();
     *blake3::hash(&bytes).as_bytes()
 }
--- a/crates/millpass-state/src/backends.rs
+++ b/crates/millpass-state/src/backends.rs
@@ -1,4 +1,4 @@
-//! Back ends: registration of runs, marks of the platform, and their memory ledgers.
+//! Backends: registrations, states and memory ledgers.
 
 use crate::ledger::MemoryLedger;
 use crate::refusal::Refusal;
@@ -9,31 +9,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Back ends kept, gone ones included.
+/// Maximum stored backends, including gone ones.
 pub const MAXIMUM_BACKENDS: usize = 65_536;
-/// Back ends that are gone and still known by name.
+/// Maximum stored backends that are gone.
 pub const MAXIMUM_GONE_BACKENDS: usize = 1_024;
-/// Ended runs remembered per back end, so that their late registration is refused.
+/// Maximum ended incarnations tracked per backend, to refuse their late registrations.
 pub const MAXIMUM_PAST_INCARNATIONS: usize = 16;
 
-/// A back end as the state knows it.
+/// A registered backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Registration of its current run.
+    /// Registration of the current incarnation.
     pub registration: BackendRegistration,
-    /// Whether it may take new work.
+    /// State; only a live backend accepts new work.
     pub state: BackendState,
-    /// Role, as last decided.
+    /// Assigned role.
     pub role: EngineRole,
 }
 
-/// A back end with what the state keeps beside it.
+/// A backend with its ledger, slots and past incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct BackendRecord {
     pub(crate) backend: Backend,
-    /// Runs that ended, oldest first.
+    /// Ended incarnations, oldest first.
     past: VecDeque<Incarnation>,
-    /// Fence of the role order that is not settled.
+    /// Fence of the outstanding role order.
     pub(crate) role_fence: Option<LogPosition>,
     pub(crate) ledger: MemoryLedger,
     pub(crate) slots: BTreeSet<SlotId>,
@@ -54,14 +54,14 @@
         }
     }
 
-    fn end_run(&mut self) {
+    fn end_incarnation(&mut self) {
         self.past.push_back(self.backend.registration.incarnation);
         if self.past.len() > MAXIMUM_PAST_INCARNATIONS {
             self.past.pop_front();
         }
     }
 
-    /// Whether the back end is an engine that may take new work under this incarnation.
+    /// Checks that the backend is a live engine with this incarnation.
     pub(crate) fn check_live_engine(&self, incarnation: Incarnation) -> Result<(), Refusal> {
         if self.backend.registration.incarnation != incarnation {
             return Err(Refusal::OtherIncarnation);
@@ -74,22 +74,22 @@
     }
 }
 
-/// What a registration means to what the back end held.
+/// Effect of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Registered {
-    /// A first or a new run: what the old one held is gone.
-    NewRun,
-    /// The known run at another address or zone.
+pub(crate) enum Registration {
+    /// A first or new incarnation; slots of the previous one are void.
+    NewIncarnation,
+    /// The current incarnation with another address or zone.
     Moved,
-    /// Nothing new.
+    /// The registration is already recorded.
     Unchanged,
 }
 
-/// All back ends by name.
+/// All backends by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Backends {
     records: BTreeMap<BackendName, BackendRecord>,
-    /// Names of back ends marked gone, oldest first.
+    /// Names of backends marked gone, oldest first.
     gone: VecDeque<BackendName>,
 }
 
@@ -106,7 +106,7 @@
         self.records.iter()
     }
 
-    /// The record of a back end that runs under this incarnation.
+    /// Returns the record of a backend with this incarnation, unless it is gone.
     pub(crate) fn running(
         &self,
         name: &BackendName,
@@ -122,56 +122,56 @@
         Ok(record)
     }
 
-    /// Whether the registration would be taken, and how. Changes nothing.
+    /// Returns the effect of a registration without applying it.
     pub(crate) fn classify(
         &self,
         registration: &BackendRegistration,
-    ) -> Result<Registered, Refusal> {
+    ) -> Result<Registration, Refusal> {
         let Some(record) = self.get(&registration.backend) else {
             if self.records.len() >= MAXIMUM_BACKENDS {
-                return Err(Refusal::TableFull("back ends"));
+                return Err(Refusal::TableFull("backends"));
             }
-            return Ok(Registered::NewRun);
+            return Ok(Registration::NewIncarnation);
         };
         let known = &record.backend.registration;
         if record.past.contains(&registration.incarnation) {
             return Err(Refusal::IncarnationEnded);
         }
         if known.incarnation != registration.incarnation {
-            return Ok(Registered::NewRun);
+            return Ok(Registration::NewIncarnation);
         }
         if record.backend.state == BackendState::Gone {
             return Err(Refusal::IncarnationEnded);
         }
         let same = known.address == registration.address && known.zone == registration.zone;
         Ok(if same {
-            Registered::Unchanged
+            Registration::Unchanged
         } else {
-            Registered::Moved
+            Registration::Moved
         })
     }
 
-    /// Puts a new run in place of the old one, whose slots the caller has released.
-    pub(crate) fn start_run(&mut self, registration: &BackendRegistration) {
+    /// Replaces the incarnation of a backend. The caller must have released the slots of the old one.
+    pub(crate) fn start_incarnation(&mut self, registration: &BackendRegistration) {
         let name = &registration.backend;
-        let mut fresh = BackendRecord::new(registration);
+        let mut record = BackendRecord::new(registration);
         if let Some(old) = self.records.get_mut(name) {
-            old.end_run();
-            fresh.past = std::mem::take(&mut old.past);
+            old.end_incarnation();
+            record.past = std::mem::take(&mut old.past);
         }
         self.gone.retain(|gone| gone != name);
-        self.records.insert(name.clone(), fresh);
+        self.records.insert(name.clone(), record);
     }
 
-    /// Takes the address and zone of a known run.
-    pub(crate) fn move_run(&mut self, registration: &BackendRegistration) {
+    /// Updates the address and zone of the current incarnation.
+    pub(crate) fn update_location(&mut self, registration: &BackendRegistration) {
         if let Some(record) = self.records.get_mut(&registration.backend) {
             record.backend.registration.address = registration.address.clone();
             record.backend.registration.zone = registration.zone.clone();
         }
     }
 
-    /// Sets the state; the caller checked the change. Drops the oldest gone ones over the bound.
+    /// Sets the state, which the caller has checked. Evicts the oldest gone backends over the limit.
     pub(crate) fn set_state(&mut self, name: &BackendName, state: BackendState) {
         let Some(record) = self.records.get_mut(name) else {
             return;
--- a/crates/millpass-state/src/catalog.rs
+++ b/crates/millpass-state/src/catalog.rs
@@ -1,7 +1,7 @@
-//! The catalog: compare-and-set of objects, revisions and deltas.
+//! Catalog: compare-and-set of objects, revisions and deltas.
 
 use crate::State;
-use crate::audit::{AuditLog, RememberedChanges, Resend};
+use crate::audit::{AcceptedChanges, AuditLog, Resend};
 use crate::changes::ChangeIndex;
 use crate::validation::{InvalidObject, check_change, version_name};
 use millpass_proto::{
@@ -12,31 +12,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Objects of all kinds.
+/// Maximum objects of all kinds.
 pub const MAXIMUM_OBJECTS: usize = 262_144;
-/// Deleted objects whose version and revision are remembered.
+/// Maximum deleted objects whose version and revision are stored.
 pub const MAXIMUM_TOMBSTONES: usize = 4_096;
 
-/// Catalog objects with versions, revisions, audit log and remembered changes.
+/// Catalog objects with versions, revisions, audit log and deduplication of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalog {
     revision: u64,
     objects: BTreeMap<ObjectKey, StoredObject>,
     adapters_by_model: BTreeMap<ModelName, BTreeSet<AdapterName>>,
     changes: ChangeIndex<ObjectKey>,
-    /// Last versions of deleted objects whose removal is remembered.
+    /// Last versions of recently deleted objects.
     tombstones: BTreeMap<ObjectKey, u64>,
-    /// Greatest version of any forgotten tombstone. A name created anew starts above it, so a
-    /// version seen before a deletion never comes back.
+    /// Highest version of any evicted tombstone. Recreated objects start above it, so that versions
+    /// are never reused.
     version_floor: u64,
     audit: AuditLog,
-    remembered: RememberedChanges,
+    accepted_changes: AcceptedChanges,
 }
 
 impl Catalog {
-    /// Applies one change.
+    /// Applies a change.
     pub(crate) fn apply(&mut self, change: &ObjectChange) -> ObjectChangeOutcome {
-        match self.remembered.find(change) {
+        match self.accepted_changes.find(change) {
             Some(Resend::Accepted(accepted)) => return ObjectChangeOutcome::Accepted(accepted),
             Some(Resend::OtherContent) => return rejected(InvalidObject::ChangeIdUsed),
             None => {}
@@ -72,7 +72,7 @@
             deleted: change.spec.is_none(),
         });
         let accepted = ChangeAccepted { version, revision };
-        self.remembered.remember(change, accepted.clone());
+        self.accepted_changes.record(change, accepted.clone());
         accepted
     }
 
@@ -101,7 +101,7 @@
         }
         self.tombstones.insert(key.clone(), version);
         self.changes.remove(key, self.revision, MAXIMUM_TOMBSTONES);
-        self.forget_tombstones();
+        self.evict_tombstones();
     }
 
     fn remove_adapter_index(&mut self, model: &ModelName, key: &ObjectKey) {
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Drops the tombstones whose removal the change index no longer remembers.
-    fn forget_tombstones(&mut self) {
+    /// Evicts tombstones whose removal is no longer in the change index.
+    fn evict_tombstones(&mut self) {
         if self.tombstones.len() <= MAXIMUM_TOMBSTONES {
             return;
         }
@@ -136,22 +136,21 @@
         known.unwrap_or(self.version_floor)
     }
 
-    /// Revision of the catalog.
+    /// Returns the revision of the catalog.
     pub(crate) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// One object.
     pub(crate) fn object(&self, key: &ObjectKey) -> Option<&StoredObject> {
         self.objects.get(key)
     }
 
-    /// Content of one object.
+    /// Returns the content of an object.
     pub(crate) fn spec(&self, key: &ObjectKey) -> Option<&ObjectSpec> {
         self.object(key).map(|object| &object.spec)
     }
 
-    /// Objects of a kind, by name.
+    /// Returns the objects of a kind, by name.
     pub(crate) fn objects(&self, kind: ObjectKind) -> impl Iterator<Item = &StoredObject> {
         let first = ObjectKey {
             kind,
@@ -163,7 +162,6 @@
             .map(|(_, object)| object)
     }
 
-    /// A model.
     pub(crate) fn model(&self, name: &ModelName) -> Option<&ModelSpec> {
         match self.spec(&key(ObjectKind::Model, &name.0))? {
             ObjectSpec::Model(model) => Some(model),
@@ -171,7 +169,6 @@
         }
     }
 
-    /// A version of a model.
     pub(crate) fn version(&self, model: &ModelName, label: &VersionLabel) -> Option<&VersionSpec> {
         let name = version_name(model, &label.0);
         match self.spec(&key(ObjectKind::Version, &name))? {
@@ -180,7 +177,6 @@
         }
     }
 
-    /// An adapter.
     pub(crate) fn adapter(&self, name: &AdapterName) -> Option<&AdapterSpec> {
         match self.spec(&key(ObjectKind::Adapter, &name.0))? {
             ObjectSpec::Adapter(adapter) => Some(adapter),
@@ -188,8 +184,8 @@
         }
     }
 
-    /// Name of some version or adapter of a model.
-    pub(crate) fn dependant_of(&self, model: &ModelName) -> Option<String> {
+    /// Returns the name of any version or adapter of a model.
+    pub(crate) fn dependent_of(&self, model: &ModelName) -> Option<String> {
         let prefix = version_name(model, "");
         let first = key(ObjectKind::Version, &prefix);
         let version = self.objects.range(first..).next();
@@ -203,12 +199,12 @@
         adapters.first().map(|adapter| adapter.0.clone())
     }
 
-    /// Accepted changes after a revision that are still kept, oldest first.
+    /// Returns the stored audit records after a revision, oldest first.
     pub(crate) fn audit_since(&self, from: ConfigurationRevision) -> Vec<&AuditRecord> {
         self.audit.since(from)
     }
 
-    /// Changes after a revision; see [`State::configuration_since`].
+    /// See [`State::configuration_since`].
     pub(crate) fn since(&self, from: ConfigurationRevision) -> Option<ConfigurationDelta> {
         if from.0 == self.revision {
             return None;
@@ -229,7 +225,7 @@
         })
     }
 
-    /// The whole catalog, in revision order.
+    /// Returns the whole catalog, in revision order.
     pub(crate) fn full(&self) -> ConfigurationDelta {
         let mut objects: Vec<StoredObject> = self.objects.values().cloned().collect();
         objects.sort_by_key(|object| object.revision);
@@ -244,22 +240,22 @@
 }
 
 impl State {
-    /// A model's content.
+    /// Returns the content of a model.
     pub fn model(&self, name: &ModelName) -> Option<&ModelSpec> {
         self.catalog.model(name)
     }
 
-    /// A version's content.
+    /// Returns the content of a version.
     pub fn version(&self, model: &ModelName, label: &VersionLabel) -> Option<&VersionSpec> {
         self.catalog.version(model, label)
     }
 
-    /// An adapter's content.
+    /// Returns the content of an adapter.
     pub fn adapter(&self, name: &AdapterName) -> Option<&AdapterSpec> {
         self.catalog.adapter(name)
     }
 
-    /// Bytes of the largest adapter; 0 without any.
+    /// Returns the size of the largest adapter in bytes; 0 without adapters.
     pub fn largest_adapter_bytes(&self) -> u64 {
         let objects = self.catalog.objects(ObjectKind::Adapter);
         let bytes = objects.filter_map(|object| match &object.spec {
@@ -269,7 +265,7 @@
         bytes.max().unwrap_or(0)
     }
 
-    /// All models with their content, by name.
+    /// Returns all models with their content, by name.
     pub fn models(&self) -> impl Iterator<Item = (ModelName, &ModelSpec)> {
         let objects = self.catalog.objects(ObjectKind::Model);
         objects.filter_map(|object| match &object.spec {
@@ -278,12 +274,12 @@
         })
     }
 
-    /// Audit records after a revision that are still kept, oldest first.
+    /// Returns the stored audit records after a revision, oldest first.
     pub fn audit_since(&self, from: ConfigurationRevision) -> Vec<&AuditRecord> {
         self.catalog.audit_since(from)
     }
 
-    /// The whole catalog.
+    /// Returns the whole catalog.
     pub fn full_configuration(&self) -> ConfigurationDelta {
         self.catalog.full()
     }
--- a/crates/millpass-state/src/changes.rs
+++ b/crates/millpass-state/src/changes.rs
@@ -1,23 +1,23 @@
-//! Which keys changed at which revision, so that deltas can be given from any earlier revision.
+//! Index of changed keys by revision, from which deltas since an earlier revision are built.
 //!
-//! Removals are remembered up to a bound; whoever is further behind gets a full copy.
+//! The number of stored removals is bounded; older revisions need a full copy.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Revisions of live keys and of the newest removals.
+/// Revisions of live keys and recent removals.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeIndex<K: Ord> {
-    /// Revision of each live key's last change.
+    /// Revision of the last change of each live key.
     live: BTreeMap<K, u64>,
     /// The same, ordered by revision.
     live_order: BTreeSet<(u64, K)>,
-    /// Revision of each remembered removal.
+    /// Revision of each stored removal.
     removed: BTreeMap<K, u64>,
     /// The same, ordered by revision.
     removed_order: BTreeSet<(u64, K)>,
-    /// Highest revision of a removal that is no longer remembered.
-    forgotten_through: u64,
+    /// Highest revision among evicted removals.
+    evicted_through: u64,
 }
 
 /// Keys changed and removed after some revision, each in revision order.
@@ -36,47 +36,47 @@
             live_order: BTreeSet::new(),
             removed: BTreeMap::new(),
             removed_order: BTreeSet::new(),
-            forgotten_through: 0,
+            evicted_through: 0,
         }
     }
 }
 
 impl<K: Ord + Clone> ChangeIndex<K> {
-    /// Notes that a key was created or changed at a revision.
+    /// Records that a key was created or changed at a revision.
     pub fn touch(&mut self, key: &K, revision: u64) {
-        self.forget_key(key);
+        self.clear_key(key);
         self.live.insert(key.clone(), revision);
         self.live_order.insert((revision, key.clone()));
     }
 
-    /// Notes that a key was removed at a revision; at most `bound` removals are remembered.
+    /// Records that a key was removed at a revision. At most `bound` removals are stored.
     pub fn remove(&mut self, key: &K, revision: u64, bound: usize) {
-        self.forget_key(key);
+        self.clear_key(key);
         self.removed.insert(key.clone(), revision);
         self.removed_order.insert((revision, key.clone()));
         while self.removed.len() > bound {
-            self.forget_oldest_removal();
+            self.evict_oldest_removal();
         }
     }
 
-    /// Whether the key is live.
+    /// Returns whether the key is live.
     pub fn contains(&self, key: &K) -> bool {
         self.live.contains_key(key)
     }
 
-    /// Live keys, in their own order.
+    /// Returns the live keys in ascending order.
     pub fn live_keys(&self) -> impl Iterator<Item = &K> {
         self.live.keys()
     }
 
-    /// Whether the key's removal is remembered.
+    /// Returns whether the removal of the key is stored.
     pub fn is_removed(&self, key: &K) -> bool {
         self.removed.contains_key(key)
     }
 
-    /// Changes after a revision; none when removals since then are no longer remembered.
+    /// Returns the changes after a revision, or `None` if removals since then were evicted.
     pub fn since(&self, from: u64) -> Option<Changes<K>> {
-        if from < self.forgotten_through {
+        if from < self.evicted_through {
             return None;
         }
         Some(Changes {
@@ -85,7 +85,7 @@
         })
     }
 
-    fn forget_key(&mut self, key: &K) {
+    fn clear_key(&mut self, key: &K) {
         if let Some(revision) = self.live.remove(key) {
             self.live_order.remove(&(revision, key.clone()));
         }
@@ -94,10 +94,10 @@
         }
     }
 
-    fn forget_oldest_removal(&mut self) {
+    fn evict_oldest_removal(&mut self) {
         if let Some((revision, key)) = self.removed_order.pop_first() {
             self.removed.remove(&key);
-            self.forgotten_through = self.forgotten_through.max(revision);
+            self.evicted_through = self.evicted_through.max(revision);
         }
     }
 }
--- a/crates/millpass-state/src/claims.rs
+++ b/crates/millpass-state/src/claims.rs
@@ -1,9 +1,9 @@
-//! Claims: the one run of a request that may not be repeated.
+//! Claims: at-most-once execution of requests that must not be repeated.
 //!
-//! Invariant: a key that is not expired has at most one attempt to which the run was granted,
-//! unless that attempt itself said that nothing ran. A claim is forgotten only when its key was
-//! born before the threshold, and such keys are never granted again. Over its bounds the table
-//! refuses new claims; it never forgets early.
+//! Invariant: execution of an unexpired key is granted to at most one attempt, unless that attempt
+//! itself reported that nothing ran. A claim is removed only if its key was created before the
+//! expiry threshold, and such keys are never granted again. When the table is full, new claims are
+//! refused; existing ones are never evicted.
 
 use crate::refusal::Refusal;
 use millpass_proto::{
@@ -13,32 +13,29 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Claims kept over all tenants.
+/// Maximum claims of all tenants.
 pub const MAXIMUM_CLAIMS: usize = 500_000;
-/// Claims kept of one tenant, so that no tenant takes the table from the others.
+/// Maximum claims per tenant, so that no tenant can fill the table.
 pub const MAXIMUM_CLAIMS_PER_TENANT: usize = MAXIMUM_CLAIMS / 8;
-/// Largest recorded answer, in bytes of its body and content type.
+/// Maximum size of a recorded answer (body and content type), in bytes.
 pub const MAXIMUM_ANSWER_BYTES: usize = 64 * 1024;
-/// Bytes of recorded answers kept of one tenant.
+/// Maximum bytes of recorded answers per tenant.
 pub const MAXIMUM_ANSWER_BYTES_PER_TENANT: u64 = 16 * 1024 * 1024;
-/// Bytes of recorded answers kept over all tenants.
+/// Maximum bytes of recorded answers of all tenants.
 pub const MAXIMUM_TOTAL_ANSWER_BYTES: u64 = 128 * 1024 * 1024;
-/// Longest time from a key's birth in which it may be claimed, in milliseconds, whatever the
-/// deployment's setting says.
+/// Maximum age of a key that may be claimed, in milliseconds. Upper limit of the deployment setting.
 pub const MAXIMUM_CLAIM_AGE_MILLIS: u64 = 24 * 60 * 60 * 1_000;
-/// How far a key's birth may lie ahead of the greatest time seen, in milliseconds: the allowance
-/// for clocks that differ.
+/// Maximum time that a key's creation may be ahead of the latest observed time, in milliseconds.
 pub const MAXIMUM_CLOCK_SKEW_MILLIS: u64 = 5 * 60 * 1_000;
 
-/// Runs of routers whose attempts at one key are remembered. Beyond it the oldest is forgotten: a
-/// copy of its attempt that comes later still can hold the key until that run ends, yet nothing
-/// runs under it.
-pub const MAXIMUM_REMEMBERED_RUNS: usize = 32;
+/// Maximum router incarnations per key whose attempts are tracked. A delayed duplicate from an
+/// evicted incarnation can hold the key until that incarnation ends, but nothing is executed.
+pub const MAXIMUM_TRACKED_INCARNATIONS: usize = 32;
 
-/// BLAKE3 hash of tenant and key: a fixed size whatever callers send.
+/// BLAKE3 hash of tenant and key; its size does not depend on caller input.
 type ClaimId = [u8; 32];
 
-/// Who holds a claim.
+/// Holder of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Holder {
     router: RouterName,
@@ -46,16 +43,16 @@
     attempt: u64,
 }
 
-/// Where a claim stands.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Phase {
-    /// The holder may dispatch, or has.
+    /// The holder may dispatch the request or has done so.
     Open,
-    /// It ran and this is its answer.
+    /// The request ran, with this recorded answer.
     Answered(RecordedAnswer),
-    /// It may have run and is never run again.
+    /// The request may have run and must not be run again.
     MayHaveRun,
-    /// The holder said that nothing ran; another attempt may claim the key.
+    /// The holder reported that nothing ran; another attempt may claim the key.
     Released,
 }
 
@@ -63,11 +60,11 @@
 struct Claim {
     tenant: TenantName,
     digest: [u8; 32],
-    born_unix_millis: u64,
+    created_unix_millis: u64,
     holder: Holder,
     phase: Phase,
-    /// Latest attempt of each run of a router that was decided on, oldest run first. A router
-    /// counts its attempts upwards, so that an attempt no later than this is a copy.
+    /// Latest decided attempt of each router incarnation, oldest incarnation first. Attempt numbers
+    /// increase per router, so an attempt that is not newer is a duplicate.
     decided: Vec<Holder>,
 }
 
@@ -77,18 +74,18 @@
     answer_bytes: u64,
 }
 
-/// The table of claims.
+/// Table of claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Claims {
     claims: BTreeMap<ClaimId, Claim>,
-    by_birth: BTreeSet<(u64, ClaimId)>,
-    /// Open claims of each run of a router.
+    by_creation: BTreeSet<(u64, ClaimId)>,
+    /// Open claims of each router incarnation.
     open: BTreeMap<(RouterName, Incarnation), BTreeSet<ClaimId>>,
     usage: BTreeMap<TenantName, TenantUsage>,
     total_answer_bytes: u64,
-    /// Keys born before are expired.
-    born_after_unix_millis: u64,
-    /// Greatest wall-clock time seen in a claim.
+    /// Keys created before this are expired.
+    expired_before_unix_millis: u64,
+    /// Latest wall-clock time observed in a claim.
     latest_unix_millis: u64,
 }
 
@@ -106,7 +103,7 @@
         ClaimDecision::Granted
     }
 
-    /// A claim of a key that is in the table; `decision` is none if the key was released.
+    /// Handles a claim of a key that is in the table. `decision` is `None` if the key was released.
     fn begin_again(
         &mut self,
         id: ClaimId,
@@ -114,7 +111,7 @@
         begin: &ClaimBegin,
     ) -> ClaimDecision {
         if let Some(claim) = self.claims.get_mut(&id) {
-            claim.remember(holder_of(begin));
+            claim.record_attempt(holder_of(begin));
         }
         if let Some(decision) = decision {
             return decision;
@@ -128,17 +125,17 @@
     }
 
     fn refuse_new(&self, begin: &ClaimBegin) -> Option<ClaimDecision> {
-        let born = begin.created_unix_millis;
+        let created = begin.created_unix_millis;
         let oldest = self
             .latest_unix_millis
             .saturating_sub(MAXIMUM_CLAIM_AGE_MILLIS);
-        if born < self.born_after_unix_millis || born < oldest {
+        if created < self.expired_before_unix_millis || created < oldest {
             return Some(ClaimDecision::Expired);
         }
-        let youngest = self
+        let newest = self
             .latest_unix_millis
             .saturating_add(MAXIMUM_CLOCK_SKEW_MILLIS);
-        if born > youngest {
+        if created > newest {
             return Some(ClaimDecision::BornInFuture);
         }
         let usage = self.usage.get(&begin.tenant);
@@ -153,28 +150,28 @@
         let claim = Claim {
             tenant: begin.tenant.clone(),
             digest: *blake3::hash(begin.digest.as_bytes()).as_bytes(),
-            born_unix_millis: begin.created_unix_millis,
+            created_unix_millis: begin.created_unix_millis,
             holder: holder_of(begin),
             phase: Phase::Open,
             decided: vec![holder_of(begin)],
         };
         self.claims.insert(id, claim);
-        self.by_birth.insert((begin.created_unix_millis, id));
+        self.by_creation.insert((begin.created_unix_millis, id));
         self.usage.entry(begin.tenant.clone()).or_default().claims += 1;
         self.open_claim(id, begin);
     }
 
     fn open_claim(&mut self, id: ClaimId, begin: &ClaimBegin) {
-        let run = (begin.router.clone(), begin.router_incarnation);
-        self.open.entry(run).or_default().insert(id);
+        let incarnation = (begin.router.clone(), begin.router_incarnation);
+        self.open.entry(incarnation).or_default().insert(id);
     }
 
     fn close_claim(&mut self, id: ClaimId, holder: &Holder) {
-        let run = (holder.router.clone(), holder.incarnation);
-        if let Some(claims) = self.open.get_mut(&run) {
+        let incarnation = (holder.router.clone(), holder.incarnation);
+        if let Some(claims) = self.open.get_mut(&incarnation) {
             claims.remove(&id);
             if claims.is_empty() {
-                self.open.remove(&run);
+                self.open.remove(&incarnation);
             }
         }
     }
@@ -182,17 +179,17 @@
     pub(crate) fn finish(&mut self, finish: &ClaimFinish) -> Result<(), Refusal> {
         let id = claim_id(&finish.tenant, &finish.key);
         let claim = self.claims.get(&id).ok_or(Refusal::ClaimNotHeld)?;
-        if !claim.holder.is(finish) {
+        if !claim.holder.matches(finish) {
             return Err(Refusal::ClaimNotHeld);
         }
-        // A claim that was abandoned meanwhile still takes its holder's word: only the holder
-        // knows, and its word can only narrow `MayHaveRun`.
+        // The holder's conclusion is also accepted after the claim was abandoned, since it can only
+        // make `MayHaveRun` more precise.
         if !matches!(claim.phase, Phase::Open | Phase::MayHaveRun) {
             return Err(Refusal::NoChange);
         }
         let holder = claim.holder.clone();
         let tenant = claim.tenant.clone();
-        let phase = self.concluded(&tenant, &finish.conclusion);
+        let phase = self.phase_after(&tenant, &finish.conclusion);
         if let Phase::Answered(answer) = &phase {
             let bytes = answer_bytes(answer);
             self.total_answer_bytes += bytes;
@@ -205,9 +202,9 @@
         Ok(())
     }
 
-    /// The phase that a conclusion leads to. An answer over the bounds is not kept: the claim then
-    /// says that it may have run, which is true, and no half answer is ever given.
-    fn concluded(&self, tenant: &TenantName, conclusion: &ClaimConclusion) -> Phase {
+    /// Returns the phase after a conclusion. An answer that exceeds the limits is not stored; the
+    /// claim becomes `MayHaveRun` instead.
+    fn phase_after(&self, tenant: &TenantName, conclusion: &ClaimConclusion) -> Phase {
         let answer = match conclusion {
             ClaimConclusion::NotRun => return Phase::Released,
             ClaimConclusion::Unknown => return Phase::MayHaveRun,
@@ -226,8 +223,8 @@
     }
 
     pub(crate) fn abandon(&mut self, abandon: &AbandonClaims) -> Result<(), Refusal> {
-        let run = (abandon.router.clone(), abandon.router_incarnation);
-        let open = self.open.remove(&run).ok_or(Refusal::NoChange)?;
+        let incarnation = (abandon.router.clone(), abandon.router_incarnation);
+        let open = self.open.remove(&incarnation).ok_or(Refusal::NoChange)?;
         for id in open {
             if let Some(claim) = self.claims.get_mut(&id) {
                 claim.phase = Phase::MayHaveRun;
@@ -237,21 +234,21 @@
     }
 
     pub(crate) fn expire(&mut self, expire: &ExpireClaims) -> Result<(), Refusal> {
-        if expire.created_before_unix_millis <= self.born_after_unix_millis {
+        if expire.created_before_unix_millis <= self.expired_before_unix_millis {
             return Err(Refusal::NoChange);
         }
-        self.born_after_unix_millis = expire.created_before_unix_millis;
-        while let Some((born, id)) = self.by_birth.first().copied() {
-            if born >= self.born_after_unix_millis {
+        self.expired_before_unix_millis = expire.created_before_unix_millis;
+        while let Some((created, id)) = self.by_creation.first().copied() {
+            if created >= self.expired_before_unix_millis {
                 break;
             }
-            self.by_birth.pop_first();
-            self.forget(id);
+            self.by_creation.pop_first();
+            self.remove(id);
         }
         Ok(())
     }
 
-    fn forget(&mut self, id: ClaimId) {
+    fn remove(&mut self, id: ClaimId) {
         let Some(claim) = self.claims.remove(&id) else {
             return;
         };
@@ -270,27 +267,27 @@
         }
     }
 
-    pub(crate) fn born_after(&self) -> u64 {
-        self.born_after_unix_millis
+    pub(crate) fn expired_before(&self) -> u64 {
+        self.expired_before_unix_millis
     }
 
     pub(crate) fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Runs of routers that hold open claims, with how many.
+    /// Returns the router incarnations that hold open claims, with the number of claims.
     pub(crate) fn open_runs(&self) -> impl Iterator<Item = (&RouterName, Incarnation, usize)> {
-        let runs = self.open.iter();
-        runs.map(|((router, incarnation), claims)| (router, *incarnation, claims.len()))
+        let incarnations = self.open.iter();
+        incarnations.map(|((router, incarnation), claims)| (router, *incarnation, claims.len()))
     }
 }
 
 impl Claim {
-    /// What a claim of this key is told; none when the key is free again.
+    /// Returns the decision for a claim of this key, or `None` if the key was released.
     fn decide(&self, begin: &ClaimBegin) -> Option<ClaimDecision> {
         let same_digest = self.digest == *blake3::hash(begin.digest.as_bytes()).as_bytes();
-        // A key says itself when it was born: another birth is another request.
-        if !same_digest || self.born_unix_millis != begin.created_unix_millis {
+        // The creation time is part of the key: a different one means a different request.
+        if !same_digest || self.created_unix_millis != begin.created_unix_millis {
             return Some(ClaimDecision::DigestMismatch);
         }
         let same_holder = self.holder == holder_of(begin);
@@ -299,41 +296,42 @@
             Phase::MayHaveRun => Some(ClaimDecision::MayHaveRun),
             Phase::Open if same_holder => Some(ClaimDecision::Granted),
             Phase::Open => Some(ClaimDecision::InProgress),
-            // A late copy of an attempt that was granted or turned away must not take the key:
-            // its router has ended it and would never release it.
+            // A delayed duplicate of a decided attempt must not claim the key: its router has
+            // finished the attempt and would never release it.
             Phase::Released if self.was_decided(begin) => Some(ClaimDecision::InProgress),
             Phase::Released => None,
         }
     }
 
-    /// Whether this attempt, or a later one of the same run, was decided on before.
+    /// Returns whether this attempt, or a later one of the same incarnation, was already decided.
     fn was_decided(&self, begin: &ClaimBegin) -> bool {
-        let asked = holder_of(begin);
-        let mut known = self.decided.iter();
-        known.any(|latest| latest.is_same_run(&asked) && latest.attempt >= asked.attempt)
+        let attempt = holder_of(begin);
+        let mut decided = self.decided.iter();
+        decided
+            .any(|latest| latest.is_same_incarnation(&attempt) && latest.attempt >= attempt.attempt)
     }
 
-    /// Notes an attempt that is decided on.
-    fn remember(&mut self, asked: Holder) {
-        let known = self.decided.iter_mut();
-        let mut of_run = known.filter(|latest| latest.is_same_run(&asked));
-        if let Some(latest) = of_run.next() {
-            latest.attempt = latest.attempt.max(asked.attempt);
+    /// Records a decided attempt.
+    fn record_attempt(&mut self, attempt: Holder) {
+        let decided = self.decided.iter_mut();
+        let mut same_incarnation = decided.filter(|latest| latest.is_same_incarnation(&attempt));
+        if let Some(latest) = same_incarnation.next() {
+            latest.attempt = latest.attempt.max(attempt.attempt);
             return;
         }
-        if self.decided.len() == MAXIMUM_REMEMBERED_RUNS {
+        if self.decided.len() == MAXIMUM_TRACKED_INCARNATIONS {
             self.decided.remove(0);
         }
-        self.decided.push(asked);
+        self.decided.push(attempt);
     }
 }
 
 impl Holder {
-    fn is_same_run(&self, other: &Holder) -> bool {
+    fn is_same_incarnation(&self, other: &Holder) -> bool {
         self.router == other.router && self.incarnation == other.incarnation
     }
 
-    fn is(&self, finish: &ClaimFinish) -> bool {
+    fn matches(&self, finish: &ClaimFinish) -> bool {
         self.router == finish.router
             && self.incarnation == finish.router_incarnation
             && self.attempt == finish.attempt
@@ -354,7 +352,7 @@
 
 fn claim_id(tenant: &TenantName, key: &ClaimKey) -> ClaimId {
     let mut hasher = blake3::Hasher::new();
-    // The length keeps (tenant, key) pairs apart whose texts run together.
+    // The length prefix prevents collisions of concatenated tenant and key.
     hasher.update(&(tenant.0.len() as u64).to_le_bytes());
     hasher.update(tenant.0.as_bytes());
     hasher.update(key.0.as_bytes());
--- a/crates/millpass-state/src/document.rs
+++ b/crates/millpass-state/src/document.rs
@@ -1,23 +1,23 @@
-//! What a deployment document must satisfy to be put in force.
+//! Validation of deployment documents.
 
 use millpass_proto::{DeploymentDocument, RouteSpec, ServiceName, TenantAccess};
 use std::collections::{BTreeSet, HashMap};
 
-/// Most units a second, or at once, that a quota may state: sums over days stay far below what a counter holds.
+/// Maximum quota in units per second, or in units for bursts and costs. Keeps sums over days within 64 bits.
 const MAXIMUM_UNITS: u64 = 1_000_000_000_000;
 
-/// Why a document is refused whole; what stood before stays in force.
+/// Why a document is rejected; the previous document stays active.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidDocument {
-    /// Version 0 stands for none.
-    #[error("version 0 is reserved; write a version from 1")]
+    /// Version 0 means no document.
+    #[error("version 0 is reserved; use a version of 1 or higher")]
     ZeroVersion,
-    /// Two services have one name.
+    /// Two services have the same name.
     #[error("service {0} stands twice; give each service one entry")]
     DuplicateService(String),
-    /// A route names a service that is not there.
+    /// A route references an unknown service.
     #[error(
-        "route {route} names service {service}, which the document lacks; add it or correct the name"
+        "route {route} names service {service}, which is not in the document; add the service or correct the name"
     )]
     UnknownService {
         /// Route.
@@ -25,22 +25,22 @@
         /// Service.
         service: String,
     },
-    /// Two routes share host and prefix.
-    #[error("route {route} has the host and prefix of another route; change one of them")]
+    /// Two routes have the same host and path prefix.
+    #[error("route {route} has the same host and path prefix as another route; change one of them")]
     DuplicateRoute {
         /// Route.
         route: String,
     },
-    /// No target of a route has a weight.
+    /// All targets of a route have weight 0.
     #[error("route {route}: the weights add up to 0; give a service a weight above 0")]
     ZeroWeight {
         /// Route.
         route: String,
     },
     /// A tenant has no name.
-    #[error("a tenant has no name; name each tenant")]
+    #[error("a tenant has no name; give each tenant a name")]
     UnnamedTenant,
-    /// Two tenants have one name.
+    /// Two tenants have the same name.
     #[error("tenant {0} stands twice; give each tenant one entry")]
     DuplicateTenant(String),
     /// Two tenants share a key.
@@ -51,17 +51,17 @@
         /// The other.
         second: String,
     },
-    /// A quota's figure is beyond reason.
+    /// A quota exceeds the maximum.
     #[error(
-        "tenant {tenant}: the quota states {units} units; write {MAXIMUM_UNITS} at most, or 0 for none"
+        "tenant {tenant}: quota of {units} units is too large; use at most {MAXIMUM_UNITS}, or 0 for none"
     )]
     QuotaTooLarge {
         /// Tenant.
         tenant: String,
-        /// Units stated.
+        /// Configured units.
         units: u64,
     },
-    /// A route's time-out is 0.
+    /// The timeout of a route is 0.
     #[error("route {route}: the time-out is 0; write milliseconds above 0")]
     ZeroTimeout {
         /// Route.
@@ -69,7 +69,7 @@
     },
 }
 
-/// Checks a document as a whole.
+/// Validates a document.
 pub fn check_document(document: &DeploymentDocument) -> Result<(), InvalidDocument> {
     if document.version == 0 {
         return Err(InvalidDocument::ZeroVersion);
@@ -80,9 +80,9 @@
             return Err(InvalidDocument::DuplicateService(service.name.0.clone()));
         }
     }
-    let mut places = BTreeSet::new();
+    let mut host_prefixes = BTreeSet::new();
     for route in &document.routes {
-        if !places.insert((&route.host, &route.path_prefix)) {
+        if !host_prefixes.insert((&route.host, &route.path_prefix)) {
             return Err(InvalidDocument::DuplicateRoute {
                 route: route.name.clone(),
             });
--- a/crates/millpass-state/src/encoding.rs
+++ b/crates/millpass-state/src/encoding.rs
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Format of the encoding; grows when the layout changes. What is new stands behind what was there.
+/// Version of the encoding; incremented when the layout changes. New fields are appended.
 const SNAPSHOT_FORMAT: u32 = 4;
-/// The format without the log indexes of what binds gateways; read, no longer written.
+/// Format without required and departure indexes; only decoded.
 const FORMAT_WITHOUT_REQUIRED_INDEX: u32 = 3;
-/// The format without requests that are held back; read, no longer written.
+/// Format without quarantined requests; only decoded.
 const FORMAT_WITHOUT_QUARANTINE: u32 = 2;
 
-/// Why an encoded state could not be read.
+/// Error of decoding a snapshot, with the reason.
 #[derive(Debug, thiserror::Error)]
-#[error("snapshot does not decode: {0}; restore the member from another one")]
+#[error("cannot decode the snapshot: {0}; restore the member from another snapshot")]
 pub struct StateError(pub String);
 
 #[derive(Serialize)]
@@ -52,7 +52,7 @@
 }
 
 impl State {
-    /// Encodes the state for a snapshot. Equal states give equal bytes.
+    /// Encodes the state for a snapshot. Equal states have equal encodings.
     pub fn encode(&self) -> Vec<u8> {
         let snapshot = SnapshotOut {
             format: SNAPSHOT_FORMAT,
@@ -61,11 +61,11 @@
             required_index: self.required_index,
             departure_indexes: self.deployment.departure_indexes(),
         };
-        // Encoding into memory fails for no value of these types.
+        // Encoding these types into memory cannot fail.
         codec::encode(&snapshot).unwrap_or_default()
     }
 
-    /// Reads what [`State::encode`] gave, or an earlier release's.
+    /// Decodes the output of [`State::encode`], of this or an earlier release.
     pub fn decode(bytes: &[u8]) -> Result<State, StateError> {
         if let Ok(snapshot) = codec::decode::<SnapshotIn>(bytes)
             && snapshot.format == SNAPSHOT_FORMAT
--- a/crates/millpass-state/src/fleet.rs
+++ b/crates/millpass-state/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Commands on back ends: registration of a run, and marks of its state.
+//! Backend commands: registration and state changes.
 
 use crate::State;
-use crate::backends::Registered;
+use crate::backends::Registration;
 use crate::refusal::Refusal;
 use millpass_proto::{
     BackendKind, BackendMark, BackendName, BackendRegistration, BackendState, SlotId,
@@ -13,13 +13,13 @@
         registration: &BackendRegistration,
     ) -> Result<(), Refusal> {
         match self.backends.classify(registration)? {
-            Registered::Unchanged => return Err(Refusal::NoChange),
-            Registered::Moved => self.backends.move_run(registration),
-            Registered::NewRun => {
-                // The old process and its memory are gone, and all that it held with them.
+            Registration::Unchanged => return Err(Refusal::NoChange),
+            Registration::Moved => self.backends.update_location(registration),
+            Registration::NewIncarnation => {
+                // The previous process has ended, and its memory and slots with it.
                 self.release_backend(&registration.backend);
                 self.routes.remove_web(&registration.backend);
-                self.backends.start_run(registration);
+                self.backends.start_incarnation(registration);
             }
         }
         self.touch_routes_of(&registration.backend);
--- a/crates/millpass-state/src/lib.rs
+++ b/crates/millpass-state/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated state machine: catalog, placement, memory ledger and claims.
+//! Replicated state machine: catalog, placement, memory ledger and claims.
 //!
-//! [`State::apply`] is deterministic: the same commands at the same positions give the same
-//! state and the same outcomes on every member. It reads no clock and draws no random numbers,
-//! and every table that it keeps is ordered and bounded.
+//! [`State::apply`] is deterministic: the same commands at the same positions yield the same state
+//! and outcomes on every member. It uses no clock and no random numbers, and all tables are ordered
+//! and bounded.
 
 mod audit;
 mod backends;
@@ -49,7 +49,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The whole replicated state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     catalog: catalog::Catalog,
@@ -58,10 +58,10 @@
     routes: routes::Routes,
     claims: claims::Claims,
     deployment: deployment::Deployment,
-    /// Encoded behind the rest of the state, so that snapshots without it can be read.
+    /// Encoded after the rest of the state, so that older snapshots can be decoded.
     #[serde(skip)]
     quarantined_requests: quarantine::QuarantinedRequests,
-    /// Index of the last applied command that binds gateways; encoded behind the rest, too.
+    /// Index of the last applied command that gateways must apply; also encoded after the rest.
     #[serde(skip)]
     required_index: u64,
 }
@@ -88,7 +88,7 @@
         outcome
     }
 
-    /// Applies a command whose outcome has no content.
+    /// Applies a command whose outcome carries no value.
     fn apply_plain(&mut self, at: LogPosition, command: &Command) -> Result<(), Refusal> {
         match command {
             Command::RegisterBackend(registration) => self.register_backend(registration),
@@ -106,14 +106,14 @@
                 self.deployment.put(put);
                 Ok(())
             }
-            Command::RecordInstances(note) => {
-                self.deployment.note(note);
+            Command::RecordInstances(changes) => {
+                self.deployment.record(changes);
                 Ok(())
             }
-            // Each member keeps what it tells with the time at which it came.
+            // Members keep these outside the state, with their arrival time.
             Command::RecordInstructionIntent(_) | Command::RecordStoreCapacity(_) => Ok(()),
-            Command::QuarantineRequest(note) => {
-                self.quarantined_requests.note(note);
+            Command::QuarantineRequest(record) => {
+                self.quarantined_requests.insert(record);
                 Ok(())
             }
             Command::LiftQuarantine(request) => {
@@ -124,7 +124,7 @@
                 self.deployment.depart(at.index, departure);
                 Ok(())
             }
-            // These have an outcome of their own; see `apply`.
+            // Handled in `apply`.
             Command::ChangeObject(_) | Command::BeginClaim(_) | Command::PlaceReplica(_) => {
                 Err(Refusal::NoChange)
             }
@@ -136,7 +136,7 @@
         let outcome = self.catalog.apply(change);
         let is_model = matches!(change.spec, Some(ObjectSpec::Model(_)));
         if is_model && self.catalog.revision() != before {
-            // A route tells how many requests its replica serves at once.
+            // Routes carry the model's concurrency.
             let model = ModelName(change.key.name.clone());
             for slot in self.placement.slots_of(&model) {
                 self.routes.touch_live_slot(slot);
@@ -145,148 +145,148 @@
         outcome
     }
 
-    /// Version of the deployment document in force; 0 for none.
+    /// Returns the version of the active deployment document; 0 for none.
     pub fn document_version(&self) -> u64 {
         self.deployment.version()
     }
 
-    /// Requests that end the instances that run them.
+    /// Returns the quarantined requests, in order of quarantine.
     pub fn quarantined_requests(&self) -> impl Iterator<Item = &QuarantineRecord> {
         self.quarantined_requests.iter()
     }
 
-    /// The deployment document in force.
+    /// Returns the active deployment document.
     pub fn document(&self) -> Option<&DeploymentDocument> {
         self.deployment.document()
     }
 
-    /// The deployment document in force, as the operator sent it.
+    /// Returns the active deployment document as the operator sent it.
     pub fn document_source(&self) -> Option<&[u8]> {
         self.deployment.source()
     }
 
-    /// Whether an instance has departed, and if so, whether it has ended.
+    /// Returns `None` if an instance has not departed, else whether it has ended.
     pub fn departed(&self, instance: &InstanceId) -> Option<bool> {
         self.deployment.departed(instance)
     }
 
-    /// The latest run of an instance that a leader noted, where runs state their incarnations.
+    /// Returns the latest recorded incarnation of an instance, if its ids carry incarnations.
     pub fn latest_recorded_run(&self, instance: &InstanceId) -> Option<&InstanceId> {
-        self.deployment.latest_noted(instance)
+        self.deployment.latest_recorded(instance)
     }
 
-    /// Instances as a leader last noted them.
+    /// Returns the instances as last recorded by a leader.
     pub fn recorded_instances(&self) -> impl Iterator<Item = &InstanceRecord> {
-        self.deployment.noted()
+        self.deployment.recorded()
     }
 
-    /// Instances that have departed, and whether each has ended.
+    /// Returns the departed instances and whether each has ended.
     pub fn departures(&self) -> impl Iterator<Item = (&InstanceId, bool)> {
         self.deployment.departures()
     }
 
-    /// Instances whose departure stands in the log after this index, the newest first.
+    /// Returns the instances whose departure was logged after `index`, newest first.
     pub fn departures_after(&self, index: u64) -> impl Iterator<Item = &InstanceId> {
         self.deployment.departures_after(index)
     }
 
-    /// Revision of the catalog.
+    /// Returns the revision of the catalog.
     pub fn configuration_revision(&self) -> ConfigurationRevision {
         ConfigurationRevision(self.catalog.revision())
     }
 
-    /// Revision of the routes.
+    /// Returns the revision of the routes.
     pub fn placement_revision(&self) -> PlacementRevision {
         PlacementRevision(self.routes.revision())
     }
 
-    /// Catalog changes after `from`; none when `from` is current; a full copy when `from` is 0 or
-    /// ahead, or the removals since are no longer kept.
+    /// Returns the catalog changes after `from`, or `None` if `from` is current. Returns a full copy
+    /// if `from` is 0 or ahead, or if removals since then are no longer kept.
     pub fn configuration_since(&self, from: ConfigurationRevision) -> Option<ConfigurationDelta> {
         self.catalog.since(from)
     }
 
-    /// One catalog object.
+    /// Returns a catalog object.
     pub fn object(&self, key: &ObjectKey) -> Option<&StoredObject> {
         self.catalog.object(key)
     }
 
-    /// All catalog objects of a kind, by name.
+    /// Returns all catalog objects of a kind, by name.
     pub fn objects(&self, kind: ObjectKind) -> Vec<&StoredObject> {
         self.catalog.objects(kind).collect()
     }
 
-    /// One back end.
+    /// Returns a backend.
     pub fn backend(&self, name: &BackendName) -> Option<&Backend> {
         self.backends.get(name).map(|record| &record.backend)
     }
 
-    /// All back ends, by name, gone ones left out.
+    /// Returns all backends that are not gone, by name.
     pub fn backends(&self) -> Vec<&Backend> {
         let all = self.backends.iter().map(|(_, record)| &record.backend);
         all.filter(|backend| backend.state != BackendState::Gone)
             .collect()
     }
 
-    /// Back ends that are not gone, by name, each with the free bytes of its accelerators.
+    /// Returns the backends that are not gone, by name, with the free bytes of each accelerator.
     pub fn backends_with_memory(&self) -> impl Iterator<Item = (&Backend, &[u64])> {
         let all = self.backends.iter();
         all.map(|(_, record)| (&record.backend, record.ledger.free()))
             .filter(|(backend, _)| backend.state != BackendState::Gone)
     }
 
-    /// All decided replicas, by slot.
+    /// Returns all replicas, by slot.
     pub fn replicas(&self) -> Vec<&Replica> {
         self.placement.replicas.values().collect()
     }
 
-    /// One replica.
+    /// Returns the replica in a slot.
     pub fn replica(&self, slot: SlotId) -> Option<&Replica> {
         self.placement.replicas.get(&slot)
     }
 
-    /// The decided replicas of one model, in every phase.
+    /// Returns the replicas of a model, in every phase.
     pub fn replicas_of(&self, model: &ModelName) -> Vec<&Replica> {
         let slots = self.placement.slots_of(model);
         slots.filter_map(|slot| self.replica(slot)).collect()
     }
 
-    /// Models that have decided replicas, by name.
+    /// Returns the models that have replicas, by name.
     pub fn placed_models(&self) -> impl Iterator<Item = &ModelName> {
         self.placement.by_model.keys()
     }
 
-    /// The decided replicas on one engine, in every phase.
+    /// Returns the replicas on an engine, in every phase.
     pub fn replicas_on(&self, backend: &BackendName) -> Vec<&Replica> {
         let record = self.backends.get(backend);
         let slots = record.into_iter().flat_map(|record| &record.slots);
         slots.filter_map(|slot| self.replica(*slot)).collect()
     }
 
-    /// Memory of an engine that nothing has reserved, per accelerator, in bytes.
+    /// Returns the unreserved memory of an engine per accelerator, in bytes.
     pub fn free_bytes(&self, backend: &BackendName) -> Vec<u64> {
         let record = self.backends.get(backend);
         record.map_or_else(Vec::new, |record| record.ledger.free().to_vec())
     }
 
-    /// Log index of the last applied command that binds gateways; 0 for none, or where the snapshot of an earlier
-    /// release does not say.
+    /// Returns the log index of the last applied command that gateways must apply; 0 for none, or if restored from a
+    /// snapshot of an earlier release.
     pub fn required_index(&self) -> u64 {
         self.required_index
     }
 
-    /// Birth time below which claims are forgotten, in Unix milliseconds.
+    /// Returns the creation time before which claims are expired, in Unix milliseconds.
     pub fn claims_expired_before(&self) -> u64 {
-        self.claims.born_after()
+        self.claims.expired_before()
     }
 
-    /// Number of claims kept.
+    /// Returns the number of stored claims.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// Runs of routers that hold open claims, with how many. The leader abandons those of runs
-    /// that were replaced or have lost their lease.
+    /// Returns the router incarnations that hold open claims, with the number of claims. The leader
+    /// abandons the claims of incarnations that were replaced or have lost their lease.
     pub fn open_claim_runs(&self) -> impl Iterator<Item = (&RouterName, Incarnation, usize)> {
         self.claims.open_runs()
     }
--- a/crates/millpass-state/src/orders.rs
+++ b/crates/millpass-state/src/orders.rs
@@ -1,4 +1,4 @@
-//! Outstanding orders: decided and not settled, per engine in fence order.
+//! Outstanding (unsettled) orders, per engine in fence order.
 
 use crate::State;
 use millpass_proto::{
@@ -11,18 +11,18 @@
 
 use crate::refusal::Refusal;
 
-/// What an outstanding order is about; the order itself is built from it when it is read.
+/// Subject of an outstanding order, from which the order is built on demand.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum OrderSubject {
-    /// Load or unload of a replica, by its phase.
+    /// Load or unload of a replica, depending on its phase.
     Replica(SlotId),
-    /// Load or unload of an adapter, by its phase.
+    /// Load or unload of an adapter, depending on its phase.
     Adapter(SlotId, AdapterName),
-    /// The decided role of the engine.
+    /// Change to the assigned role of the engine.
     Role,
 }
 
-/// Outstanding orders. Engines without any have no entry, so reading costs only what is open.
+/// Outstanding orders. Engines without orders have no entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Outstanding {
     by_backend: BTreeMap<BackendName, BTreeMap<LogPosition, OrderSubject>>,
@@ -63,8 +63,8 @@
 }
 
 impl State {
-    /// Orders decided and not settled, per engine, each engine's in fence order. They are to be
-    /// delivered one at a time per engine, the first until it is settled.
+    /// Returns the outstanding orders by engine, in fence order. Orders must be delivered one at a
+    /// time per engine, each until it is settled.
     pub fn outstanding_orders(&self) -> Vec<EngineOrder> {
         let engines = self.placement.outstanding.by_backend.keys();
         engines
@@ -72,7 +72,7 @@
             .collect()
     }
 
-    /// Outstanding orders of one engine, in fence order.
+    /// Returns the outstanding orders of an engine, in fence order.
     pub fn outstanding_orders_of(&self, backend: &BackendName) -> Vec<EngineOrder> {
         let orders = self.placement.outstanding.by_backend.get(backend);
         let orders = orders.into_iter().flatten();
@@ -81,26 +81,25 @@
             .collect()
     }
 
-    /// The order to deliver next to an engine: its outstanding one of the lowest fence.
+    /// Returns the next order for an engine: the outstanding one with the lowest fence.
     pub fn next_order(&self, backend: &BackendName) -> Option<EngineOrder> {
         let orders = self.placement.outstanding.by_backend.get(backend)?;
         let (fence, subject) = orders.first_key_value()?;
         self.order(backend, *fence, subject)
     }
 
-    /// Engines that have outstanding orders, by name, each with the fence of the order to deliver
-    /// next.
+    /// Returns the engines with outstanding orders, by name, with the fence of the next order.
     pub fn next_fences(&self) -> impl Iterator<Item = (&BackendName, LogPosition)> {
         let engines = self.placement.outstanding.by_backend.iter();
         engines.filter_map(|(backend, orders)| Some((backend, *orders.first_key_value()?.0)))
     }
 
-    /// Engines that have outstanding orders, by name.
+    /// Returns the engines with outstanding orders, by name.
     pub fn engines_with_orders(&self) -> impl Iterator<Item = &BackendName> {
         self.placement.outstanding.by_backend.keys()
     }
 
-    /// Number of outstanding orders.
+    /// Returns the number of outstanding orders.
     pub fn outstanding_order_count(&self) -> usize {
         self.placement.outstanding.count
     }
--- a/crates/millpass-state/src/placement.rs
+++ b/crates/millpass-state/src/placement.rs
@@ -1,7 +1,7 @@
-//! Decided replicas and adapters: the table, and the commands that change it.
+//! Replicas and adapters: the tables and the commands that change them.
 //!
-//! Invariant: a replica counts, and its memory is reserved, from its decision until the engine
-//! confirms the unload under the latest fence, or its run of the engine is confirmed over.
+//! Invariant: a replica is counted and its memory reserved from its placement until the engine confirms
+//! the unload under the latest fence, or the engine's incarnation is confirmed to have ended.
 
 use crate::State;
 use crate::ledger::{adapter_bytes_each, replica_bytes_each, version_bytes_each};
@@ -15,10 +15,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Adapters beside one replica, in every phase.
+/// Maximum adapters attached to one replica, in every phase.
 pub const MAXIMUM_ADAPTERS_PER_REPLICA: usize = 256;
 
-/// The decided replicas, with indexes.
+/// Replicas with their indexes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Placement {
     pub(crate) replicas: BTreeMap<SlotId, Replica>,
@@ -56,7 +56,7 @@
 }
 
 impl State {
-    /// Whether the state would take this placement; changes nothing.
+    /// Checks whether a placement would be accepted, without applying it.
     pub fn check_place(&self, place: &PlaceReplica) -> Result<(), Refusal> {
         let (model, version) = self.placeable_version(place)?;
         let found = self.placement.slot_count(&place.model);
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// Whether the state would take this adapter; changes nothing.
+    /// Checks whether an adapter could be attached, without applying it.
     pub fn check_attach(&self, decision: &AdapterDecision) -> Result<(), Refusal> {
         let replica = self.replica(decision.slot).ok_or(Refusal::UnknownSlot)?;
         let adapter = self.adapter_of(&replica.model, &decision.adapter)?;
@@ -152,7 +152,7 @@
         outstanding.remove(&replica.backend, replica.fence);
         replica.phase = ReplicaPhase::Unloading;
         replica.fence = at;
-        // The unload takes the adapters with it: their own orders are superseded.
+        // The unload includes the adapters, so it supersedes their orders.
         for attachment in &mut replica.adapters {
             outstanding.remove(&replica.backend, attachment.fence);
             attachment.phase = AdapterPhase::Unloading;
@@ -251,8 +251,8 @@
                 Ok(())
             }
             OrderResult::Loaded => Err(Refusal::NoChange),
-            // Both say that the memory is free. Under the latest fence that is final, in whatever
-            // phase: the engine holds nothing of this slot and will load it again for no order.
+            // In both cases the memory is free. Under the latest fence that is final in every phase,
+            // since no earlier order can make the engine load this slot again.
             OrderResult::Unloaded | OrderResult::Failed(_) => {
                 self.release_slot(slot);
                 Ok(())
@@ -268,7 +268,7 @@
         let replica = self.placement.replicas.get_mut(&settlement.slot);
         let replica = replica.ok_or(Refusal::UnknownSlot)?;
         if replica.phase == ReplicaPhase::Unloading {
-            // The unload of the whole replica superseded the adapter's orders.
+            // The unload of the replica superseded the adapter's orders.
             return Err(Refusal::StaleFence);
         }
         let attachment = attachment_mut(replica, adapter).ok_or(Refusal::AdapterAbsent)?;
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Takes a slot out, with its memory, orders and route.
+    /// Removes a slot with its memory reservation, orders and route.
     pub(crate) fn release_slot(&mut self, slot: SlotId) {
         let Some(replica) = self.placement.remove(slot) else {
             return;
@@ -319,7 +319,7 @@
         self.routes.remove_slot(slot);
     }
 
-    /// Takes all slots of a back end out: its run, with its memory, is over.
+    /// Removes all slots of a backend whose incarnation has ended.
     pub(crate) fn release_backend(&mut self, name: &BackendName) {
         let record = self.backends.get(name);
         let slots = record.map(|record| record.slots.clone());
--- a/crates/millpass-state/src/refusal.rs
+++ b/crates/millpass-state/src/refusal.rs
@@ -1,22 +1,22 @@
-//! Why a command had no effect.
+//! Reasons for which commands are refused.
 
-/// Why a command no longer fits the state. Its text becomes the reason in the outcome.
+/// Why a command was refused. The text is the reason in the outcome.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The back end is not known.
-    #[error("back end is not registered; register it first")]
+    /// The backend is not registered.
+    #[error("backend is not registered; register it first")]
     UnknownBackend,
-    /// The command is for another run of the back end.
-    #[error("back end runs under another incarnation; read its current one")]
+    /// The command is for another incarnation of the backend.
+    #[error("backend has another incarnation; read the current one")]
     OtherIncarnation,
-    /// The incarnation was replaced or is confirmed gone.
-    #[error("this incarnation was replaced or is gone; the process must start anew")]
+    /// The incarnation was replaced or is gone.
+    #[error("incarnation was replaced or is gone; restart the process with a new one")]
     IncarnationEnded,
-    /// The back end is leaving, gone, or no engine.
-    #[error("back end is not a live engine; choose another")]
+    /// The backend is leaving, gone or not an engine.
+    #[error("backend is not a live engine; choose another")]
     NotLiveEngine,
-    /// A table is at its bound.
-    #[error("table of {0} is full; remove some first")]
+    /// A table is full.
+    #[error("table of {0} is full; remove entries first")]
     TableFull(&'static str),
     /// The model is not in the catalog.
     #[error("model does not exist; create it first")]
@@ -24,45 +24,45 @@
     /// The version is not in the catalog.
     #[error("version does not exist; create it first")]
     UnknownVersion,
-    /// The number of slots is not what the proposer saw.
+    /// The number of slots differs from the expected one.
     #[error("model has {found} slots, not {expected}; read the state again")]
     SlotCount {
-        /// Slots there are.
+        /// Current number of slots.
         found: u32,
-        /// Slots the proposer saw.
+        /// Number of slots expected by the proposer.
         expected: u32,
     },
-    /// The model has as many slots as allowed.
-    #[error("model has its maximum of replicas; raise it or wait for an unload")]
+    /// The model has its maximum number of replicas.
+    #[error("model has its maximum number of replicas; raise the maximum or wait for an unload")]
     MaximumReplicas,
-    /// The accelerators are not what the model needs.
-    #[error("accelerators must be distinct, in range and as many as a replica spans")]
+    /// The accelerators do not match the model's requirements.
+    #[error("accelerators must be distinct, in range and match accelerators_per_replica")]
     InvalidAccelerators,
-    /// Memory lacks on an accelerator.
-    #[error("memory lacks on an accelerator; unload something first")]
+    /// An accelerator does not have enough free memory.
+    #[error("an accelerator does not have enough free memory; unload a replica or adapter first")]
     InsufficientMemory,
-    /// The slot is not there.
-    #[error("slot is not there; it was released")]
+    /// The slot does not exist.
+    #[error("slot does not exist; it may have been released")]
     UnknownSlot,
-    /// The slot is in another phase.
-    #[error("slot is in another phase; read the state again")]
+    /// The slot is not in the required phase.
+    #[error("slot is not in the required phase; read the state again")]
     WrongPhase,
-    /// The adapter is not in the catalog or adapts another model.
+    /// The adapter is not in the catalog or belongs to another model.
     #[error("adapter does not exist for this model; create it first")]
     UnknownAdapter,
-    /// The adapter is there already.
-    #[error("adapter is beside this replica already")]
+    /// The adapter is already attached.
+    #[error("adapter is already attached to this replica")]
     AdapterPresent,
-    /// The adapter is not beside this replica.
-    #[error("adapter is not beside this replica")]
+    /// The adapter is not attached.
+    #[error("adapter is not attached to this replica")]
     AdapterAbsent,
-    /// The settlement is for another order.
+    /// The settlement is not for the latest order.
     #[error("settlement is not for the latest order; a later one superseded it")]
     StaleFence,
-    /// The state is so already.
+    /// The command would not change the state.
     #[error("nothing to change")]
     NoChange,
-    /// The claim is not held by this attempt.
-    #[error("claim is not held by this attempt")]
+    /// The attempt does not hold the claim.
+    #[error("this attempt does not hold the claim")]
     ClaimNotHeld,
 }
--- a/crates/millpass-state/src/routes.rs
+++ b/crates/millpass-state/src/routes.rs
@@ -1,6 +1,6 @@
-//! Routes: what routers may dispatch to, with the revision of each change.
+//! Routes: the targets of routers, with the revision of each change.
 //!
-//! A replica has a route while it is loading or loaded; a web back end while it is not gone.
+//! A replica has a route while it is loading or loaded, a web backend while it is not gone.
 
 use crate::State;
 use crate::changes::ChangeIndex;
@@ -10,11 +10,11 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Removed routes remembered, for slots and for web back ends each. A router further behind gets
-/// a full copy.
+/// Maximum stored removals, for slots and for web backends each. Routers at an older revision get a
+/// full copy.
 pub const MAXIMUM_ROUTE_REMOVALS: usize = 16_384;
 
-/// Revisions of routes. The routes themselves are built from replicas and back ends.
+/// Revisions of routes. The routes themselves are derived from replicas and backends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Routes {
     revision: u64,
@@ -29,7 +29,7 @@
         self.revision
     }
 
-    /// Ends a command: the revision grows by one if it changed a route.
+    /// Finishes a command and increments the revision if it changed a route.
     pub(crate) fn finish_command(&mut self) {
         if std::mem::take(&mut self.dirty) {
             self.revision += 1;
@@ -41,7 +41,7 @@
         self.slots.touch(&slot, revision);
     }
 
-    /// Notes a change of a slot that has a route; others are left alone.
+    /// Records a change of a slot if it has a route.
     pub(crate) fn touch_live_slot(&mut self, slot: SlotId) {
         if self.slots.contains(&slot) {
             self.touch_slot(slot);
@@ -74,8 +74,8 @@
 }
 
 impl State {
-    /// Route changes after `from`; none when `from` is current; a full copy when `from` is 0 or
-    /// ahead, or the removals since are no longer kept.
+    /// Returns the route changes after `from`, or `None` if `from` is current. Returns a full copy if
+    /// `from` is 0 or ahead, or if removals since then are no longer kept.
     pub fn placement_since(&self, from: PlacementRevision) -> Option<PlacementDelta> {
         let current = self.routes.revision;
         if from.0 == current {
@@ -100,7 +100,7 @@
         })
     }
 
-    /// All routes.
+    /// Returns all routes.
     pub fn full_placement(&self) -> PlacementDelta {
         let slots: Vec<SlotId> = self.routes.slots.live_keys().copied().collect();
         let web: Vec<BackendName> = self.routes.web.live_keys().cloned().collect();
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The route of one replica, if it has one.
+    /// Returns the route of a replica, if it has one.
     pub fn replica_route(&self, slot: SlotId) -> Option<ReplicaRoute> {
         if !self.routes.slots.contains(&slot) {
             return None;
--- a/crates/millpass-state/src/settlements.rs
+++ b/crates/millpass-state/src/settlements.rs
@@ -1,8 +1,8 @@
-//! Which outstanding orders an engine's report shows as done.
+//! Settlement of outstanding orders from engine reports.
 //!
-//! An order is settled only by a report of the run that it is for, whose highest accepted fence has
-//! reached the order's, and which shows the slot or adapter under exactly that fence: reports lag,
-//! and an older one must not free memory.
+//! An order is settled only by a report of its incarnation whose highest accepted fence has reached
+//! the order's fence and that shows the slot or adapter under exactly that fence. Otherwise a stale
+//! report could free memory that is still in use.
 
 use crate::State;
 use millpass_proto::{
@@ -11,12 +11,12 @@
 };
 
 impl State {
-    /// The commands that settle what a report shows as done, with the fence of each order.
+    /// Returns the commands that settle the orders completed according to a report, with their fences.
     pub fn settlements(&self, report: &EngineReport) -> Vec<(LogPosition, Command)> {
         self.outstanding_orders_of(&report.backend)
             .iter()
             .filter(|order| order.incarnation == report.incarnation)
-            // A report taken before the engine accepted the order says nothing about it.
+            // The report must be from after the engine accepted the order.
             .filter(|order| report.highest_fence >= order.fence)
             .filter_map(|order| Some((order.fence, settlement(report, order)?)))
             .collect()
@@ -47,7 +47,7 @@
     })
 }
 
-/// Slot and adapter that an order is about; none for an order that concerns no slot.
+/// Returns the slot and adapter of an order, or `None` if it does not concern a slot.
 fn target(action: &OrderAction) -> Option<(SlotId, Option<&AdapterName>)> {
     match action {
         OrderAction::LoadModel(order) => Some((order.slot, None)),
@@ -64,12 +64,15 @@
     slot: SlotId,
     adapter: Option<&AdapterName>,
 ) -> Option<&'a EngineSlotPhase> {
-    let slot: &EngineSlotReport = report.slots.iter().find(|seen| seen.slot == slot)?;
+    let slot: &EngineSlotReport = report.slots.iter().find(|reported| reported.slot == slot)?;
     let Some(adapter) = adapter else {
         return (slot.fence == fence).then_some(&slot.phase);
     };
-    let seen = slot.adapters.iter().find(|seen| seen.adapter == *adapter)?;
-    (seen.fence == fence).then_some(&seen.phase)
+    let reported = slot
+        .adapters
+        .iter()
+        .find(|reported| reported.adapter == *adapter)?;
+    (reported.fence == fence).then_some(&reported.phase)
 }
 
 fn terminal(phase: &EngineSlotPhase) -> Option<OrderResult> {
--- a/crates/millpass-state/src/validation.rs
+++ b/crates/millpass-state/src/validation.rs
@@ -1,4 +1,4 @@
-//! What a catalog object must satisfy before it is accepted.
+//! Validation of catalog objects.
 
 use crate::catalog::Catalog;
 use millpass_proto::{
@@ -6,69 +6,69 @@
     ObjectSpec, OperatorSpec, PolicySpec, TenantSpec, VersionSpec,
 };
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAXIMUM_NAME_BYTES: usize = 253;
-/// Largest encoded object, in bytes.
+/// Maximum size of an encoded object, in bytes.
 pub const MAXIMUM_SPEC_BYTES: usize = 64 * 1024;
-/// Most accelerators one replica may span.
+/// Maximum accelerators per replica.
 pub const MAXIMUM_ACCELERATORS_PER_REPLICA: u32 = 64;
-/// Most replicas of one model.
+/// Maximum replicas per model.
 pub const MAXIMUM_REPLICAS_PER_MODEL: u32 = 65_536;
-/// Largest memory size of one object, in bytes; keeps every sum within 64 bits.
+/// Maximum memory size of one object, in bytes. Keeps all sums within 64 bits.
 pub const MAXIMUM_OBJECT_BYTES: u64 = 1 << 50;
 
-/// Why an object is rejected: reason and remedy.
+/// Why a catalog change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidObject {
-    /// A name is empty, too long, or has characters that do not belong.
+    /// A name is empty, too long, or contains invalid characters.
     #[error(
-        "{0} must have 1 to {MAXIMUM_NAME_BYTES} printable characters and no space at its ends"
+        "{0} must have 1 to {MAXIMUM_NAME_BYTES} printable characters and no leading or trailing spaces"
     )]
     Name(&'static str),
-    /// `@` separates model and label.
+    /// A name contains `@`, which separates model and label.
     #[error("{0} must not contain `@`; choose another name")]
     ContainsAtSign(&'static str),
-    /// The content is of another kind than the key.
-    #[error("content is of another kind than the key; submit content of the key's kind")]
+    /// The kinds of content and key differ.
+    #[error("content and key have different kinds; submit content of the key's kind")]
     KindMismatch,
     /// The name of a version is not `model@label`.
-    #[error("name of a version must be `{0}`, as its content says")]
+    #[error("name of a version must be `{0}` to match its content")]
     VersionName(String),
     /// A number is out of range.
     #[error("{field} must be {range}")]
     Range {
         /// Field.
         field: &'static str,
-        /// What it must be.
+        /// Allowed values.
         range: &'static str,
     },
     /// The object is too large.
-    #[error("object is larger than {MAXIMUM_SPEC_BYTES} bytes; split it")]
+    #[error("object is larger than {MAXIMUM_SPEC_BYTES} bytes; reduce or split it")]
     TooLarge,
-    /// The model that it belongs to is missing.
+    /// The model that the object belongs to does not exist.
     #[error("model `{0}` does not exist; create it first")]
     UnknownModel(ModelName),
     /// The model still has versions or adapters.
     #[error("model still has `{0}`; delete its versions and adapters first")]
     ModelInUse(String),
-    /// An adapter cannot move to another model.
+    /// The model of an adapter cannot be changed.
     #[error("adapter belongs to model `{0}`; create a new adapter for the other model")]
     AdapterModelChanged(ModelName),
-    /// Another group has the path prefix.
-    #[error("path prefix is taken by group `{0}`; choose another")]
+    /// The path prefix belongs to another group.
+    #[error("path prefix is already used by group `{0}`; choose another")]
     PathPrefixTaken(String),
     /// The catalog is full.
-    #[error("catalog holds its maximum of objects; delete some first")]
+    #[error("catalog is full; delete objects first")]
     CatalogFull,
-    /// The change id was used before.
-    #[error("change id was used for another change; choose a new one")]
+    /// The change id was used for another change.
+    #[error("change id was already used for another change; choose a new one")]
     ChangeIdUsed,
-    /// There is nothing to delete.
+    /// The object to delete does not exist.
     #[error("object does not exist; there is nothing to delete")]
     NothingToDelete,
 }
 
-/// Checks a change against the catalog, apart from its version.
+/// Validates a change against the catalog, except for its version.
 pub(crate) fn check_change(catalog: &Catalog, change: &ObjectChange) -> Result<(), InvalidObject> {
     check_name("change id", &change.change_id.0)?;
     check_name("object name", &change.key.name)?;
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-fn check_part(what: &'static str, name: &str) -> Result<(), InvalidObject> {
+fn check_name_part(what: &'static str, name: &str) -> Result<(), InvalidObject> {
     check_name(what, name)?;
     if name.contains('@') {
         return Err(InvalidObject::ContainsAtSign(what));
@@ -142,8 +142,8 @@
 }
 
 fn check_model(key: &ObjectKey, model: &ModelSpec) -> Result<(), InvalidObject> {
-    check_part("model name", &key.name)?;
-    check_part("current_version", &model.current_version.0)?;
+    check_name_part("model name", &key.name)?;
+    check_name_part("current_version", &model.current_version.0)?;
     let accelerators = model.accelerators_per_replica;
     let in_range = (1..=MAXIMUM_ACCELERATORS_PER_REPLICA).contains(&accelerators);
     check_range("accelerators_per_replica", "1 to 64", in_range)?;
@@ -160,7 +160,7 @@
     key: &ObjectKey,
     version: &VersionSpec,
 ) -> Result<(), InvalidObject> {
-    check_part("label", &version.label.0)?;
+    check_name_part("label", &version.label.0)?;
     let name = version_name(&version.model, &version.label.0);
     if key.name != name {
         return Err(InvalidObject::VersionName(name));
@@ -215,7 +215,7 @@
     Ok(())
 }
 
-/// The programs are compiled and their examples run by whoever proposes the change.
+/// The proposer compiles the programs and runs their examples.
 fn check_policy(policy: &PolicySpec) -> Result<(), InvalidObject> {
     let stated = !policy.allow.trim().is_empty();
     check_range("allow", "an expression, such as `true`", stated)
@@ -232,8 +232,8 @@
     if key.kind != ObjectKind::Model {
         return Ok(());
     }
-    match catalog.dependant_of(&ModelName(key.name.clone())) {
-        Some(dependant) => Err(InvalidObject::ModelInUse(dependant)),
+    match catalog.dependent_of(&ModelName(key.name.clone())) {
+        Some(dependent) => Err(InvalidObject::ModelInUse(dependent)),
         None => Ok(()),
     }
 }
@@ -245,7 +245,7 @@
     Ok(())
 }
 
-/// Object name of a version: `model@label`.
+/// Returns the object name of a version: `model@label`.
 pub fn version_name(model: &ModelName, label: &str) -> String {
     format!("{model}@{label}")
 }
