--- a/crates/millpass-storage/src/append_file.rs
+++ b/crates/millpass-storage/src/append_file.rs
@@ -1,15 +1,15 @@
-//! The file a segment is appended to, behind a trait so that tests can fill the disk.
+//! Append-only file of a segment, as a trait so that tests can inject failures.
 
 use std::fs::File;
 use std::io::{Seek, SeekFrom, Write};
 
-/// A file that grows at its end.
+/// A file opened for appending.
 pub trait AppendFile: Send {
-    /// Writes bytes at the end.
+    /// Appends bytes.
     fn append(&mut self, bytes: &[u8]) -> std::io::Result<()>;
-    /// Returns once everything written is on the disk.
+    /// Syncs all written data to the disk.
     fn sync(&mut self) -> std::io::Result<()>;
-    /// Cuts the file to a length.
+    /// Truncates the file to a length in bytes.
     fn truncate(&mut self, length: u64) -> std::io::Result<()>;
 }
 
--- a/crates/millpass-storage/src/data_folder.rs
+++ b/crates/millpass-storage/src/data_folder.rs
@@ -1,4 +1,4 @@
-//! A member's folder: whole files that appear complete or not at all, and what is in the folder.
+//! Data folder of a member, with atomic creation of files.
 
 use crate::error::{AtPath, StorageError};
 use crate::file_system::FileSystem;
@@ -7,23 +7,20 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Path of a folder, and the file system that it is in.
+/// A folder path and its file system.
 #[derive(Clone, Debug)]
 pub(crate) struct DataFolder {
-    /// Path.
     pub(crate) path: PathBuf,
-    /// File system.
     pub(crate) files: Arc<dyn FileSystem>,
 }
 
 impl DataFolder {
-    /// Whether it is there.
     pub(crate) fn exists(&self) -> Result<bool, StorageError> {
         self.files.exists(&self.path).at(&self.path)
     }
 
-    /// Makes the folder with those above it that are missing, and syncs the name of each: an identity in a folder whose
-    /// own name is lost with the power is lost as well.
+    /// Creates the folder and its missing parents and syncs their directory entries, so that a power loss cannot remove
+    /// a folder that holds an identity.
     pub(crate) fn create(&self) -> Result<(), StorageError> {
         let is_missing = |folder: &&Path| {
             let named = !folder.as_os_str().is_empty();
@@ -31,14 +28,14 @@
         };
         let missing: Vec<&Path> = self.path.ancestors().take_while(is_missing).collect();
         self.files.create_folder(&self.path).at(&self.path)?;
-        for made in missing {
-            let above = files::parent(made);
-            self.files.sync_folder(above).at(above)?;
+        for created in missing {
+            let parent = files::parent(created);
+            self.files.sync_folder(parent).at(parent)?;
         }
         Ok(())
     }
 
-    /// Locks the folder for this process until the file is dropped.
+    /// Locks the folder for this process until the returned file is dropped.
     pub(crate) fn lock(&self) -> Result<File, StorageError> {
         let path = self.path.join(LOCK_NAME);
         let locked = self.files.lock(&path).at(&path)?;
@@ -47,17 +44,17 @@
         })
     }
 
-    /// What it holds.
+    /// Returns the files of the folder, by kind.
     pub(crate) fn list(&self) -> Result<FolderContent, StorageError> {
         let mut content = FolderContent::default();
         for path in self.files.list(&self.path).at(&self.path)? {
-            content.take(path);
+            content.add(path);
         }
         content.sort();
         Ok(content)
     }
 
-    /// Bytes of all its files. One that is removed meanwhile counts as none.
+    /// Returns the total size of the files in bytes. Files removed concurrently count as 0.
     pub(crate) fn bytes(&self) -> Result<u64, StorageError> {
         let paths = self.files.list(&self.path).at(&self.path)?;
         let lengths = paths
@@ -66,33 +63,31 @@
         Ok(lengths.sum())
     }
 
-    /// Content of a file.
     pub(crate) fn read(&self, path: &Path) -> Result<Vec<u8>, StorageError> {
         self.files.read(path).at(path)
     }
 
-    /// Writes a whole file: to a temporary name, synced, then renamed, then the folder synced. What cannot be written is
-    /// removed again: on a full disk it would take the room that it lacks.
-    pub(crate) fn write_whole(&self, path: &Path, parts: &[&[u8]]) -> Result<(), StorageError> {
+    /// Writes a file atomically: writes and syncs a temporary file, renames it and syncs the folder. On failure the
+    /// temporary file is removed to free its space.
+    pub(crate) fn write_atomic(&self, path: &Path, parts: &[&[u8]]) -> Result<(), StorageError> {
         let temporary = files::temporary_path(path);
         let written = self
             .files
             .write_synced(&temporary, parts)
             .and_then(|()| self.files.rename(&temporary, path));
         if written.is_err() {
-            // The next start removes it otherwise.
+            // Best effort: the next start removes remaining temporary files.
             let _ = self.files.remove(&temporary);
         }
         written.at(path)?;
         self.sync()
     }
 
-    /// Removes a file.
     pub(crate) fn remove(&self, path: &Path) -> Result<(), StorageError> {
         self.files.remove(path).at(path)
     }
 
-    /// Syncs the names in the folder.
+    /// Syncs the directory entries of the folder.
     pub(crate) fn sync(&self) -> Result<(), StorageError> {
         self.files.sync_folder(&self.path).at(&self.path)
     }
--- a/crates/millpass-storage/src/error.rs
+++ b/crates/millpass-storage/src/error.rs
@@ -1,20 +1,22 @@
-//! Errors of the storage, each with its remedy.
+//! Storage errors.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why the storage could not be opened or written.
+/// Why a data folder could not be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
     /// The folder or a file in it cannot be created, read or written.
-    #[error("cannot use {path}: {source}; give the process a data folder it may read and write")]
+    #[error(
+        "cannot access {path}: {source}; give the process read and write access to the data folder"
+    )]
     Inaccessible {
-        /// Folder or file.
+        /// Folder or file that cannot be accessed.
         path: PathBuf,
-        /// Reason.
+        /// I/O error.
         source: io::Error,
     },
-    /// The folder is used by another process.
+    /// The folder is in use by another process.
     #[error(
         "data folder {folder} is in use by another process; stop that one, or use another folder"
     )]
@@ -22,19 +24,19 @@
         /// Folder.
         folder: PathBuf,
     },
-    /// The folder holds no member.
+    /// The folder is not initialized.
     #[error("data folder {folder} holds no member; bootstrap the group or join it first")]
     NotInitialized {
         /// Folder.
         folder: PathBuf,
     },
-    /// The folder already holds a member.
+    /// The folder is already initialized.
     #[error("data folder {folder} already holds a member; start it, or use an empty folder")]
     AlreadyInitialized {
         /// Folder.
         folder: PathBuf,
     },
-    /// Something that was synced is damaged or missing.
+    /// Synced data is damaged or missing.
     #[error(
         "{file} is damaged at byte {offset}: {reason}; nothing was changed. Wipe this member's \
          folder and let it join again under a new identity"
@@ -42,12 +44,12 @@
     Corrupt {
         /// File.
         file: PathBuf,
-        /// Where.
+        /// Offset in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the damage.
         reason: String,
     },
-    /// The file was written by another release.
+    /// The file has an unsupported format version.
     #[error(
         "{file} has format version {found}, this release reads {supported}; run the release that \
          wrote it"
@@ -57,7 +59,7 @@
         file: PathBuf,
         /// Version found.
         found: u32,
-        /// Version this release reads.
+        /// Version that this release reads.
         supported: u32,
     },
     /// The disk is full; the write did not happen.
@@ -66,7 +68,7 @@
         /// File.
         path: PathBuf,
     },
-    /// The disk cannot hold what a member may need.
+    /// The disk is smaller than the maximum size of the folder.
     #[error(
         "the disk has {disk} bytes (storage.disk_mb), and a member may need {required}; enlarge the disk, or lower \
          storage.segment_mb or storage.largest_state_mb"
@@ -74,30 +76,32 @@
     DiskTooSmall {
         /// Size of the disk in bytes.
         disk: u64,
-        /// Bytes that the folder may hold.
+        /// Maximum size of the folder in bytes.
         required: u64,
     },
-    /// A write or sync failed earlier, so what the disk holds is not known any more.
-    #[error("an earlier write to {path} failed; restart the member, which reads its disk again")]
+    /// An earlier write or sync failed, so the state of the disk is unknown.
+    #[error("an earlier write to {path} failed; restart the member to reload its data from disk")]
     Poisoned {
         /// File.
         path: PathBuf,
     },
-    /// An entry does not follow the log. An earlier write failed and the host went on.
-    #[error("entry {found} does not follow {last}; restart the member, which reads its disk again")]
+    /// An entry does not follow the log, because the host continued after a failed write.
+    #[error(
+        "entry {found} does not follow {last}; restart the member to reload its data from disk"
+    )]
     OutOfOrder {
-        /// Last index in the log.
+        /// Index of the last log entry.
         last: u64,
         /// Index of the entry.
         found: u64,
     },
-    /// A value cannot be encoded.
+    /// A record cannot be encoded.
     #[error("cannot encode a record: {0}; split the write")]
     Encode(#[from] millpass_proto::codec::CodecError),
 }
 
 impl StorageError {
-    /// The error for a failed operation on a path.
+    /// Returns the error for a failed operation on a path.
     pub(crate) fn io(path: &Path, source: io::Error) -> Self {
         let path = path.to_owned();
         match source.kind() {
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Whether the same may succeed later without anybody's doing in the settings: the disk is full or fails.
+    /// Returns whether a retry may succeed without a change of settings, as after a full or failing disk.
     pub fn is_transient(&self) -> bool {
         match self {
             StorageError::DiskFull { .. } | StorageError::Poisoned { .. } => true,
@@ -128,7 +132,7 @@
         }
     }
 
-    /// The error for a damaged file.
+    /// Returns the error for a damaged file.
     pub(crate) fn corrupt(file: &Path, offset: u64, reason: impl Into<String>) -> Self {
         StorageError::Corrupt {
             file: file.to_owned(),
@@ -138,9 +142,8 @@
     }
 }
 
-/// Names the path in an input/output error.
+/// Adds the path to an I/O error.
 pub(crate) trait AtPath<T> {
-    /// Names the path.
     fn at(self, path: &Path) -> Result<T, StorageError>;
 }
 
--- a/crates/millpass-storage/src/file_system.rs
+++ b/crates/millpass-storage/src/file_system.rs
@@ -1,4 +1,4 @@
-//! The calls by which a folder is used, behind a trait so that tests can let each of them fail.
+//! File system calls, as a trait so that tests can inject failures.
 
 use crate::append_file::AppendFile;
 use std::fmt::Debug;
@@ -6,43 +6,43 @@
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A file system. Each method is the system's own call; tests replace some.
+/// A file system. The default methods use the operating system's calls.
 pub trait FileSystem: Debug + Send + Sync {
-    /// Makes a folder with those above it that are missing.
+    /// Creates a folder and its missing parents.
     fn create_folder(&self, folder: &Path) -> io::Result<()> {
         fs::create_dir_all(folder)
     }
 
-    /// Paths of what a folder holds.
+    /// Returns the paths of the entries of a folder.
     fn list(&self, folder: &Path) -> io::Result<Vec<PathBuf>> {
         fs::read_dir(folder)?
             .map(|entry| Ok(entry?.path()))
             .collect()
     }
 
-    /// Whether there is a file or folder of this name.
+    /// Returns whether a path exists.
     fn exists(&self, path: &Path) -> io::Result<bool> {
         path.try_exists()
     }
 
-    /// Content of a file.
+    /// Returns the content of a file.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         fs::read(path)
     }
 
-    /// Length of a file in bytes.
+    /// Returns the length of a file in bytes.
     fn length(&self, path: &Path) -> io::Result<u64> {
         Ok(fs::metadata(path)?.len())
     }
 
-    /// Bytes that a folder's disk has left for this process.
+    /// Returns the free bytes on a folder's disk that are available to this process.
     fn free_bytes(&self, folder: &Path) -> io::Result<u64> {
         let disk = rustix::fs::statvfs(folder)?;
         Ok(disk.f_bavail.saturating_mul(disk.f_frsize))
     }
 
-    /// Opens the file that a folder is locked by, and makes it if it is missing. Locked until it is dropped; none if
-    /// another process holds it.
+    /// Opens or creates a lock file and locks it until the returned file is dropped. Returns `None` if another process
+    /// holds the lock.
     fn lock(&self, path: &Path) -> io::Result<Option<File>> {
         let file = File::options()
             .create(true)
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Makes a file with this content, over one of the same name, and syncs it.
+    /// Creates or overwrites a file with this content and syncs it.
     fn write_synced(&self, path: &Path, parts: &[&[u8]]) -> io::Result<()> {
         let mut file = File::create(path)?;
         for part in parts {
@@ -65,12 +65,12 @@
         file.sync_all()
     }
 
-    /// Opens a file to append to; it is cut to this length first.
+    /// Opens a file for appending after truncating it to `length` bytes.
     fn open_append(&self, path: &Path, length: u64) -> io::Result<Box<dyn AppendFile>> {
         Ok(Box::new(open_truncated(path, length)?))
     }
 
-    /// Gives a file another name, over one that has it.
+    /// Renames a file, replacing an existing one.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         fs::rename(from, to)
     }
@@ -80,13 +80,13 @@
         fs::remove_file(path)
     }
 
-    /// Syncs the names in a folder.
+    /// Syncs the directory entries of a folder.
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
         File::open(folder).and_then(|handle| handle.sync_all())
     }
 }
 
-/// Opens a file to append to, cut to this length.
+/// Opens a file for appending after truncating it to `length` bytes.
 pub fn open_truncated(path: &Path, length: u64) -> io::Result<File> {
     let mut file = File::options().write(true).open(path)?;
     if file.metadata()?.len() != length {
@@ -96,7 +96,7 @@
     Ok(file)
 }
 
-/// The system's files as they are.
+/// The operating system's file system.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemFiles;
 
--- a/crates/millpass-storage/src/files.rs
+++ b/crates/millpass-storage/src/files.rs
@@ -3,15 +3,15 @@
 use crate::error::StorageError;
 use std::path::{Path, PathBuf};
 
-/// Format version this release writes and reads.
+/// Format version that this release writes and reads.
 pub(crate) const FORMAT_VERSION: u32 = 1;
 
-/// Bytes before the content of each file: magic number, version, kind.
+/// Size of the file header: magic number, version, kind.
 pub(crate) const HEADER_BYTES: usize = 16;
 
 const MAGIC: &[u8; 8] = b"millpass";
 const TEMPORARY_SUFFIX: &str = ".tmp";
-/// Name of the file by which a folder is locked.
+/// Name of the lock file.
 pub(crate) const LOCK_NAME: &str = "lock";
 const IDENTITY_NAME: &str = "identity";
 const SEGMENT_PREFIX: &str = "log-";
@@ -20,11 +20,8 @@
 /// Kind of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
-    /// The identity.
     Identity,
-    /// A log segment.
     Segment,
-    /// A snapshot.
     Snapshot,
 }
 
@@ -38,7 +35,7 @@
     }
 }
 
-/// The header of a new file.
+/// Returns the header of a new file.
 pub(crate) fn header(kind: FileKind) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES);
     bytes.extend_from_slice(MAGIC);
@@ -47,20 +44,20 @@
     bytes
 }
 
-/// Checks a file's header.
+/// Checks the header of a file.
 pub(crate) fn check_header(path: &Path, bytes: &[u8], kind: FileKind) -> Result<(), StorageError> {
     if bytes.len() < HEADER_BYTES {
         return Err(StorageError::corrupt(
             path,
             0,
-            "the file header is cut short",
+            "the file header is truncated",
         ));
     }
     if &bytes[..8] != MAGIC || &bytes[12..HEADER_BYTES] != kind.tag() {
         return Err(StorageError::corrupt(
             path,
             0,
-            "the file header is not one of millpass",
+            "the file header is not a valid millpass header",
         ));
     }
     let found = u32::from_le_bytes([bytes[8], bytes[9], bytes[10], bytes[11]]);
@@ -74,35 +71,33 @@
     Ok(())
 }
 
-/// Path of the identity file.
 pub(crate) fn identity_path(folder: &Path) -> PathBuf {
     folder.join(IDENTITY_NAME)
 }
 
-/// Path of a log segment.
 pub(crate) fn segment_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{SEGMENT_PREFIX}{number:016x}"))
 }
 
-/// Path of the snapshot at a log index.
+/// Returns the path of the snapshot at a log index.
 pub(crate) fn snapshot_path(folder: &Path, index: u64) -> PathBuf {
     folder.join(format!("{SNAPSHOT_PREFIX}{index:016x}"))
 }
 
-/// What a folder holds, by file name.
+/// Files of a data folder, by kind.
 #[derive(Debug, Default)]
 pub(crate) struct FolderContent {
     /// Segment numbers, ascending.
     pub(crate) segments: Vec<u64>,
     /// Snapshot indexes, ascending.
     pub(crate) snapshots: Vec<u64>,
-    /// Files left half-written.
+    /// Incomplete files.
     pub(crate) temporary: Vec<PathBuf>,
 }
 
 impl FolderContent {
-    /// Takes note of a file by its name; others are passed over.
-    pub(crate) fn take(&mut self, path: PathBuf) {
+    /// Adds a file, classified by its name; unknown files are ignored.
+    pub(crate) fn add(&mut self, path: PathBuf) {
         let Some(name) = path.file_name().and_then(|name| name.to_str()) else {
             return;
         };
@@ -115,7 +110,6 @@
         }
     }
 
-    /// Sorts all.
     pub(crate) fn sort(&mut self) {
         self.segments.sort_unstable();
         self.snapshots.sort_unstable();
@@ -127,14 +121,14 @@
     u64::from_str_radix(name.strip_prefix(prefix)?, 16).ok()
 }
 
-/// Name of a file while it is written.
+/// Returns the temporary path of a file while it is written.
 pub(crate) fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(TEMPORARY_SUFFIX);
     PathBuf::from(name)
 }
 
-/// Folder that holds a file or folder.
+/// Returns the parent folder; `.` for a bare name.
 pub(crate) fn parent(path: &Path) -> &Path {
     match path.parent() {
         Some(parent) if !parent.as_os_str().is_empty() => parent,
--- a/crates/millpass-storage/src/lib.rs
+++ b/crates/millpass-storage/src/lib.rs
@@ -1,18 +1,18 @@
 //! Durable storage of a control member: write-ahead log, hard state and snapshots.
 //!
-//! A folder holds:
+//! Files of a data folder:
 //!
 //! | file | content |
 //! |---|---|
-//! | `lock` | locked by the process that uses the folder |
+//! | `lock` | locked by the process using the folder |
 //! | `identity` | group, member and initial membership; written last by [`Storage::initialize`] |
 //! | `log-NNNN` | a segment of the write-ahead log: hard states, entries, log replacements |
 //! | `snapshot-NNNN` | the newest snapshot |
-//! | `*.tmp` | a file that was being written when the process died; removed at the next start |
+//! | `*.tmp` | an incomplete file; removed at the next start |
 //!
-//! What a call to write has returned for is synced. A tail that was never acknowledged (a record
-//! cut short or zero-filled) is cut off at the next start, with a note. A complete record that
-//! does not match its checksum is refused, and nothing is deleted.
+//! Data is synced when a write call returns. An unacknowledged tail (a truncated or zero-filled
+//! record) is cut off at the next start and reported as a [`RecoveryNote`]. If a complete record does
+//! not match its checksum, opening fails and nothing is deleted.
 
 mod append_file;
 mod data_folder;
--- a/crates/millpass-storage/src/opening.rs
+++ b/crates/millpass-storage/src/opening.rs
@@ -1,4 +1,4 @@
-//! Opening a folder: what is checked, repaired and removed before a member goes on with it.
+//! Opening of a data folder: checks, repairs and cleanup.
 
 use crate::data_folder::DataFolder;
 use crate::error::{AtPath, StorageError};
@@ -13,10 +13,10 @@
 use std::fs::File;
 use std::path::PathBuf;
 
-/// Name of the file by which room is tried.
-const ROOM_NAME: &str = "room";
+/// Name of the file that probes for free space.
+const SPACE_PROBE_NAME: &str = "room";
 
-/// Opens a folder whose files were read and found good, and repairs what a failed write or an end left.
+/// Opens a folder whose files were validated, and repairs the remains of failed or interrupted writes.
 pub(crate) fn open_checked(
     folder: DataFolder,
     options: StorageOptions,
@@ -38,14 +38,14 @@
     }
     let reaches_snapshot = loaded.replay.contains(covered);
     let mut notes: Vec<RecoveryNote> = loaded.note.into_iter().collect();
-    // Half-written files go first: nothing relies on them, and a full disk needs the room.
+    // Incomplete files are removed first, since a full disk may need their space.
     for file in content.temporary {
         notes.push(match folder.remove(&file) {
             Ok(()) => RecoveryNote::TemporaryFileRemoved { file },
-            Err(error) => kept(file, &error),
+            Err(error) => file_kept(file, &error),
         });
     }
-    // A process that was killed after a rename may not have synced it; what follows relies on the names.
+    // A process killed after a rename may not have synced the folder.
     folder.sync()?;
     for number in loaded.before_gap {
         let file = files::segment_path(&folder.path, number);
@@ -63,7 +63,7 @@
         notes: Vec::new(),
     };
     notes.extend(storage.remove_covered_files());
-    notes.extend(try_room(
+    notes.extend(probe_free_space(
         &storage.folder,
         storage.options.minimum_free_bytes,
     )?);
@@ -90,18 +90,18 @@
     Ok((storage, restored))
 }
 
-/// Whether the folder has room to go on: a file of that many bytes is written, synced and removed. One that cannot be
-/// removed is noted, as other files are that stay: it takes its room once, and the next start removes it.
-fn try_room(folder: &DataFolder, bytes: u64) -> Result<Option<RecoveryNote>, StorageError> {
-    let path = files::temporary_path(&folder.path.join(ROOM_NAME));
+/// Checks for free space by writing, syncing and removing a file of `bytes` bytes. If it cannot be removed, a note is
+/// returned and the next start removes it.
+fn probe_free_space(folder: &DataFolder, bytes: u64) -> Result<Option<RecoveryNote>, StorageError> {
+    let path = files::temporary_path(&folder.path.join(SPACE_PROBE_NAME));
     let zeros = vec![0; bytes as usize];
     let written = folder.files.write_synced(&path, &[&zeros]).at(&path);
     let removed = folder.files.remove(&path).at(&path);
     written?;
-    Ok(removed.err().map(|error| kept(path, &error)))
+    Ok(removed.err().map(|error| file_kept(path, &error)))
 }
 
-/// Segments before a gap may go only if the snapshot covers all up to the first one behind it.
+/// Fails if segments are missing that the snapshot does not cover.
 fn refuse_uncovered_gap(
     folder: &DataFolder,
     loaded: &LoadedSegments,
@@ -118,18 +118,18 @@
     Err(StorageError::corrupt(&path, 0, reason))
 }
 
-/// Without an identity file nothing was ever acknowledged, unless that file was lost: then there
-/// is more than what a broken-off initialization leaves.
+/// Fails if a folder without an identity file holds more data than an interrupted initialization
+/// leaves, because the identity file was then lost.
 pub(crate) fn refuse_leftover_data(
     folder: &DataFolder,
     content: &FolderContent,
 ) -> Result<(), StorageError> {
-    let fresh_only = content
+    let initial_only = content
         .segments
         .iter()
         .all(|number| *number == FIRST_SEGMENT);
-    let mut leftover = !content.snapshots.is_empty() || !fresh_only;
-    if let (true, Some(number)) = (fresh_only, content.segments.first()) {
+    let mut leftover = !content.snapshots.is_empty() || !initial_only;
+    if let (true, Some(number)) = (initial_only, content.segments.first()) {
         let loaded = segment::load(folder, &[*number])?;
         leftover |= !loaded.replay.entries.is_empty() || loaded.replay.hard_state.term > 0;
     }
@@ -144,15 +144,15 @@
     Ok(())
 }
 
-/// Removes a file that a snapshot covers.
+/// Removes a file covered by a snapshot.
 pub(crate) fn remove_covered(folder: &DataFolder, file: PathBuf) -> RecoveryNote {
     match folder.remove(&file) {
         Ok(()) => RecoveryNote::CoveredFileRemoved { file },
-        Err(error) => kept(file, &error),
+        Err(error) => file_kept(file, &error),
     }
 }
 
-fn kept(file: PathBuf, error: &StorageError) -> RecoveryNote {
+fn file_kept(file: PathBuf, error: &StorageError) -> RecoveryNote {
     RecoveryNote::FileKept {
         file,
         reason: error.to_string(),
--- a/crates/millpass-storage/src/options.rs
+++ b/crates/millpass-storage/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the storage, and what they bound.
+//! Storage options and the disk usage they imply.
 
 use crate::data_folder::DataFolder;
 use crate::error::StorageError;
@@ -7,28 +7,27 @@
 use std::sync::Arc;
 
 const MEGABYTE: u64 = 1_000_000;
-/// Room in bytes that a folder must have to be opened: for votes, some changes and a small snapshot. With less, a member
-/// would take part and end at one of its first writes: on a full disk, whoever started it each 0.7 s saw it end 7 times
-/// in 5 s, and one that waits longer each time kept it away after there was room.
+/// Space for votes, some changes and a small snapshot. Prevents restart loops on a full disk, where a member would start
+/// and then fail at one of its first writes.
 const MINIMUM_FREE_BYTES: u64 = 256 * 1024;
-/// Segments that there are at most: one whose snapshot is being taken, its successor, and the one after that.
+/// Maximum segments: one covered by the snapshot in progress and two successors.
 const MAXIMUM_SEGMENTS: u64 = 3;
-/// States that there are at most beside the segments: the newest snapshot, the one that is written, and a write as large
-/// as a state at the end of the log.
+/// Maximum copies of the state in addition to the segments: the newest snapshot, the one being written, and a final
+/// write as large as the state.
 const MAXIMUM_STATE_COPIES: u64 = 3;
 
-/// Settings of the storage.
+/// Storage options.
 #[derive(Clone, Debug)]
 pub struct StorageOptions {
-    /// Size in bytes from which a new segment is started.
+    /// Segment size in bytes from which a new segment is started.
     pub segment_bytes: u64,
-    /// Room in bytes without which a folder is not opened.
+    /// Free bytes required to open a folder.
     pub minimum_free_bytes: u64,
-    /// Largest replicated state to be expected, in bytes; so large is a snapshot, and a write at most.
+    /// Largest expected replicated state in bytes; limits the size of a snapshot or write.
     pub largest_state_bytes: u64,
-    /// Size of the disk in bytes; none where it is not known.
+    /// Size of the disk in bytes; `None` if unknown.
     pub disk_bytes: Option<u64>,
-    /// How files are reached; tests put a failing disk in between.
+    /// File system; tests inject failures.
     pub files: Arc<dyn FileSystem>,
 }
 
@@ -45,7 +44,7 @@
 }
 
 impl StorageOptions {
-    /// Bytes that a folder holds at most, as long as the state is not larger than expected.
+    /// Returns the maximum size of a folder in bytes, provided that the state is not larger than expected.
     pub fn maximum_bytes(&self) -> u64 {
         let segments = MAXIMUM_SEGMENTS.saturating_mul(self.segment_bytes);
         let states = MAXIMUM_STATE_COPIES.saturating_mul(self.largest_state_bytes);
@@ -54,7 +53,7 @@
             .saturating_add(self.minimum_free_bytes)
     }
 
-    /// Refuses a disk that cannot hold that.
+    /// Fails if the disk is smaller than [`Self::maximum_bytes`].
     pub(crate) fn check(&self) -> Result<(), StorageError> {
         let required = self.maximum_bytes();
         match self.disk_bytes {
--- a/crates/millpass-storage/src/record.rs
+++ b/crates/millpass-storage/src/record.rs
@@ -1,8 +1,8 @@
-//! Records of the write-ahead log, and how a damaged end is told from damage to synced data.
+//! Records of the write-ahead log; distinguishes a torn tail from corruption of synced data.
 //!
-//! A record is: length of the body (4 bytes, little-endian), CRC-32 of those 4 bytes, body. The
-//! body is a postcard value with its own CRC-32 at the end. The length has its own checksum so
-//! that a damaged length is not taken for a record that was cut short.
+//! Layout: length of the body (4 bytes, little-endian), CRC-32 of those 4 bytes, body. The body is a
+//! postcard value followed by its CRC-32. The length has its own checksum so that a corrupt length
+//! is not mistaken for a torn record.
 
 use crate::error::StorageError;
 use crc::{CRC_32_ISO_HDLC, Crc};
@@ -11,37 +11,36 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Checksum of a length.
+/// Checksum algorithm of the length.
 static LENGTH_CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISO_HDLC);
 
-/// Length and its checksum.
+/// Size of the length and its checksum.
 const PREFIX_BYTES: usize = 8;
-/// Checksum at the end of a body.
+/// Size of the checksum at the end of a body.
 const CHECKSUM_BYTES: usize = 4;
-/// Smallest unit that a disk writes whole; a file may be extended by zeros in such units before
-/// its content arrives.
+/// Unit of atomic disk writes. A file may be extended by zeros in such units before its content is
+/// written.
 const SECTOR_BYTES: usize = 512;
 
-/// One record.
+/// A log record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// First record of each segment: where log and hard state stood, so that earlier segments
-    /// can go.
+    /// First record of each segment: the state at its start, so that earlier segments can be removed.
     Start {
-        /// Hard state so far.
+        /// Hard state at the start of the segment.
         hard_state: HardState,
-        /// End of the log so far.
+        /// Last log position at the start of the segment.
         last: LogPosition,
     },
     /// A new hard state.
     HardState(HardState),
-    /// An entry; the log is cut before its index first.
+    /// An entry; the log is first truncated before its index.
     Entry(LogEntry),
-    /// The whole log was replaced by the snapshot at this position.
+    /// The whole log was replaced with the snapshot at this position.
     Replaced(LogPosition),
 }
 
-/// Adds an encoded record to a buffer.
+/// Appends an encoded record to a buffer.
 pub(crate) fn encode_into(buffer: &mut Vec<u8>, record: &Record) -> Result<(), StorageError> {
     let body = codec::encode(record)?;
     let Ok(length) = u32::try_from(body.len()) else {
@@ -54,16 +53,16 @@
     Ok(())
 }
 
-/// What a segment holds.
+/// Records of a segment.
 #[derive(Debug)]
 pub(crate) struct Scanned {
     /// Records, in order.
     pub(crate) records: Vec<Record>,
-    /// Bytes up to the end of the last whole record.
+    /// Offset of the end of the last complete record.
     pub(crate) valid_length: usize,
 }
 
-/// Reads the records from an offset on. A torn end is left out; damage is an error.
+/// Reads the records from an offset on. A torn tail is ignored; corruption is an error.
 pub(crate) fn scan(path: &Path, bytes: &[u8], start: usize) -> Result<Scanned, StorageError> {
     let mut scanned = Scanned {
         records: Vec::new(),
@@ -82,8 +81,8 @@
     Ok(scanned)
 }
 
-/// The record at an offset and where it ends; `None` if it is torn, which means that it was being
-/// written when the process or machine died. Otherwise what is wrong with it.
+/// Returns the record at an offset and its end, or `None` if it is torn, that is, was being written
+/// when the process or machine died. Returns the reason if the record is corrupt.
 fn read_record(bytes: &[u8], start: usize) -> Result<Option<(Record, usize)>, &'static str> {
     let Some((prefix, after)) = bytes[start..].split_at_checked(PREFIX_BYTES) else {
         return Ok(None);
@@ -112,16 +111,16 @@
     intact.then(|| u32::from_le_bytes(length) as usize)
 }
 
-/// Whether the piece from `start` to `end` was left as zeros, wholly or from a sector boundary
-/// on, up to the end of the file. Its checksum must be zeros as well: no synced piece looks so.
+/// Returns whether the range from `start` to `end` is zero-filled, wholly or from a sector boundary
+/// on, up to the end of the file. The checksum must be zero as well, which rules out synced data.
 fn zero_filled(bytes: &[u8], start: usize, end: usize) -> bool {
-    let zeros_from = bytes
+    let zeros_start = bytes
         .iter()
         .rposition(|byte| *byte != 0)
         .map_or(0, |last| last + 1);
-    if zeros_from <= start {
+    if zeros_start <= start {
         return true;
     }
-    let boundary = zeros_from.next_multiple_of(SECTOR_BYTES);
-    zeros_from + CHECKSUM_BYTES <= end && boundary < end
+    let boundary = zeros_start.next_multiple_of(SECTOR_BYTES);
+    zeros_start + CHECKSUM_BYTES <= end && boundary < end
 }
--- a/crates/millpass-storage/src/restored.rs
+++ b/crates/millpass-storage/src/restored.rs
@@ -1,38 +1,38 @@
-//! What opening a folder returns.
+//! Results of opening a data folder.
 
 use millpass_proto::{GroupId, HardState, LogEntry, MemberId, Snapshot, SnapshotMeta};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::PathBuf;
 
-/// Which member a folder belongs to.
+/// Identity of the member that a folder belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberIdentity {
-    /// Group.
+    /// Group of the member.
     pub group: GroupId,
-    /// Member. A folder that was wiped must come back under a new one.
+    /// Member. After its folder is wiped, a member must rejoin with a new id.
     pub member: MemberId,
 }
 
-/// What a folder holds.
+/// Content of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestoredStorage {
-    /// Whose folder it is.
+    /// Member that the folder belongs to.
     pub identity: MemberIdentity,
     /// Term and vote.
     pub hard_state: HardState,
-    /// Membership the member was initialized with, at position zero.
+    /// Membership of the initialization, at position zero.
     pub initial: SnapshotMeta,
-    /// Newest snapshot, if any was ever saved.
+    /// Newest snapshot, if one was saved.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// What was repaired while opening; to be logged.
+    /// Repairs made while opening, to be logged.
     pub notes: Vec<RecoveryNote>,
 }
 
 impl RestoredStorage {
-    /// What the newest snapshot covers, or the initial membership.
+    /// Returns the metadata of the newest snapshot, or the initial membership.
     pub fn snapshot_meta(&self) -> &SnapshotMeta {
         match &self.snapshot {
             Some(snapshot) => &snapshot.meta,
@@ -41,38 +41,38 @@
     }
 }
 
-/// A harmless repair.
+/// A repair without loss of acknowledged data, or a failed cleanup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryNote {
-    /// A record that was never acknowledged was cut off.
+    /// An unacknowledged record was cut off.
     TornTailCut {
         /// File.
         file: PathBuf,
-        /// New length.
+        /// New length in bytes.
         length: u64,
-        /// Bytes cut.
+        /// Number of bytes cut off.
         bytes: u64,
     },
-    /// A half-written file was removed.
+    /// An incomplete file was removed.
     TemporaryFileRemoved {
         /// File.
         file: PathBuf,
     },
-    /// A segment or snapshot that a newer snapshot covers was still there; it was removed.
+    /// A leftover segment or snapshot covered by a newer snapshot was removed.
     CoveredFileRemoved {
         /// File.
         file: PathBuf,
     },
-    /// A file that is not needed any more cannot be removed; the next start tries again.
+    /// An obsolete file could not be removed; the next start retries.
     FileKept {
         /// File.
         file: PathBuf,
-        /// Why.
+        /// Error message.
         reason: String,
     },
-    /// The log did not reach the snapshot, whose installation had begun; it was replaced.
+    /// The log ended before the snapshot, whose installation was interrupted, and was replaced.
     LogReplaced {
-        /// Entries dropped.
+        /// Number of entries dropped.
         dropped: u64,
     },
 }
--- a/crates/millpass-storage/src/segment.rs
+++ b/crates/millpass-storage/src/segment.rs
@@ -10,16 +10,16 @@
 use millpass_proto::{HardState, LogPosition};
 use std::path::{Path, PathBuf};
 
-/// A segment, as known while the storage is open.
+/// A segment of an open storage.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SegmentInfo {
-    /// Number; segments are numbered without gaps.
+    /// Number; consecutive segments have consecutive numbers.
     pub(crate) number: u64,
-    /// End of the log when the segment was started.
+    /// Last log position when the segment was started.
     pub(crate) start: LogPosition,
 }
 
-/// The segment that is appended to.
+/// The segment being appended to.
 pub(crate) struct ActiveSegment {
     path: PathBuf,
     file: Box<dyn AppendFile>,
@@ -28,8 +28,8 @@
 }
 
 impl ActiveSegment {
-    /// Opens the newest segment for appending, after its last whole record. What was read of it is synced: a process
-    /// that was killed may have left a write that never was, and the member is about to vouch for it.
+    /// Opens the newest segment for appending after its last complete record. Syncs it, because a killed process may
+    /// have left an unsynced write that the member is about to acknowledge.
     pub(crate) fn open(
         folder: &DataFolder,
         path: PathBuf,
@@ -45,14 +45,14 @@
         })
     }
 
-    /// Length in bytes.
+    /// Returns the length in bytes.
     pub(crate) fn length(&self) -> u64 {
         self.length
     }
 
-    /// Appends bytes and syncs them. If they cannot be written or synced they are taken back, so that the next start does
-    /// not vouch for what a file system shows that has given up writing it. If that or the sync fails, the segment takes
-    /// no more writes, since it is not known any more what the disk holds.
+    /// Appends and syncs bytes. On failure they are truncated, so that the next start does not acknowledge data that the
+    /// file system still shows but failed to write. If the sync or truncation fails, the segment accepts no more
+    /// writes, since the state of the disk is unknown.
     pub(crate) fn append_synced(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         if self.poisoned {
             return Err(StorageError::Poisoned {
@@ -65,7 +65,7 @@
         }
         if let Err(error) = self.file.sync() {
             self.poisoned = true;
-            // Whether or not it can be taken back, the next start reads the disk again.
+            // Best effort: the next start reads the disk again.
             let _ = self.file.truncate(self.length);
             return Err(StorageError::io(&self.path, error));
         }
@@ -74,8 +74,8 @@
     }
 }
 
-/// Content of a fresh segment.
-fn fresh(hard_state: &HardState, last: LogPosition) -> Result<Vec<u8>, StorageError> {
+/// Returns the content of a new segment.
+fn initial_content(hard_state: &HardState, last: LogPosition) -> Result<Vec<u8>, StorageError> {
     let mut bytes = files::header(FileKind::Segment);
     let start = Record::Start {
         hard_state: hard_state.clone(),
@@ -85,43 +85,43 @@
     Ok(bytes)
 }
 
-/// Creates a segment; it appears with its first record or not at all. Returns its length.
+/// Creates a segment atomically with its first record. Returns its length in bytes.
 pub(crate) fn create(
     folder: &DataFolder,
     number: u64,
     hard_state: &HardState,
     last: LogPosition,
 ) -> Result<u64, StorageError> {
-    let bytes = fresh(hard_state, last)?;
-    folder.write_whole(&files::segment_path(&folder.path, number), &[&bytes])?;
+    let bytes = initial_content(hard_state, last)?;
+    folder.write_atomic(&files::segment_path(&folder.path, number), &[&bytes])?;
     Ok(bytes.len() as u64)
 }
 
-/// All segments of a folder, read.
+/// Replayed segments of a folder.
 pub(crate) struct LoadedSegments {
     /// Log and hard state.
     pub(crate) replay: Replay,
     /// Segments, oldest first.
     pub(crate) segments: Vec<SegmentInfo>,
-    /// Numbers of segments that were not read, as one is missing behind them.
+    /// Numbers of the skipped segments before a gap.
     pub(crate) before_gap: Vec<u64>,
-    /// Length of the newest, without a torn end.
+    /// Length of the newest segment without a torn tail.
     pub(crate) newest_length: u64,
-    /// Whether a torn end is to be cut off.
+    /// Set if a torn tail is to be cut off.
     pub(crate) note: Option<RecoveryNote>,
 }
 
-/// Reads all segments from the last gap in their numbers on. Changes nothing.
+/// Reads all segments after the last gap in their numbers, without changing them.
 ///
-/// What stands before a gap was covered by a snapshot: removals of several segments may last over a
-/// loss of power in any order. The caller checks that a snapshot reaches the first segment read.
+/// Segments before a gap were covered by a snapshot: after a power loss, removals may persist in any
+/// order. The caller must check that a snapshot reaches the first segment read.
 pub(crate) fn load(folder: &DataFolder, numbers: &[u64]) -> Result<LoadedSegments, StorageError> {
     let (before_gap, numbers) = numbers.split_at(after_last_gap(numbers));
     let mut loaded: Option<LoadedSegments> = None;
     for (position, number) in numbers.iter().enumerate() {
         let is_newest = position + 1 == numbers.len();
         let path = files::segment_path(&folder.path, *number);
-        load_one(folder, &path, *number, is_newest, &mut loaded)?;
+        load_segment(folder, &path, *number, is_newest, &mut loaded)?;
     }
     let mut loaded = loaded.ok_or_else(|| {
         let reason = "the log has no segment";
@@ -131,7 +131,7 @@
     Ok(loaded)
 }
 
-/// Position of the first number of the last run without a gap.
+/// Returns the position of the first number after the last gap.
 fn after_last_gap(numbers: &[u64]) -> usize {
     let follows_gap = |pair: &[u64]| pair[0] + 1 != pair[1];
     numbers
@@ -140,7 +140,7 @@
         .map_or(0, |position| position + 1)
 }
 
-fn load_one(
+fn load_segment(
     folder: &DataFolder,
     path: &Path,
     number: u64,
@@ -153,7 +153,7 @@
     let cut = (bytes.len() - scanned.valid_length) as u64;
     if cut > 0 && !is_newest {
         let offset = scanned.valid_length as u64;
-        let reason = "a record is cut short, and a later segment exists";
+        let reason = "a record is truncated, but a later segment exists";
         return Err(StorageError::corrupt(path, offset, reason));
     }
     let mut records = scanned.records.into_iter();
--- a/crates/millpass-storage/src/snapshot_file.rs
+++ b/crates/millpass-storage/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Snapshot and identity files: one checked value after the header.
+//! Snapshot and identity files: one checksummed value after the header.
 
 use crate::data_folder::DataFolder;
 use crate::error::{AtPath, StorageError};
@@ -12,13 +12,12 @@
 /// Content of the identity file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct IdentityRecord {
-    /// Whose folder it is.
+    /// Member that the folder belongs to.
     pub(crate) identity: MemberIdentity,
     /// Membership at position zero.
     pub(crate) initial: SnapshotMeta,
 }
 
-/// Writes the identity file.
 pub(crate) fn write_identity(
     folder: &DataFolder,
     record: &IdentityRecord,
@@ -27,7 +26,7 @@
     write_value(folder, &path, FileKind::Identity, record)
 }
 
-/// Reads the identity file, if there is one.
+/// Reads the identity file, if it exists.
 pub(crate) fn read_identity(folder: &DataFolder) -> Result<Option<IdentityRecord>, StorageError> {
     let path = files::identity_path(&folder.path);
     if !folder.files.exists(&path).at(&path)? {
@@ -36,18 +35,17 @@
     read_value(folder, &path, FileKind::Identity).map(Some)
 }
 
-/// Writes a snapshot file.
 pub(crate) fn write_snapshot(folder: &DataFolder, snapshot: &Snapshot) -> Result<(), StorageError> {
     let path = files::snapshot_path(&folder.path, snapshot.meta.last.index);
     write_value(folder, &path, FileKind::Snapshot, snapshot)
 }
 
-/// Reads the snapshot file at an index.
+/// Reads the snapshot at a log index.
 pub(crate) fn read_snapshot(folder: &DataFolder, index: u64) -> Result<Snapshot, StorageError> {
     let path = files::snapshot_path(&folder.path, index);
     let snapshot: Snapshot = read_value(folder, &path, FileKind::Snapshot)?;
     if snapshot.meta.last.index != index {
-        let reason = "the snapshot is not the one its name says";
+        let reason = "the snapshot index differs from the file name";
         return Err(StorageError::corrupt(&path, HEADER_BYTES as u64, reason));
     }
     Ok(snapshot)
@@ -60,7 +58,7 @@
     value: &T,
 ) -> Result<(), StorageError> {
     let body = codec::encode(value)?;
-    folder.write_whole(path, &[&files::header(kind), &body])
+    folder.write_atomic(path, &[&files::header(kind), &body])
 }
 
 fn read_value<T: DeserializeOwned>(
--- a/crates/millpass-storage/src/storage.rs
+++ b/crates/millpass-storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of one member: opening, writing, snapshots.
+//! Storage of a member: opening, writing and snapshots.
 
 use crate::data_folder::DataFolder;
 use crate::error::StorageError;
@@ -16,14 +16,14 @@
 /// Number of the first segment.
 pub(crate) const FIRST_SEGMENT: u64 = 1;
 
-/// One write, as the consensus core asks for it.
+/// A write requested by the consensus core.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StorageWrite<'a> {
     /// New term and vote.
     pub hard_state: Option<&'a HardState>,
-    /// A received snapshot, which replaces the log.
+    /// Received snapshot, which replaces the log.
     pub snapshot: Option<&'a Snapshot>,
-    /// Entries; the log is cut before the first one's index.
+    /// Entries to append. The log is first truncated before the index of the first one.
     pub entries: &'a [LogEntry],
 }
 
@@ -37,13 +37,13 @@
     pub(crate) snapshot_index: u64,
     pub(crate) segments: Vec<SegmentInfo>,
     pub(crate) active: ActiveSegment,
-    /// What could not be done, to be logged.
+    /// Failed cleanups, to be logged.
     pub(crate) notes: Vec<RecoveryNote>,
 }
 
 impl Storage {
-    /// Makes a folder that of a member: one that starts a group, or one about to join it (then
-    /// `initial` has no members). `initial` is at position zero.
+    /// Initializes the folder of a member that bootstraps a group or is about to join one. `initial`
+    /// is at position zero and has no members if the member is to join.
     pub fn initialize(
         folder: &Path,
         identity: MemberIdentity,
@@ -52,7 +52,7 @@
         Storage::initialize_with(folder, &StorageOptions::default(), identity, initial)
     }
 
-    /// The same with options.
+    /// Like [`Storage::initialize`], with options.
     pub fn initialize_with(
         folder: &Path,
         options: &StorageOptions,
@@ -77,13 +77,13 @@
         snapshot_file::write_identity(&folder, &IdentityRecord { identity, initial })
     }
 
-    /// Opens a folder that [`Storage::initialize`] made, with the default options.
+    /// Opens an initialized folder with the default options.
     pub fn open(folder: &Path) -> Result<(Storage, RestoredStorage), StorageError> {
         Storage::open_with(folder, StorageOptions::default())
     }
 
-    /// Opens a folder that [`Storage::initialize`] made. Refused while there is no room to go on; what a snapshot covers
-    /// and what was left half-written is removed first, which needs none.
+    /// Opens an initialized folder. Fails if the disk has too little free space, after removing incomplete files and
+    /// files covered by a snapshot.
     pub fn open_with(
         folder: &Path,
         options: StorageOptions,
@@ -107,11 +107,11 @@
             Some(index) => Some(snapshot_file::read_snapshot(&folder, *index)?),
             None => None,
         };
-        // Everything was read and found good: only now may anything be changed.
+        // All files are valid: only now may the folder be modified.
         opening::open_checked(folder, options, lock, record, content, loaded, snapshot)
     }
 
-    /// Writes and syncs.
+    /// Writes and syncs a single write.
     pub fn write(
         &mut self,
         hard_state: Option<&HardState>,
@@ -125,12 +125,12 @@
         }])
     }
 
-    /// Writes several, in order, under one sync. After an error none of them counts as written.
+    /// Writes several writes in order with one sync. After an error none of them counts as written.
     pub fn write_batch(&mut self, writes: &[StorageWrite<'_>]) -> Result<(), StorageError> {
         let mut pending = PendingRecords::new(self.hard_state.clone(), self.last);
         for write in writes {
             if let Some(snapshot) = write.snapshot {
-                // The log is synced before the snapshot is, and replaced only after.
+                // The log is synced before the snapshot and replaced after it.
                 self.append(&mut pending)?;
                 self.install_snapshot_file(snapshot)?;
                 pending.add(Record::Replaced(snapshot.meta.last))?;
@@ -144,12 +144,12 @@
         }
         self.append(&mut pending)?;
         if writes.iter().any(|write| write.snapshot.is_some()) {
-            self.clean_up();
+            self.remove_obsolete_files();
         }
         Ok(())
     }
 
-    /// Saves a snapshot of applied entries and removes what it makes superfluous. The log stays.
+    /// Saves a snapshot of applied entries and removes the files it covers. The log is kept.
     pub fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
         let last = snapshot.meta.last;
         if last.index <= self.snapshot_index {
@@ -161,31 +161,31 @@
             pending.add(Record::Replaced(last))?;
             self.append(&mut pending)?;
         }
-        self.clean_up();
+        self.remove_obsolete_files();
         Ok(())
     }
 
-    /// What could not be done since the last call; to be logged.
+    /// Returns the cleanups that failed since the last call, to be logged.
     pub fn take_notes(&mut self) -> Vec<RecoveryNote> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Bytes of all files of the folder, as the file system says.
+    /// Returns the total size of the files in the folder, in bytes.
     pub fn bytes(&self) -> Result<u64, StorageError> {
         self.folder.bytes()
     }
 
-    /// Bytes that the folder's disk has left, where the file system says.
+    /// Returns the free bytes on the folder's disk, if the file system reports them.
     pub fn free_bytes(&self) -> Option<u64> {
         self.folder.files.free_bytes(&self.folder.path).ok()
     }
 
-    /// Whether the log is longer than a segment: a snapshot would let the first one go.
+    /// Returns whether the log spans several segments, so that a snapshot would allow removing the first.
     pub fn is_snapshot_due(&self) -> bool {
         self.segments.len() > 1
     }
 
-    /// Bytes of the newest segment.
+    /// Returns the size of the newest segment in bytes.
     pub fn active_segment_bytes(&self) -> u64 {
         self.active.length()
     }
@@ -220,21 +220,20 @@
             number,
             start: self.last,
         });
-        // Where the snapshot reaches the start of the new segment, the one before is covered.
-        self.clean_up();
+        // If the snapshot reaches the start of the new segment, the previous one is covered.
+        self.remove_obsolete_files();
         Ok(())
     }
 
-    /// Removes what the newest snapshot covers. What cannot be removed takes room and nothing else: it is noted, and the
-    /// next snapshot or start tries again.
-    fn clean_up(&mut self) {
+    /// Removes files covered by the newest snapshot. Failures are recorded; the next snapshot or start retries.
+    fn remove_obsolete_files(&mut self) {
         let removals = self.remove_covered_files();
-        let kept = |note: &RecoveryNote| matches!(note, RecoveryNote::FileKept { .. });
-        self.notes.extend(removals.into_iter().filter(kept));
+        let is_kept = |note: &RecoveryNote| matches!(note, RecoveryNote::FileKept { .. });
+        self.notes.extend(removals.into_iter().filter(is_kept));
     }
 
-    /// Removes older snapshots, and each segment whose successor started within the snapshot:
-    /// all that it still says is covered by the snapshot and the successor's first record.
+    /// Removes older snapshots, and each segment whose successor starts within the snapshot: its
+    /// content is covered by the snapshot and the first record of the successor.
     pub(crate) fn remove_covered_files(&mut self) -> Vec<RecoveryNote> {
         let mut notes = Vec::new();
         match self.folder.list() {
@@ -267,7 +266,7 @@
     }
 }
 
-/// Records on their way to the disk, and the state after them.
+/// Encoded records to be written, and the state after them.
 pub(crate) struct PendingRecords {
     bytes: Vec<u8>,
     hard_state: HardState,
--- a/crates/millpass-storage/tests/damage.rs
+++ b/crates/millpass-storage/tests/damage.rs
@@ -265,7 +265,7 @@
     assert!(
         error
             .to_string()
-            .contains("data folder it may read and write")
+            .contains("read and write access to the data folder")
     );
     let missing = open_error(&root.path().join("missing"));
     assert!(matches!(missing, StorageError::NotInitialized { .. }));
