--- a/crates/millpass-consensus/examples/core_throughput.rs
+++ b/crates/millpass-consensus/examples/core_throughput.rs
@@ -1,5 +1,5 @@
-//! Entries per second through the core alone: members in one process, messages handed over at
-//! once, writes reported as synced at once.
+//! Measures the throughput of the consensus core, with members in one process and immediate delivery
+//! of messages and write completions.
 //!
 //! `cargo run --release -p millpass-consensus --example core_throughput`
 
@@ -15,7 +15,7 @@
 
 const ENTRIES: u64 = 200_000;
 const MEMBERS: [u64; 3] = [1, 3, 5];
-/// Proposals taken before the messages they cause are handed over.
+/// Proposals per batch; messages are delivered after each batch.
 const BATCHES: [u64; 3] = [1, 16, 128];
 
 struct Group {
--- a/crates/millpass-consensus/tests/harness/checks.rs
+++ b/crates/millpass-consensus/tests/harness/checks.rs
@@ -1,15 +1,15 @@
-//! What must hold at every instant of a run. Violations are collected, not panicked on, so that
-//! tests can show that each check is able to fail.
+//! Invariants of a run. Violations are collected instead of panicking, so that tests can verify that
+//! each check is able to fail.
 
 use super::machine::Machine;
 use super::values::digest;
 use millpass_proto::{LogEntry, LogPosition, MemberId, PeerEnvelope, PeerMessage};
 use std::collections::BTreeMap;
 
-/// Enough to read; one more must not hide another rule's.
+/// Limits the output of one rule, so that it does not hide violations of others.
 const VIOLATIONS_KEPT_PER_RULE: usize = 3;
 
-/// Kind of violation.
+/// Invariant that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     OneLeaderPerTerm,
@@ -38,7 +38,7 @@
     written: BTreeMap<LogPosition, u64>,
     predecessors: BTreeMap<LogPosition, LogPosition>,
     votes: BTreeMap<(MemberId, u64), MemberId>,
-    /// Highest index whose proposer was told that it is committed.
+    /// Highest index acknowledged to a proposer.
     pub acknowledged: u64,
     pub lease_instants: u64,
 }
@@ -84,7 +84,7 @@
         self.committed.len()
     }
 
-    /// Entries with the same position are equal, and so are their predecessors.
+    /// Checks that entries with the same position are equal, and so are their predecessors.
     pub fn writes(&mut self, now: u64, entries: &[LogEntry]) {
         for entry in entries {
             let digest = digest(entry);
@@ -102,8 +102,8 @@
         }
     }
 
-    /// A vote counts as given when it leaves: to another, or as a candidate's own. One that was
-    /// under way to the disk in a crash was never given.
+    /// Records votes when they are sent, to another member or as a candidate's own vote. A vote whose
+    /// write was lost in a crash does not count.
     fn votes(&mut self, now: u64, envelope: &PeerEnvelope) {
         let candidate = match &envelope.message {
             PeerMessage::VoteResponse(response) if response.granted => envelope.to,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A message that promises something durable is checked against the disk as it is now.
+    /// Checks messages that assert durable state against the current disk.
     pub fn sends(&mut self, now: u64, machine: &Machine, envelope: &PeerEnvelope) {
         self.votes(now, envelope);
         let disk = &machine.disk;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Checked at one true instant over all machines.
+    /// Checks the leases of all machines at one instant.
     pub fn leases(&mut self, now: u64, machines: &[Machine]) {
         let holders: Vec<&Machine> = machines
             .iter()
@@ -171,7 +171,7 @@
         }
     }
 
-    /// After the faults are over: everyone has the same state, with all that was acknowledged.
+    /// Checks that all members have the same state, including all acknowledged entries.
     pub fn converged(&mut self, now: u64, machines: &[Machine], members: &[MemberId]) {
         let mut states = BTreeMap::new();
         for machine in machines {
--- a/crates/millpass-consensus/tests/harness/cluster.rs
+++ b/crates/millpass-consensus/tests/harness/cluster.rs
@@ -1,4 +1,4 @@
-//! Machines, the network between them, and virtual true time.
+//! Simulated machines and network in virtual time.
 
 use super::checks::{Checks, Rule};
 use super::machine::{Clock, Machine};
@@ -12,11 +12,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MILLISECOND: u64 = 1_000;
-/// Writes that are acknowledged before they are synced stay in a cache for this long.
+/// Sync delay of writes that were acknowledged early.
 const LATE_SYNC_MICROS: (u64, u64) = (100 * MILLISECOND, 1_000 * MILLISECOND);
 const TICK_MICROS: u64 = 5 * MILLISECOND;
 
-/// How the network and disks behave.
+/// Behavior of network and disks.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
     pub loss_per_mille: u32,
@@ -39,40 +39,40 @@
     sync_micros: (100, 12_000),
 };
 
-/// A rule that the harness breaks, to show that the checks report it.
+/// A rule that the harness breaks to verify that the checks report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BrokenRule {
     #[default]
     None,
-    /// Writes are reported as synced at once.
+    /// Writes are reported as synced immediately.
     AcknowledgeBeforePersistence,
-    /// Clocks drift far more than the lease allows.
+    /// Clocks drift more than the lease allows.
     ClocksBeyondBound,
-    /// A member whose disk was lost comes back under its old identity.
+    /// A member whose disk was lost rejoins with its old id.
     SameIdentityAfterLostDisk,
-    /// The promise not to vote is forgotten: members restart without the initial wait, which is
-    /// shown by starting their clocks long ago.
+    /// Members restart without the initial wait for their vote promise, simulated by an early start
+    /// time.
     ForgottenPromise,
 }
 
 enum Event {
     Tick {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Synced {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         write: u64,
     },
     Deliver {
         machine: usize,
         envelope: Box<PeerEnvelope>,
     },
-    /// A message or disk report has waited for a machine that lags.
-    TakeUp {
+    /// A delayed message or disk report is processed by a lagging machine.
+    ProcessDelayed {
         event: Box<Event>,
-        life: u64,
+        incarnation: u64,
     },
 }
 
@@ -82,7 +82,7 @@
             Event::Tick { machine, .. }
             | Event::Synced { machine, .. }
             | Event::Deliver { machine, .. } => *machine,
-            Event::TakeUp { event, .. } => event.machine(),
+            Event::ProcessDelayed { event, .. } => event.machine(),
         }
     }
 }
@@ -94,11 +94,11 @@
     pub conditions: Conditions,
     pub broken: BrokenRule,
     pub random: ChaCha8Rng,
-    /// Directed links that are cut.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// Severed directed links.
+    pub severed_links: BTreeSet<(usize, usize)>,
     pub acknowledged_tickets: BTreeSet<u64>,
     pub refusals: Vec<String>,
-    /// Candidacies that made no leader, by machine.
+    /// Failed candidacies, by machine.
     pub candidacies: Vec<(usize, EndedCandidacy)>,
     routes: BTreeMap<MemberId, usize>,
     events: BTreeMap<(u64, u64), Event>,
@@ -106,7 +106,7 @@
     next_ticket: u64,
     next_identity: u64,
     postponed: Vec<Event>,
-    /// Reports of writes that stalled disks owe, by machine.
+    /// Deferred write reports of stalled disks, by machine.
     stalled: BTreeMap<usize, Vec<Event>>,
 }
 
@@ -128,7 +128,7 @@
             conditions,
             broken,
             random: ChaCha8Rng::seed_from_u64(seed),
-            cut: BTreeSet::new(),
+            severed_links: BTreeSet::new(),
             acknowledged_tickets: BTreeSet::new(),
             refusals: Vec::new(),
             candidacies: Vec::new(),
@@ -155,7 +155,7 @@
         self.start(machine);
     }
 
-    /// Gives a machine another clock, by starting it again.
+    /// Restarts a machine with another clock.
     pub fn restart_with_clock(&mut self, machine: usize, drift_per_mille: i64) {
         self.crash(machine);
         self.machines[machine].clock = Clock::drifting(1, drift_per_mille);
@@ -182,25 +182,31 @@
             _ => self.now,
         };
         let outputs = self.machines[machine].start(started_at, seed);
-        self.carry_out(machine, outputs);
-        // The member ran all that time: silence counts in the time in which a member runs.
+        self.execute(machine, outputs);
+        // Running time only advances in steps, so step through the whole interval.
         for at in (started_at..self.now).step_by(TICK_MICROS as usize) {
             let outputs = self.machines[machine].step(at, ConsensusInput::Tick);
-            self.carry_out(machine, outputs);
+            self.execute(machine, outputs);
         }
-        let life = self.machines[machine].life;
-        self.schedule(TICK_MICROS, Event::Tick { machine, life });
+        let incarnation = self.machines[machine].incarnation;
+        self.schedule(
+            TICK_MICROS,
+            Event::Tick {
+                machine,
+                incarnation,
+            },
+        );
     }
 
-    /// Stops a machine; some of its writes under way may still reach the disk.
+    /// Crashes a machine; some of its pending writes may still reach the disk.
     pub fn crash(&mut self, machine: usize) {
-        let under_way = self.machines[machine].disk.under_way.len();
+        let under_way = self.machines[machine].disk.pending.len();
         let survive = self.random.random_range(0..=under_way);
         self.machines[machine].stop(survive);
         self.postponed.retain(|event| event.machine() != machine);
     }
 
-    /// Loses a machine's disk; it comes back empty, under a new identity. Returns the old one.
+    /// Restarts a machine with an empty disk and a new id. Returns the old id.
     pub fn lose_disk(&mut self, machine: usize) -> MemberId {
         let old = self.machines[machine].member;
         self.crash(machine);
@@ -213,10 +219,10 @@
             _ => MemberId(self.next_identity),
         };
         self.next_identity += 1;
-        let life = self.machines[machine].life;
+        let incarnation = self.machines[machine].incarnation;
         let clock = self.draw_clock();
         self.machines[machine] = Machine::new(member, meta, clock);
-        self.machines[machine].life = life;
+        self.machines[machine].incarnation = incarnation;
         self.routes.insert(member, machine);
         self.start(machine);
         old
@@ -228,7 +234,7 @@
         }
     }
 
-    /// Wakes a machine; what arrived meanwhile is handled now, by a clock that has jumped.
+    /// Resumes a machine and handles the events that arrived meanwhile.
     pub fn wake(&mut self, machine: usize) {
         if !self.machines[machine].frozen {
             return;
@@ -243,12 +249,12 @@
         }
     }
 
-    /// Cuts all links between two sets of machines, both ways.
+    /// Severs all links between `side` and the other machines, in both directions.
     pub fn partition(&mut self, side: &BTreeSet<usize>) {
         for from in 0..self.machines.len() {
             for to in 0..self.machines.len() {
                 if side.contains(&from) != side.contains(&to) {
-                    self.cut.insert((from, to));
+                    self.severed_links.insert((from, to));
                 }
             }
         }
@@ -256,7 +262,7 @@
 
     /// Ends all faults.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.severed_links.clear();
         self.conditions = CALM;
         for machine in 0..self.machines.len() {
             self.lag(machine, (0, 0));
@@ -265,13 +271,13 @@
         }
     }
 
-    /// Lets a machine wait before it takes up what arrives, in order.
+    /// Delays the processing of events on a machine, in order.
     pub fn lag(&mut self, machine: usize, micros: (u64, u64)) {
         self.machines[machine].lag_micros = micros;
     }
 
-    /// Whether the event arrives at a machine that lags; if so, it is taken up later.
-    fn waits(&mut self, event: Event) -> Option<Event> {
+    /// Reschedules an event for a lagging machine, or returns it for immediate processing.
+    fn delay_if_lagging(&mut self, event: Event) -> Option<Event> {
         let machine = event.machine();
         let (least, most) = self.machines[machine].lag_micros;
         let arrives = matches!(event, Event::Deliver { .. } | Event::Synced { .. });
@@ -281,9 +287,9 @@
         let lag = self.random.random_range(least..=most);
         let machine = &mut self.machines[machine];
         machine.busy_until = machine.busy_until.max(self.now + lag);
-        let (delay, life) = (machine.busy_until - self.now, machine.life);
+        let (delay, incarnation) = (machine.busy_until - self.now, machine.incarnation);
         let event = Box::new(event);
-        self.schedule(delay, Event::TakeUp { event, life });
+        self.schedule(delay, Event::ProcessDelayed { event, incarnation });
         None
     }
 
@@ -293,7 +299,7 @@
         self.events.insert(key, event);
     }
 
-    /// Runs for a length of true time.
+    /// Runs for a duration of virtual time.
     pub fn run(&mut self, micros: u64) {
         let end = self.now + micros;
         while let Some(entry) = self.events.first_entry() {
@@ -302,7 +308,7 @@
             }
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            if let Some(event) = self.waits(event) {
+            if let Some(event) = self.delay_if_lagging(event) {
                 self.handle(event);
             }
             self.checks.leases(at, &self.machines);
@@ -310,7 +316,7 @@
         self.now = end;
     }
 
-    /// Runs until a condition holds, at most for a length of true time.
+    /// Runs until a condition holds, at most for a duration of virtual time.
     pub fn run_until(&mut self, micros: u64, condition: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + micros;
         while self.now < end {
@@ -322,13 +328,13 @@
         condition(self)
     }
 
-    /// A machine's disk finishes no write until it is mended.
+    /// Stalls a machine's disk until it is resumed.
     pub fn stall_disk(&mut self, machine: usize) {
         self.stalled.entry(machine).or_default();
     }
 
-    /// All writes that waited are done at once.
-    pub fn mend_disk(&mut self, machine: usize) {
+    /// Completes all deferred writes of a stalled disk.
+    pub fn resume_disk(&mut self, machine: usize) {
         for event in self.stalled.remove(&machine).unwrap_or_default() {
             self.schedule(0, event);
         }
@@ -336,30 +342,42 @@
 
     fn handle(&mut self, event: Event) {
         let index = event.machine();
-        if let (Some(owed), Event::Synced { .. }) = (self.stalled.get_mut(&index), &event) {
-            return owed.push(event);
+        if let (Some(deferred), Event::Synced { .. }) = (self.stalled.get_mut(&index), &event) {
+            return deferred.push(event);
         }
         if self.machines[index].frozen {
             self.postponed.push(event);
             return;
         }
-        let life = self.machines[index].life;
+        let incarnation = self.machines[index].incarnation;
         match event {
-            Event::Tick { machine, life: of } if of == life => {
+            Event::Tick {
+                machine,
+                incarnation: of,
+            } if of == incarnation => {
                 self.input(machine, ConsensusInput::Tick);
-                self.schedule(TICK_MICROS, Event::Tick { machine, life });
+                self.schedule(
+                    TICK_MICROS,
+                    Event::Tick {
+                        machine,
+                        incarnation,
+                    },
+                );
             }
             Event::Synced {
                 machine,
-                life: of,
+                incarnation: of,
                 write,
-            } if of == life => {
+            } if of == incarnation => {
                 self.machines[machine].disk.sync_up_to(write);
                 if self.broken != BrokenRule::AcknowledgeBeforePersistence {
                     self.input(machine, ConsensusInput::Persisted { write });
                 }
             }
-            Event::TakeUp { event, life: of } if of == life => self.handle(*event),
+            Event::ProcessDelayed {
+                event,
+                incarnation: of,
+            } if of == incarnation => self.handle(*event),
             Event::Deliver { machine, envelope } => {
                 self.input(machine, ConsensusInput::Receive(*envelope));
             }
@@ -370,10 +388,10 @@
     pub fn input(&mut self, machine: usize, input: ConsensusInput) {
         let now = self.now;
         let outputs = self.machines[machine].step(now, input);
-        self.carry_out(machine, outputs);
+        self.execute(machine, outputs);
     }
 
-    fn carry_out(&mut self, machine: usize, outputs: Vec<ConsensusOutput>) {
+    fn execute(&mut self, machine: usize, outputs: Vec<ConsensusOutput>) {
         for output in outputs {
             match output {
                 ConsensusOutput::Send(envelope) => self.send(machine, envelope),
@@ -400,7 +418,7 @@
         let Some(&to) = self.routes.get(&envelope.to) else {
             return;
         };
-        if self.cut.contains(&(from, to)) {
+        if self.severed_links.contains(&(from, to)) {
             return;
         }
         let copies = 1 + u64::from(self.chance(self.conditions.duplicate_per_mille));
@@ -428,8 +446,8 @@
     fn persist(&mut self, machine: usize, request: PersistRequest) {
         self.checks.writes(self.now, &request.entries);
         let write = request.write;
-        let life = self.machines[machine].life;
-        self.machines[machine].disk.under_way.push_back(request);
+        let incarnation = self.machines[machine].incarnation;
+        self.machines[machine].disk.pending.push_back(request);
         let (least, most) = match self.broken {
             BrokenRule::AcknowledgeBeforePersistence => LATE_SYNC_MICROS,
             _ => self.conditions.sync_micros,
@@ -439,7 +457,7 @@
             delay,
             Event::Synced {
                 machine,
-                life,
+                incarnation,
                 write,
             },
         );
@@ -466,7 +484,7 @@
         }
     }
 
-    /// The machine that leads the highest term, among those that run.
+    /// Returns the running machine that leads the highest term.
     pub fn leader(&self) -> Option<usize> {
         let leads = |index: &usize| self.machines[*index].leads();
         let term = |index: &usize| self.machines[*index].status().map(|status| status.term);
@@ -478,7 +496,7 @@
         (self.machines[index].member == member).then_some(index)
     }
 
-    /// Membership as the leader has it.
+    /// Returns the leader's membership.
     pub fn membership(&self) -> Option<Membership> {
         let leader = self.leader()?;
         self.machines[leader]
@@ -531,7 +549,7 @@
         self.input(machine, ConsensusInput::SnapshotTaken(snapshot));
     }
 
-    /// Proposes until one is acknowledged; fails the run if none is in time.
+    /// Proposes until a proposal is acknowledged. Returns false if none is in time.
     pub fn propose_until_acknowledged(&mut self, micros: u64) -> bool {
         let end = self.now + micros;
         let mut tickets = BTreeSet::new();
@@ -545,7 +563,7 @@
         false
     }
 
-    /// Ends the faults, and checks that the group works and all members agree.
+    /// Ends all faults and checks that the group makes progress and all members converge.
     pub fn settle(&mut self) {
         self.heal();
         self.run(500 * MILLISECOND);
--- a/crates/millpass-consensus/tests/harness/disk.rs
+++ b/crates/millpass-consensus/tests/harness/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that holds exactly what was synced, plus writes under way.
+//! Simulated disk with synced state and pending writes.
 
 use super::values::no_vote;
 use millpass_consensus::{PersistRequest, RestoredLog};
@@ -11,7 +11,7 @@
     pub meta: SnapshotMeta,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<LogEntry>,
-    pub under_way: VecDeque<PersistRequest>,
+    pub pending: VecDeque<PersistRequest>,
 }
 
 impl Disk {
@@ -21,7 +21,7 @@
             meta,
             snapshot: None,
             entries: Vec::new(),
-            under_way: VecDeque::new(),
+            pending: VecDeque::new(),
         }
     }
 
@@ -31,14 +31,10 @@
             .map_or(self.meta.last, |entry| entry.position)
     }
 
-    /// The writes up to this number are synced.
+    /// Syncs the pending writes up to this number.
     pub fn sync_up_to(&mut self, write: u64) {
-        while self
-            .under_way
-            .front()
-            .is_some_and(|next| next.write <= write)
-        {
-            if let Some(request) = self.under_way.pop_front() {
+        while self.pending.front().is_some_and(|next| next.write <= write) {
+            if let Some(request) = self.pending.pop_front() {
                 self.apply(request);
             }
         }
@@ -65,7 +61,7 @@
         self.entries.extend(entries);
     }
 
-    /// The host saves a snapshot of applied entries.
+    /// Saves a snapshot of applied entries.
     pub fn save_snapshot(&mut self, snapshot: Snapshot) {
         let last = snapshot.meta.last.index;
         self.entries.retain(|entry| entry.position.index > last);
@@ -73,12 +69,9 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// A crash: of the writes under way, the first few happen to be on the disk.
+    /// Crashes; only the first `survive` pending writes reach the disk.
     pub fn crash(&mut self, survive: usize) {
-        for request in std::mem::take(&mut self.under_way)
-            .into_iter()
-            .take(survive)
-        {
+        for request in std::mem::take(&mut self.pending).into_iter().take(survive) {
             self.apply(request);
         }
     }
--- a/crates/millpass-consensus/tests/harness/faults.rs
+++ b/crates/millpass-consensus/tests/harness/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults and operators' actions, drawn from the run's seed.
+//! Random faults and operator actions, drawn from the seed of a run.
 
 use super::cluster::{BrokenRule, CALM, Cluster, MILLISECOND, ROUGH};
 use super::values::address;
@@ -8,25 +8,25 @@
 use std::collections::BTreeSet;
 
 /// Two and a half election timeouts.
-const LONGEST_LAG: u64 = 250 * MILLISECOND;
+const MAXIMUM_LAG: u64 = 250 * MILLISECOND;
 
-/// Cuts the leader off: both ways, or only what it sends, or only what it hears.
+/// Isolates the leader in both directions, only outbound or only inbound.
 fn isolate_leader(cluster: &mut Cluster) {
     let Some(leader) = cluster.leader() else {
         return;
     };
-    let way = cluster.random.random_range(0..3);
+    let direction = cluster.random.random_range(0..3);
     for other in 0..cluster.machines.len() {
-        if way != 1 {
-            cluster.cut.insert((leader, other));
+        if direction != 1 {
+            cluster.severed_links.insert((leader, other));
         }
-        if way != 2 {
-            cluster.cut.insert((other, leader));
+        if direction != 2 {
+            cluster.severed_links.insert((other, leader));
         }
     }
 }
 
-/// All machines but the leader, and at times the leader too, stop at once and start again.
+/// Restarts all machines at once, with or without the leader.
 fn power_failure(cluster: &mut Cluster) {
     let spared = match cluster.random.random_bool(0.5) {
         true => cluster.leader(),
@@ -43,27 +43,26 @@
     }
 }
 
-/// A member comes to take up what arrives late, or no member does any more, or all stand still for a
-/// while.
+/// Makes a member lag, ends all lags, or pauses all members for a while.
 fn starve(cluster: &mut Cluster) {
     let count = cluster.machines.len();
     let machine = cluster.random.random_range(0..count);
     match cluster.random.random_range(0..4) {
         0 | 1 => {
-            let most = cluster.random.random_range(1..=LONGEST_LAG);
+            let most = cluster.random.random_range(1..=MAXIMUM_LAG);
             cluster.lag(machine, (most / 2, most));
         }
         2 => (0..count).for_each(|index| cluster.lag(index, (0, 0))),
         _ => {
             (0..count).for_each(|index| cluster.freeze(index));
-            let pause = cluster.random.random_range(1..=LONGEST_LAG);
+            let pause = cluster.random.random_range(1..=MAXIMUM_LAG);
             cluster.run(pause);
             (0..count).for_each(|index| cluster.wake(index));
         }
     }
 }
 
-/// A lost member and the identity that replaces it.
+/// A lost member and the member that replaces it.
 #[derive(Clone, Copy, Debug)]
 pub struct Repair {
     pub lost: MemberId,
@@ -75,7 +74,7 @@
     pub repair: Option<Repair>,
     pub repaired: u64,
     pub injected: u64,
-    /// Whether members also come to lag, and all stand still at once.
+    /// Whether lags and simultaneous pauses are injected.
     pub starves: bool,
 }
 
@@ -110,9 +109,9 @@
             5 => (0..count).for_each(|index| cluster.wake(index)),
             6 => cluster.partition(&BTreeSet::from([machine, other])),
             7 => {
-                cluster.cut.insert((machine, other));
+                cluster.severed_links.insert((machine, other));
             }
-            8 => cluster.cut.clear(),
+            8 => cluster.severed_links.clear(),
             9 => cluster.snapshot(machine),
             10 => cluster.transfer(cluster.machines[other].member),
             11 => self.freeze_or_crash_leader(cluster),
@@ -136,8 +135,7 @@
         }
     }
 
-    /// Only one lost member at a time is in repair: the group is built to survive that, and the
-    /// next loss may come right after.
+    /// Loses a disk unless a repair is in progress: the group survives only one loss at a time.
     fn lose_disk(&mut self, cluster: &mut Cluster, machine: usize) {
         if self.repair.is_some() {
             return;
@@ -149,7 +147,7 @@
         }
     }
 
-    /// The next step of a repair: join as a learner, then replace the lost voter.
+    /// Runs the next step of a repair: join as a learner, then replace the lost voter.
     pub fn advance_repair(&mut self, cluster: &mut Cluster) {
         let (Some(repair), Some(leader)) = (self.repair, cluster.leader()) else {
             return;
@@ -179,7 +177,7 @@
         cluster.change(change);
     }
 
-    /// Ends the faults and finishes a repair that is under way.
+    /// Ends the faults and completes an ongoing repair.
     pub fn finish(&mut self, cluster: &mut Cluster) {
         cluster.heal();
         for _ in 0..100 {
--- a/crates/millpass-consensus/tests/harness/machine.rs
+++ b/crates/millpass-consensus/tests/harness/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: a member, its disk, its clock and its state machine.
+//! Simulated machine: a member with disk, clock and state machine.
 
 use super::disk::Disk;
 use super::values::{DRIFT_BOUND_PER_MILLE, chain, settings};
@@ -10,7 +10,7 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A clock that drifts.
+/// A drifting clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub offset_micros: u64,
@@ -36,19 +36,19 @@
     pub core: Option<Consensus>,
     pub disk: Disk,
     pub clock: Clock,
-    /// Counts starts; events of earlier lives are void.
-    pub life: u64,
+    /// Incremented on start and stop; events of earlier incarnations are ignored.
+    pub incarnation: u64,
     pub frozen: bool,
     pub applied: u64,
     pub applied_position: LogPosition,
     pub state: u64,
     pub membership: Membership,
-    /// Proposals made here: where each ticket entered the log.
+    /// Tickets of proposals on this machine, by log position.
     pub tickets: BTreeMap<LogPosition, u64>,
     pub trailing_entries: u64,
-    /// Least and most time from the arrival of a message or disk report to its being taken up.
+    /// Minimum and maximum delay until a received message or disk report is processed.
     pub lag_micros: (u64, u64),
-    /// When the last one is taken up; they keep their order.
+    /// Time at which the last delayed event is processed; order is preserved.
     pub busy_until: u64,
 }
 
@@ -60,7 +60,7 @@
             membership: meta.membership.clone(),
             disk: Disk::new(meta),
             clock,
-            life: 0,
+            incarnation: 0,
             frozen: false,
             applied: 0,
             applied_position: LogPosition::ZERO,
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Starts from the disk. Returns the outputs of passing the restored snapshot in.
+    /// Starts from the disk. Returns the outputs of passing the restored snapshot to the core.
     pub fn start(&mut self, now: u64, seed: u64) -> Vec<ConsensusOutput> {
-        self.life += 1;
+        self.incarnation += 1;
         let time = self.clock.at(now);
         let mut core = Consensus::new(settings(self.member, seed), self.disk.restored(), time);
         core.set_trailing_entries(self.trailing_entries);
@@ -94,7 +94,7 @@
     }
 
     pub fn stop(&mut self, surviving_writes: usize) {
-        self.life += 1;
+        self.incarnation += 1;
         self.core = None;
         self.frozen = false;
         self.busy_until = 0;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// State and padding, so that a snapshot takes several pieces.
+    /// Pads the state so that a snapshot takes several chunks.
     pub fn take_snapshot(&self) -> Snapshot {
         let mut data = self.state.to_le_bytes().to_vec();
         data.resize(200 + (self.applied % 64) as usize, 1);
--- a/crates/millpass-consensus/tests/harness/mod.rs
+++ b/crates/millpass-consensus/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A deterministic network of members in virtual time, with faults and checks.
+//! Deterministic simulation of members and network in virtual time, with faults and checks.
 
 #![allow(dead_code)]
 
--- a/crates/millpass-consensus/tests/harness/values.rs
+++ b/crates/millpass-consensus/tests/harness/values.rs
@@ -1,4 +1,4 @@
-//! Small values the tests build members and commands from.
+//! Test values for members and commands.
 
 use millpass_consensus::ConsensusSettings;
 use millpass_proto::{
@@ -13,7 +13,7 @@
 pub const STALLED_DISK_LIMIT: Duration = Duration::from_millis(300);
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Clocks may run this much faster or slower than true time. Bound by the lease:
+/// Maximum clock drift in per mille. Limited by the lease:
 /// 70 / (1 - 0.15) = 82.4 is less than 100 / (1 + 0.15) = 87.0.
 pub const DRIFT_BOUND_PER_MILLE: i64 = 150;
 
@@ -82,7 +82,7 @@
     hasher.finish()
 }
 
-/// Digest of a state after one more entry.
+/// Returns the digest of a state after another entry.
 pub fn chain(state: u64, entry: &LogEntry) -> u64 {
     let mut hasher = DefaultHasher::new();
     (state, digest(entry)).hash(&mut hasher);
--- a/crates/millpass-consensus/tests/overload.rs
+++ b/crates/millpass-consensus/tests/overload.rs
@@ -1,16 +1,7 @@
-//! Elections and leases of members that get less processor than they want.
+//! Elections and leases of members that do not get enough CPU time.
 //!
-//! The failure: two of five voters were lost. Each of the three that were left had to vote, and one of
-//! them took up each message 0.2 to 0.9 s late, with an election timeout of 450 ms. The other two stood
-//! by turns, each candidacy was over before the third member's vote was counted, and for half a minute,
-//! until the play ended, nobody led: no change was taken, and no document could be read. Before that,
-//! 17 leaders followed one another in ten seconds, each deposed 0.5 to 0.8 s after its election while its
-//! process lived and merely did not get to run.
-//!
-//! The evidence: term after term, the slow member's line of the new term comes after the candidate's
-//! next one; and the leaders have no line for 0.1 to 0.4 s before they step down.
-//!
-//! Times here are in shares of the election timeout, as there.
+//! Guards against groups without a leader because a slow but required voter responds later than the election timeout,
+//! and against leaders deposed during short pauses of their process.
 
 mod harness;
 
@@ -26,8 +17,8 @@
 const TIMEOUT: u64 = 100 * MILLISECOND;
 const SEEDS: u64 = 30;
 
-/// Two voters of five are lost, and one of the others lags.
-fn three_of_five_with_a_slow_one(seed: u64, lag: (u64, u64)) -> Cluster {
+/// Starts five voters of which two are lost and one lags.
+fn three_of_five_with_slow_voter(seed: u64, lag: (u64, u64)) -> Cluster {
     let mut cluster = Cluster::new(seed, 5, CALM);
     assert!(cluster.propose_until_acknowledged(2 * SECOND), "no leader");
     let leader = cluster.leader().expect("leader");
@@ -37,18 +28,17 @@
     cluster
 }
 
-/// The group elects a leader that commits, within 40 election timeouts (18 s of the failure's 450 ms,
-/// where half a minute was not enough), and no rule is broken.
+/// The group elects a leader that commits within 40 election timeouts.
 #[rstest]
-#[case::hardly_late((5, 30))]
-#[case::a_little_late((40, 180))]
+#[case::slightly_late((5, 30))]
+#[case::late((40, 180))]
 #[case::later_than_the_timeout((110, 120))]
-#[case::later_than_any_first_wait((210, 220))]
-fn a_slow_voter_that_is_needed_elects_a_leader(#[case] lag: (u64, u64)) {
+#[case::later_than_the_longest_first_wait((210, 220))]
+fn a_group_that_requires_a_slow_voter_elects_a_leader(#[case] lag: (u64, u64)) {
     let lag = (lag.0 * MILLISECOND, lag.1 * MILLISECOND);
     let mut late = Vec::new();
     for seed in 0..SEEDS {
-        let mut cluster = three_of_five_with_a_slow_one(seed, lag);
+        let mut cluster = three_of_five_with_slow_voter(seed, lag);
         if !cluster.propose_until_acknowledged(40 * TIMEOUT) {
             late.push(seed);
         }
@@ -58,10 +48,9 @@
     assert!(late.is_empty(), "no leader in time with seeds {late:?}");
 }
 
-/// All processes stand still at once, as on machines that share a processor, and go on: the leader's
-/// heartbeats lie unread and its own answers too. It stays the leader.
+/// All processes pause at once, as on machines that share a CPU, so that heartbeats and responses stay unread.
 #[test]
-fn a_pause_of_all_members_at_once_deposes_nobody() {
+fn a_simultaneous_pause_of_all_members_keeps_the_leader() {
     let mut deposed = Vec::new();
     for seed in 0..SEEDS {
         let mut cluster = Cluster::new(seed, 5, CALM);
@@ -82,15 +71,14 @@
     assert!(deposed.is_empty(), "(seed, elections): {deposed:?}");
 }
 
-/// Each process runs for a few milliseconds and then stands still for up to half an election timeout,
-/// each in its own rhythm: nobody is deposed, since the leader is heard each time.
+/// Each process alternates between a few milliseconds of running and pauses of up to half an election timeout.
 #[test]
-fn members_that_run_by_fits_depose_nobody() {
+fn short_pauses_of_members_keep_the_leader() {
     let mut deposed = Vec::new();
     for seed in 0..SEEDS {
         let mut cluster = Cluster::new(seed, 5, CALM);
         assert!(cluster.propose_until_acknowledged(2 * SECOND), "no leader");
-        run_by_fits(&mut cluster, seed, 20 * SECOND);
+        run_with_pauses(&mut cluster, seed, 20 * SECOND);
         if cluster.checks.elections() > 1 {
             deposed.push((seed, cluster.checks.elections()));
         }
@@ -100,7 +88,7 @@
     assert!(deposed.is_empty(), "(seed, elections): {deposed:?}");
 }
 
-fn run_by_fits(cluster: &mut Cluster, seed: u64, micros: u64) {
+fn run_with_pauses(cluster: &mut Cluster, seed: u64, micros: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut switch_at = [cluster.now; 5];
     let end = cluster.now + micros;
@@ -109,13 +97,13 @@
             if cluster.now < *at {
                 continue;
             }
-            let runs = !cluster.machines[machine].frozen;
-            let millis = match runs {
+            let is_running = !cluster.machines[machine].frozen;
+            let millis = match is_running {
                 true => random.random_range(10..=50),
                 false => random.random_range(2..=10),
             };
             *at = cluster.now + millis * MILLISECOND;
-            match runs {
+            match is_running {
                 true => cluster.freeze(machine),
                 false => cluster.wake(machine),
             }
@@ -124,9 +112,8 @@
     }
 }
 
-/// A leader that is cut off and stands still by turns gives up in the end, and its lease ends as ever.
 #[test]
-fn a_leader_that_is_cut_off_and_starved_steps_down() {
+fn an_isolated_leader_with_pauses_steps_down_and_loses_the_lease() {
     for seed in 0..SEEDS {
         let mut cluster = Cluster::new(seed, 5, CALM);
         assert!(cluster.propose_until_acknowledged(2 * SECOND), "no leader");
@@ -146,9 +133,9 @@
     }
 }
 
-/// A leader that comes to lag itself is heard by all and holds no lease: it must give way to one that does.
+/// Heartbeats of a lagging leader still arrive, but it holds no lease.
 #[test]
-fn a_leader_that_lags_gives_way() {
+fn a_lagging_leader_is_replaced() {
     let mut stuck = Vec::new();
     for seed in 0..SEEDS {
         let mut cluster = Cluster::new(seed, 5, CALM);
@@ -167,17 +154,16 @@
     }
     assert!(
         stuck.is_empty(),
-        "the slow one leads on with seeds {stuck:?}"
+        "the lagging leader was not replaced with seeds {stuck:?}"
     );
 }
 
-/// Long waits end with the trouble: after elections that failed, the next loss of a leader costs no more
-/// than the first one would.
+/// After failed elections, the next loss of a leader must not take longer than the first one.
 #[test]
-fn waits_are_short_again_once_a_leader_is_heard() {
+fn the_election_backoff_is_reset_once_a_leader_is_in_contact() {
     for seed in 0..SEEDS {
         let lag = (150 * MILLISECOND, 200 * MILLISECOND);
-        let mut cluster = three_of_five_with_a_slow_one(seed, lag);
+        let mut cluster = three_of_five_with_slow_voter(seed, lag);
         cluster.run(20 * TIMEOUT);
         cluster.heal();
         cluster.run(20 * TIMEOUT);
@@ -185,20 +171,19 @@
         cluster.crash(leader);
         assert!(
             cluster.propose_until_acknowledged(8 * TIMEOUT),
-            "seed {seed}: the waits are still long"
+            "seed {seed}: the election backoff was not reset"
         );
         cluster.settle();
         cluster.assert_clean(seed);
     }
 }
 
-/// Why a member that stood does not lead, and whose answer it lacked, is told: no answer at all.
 #[test]
-fn a_candidacy_without_answers_is_told_as_timed_out() {
+fn a_candidacy_without_responses_is_reported_as_timed_out() {
     let mut cluster = Cluster::new(1, 3, CALM);
     assert!(cluster.propose_until_acknowledged(2 * SECOND), "no leader");
-    let alone = (cluster.leader().expect("leader") + 1) % 3;
-    cluster.partition(&[alone].into());
+    let isolated = (cluster.leader().expect("leader") + 1) % 3;
+    cluster.partition(&[isolated].into());
     cluster.run(10 * TIMEOUT);
     let ended: Vec<_> = cluster.candidacies.iter().map(|(_, ended)| ended).collect();
     assert!(!ended.is_empty());
@@ -208,22 +193,25 @@
     }
 }
 
-/// A member that is heard but hears no heartbeats is refused by those that hear the leader.
+/// A member that receives no heartbeats is refused by members in contact with the leader.
 #[test]
-fn a_candidacy_against_a_leader_is_told_as_refused() {
+fn a_candidacy_against_a_leader_is_reported_as_refused() {
     let mut cluster = Cluster::new(2, 3, CALM);
     assert!(cluster.propose_until_acknowledged(2 * SECOND), "no leader");
     let leader = cluster.leader().expect("leader");
-    let deaf = (leader + 1) % 3;
-    cluster.cut.insert((leader, deaf));
+    let unreachable = (leader + 1) % 3;
+    cluster.severed_links.insert((leader, unreachable));
     cluster.run(10 * TIMEOUT);
     let other = cluster.machines[(leader + 2) % 3].member;
     assert!(!cluster.candidacies.is_empty());
     for (machine, ended) in &cluster.candidacies {
-        assert_eq!((*machine, ended.end), (deaf, CandidacyEnd::Refused));
-        let answer = ended.responses.iter().find(|answer| answer.member == other);
-        let answer = answer.expect("the third member answers");
-        assert!(!answer.is_granted && answer.latency <= ended.duration);
+        assert_eq!((*machine, ended.end), (unreachable, CandidacyEnd::Refused));
+        let response = ended
+            .responses
+            .iter()
+            .find(|response| response.member == other);
+        let response = response.expect("response of the third member");
+        assert!(!response.is_granted && response.latency <= ended.duration);
     }
     assert_eq!(cluster.leader(), Some(leader));
 }
--- a/crates/millpass-consensus/tests/random_faults.rs
+++ b/crates/millpass-consensus/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Seeded runs under mixed faults: all checks hold; with a rule broken, a check reports it.
+//! Seeded runs under mixed faults: all checks hold, and broken rules are reported by a check.
 
 mod harness;
 
@@ -37,16 +37,13 @@
         lease_instants += cluster.checks.lease_instants;
         repaired += plan.repaired;
     }
-    // The runs did something worth checking.
+    // The runs must have exercised the checks.
     assert!(commits > 500, "{commits} commits");
-    assert!(
-        lease_instants > 5_000,
-        "{lease_instants} instants under a lease"
-    );
+    assert!(lease_instants > 5_000, "{lease_instants} lease instants");
     assert!(repaired > 4, "{repaired} repairs");
 }
 
-/// The same with members that have too little processor.
+/// Like `all_checks_hold_under_faults`, with members that do not get enough CPU time.
 #[rstest]
 fn all_checks_hold_under_faults_and_starvation(#[values(0, 1, 2, 3, 4, 5, 6, 7)] case: u64) {
     let mut commits = 0;
@@ -63,19 +60,16 @@
         lease_instants += cluster.checks.lease_instants;
     }
     assert!(commits > 500, "{commits} commits");
-    assert!(
-        lease_instants > 5_000,
-        "{lease_instants} instants under a lease"
-    );
+    assert!(lease_instants > 5_000, "{lease_instants} lease instants");
 }
 
-/// Seeds that are looked through for a violation.
-const SEARCHED: u64 = 1_500;
+/// Maximum seeds searched for a violation.
+const MAXIMUM_SEARCHED_SEEDS: u64 = 1_500;
 
-/// Whether some seed shows this violation when a rule is broken. Broken clocks and promises are
-/// in `scenarios.rs`.
+/// Returns whether some seed reports the violation. Broken clocks and promises are tested in
+/// `scenarios.rs`.
 fn some_seed_reports(broken: BrokenRule, rule: Rule, first: u64) -> bool {
-    let mut seeds = first..first + SEARCHED;
+    let mut seeds = first..first + MAXIMUM_SEARCHED_SEEDS;
     seeds.any(|seed| run(seed, broken).0.checks.has(rule))
 }
 
@@ -91,11 +85,11 @@
 fn a_broken_rule_is_reported(#[case] broken: BrokenRule, #[case] rule: Rule, #[case] first: u64) {
     assert!(
         some_seed_reports(broken, rule, first),
-        "{broken:?} never shows {rule:?}"
+        "{broken:?} was never reported as {rule:?}"
     );
 }
 
-/// A long run, by hand: `MILLPASS_SEEDS=1000..20000 cargo test --release -- --ignored long_run`.
+/// Manual long run: `MILLPASS_SEEDS=1000..20000 cargo test --release -- --ignored long_run`.
 #[test]
 #[ignore = "long; the fixed seeds above run in CI"]
 fn long_run() {
--- a/crates/millpass-consensus/tests/scenarios.rs
+++ b/crates/millpass-consensus/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single scenarios, each the shortest way to one point.
+//! Deterministic scenarios of elections, leases, transfers, membership changes and snapshots.
 
 mod harness;
 
@@ -13,7 +13,7 @@
 
 const SECOND: u64 = 1_000 * MILLISECOND;
 
-/// A group with a leader that has committed something.
+/// Starts a group whose leader has committed an entry.
 fn started(seed: u64, voters: u64) -> Cluster {
     let mut cluster = Cluster::new(seed, voters, CALM);
     assert!(cluster.propose_until_acknowledged(2 * SECOND), "no leader");
@@ -21,7 +21,7 @@
 }
 
 /// Moves leadership to a machine.
-fn lead(cluster: &mut Cluster, machine: usize) {
+fn move_leadership_to(cluster: &mut Cluster, machine: usize) {
     for _ in 0..50 {
         if cluster.leader() == Some(machine) && cluster.machines[machine].holds_lease(cluster.now) {
             return;
@@ -29,10 +29,10 @@
         cluster.transfer(cluster.machines[machine].member);
         cluster.run(100 * MILLISECOND);
     }
-    panic!("machine {machine} does not come to lead");
+    panic!("machine {machine} did not become leader");
 }
 
-fn cut_off(cluster: &mut Cluster, machine: usize) {
+fn isolate(cluster: &mut Cluster, machine: usize) {
     cluster.partition(&BTreeSet::from([machine]));
 }
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_calm_group_keeps_its_leader_and_its_lease() {
+fn a_healthy_group_keeps_its_leader_and_lease() {
     let mut cluster = started(2, 5);
     let leader = cluster.leader().expect("leader");
     for _ in 0..200 {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_group_works_on_after_its_leader_dies() {
+fn the_group_makes_progress_after_its_leader_crashed() {
     let mut cluster = started(3, 5);
     let leader = cluster.leader().expect("leader");
     cluster.crash(leader);
@@ -73,7 +73,7 @@
 fn a_leader_without_a_quorum_loses_the_lease_and_steps_down() {
     let mut cluster = started(4, 5);
     let leader = cluster.leader().expect("leader");
-    cut_off(&mut cluster, leader);
+    isolate(&mut cluster, leader);
     cluster.run(90 * MILLISECOND);
     assert!(!cluster.machines[leader].holds_lease(cluster.now));
     cluster.run(40 * MILLISECOND);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_frozen_leader_wakes_without_the_lease_and_commits_nothing() {
+fn a_leader_resumed_after_a_pause_holds_no_lease_and_commits_nothing() {
     let mut cluster = started(5, 5);
     let leader = cluster.leader().expect("leader");
     cluster.freeze(leader);
@@ -99,23 +99,22 @@
     cluster.assert_clean(5);
 }
 
-/// The leader's clock is slow and all others are fast, as far as the bound allows, and the
-/// leader is cut off: its lease ends before another is elected. Far beyond the bound it doesn't,
-/// which shows that the check sees it.
+/// An isolated leader with a slow clock loses its lease before members with fast clocks elect another.
+/// Beyond the drift bound the check must report a violation.
 #[rstest]
 #[case::within_the_bound(DRIFT_BOUND_PER_MILLE, false)]
 #[case::beyond_the_bound(4 * DRIFT_BOUND_PER_MILLE, true)]
-fn drifting_clocks_share_no_lease_within_the_bound(#[case] drift: i64, #[case] breach: bool) {
+fn leases_do_not_overlap_within_the_drift_bound(#[case] drift: i64, #[case] breach: bool) {
     let mut seen = false;
     for seed in 0..40 {
         let mut cluster = started(seed, 5);
         cluster.restart_with_clock(0, -drift);
         (1..5).for_each(|machine| cluster.restart_with_clock(machine, drift));
         cluster.run(SECOND);
-        lead(&mut cluster, 0);
+        move_leadership_to(&mut cluster, 0);
         let before = cluster.now + seed * MILLISECOND;
         cluster.run(before - cluster.now);
-        cut_off(&mut cluster, 0);
+        isolate(&mut cluster, 0);
         for _ in 0..100 {
             cluster.propose();
             cluster.run(3 * MILLISECOND);
@@ -127,17 +126,17 @@
     assert_eq!(seen, breach);
 }
 
-/// All followers restart at once while the leader is cut off.
+/// All followers restart at once while the leader is isolated.
 #[rstest]
 #[case::promise_kept(BrokenRule::None, false)]
 #[case::promise_forgotten(BrokenRule::ForgottenPromise, true)]
-fn a_restarted_member_keeps_its_promise(#[case] broken: BrokenRule, #[case] breach: bool) {
+fn a_restarted_member_keeps_its_vote_promise(#[case] broken: BrokenRule, #[case] breach: bool) {
     let mut seen = false;
     for seed in 0..40 {
         let mut cluster = Cluster::with_broken_rule(seed, 5, CALM, broken);
         assert!(cluster.propose_until_acknowledged(2 * SECOND));
         let leader = cluster.leader().expect("leader");
-        cut_off(&mut cluster, leader);
+        isolate(&mut cluster, leader);
         for machine in (0..5).filter(|machine| *machine != leader) {
             cluster.crash(machine);
             cluster.start(machine);
@@ -150,25 +149,25 @@
 }
 
 #[test]
-fn a_member_back_from_isolation_does_not_disrupt() {
+fn a_member_rejoining_after_isolation_does_not_depose_the_leader() {
     let mut cluster = started(7, 5);
     let leader = cluster.leader().expect("leader");
     let isolated = (leader + 1) % 5;
-    cut_off(&mut cluster, isolated);
+    isolate(&mut cluster, isolated);
     cluster.run(5 * SECOND);
-    cluster.cut.clear();
+    cluster.severed_links.clear();
     cluster.run(SECOND);
     assert_eq!(cluster.checks.elections(), 1);
     assert_eq!(cluster.leader(), Some(leader));
 }
 
 #[test]
-fn a_member_that_is_heard_but_hears_nothing_does_not_disrupt() {
+fn a_member_without_inbound_messages_does_not_depose_the_leader() {
     let mut cluster = started(8, 5);
     let leader = cluster.leader().expect("leader");
-    let deaf = (leader + 2) % 5;
+    let unreachable = (leader + 2) % 5;
     (0..5).for_each(|from| {
-        cluster.cut.insert((from, deaf));
+        cluster.severed_links.insert((from, unreachable));
     });
     cluster.run(5 * SECOND);
     assert_eq!(cluster.checks.elections(), 1);
@@ -176,7 +175,7 @@
 }
 
 #[test]
-fn a_removed_member_does_not_disrupt() {
+fn a_removed_member_does_not_depose_the_leader() {
     let mut cluster = started(9, 5);
     let leader = cluster.leader().expect("leader");
     let removed = (leader + 1) % 5;
@@ -190,7 +189,7 @@
 }
 
 #[test]
-fn a_leader_removes_itself_and_another_takes_over_at_once() {
+fn a_leader_that_removes_itself_is_replaced_immediately() {
     let mut cluster = started(10, 5);
     let leader = cluster.leader().expect("leader");
     cluster.change(MembershipChange::Remove(cluster.machines[leader].member));
@@ -204,14 +203,14 @@
 }
 
 #[test]
-fn leadership_is_handed_over_without_a_pause_of_an_election_timeout() {
+fn leadership_transfer_is_faster_than_an_election_timeout() {
     let mut cluster = started(11, 5);
     let leader = cluster.leader().expect("leader");
     let target = (leader + 1) % 5;
     cluster.transfer(cluster.machines[target].member);
     assert!(
         !cluster.machines[leader].holds_lease(cluster.now),
-        "offered away"
+        "the lease must be forfeited"
     );
     let taken = |cluster: &Cluster| cluster.machines[target].holds_lease(cluster.now);
     assert!(cluster.run_until(50 * MILLISECOND, taken));
@@ -219,13 +218,13 @@
     cluster.assert_clean(11);
 }
 
-/// The offer goes out and is lost: the lease stays given up, and the group goes on later.
+/// If `TimeoutNow` is lost, the lease stays forfeited for the term.
 #[test]
-fn a_lost_offer_of_leadership_never_gives_the_lease_back_in_that_term() {
+fn a_lost_leadership_transfer_does_not_restore_the_lease_in_its_term() {
     let mut cluster = started(12, 3);
     let leader = cluster.leader().expect("leader");
     let target = (leader + 1) % 3;
-    cluster.cut.insert((leader, target));
+    cluster.severed_links.insert((leader, target));
     cluster.transfer(cluster.machines[target].member);
     let term = cluster.machines[leader].status().expect("runs").term;
     for _ in 0..100 {
@@ -238,11 +237,11 @@
 }
 
 #[test]
-fn proposals_are_refused_during_a_handover_and_by_followers() {
+fn proposals_are_rejected_by_followers_and_during_leadership_transfer() {
     let mut cluster = started(13, 3);
     let leader = cluster.leader().expect("leader");
     let target = (leader + 1) % 3;
-    cluster.cut.insert((leader, target));
+    cluster.severed_links.insert((leader, target));
     cluster.transfer(cluster.machines[target].member);
     cluster.propose();
     let follower_command = command(99);
@@ -256,25 +255,25 @@
     assert!(refusals.contains("does not lead"), "{refusals}");
 }
 
-/// A lagging member needs a snapshot in several pieces, over a network that loses some.
+/// A lagging member receives a snapshot in several chunks over a lossy network.
 #[test]
 fn a_lagging_member_catches_up_by_snapshot() {
     let mut cluster = started(14, 3);
     let leader = cluster.leader().expect("leader");
     let lagging = (leader + 1) % 3;
-    cut_off(&mut cluster, lagging);
+    isolate(&mut cluster, lagging);
     for _ in 0..60 {
         cluster.propose();
         cluster.run(10 * MILLISECOND);
     }
     cluster.snapshot(leader);
-    cluster.cut.clear();
+    cluster.severed_links.clear();
     cluster.conditions.loss_per_mille = 200;
     let caught_up = |cluster: &Cluster| {
         cluster.machines[lagging].disk.snapshot.is_some()
             && cluster.machines[lagging].applied >= cluster.checks.acknowledged
     };
-    // Requests lost on the way, whose entries are compacted away, must not hold it up.
+    // Lost requests whose entries were compacted must not block progress.
     assert!(cluster.run_until(2 * SECOND, caught_up));
     cluster.settle();
     cluster.assert_clean(14);
@@ -321,17 +320,16 @@
 }
 
 #[test]
-fn a_second_change_is_refused_while_one_is_under_way() {
+fn a_second_membership_change_is_rejected_while_one_is_in_progress() {
     let mut cluster = started(16, 3);
     cluster.change(MembershipChange::AddLearner(address(MemberId(50))));
     cluster.change(MembershipChange::AddLearner(address(MemberId(51))));
     assert!(cluster.refusals.join("; ").contains("under way"));
 }
 
-/// A second machine is lost right after the repair of the first, then a third: each repair keeps
-/// five synced copies.
+/// Consecutive disk losses, each directly after the previous repair, keep five synced copies.
 #[test]
-fn losses_one_right_after_the_repair_of_another_lose_nothing() {
+fn consecutive_losses_and_repairs_lose_no_data() {
     for seed in 20..40 {
         let mut cluster = started(seed, 5);
         for round in 0..4 {
@@ -361,12 +359,12 @@
     }
 }
 
-/// Messages for another group or identity, and requests of strangers, change nothing.
+/// Messages for another group or member and requests from non-members are ignored.
 #[rstest]
 #[case::other_group(GroupId(99), 0, 0)]
-#[case::other_identity(harness::values::GROUP, 0, 77)]
-#[case::stranger(harness::values::GROUP, 88, 0)]
-fn foreign_messages_change_nothing(#[case] group: GroupId, #[case] from: u64, #[case] to: u64) {
+#[case::other_member(harness::values::GROUP, 0, 77)]
+#[case::non_member(harness::values::GROUP, 88, 0)]
+fn misaddressed_messages_are_ignored(#[case] group: GroupId, #[case] from: u64, #[case] to: u64) {
     let mut cluster = started(17, 3);
     cluster.run(200 * MILLISECOND);
     let leader = cluster.leader().expect("leader");
@@ -380,7 +378,7 @@
         },
         leadership_transfer: false,
     };
-    let answer = millpass_proto::AppendResponse {
+    let response = millpass_proto::AppendResponse {
         accepted: false,
         match_index: 0,
         sequence: 1,
@@ -388,7 +386,7 @@
     for message in [
         PeerMessage::VoteRequest(request.clone()),
         PeerMessage::PreVoteRequest(request),
-        PeerMessage::AppendResponse(answer),
+        PeerMessage::AppendResponse(response),
     ] {
         let envelope = PeerEnvelope {
             group,
@@ -405,9 +403,9 @@
     assert_eq!(cluster.checks.elections(), 1);
 }
 
-/// A member whose disk never answers acknowledges heartbeats but no entries.
+/// A member with a stalled disk acknowledges heartbeats but no entries.
 #[test]
-fn a_member_with_a_stuck_disk_does_not_count_for_commits() {
+fn members_with_stalled_disks_do_not_count_for_commits() {
     let mut cluster = started(18, 3);
     cluster.run(200 * MILLISECOND);
     cluster.conditions.sync_micros = (1_000 * SECOND, 1_000 * SECOND);
@@ -415,6 +413,6 @@
     cluster.propose();
     cluster.run(SECOND);
     assert_eq!(cluster.checks.acknowledged, applied);
-    assert!(cluster.leader().is_some(), "heartbeats go on");
+    assert!(cluster.leader().is_some(), "heartbeats must continue");
     cluster.assert_clean(18);
 }
--- a/crates/millpass-consensus/tests/stalled_disks.rs
+++ b/crates/millpass-consensus/tests/stalled_disks.rs
@@ -1,8 +1,6 @@
-//! A leader whose disk stalls does not stay leader.
+//! Leadership transfer from a leader with a stalled disk.
 //!
-//! What users saw: no change was acknowledged for 17 s while two of three voters were well. The leader applies and
-//! acknowledges only what its own disk holds, and its heartbeats, which need no disk, kept the others from standing.
-//! Evidence: the others had synced and committed every entry that it sent meanwhile.
+//! Guards against changes that are not acknowledged while a stalled leader's heartbeats suppress elections.
 
 mod harness;
 
@@ -10,20 +8,19 @@
 use rstest::rstest;
 
 const SECOND: u64 = 1_000 * MILLISECOND;
-/// Time within which a change is acknowledged though the leader's disk stalls: the limit of the settings (`values.rs`), a
-/// handover and an election.
+/// Covers the stall limit of the settings (`values.rs`), a leadership transfer and an election.
 const ACKNOWLEDGED_WITHIN: u64 = SECOND;
 
 fn started(seed: u64, voters: u64, conditions: Conditions) -> Cluster {
     let mut cluster = Cluster::new(seed, voters, conditions);
     assert!(cluster.propose_until_acknowledged(2 * SECOND), "no leader");
-    // A leader that has just begun does not hand over.
+    // A new leader does not transfer leadership yet.
     cluster.run(2 * SECOND);
     cluster
 }
 
 #[rstest]
-fn changes_are_acknowledged_within_a_bound_though_the_leader_s_disk_stalls(
+fn changes_are_acknowledged_in_time_although_the_disk_of_the_leader_stalls(
     #[values(3, 5)] voters: u64,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
@@ -32,9 +29,9 @@
     cluster.stall_disk(leader);
     assert!(cluster.propose_until_acknowledged(ACKNOWLEDGED_WITHIN));
     assert_ne!(cluster.leader(), Some(leader));
-    // It comes back, and does not win at once.
+    // The recovered member must not regain leadership.
     let next = cluster.leader();
-    cluster.mend_disk(leader);
+    cluster.resume_disk(leader);
     for _ in 0..40 {
         cluster.propose();
         cluster.run(50 * MILLISECOND);
@@ -45,7 +42,7 @@
 }
 
 #[test]
-fn where_all_disks_stall_the_leader_stays() {
+fn the_leader_stays_if_all_disks_stall() {
     let mut cluster = started(5, 3, CALM);
     let leader = cluster.leader();
     for machine in 0..3 {
@@ -57,7 +54,7 @@
         assert_eq!(cluster.leader(), leader);
     }
     for machine in 0..3 {
-        cluster.mend_disk(machine);
+        cluster.resume_disk(machine);
     }
     assert!(cluster.propose_until_acknowledged(SECOND));
     assert_eq!(cluster.checks.elections(), 1);
@@ -65,12 +62,11 @@
     cluster.assert_clean(5);
 }
 
-/// Thirty and sixty times the usual time, as disks that are slow and not stalled take; many writes wait one behind the
-/// other.
+/// Disks 30 and 60 times slower than usual, with queued writes, are not stalled.
 #[rstest]
-fn slow_disks_change_no_leader(#[values(30, 60)] times: u64) {
+fn slow_disks_keep_the_leader(#[values(30, 60)] factor: u64) {
     let slow = Conditions {
-        sync_micros: (1_000 * times, 2_000 * times),
+        sync_micros: (1_000 * factor, 2_000 * factor),
         ..CALM
     };
     let mut cluster = started(6, 3, slow);
@@ -84,9 +80,9 @@
     cluster.assert_clean(6);
 }
 
-/// Each leader's disk stalls as soon as it leads, for two seconds.
+/// The disk of each new leader stalls for two seconds.
 #[test]
-fn disks_that_stall_in_turn_change_the_leader_no_more_often_than_a_bound() {
+fn alternating_disk_stalls_change_the_leader_at_most_once_per_stall() {
     const ROUNDS: u64 = 20;
     let mut cluster = started(7, 3, CALM);
     let first = cluster.checks.elections();
@@ -100,10 +96,10 @@
             cluster.run(50 * MILLISECOND);
         }
         if let Some(leader) = leader {
-            cluster.mend_disk(leader);
+            cluster.resume_disk(leader);
         }
     }
-    // One handover a stall at most, each with one election.
+    // At most one transfer per stall, each with one election.
     let elections = cluster.checks.elections() - first;
     assert!(elections <= ROUNDS as usize, "{elections} elections");
     cluster.settle();
