--- a/crates/millpass-state/tests/catalog.rs
+++ b/crates/millpass-state/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog: races, resends, validation, versions over deletions, bounded tables.
+//! Catalog: concurrent changes, resends, validation, versions after deletion, bounded tables.
 
 mod support;
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_outcome_also_after_later_changes() {
+fn a_resend_returns_the_first_outcome_even_after_later_changes() {
     let mut fixture = Fixture::default();
     let first = fixture.accept(tenant("t", 0, "a", 1));
     fixture.accept(tenant("t", 1, "b", 2));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_resend_beyond_the_remembered_changes_conflicts_and_changes_nothing() {
+fn a_resend_beyond_the_deduplication_window_conflicts_and_changes_nothing() {
     let mut fixture = Fixture::default();
     fixture.accept(tenant("t", 0, "first", 1));
     for number in 0..MAXIMUM_REMEMBERED_CHANGES as u64 {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn versions_go_on_over_a_deletion() {
+fn versions_continue_after_a_deletion() {
     let mut fixture = Fixture::default();
     fixture.accept(tenant("t", 0, "a", 1));
     assert_eq!(fixture.accept(delete("t", 1, "b")).version, 2);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn versions_go_on_when_the_deletion_is_forgotten() {
+fn versions_continue_after_the_tombstone_is_evicted() {
     let mut fixture = Fixture::default();
     fixture.accept(tenant("t", 0, "a", 1));
     fixture.accept(delete("t", 1, "b"));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_model_is_deleted_after_what_belongs_to_it() {
+fn a_model_can_be_deleted_after_its_versions_and_adapters() {
     let mut fixture = Fixture::default();
     fixture.model("m", model_spec(1, 0, 1, 1), GIB);
     fixture.model("m2", model_spec(1, 0, 1, 1), GIB);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn the_audit_log_tells_who_changed_what() {
+fn the_audit_log_records_changes_and_operators() {
     let mut fixture = Fixture::default();
     fixture.accept(tenant("t", 0, "a", 1));
     fixture.accept(delete("t", 1, "b"));
--- a/crates/millpass-state/tests/claims.rs
+++ b/crates/millpass-state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: one run a key, whatever is resent, lost or expired.
+//! Claims: at-most-once execution per key despite resends, losses and expiry.
 
 mod support;
 
@@ -44,9 +44,9 @@
     })
 }
 
-fn expire(born_before_unix_millis: u64) -> Command {
+fn expire(created_before_unix_millis: u64) -> Command {
     Command::ExpireClaims(ExpireClaims {
-        created_before_unix_millis: born_before_unix_millis,
+        created_before_unix_millis,
     })
 }
 
@@ -81,18 +81,21 @@
 }
 
 #[test]
-fn another_request_under_the_key_is_refused() {
+fn another_request_with_the_same_key_is_refused() {
     let mut fixture = Fixture::default();
     decide(&mut fixture, &begin("k", "r1", 1));
     let mut other = begin("k", "r1", 1);
     other.digest = "other".to_owned();
     assert_eq!(decide(&mut fixture, &other), ClaimDecision::DigestMismatch);
-    let mut reborn = begin("k", "r1", 1);
-    reborn.created_unix_millis += 1;
-    assert_eq!(decide(&mut fixture, &reborn), ClaimDecision::DigestMismatch);
-    let mut neighbour = begin("k", "r1", 1);
-    neighbour.tenant = "u".into();
-    assert_eq!(decide(&mut fixture, &neighbour), ClaimDecision::Granted);
+    let mut recreated = begin("k", "r1", 1);
+    recreated.created_unix_millis += 1;
+    assert_eq!(
+        decide(&mut fixture, &recreated),
+        ClaimDecision::DigestMismatch
+    );
+    let mut other_tenant = begin("k", "r1", 1);
+    other_tenant.tenant = "u".into();
+    assert_eq!(decide(&mut fixture, &other_tenant), ClaimDecision::Granted);
 }
 
 #[test]
@@ -112,26 +115,20 @@
 }
 
 #[test]
-fn a_late_copy_of_an_attempt_that_was_turned_away_does_not_take_the_key() {
+fn a_late_duplicate_of_a_refused_attempt_does_not_claim_the_key() {
     let mut fixture = Fixture::default();
     let first = begin("k", "r1", 1);
-    let turned_away = begin("k", "r2", 1);
+    let refused = begin("k", "r2", 1);
     decide(&mut fixture, &first);
-    assert_eq!(
-        decide(&mut fixture, &turned_away),
-        ClaimDecision::InProgress
-    );
+    assert_eq!(decide(&mut fixture, &refused), ClaimDecision::InProgress);
     fixture.must(finish(&first, ClaimConclusion::NotRun));
-    assert_eq!(
-        decide(&mut fixture, &turned_away),
-        ClaimDecision::InProgress
-    );
+    assert_eq!(decide(&mut fixture, &refused), ClaimDecision::InProgress);
     let next = begin("k", "r2", 2);
     assert_eq!(decide(&mut fixture, &next), ClaimDecision::Granted);
 }
 
 #[test]
-fn a_late_copy_of_an_earlier_holder_does_not_take_the_key() {
+fn a_late_duplicate_of_an_earlier_holder_does_not_claim_the_key() {
     let mut fixture = Fixture::default();
     let first = begin("k", "r1", 1);
     let second = begin("k", "r2", 1);
@@ -143,7 +140,7 @@
 }
 
 #[test]
-fn claims_of_a_lost_router_may_have_run_until_it_says_more() {
+fn abandoned_claims_may_have_run_until_the_holder_concludes() {
     let mut fixture = Fixture::default();
     let first = begin("k", "r1", 1);
     decide(&mut fixture, &first);
@@ -159,7 +156,7 @@
 }
 
 #[test]
-fn an_expired_key_is_never_granted_and_the_threshold_never_goes_back() {
+fn an_expired_key_is_never_granted_and_the_threshold_never_decreases() {
     let mut fixture = Fixture::default();
     decide(&mut fixture, &begin("k", "r1", 1));
     fixture.must(expire(NOW));
@@ -174,7 +171,7 @@
 }
 
 #[test]
-fn keys_born_too_early_or_too_late_are_refused() {
+fn keys_created_too_early_or_in_the_future_are_refused() {
     let mut fixture = Fixture::default();
     let mut old = begin("old", "r1", 1);
     old.created_unix_millis = NOW - MAXIMUM_CLAIM_AGE_MILLIS - 1;
@@ -186,7 +183,7 @@
 }
 
 #[test]
-fn an_answer_too_large_to_keep_may_have_run() {
+fn an_oversized_answer_is_recorded_as_may_have_run() {
     let mut fixture = Fixture::default();
     let first = begin("k", "r1", 1);
     decide(&mut fixture, &first);
@@ -196,7 +193,7 @@
 }
 
 #[test]
-fn a_full_tenant_is_refused_and_nothing_is_forgotten() {
+fn claims_beyond_the_tenant_limit_are_refused_and_none_are_evicted() {
     let mut fixture = Fixture::default();
     for number in 0..MAXIMUM_CLAIMS_PER_TENANT {
         let claim = begin(&format!("k{number}"), "r1", number as u64);
@@ -206,14 +203,14 @@
     assert_eq!(decide(&mut fixture, &over), ClaimDecision::Overloaded);
     let first = begin("k0", "r2", 0);
     assert_eq!(decide(&mut fixture, &first), ClaimDecision::InProgress);
-    let mut neighbour = begin("k", "r1", 1);
-    neighbour.tenant = "u".into();
-    assert_eq!(decide(&mut fixture, &neighbour), ClaimDecision::Granted);
+    let mut other_tenant = begin("k", "r1", 1);
+    other_tenant.tenant = "u".into();
+    assert_eq!(decide(&mut fixture, &other_tenant), ClaimDecision::Granted);
     fixture.must(expire(NOW + 1));
     assert_eq!(fixture.state.claim_count(), 0);
 }
 
-/// One step of a random history.
+/// A step of a random history.
 #[derive(Clone, Debug)]
 enum Step {
     Begin(ClaimBegin),
@@ -223,24 +220,24 @@
     Snapshot,
 }
 
-/// Who was granted a key, in order, and whether that attempt then said that nothing ran.
+/// Grants per key, and keys released because nothing ran.
 #[derive(Default)]
 struct Grants {
     holder: BTreeMap<ClaimKey, (RouterName, u64)>,
     released: BTreeSet<ClaimKey>,
     answers: BTreeMap<ClaimKey, RecordedAnswer>,
-    turned_away: BTreeSet<(ClaimKey, RouterName, u64)>,
+    refused: BTreeSet<(ClaimKey, RouterName, u64)>,
 }
 
 impl Grants {
-    /// Takes one step and its outcome; a breach is told.
+    /// Checks the outcome of a step against the claim invariant.
     fn check(&mut self, step: &Step, outcome: &CommandOutcome) -> Result<(), String> {
         match (step, outcome) {
             (Step::Begin(begin), CommandOutcome::Claim(ClaimDecision::Granted)) => {
                 self.granted(begin)
             }
             (Step::Begin(begin), CommandOutcome::Claim(ClaimDecision::InProgress)) => {
-                self.turned_away.insert(attempt_of(begin));
+                self.refused.insert(attempt_of(begin));
                 Ok(())
             }
             (Step::Begin(begin), CommandOutcome::Claim(ClaimDecision::Answered(answer))) => {
@@ -265,8 +262,8 @@
     }
 
     fn granted(&mut self, begin: &ClaimBegin) -> Result<(), String> {
-        if self.turned_away.contains(&attempt_of(begin)) {
-            return Err(format!("{} was granted to one turned away", begin.key));
+        if self.refused.contains(&attempt_of(begin)) {
+            return Err(format!("{} was granted to a refused attempt", begin.key));
         }
         let holder = (begin.router.clone(), begin.attempt);
         let released = self.released.remove(&begin.key);
@@ -276,7 +273,7 @@
                 Err(format!("{} was granted to two attempts", begin.key))
             }
             Some(before) if before == holder && released => Err(format!(
-                "{} was granted again to the one that released it",
+                "{} was granted again to the attempt that released it",
                 begin.key
             )),
             _ => Ok(()),
@@ -318,7 +315,7 @@
 }
 
 #[test]
-fn a_key_is_granted_to_one_attempt_unless_that_one_did_not_run() {
+fn a_key_is_granted_to_one_attempt_unless_it_did_not_run() {
     check_cases(512, prop::collection::vec(step(), 1..80), |steps| {
         let mut fixture = Fixture::default();
         let mut grants = Grants::default();
@@ -338,7 +335,7 @@
 }
 
 #[test]
-fn the_check_of_grants_reports_a_second_grant() {
+fn the_grant_check_reports_a_second_grant() {
     let granted = CommandOutcome::Claim(ClaimDecision::Granted);
     let mut grants = Grants::default();
     let first = Step::Begin(begin("k", "r1", 1));
--- a/crates/millpass-state/tests/deployment.rs
+++ b/crates/millpass-state/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment document and departed instances in the replicated state.
+//! Deployment document and departed instances in the replicated state.
 
 use millpass_proto::*;
 use millpass_state::{InvalidDocument, MAXIMUM_DEPARTED_INSTANCES, State, check_document};
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn versions_never_go_back_and_survive_a_snapshot() {
+fn document_versions_never_decrease_and_survive_a_snapshot() {
     let mut state = State::default();
     for (index, version) in [3, 9, 5, 9].into_iter().enumerate() {
         apply(&mut state, index as u64 + 1, put(version));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn departures_are_sticky_and_bounded() {
+fn departures_are_permanent_and_bounded() {
     let mut state = State::default();
     let depart = |instance: String, ended| {
         Command::DepartInstance(InstanceDeparture {
@@ -91,7 +91,7 @@
     assert_eq!(
         state.departed(&"first".into()),
         None,
-        "the oldest is forgotten"
+        "the oldest departure must be evicted"
     );
     assert_eq!(state.departures().count(), MAXIMUM_DEPARTED_INSTANCES);
     let last = MAXIMUM_DEPARTED_INSTANCES as u64 + 2;
@@ -102,9 +102,9 @@
     assert_eq!(all, MAXIMUM_DEPARTED_INSTANCES);
 }
 
-/// What an earlier release kept does not say when an instance left: it is told to whoever asks.
+/// Snapshots of earlier releases lack departure indexes, so these departures are always returned.
 #[test]
-fn departures_keep_their_place_in_the_log_over_a_snapshot() {
+fn departure_indexes_survive_a_snapshot() {
     let mut state = State::default();
     let depart = |instance: &str| {
         Command::DepartInstance(InstanceDeparture {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_good_document_is_taken() {
+fn a_valid_document_is_accepted() {
     let routes = vec![
         route("r", "h", "/a/", "web"),
         route("s", "h", "/a/b/", "web"),
@@ -136,11 +136,11 @@
 
 #[rstest]
 #[case::unknown_service(vec![route("r", "h", "/a/", "other")], "names service other")]
-#[case::same_place(vec![route("r", "h", "/a/", "web"), route("s", "h", "/a/", "web")], "route s")]
-#[case::no_weight(vec![RouteSpec { targets: vec![RouteTarget { service: "web".into(), weight: 0 }], ..route("r", "h", "/a/", "web") }], "add up to 0")]
-#[case::no_target(vec![RouteSpec { targets: Vec::new(), ..route("r", "h", "/a/", "web") }], "add up to 0")]
-#[case::no_timeout(vec![RouteSpec { timeout_millis: 0, ..route("r", "h", "/a/", "web") }], "time-out is 0")]
-fn an_invalid_document_is_refused_with_a_remedy(
+#[case::duplicate_route(vec![route("r", "h", "/a/", "web"), route("s", "h", "/a/", "web")], "route s")]
+#[case::zero_weight(vec![RouteSpec { targets: vec![RouteTarget { service: "web".into(), weight: 0 }], ..route("r", "h", "/a/", "web") }], "add up to 0")]
+#[case::no_targets(vec![RouteSpec { targets: Vec::new(), ..route("r", "h", "/a/", "web") }], "add up to 0")]
+#[case::zero_timeout(vec![RouteSpec { timeout_millis: 0, ..route("r", "h", "/a/", "web") }], "time-out is 0")]
+fn an_invalid_document_is_rejected_with_a_remedy(
     #[case] routes: Vec<RouteSpec>,
     #[case] part: &str,
 ) {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn version_zero_stands_for_none() {
-    let refused = check_document(&document(0, Vec::new()));
-    assert_eq!(refused, Err(InvalidDocument::ZeroVersion));
+fn document_version_zero_is_rejected() {
+    let result = check_document(&document(0, Vec::new()));
+    assert_eq!(result, Err(InvalidDocument::ZeroVersion));
 }
--- a/crates/millpass-state/tests/placement.rs
+++ b/crates/millpass-state/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement commands: what is refused, and when memory comes back.
+//! Placement commands: refusals, memory reservations and order settlement.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use support::*;
 
-/// One engine of two accelerators with 16 GiB each, and a model that takes 9 GiB of one.
+/// An engine with two accelerators of 16 GiB and a model with 8 GiB of weights.
 fn fixture() -> Fixture {
     let mut fixture = Fixture::default();
     fixture.engine("e1", "z1", 2, 16 * GIB);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn memory_is_reserved_from_decision_to_confirmed_unload() {
+fn memory_is_reserved_from_placement_to_confirmed_unload() {
     let mut fixture = fixture();
     let slot = fixture.place("m", "e1");
     assert_eq!(free(&fixture), [7, 16]);
@@ -70,10 +70,7 @@
     Refusal::UnknownModel)]
 #[case::backend(|place: &mut PlaceReplica| place.backend = "e9".into(),
     Refusal::UnknownBackend)]
-fn a_placement_that_does_not_fit_is_refused(
-    #[case] spoil: fn(&mut PlaceReplica),
-    #[case] refusal: Refusal,
-) {
+fn an_invalid_placement_is_refused(#[case] spoil: fn(&mut PlaceReplica), #[case] refusal: Refusal) {
     let mut fixture = fixture();
     let mut place = fixture.placement("m", "e1");
     assert_eq!(fixture.state.check_place(&place), Ok(()));
@@ -85,7 +82,7 @@
 }
 
 #[test]
-fn a_full_accelerator_and_the_maximum_refuse() {
+fn placements_beyond_memory_or_maximum_replicas_are_refused() {
     let mut fixture = fixture();
     fixture.place("m", "e1");
     let mut place = fixture.placement("m", "e1");
@@ -103,7 +100,7 @@
 }
 
 #[test]
-fn a_leaving_engine_takes_no_placement_and_its_routes_say_so() {
+fn a_leaving_engine_refuses_placements_and_its_routes_are_marked() {
     let mut fixture = fixture();
     let slot = fixture.load("m", "e1");
     let before = fixture.state.placement_revision();
@@ -120,7 +117,7 @@
 }
 
 #[test]
-fn a_new_incarnation_frees_all_and_the_old_one_never_returns() {
+fn a_new_incarnation_releases_all_slots_and_the_old_one_is_refused() {
     let mut fixture = fixture();
     let slot = fixture.load("m", "e1");
     let old = fixture.state.replica(slot).expect("slot").clone();
@@ -140,7 +137,7 @@
 }
 
 #[test]
-fn a_gone_back_end_frees_its_slots_and_stays_gone() {
+fn a_gone_backend_releases_its_slots_and_stays_gone() {
     let mut fixture = fixture();
     fixture.load("m", "e1");
     fixture.mark("e1", BackendState::Gone);
@@ -155,7 +152,7 @@
 }
 
 #[test]
-fn an_adapter_holds_memory_from_decision_to_confirmed_unload() {
+fn adapter_memory_is_reserved_from_attachment_to_confirmed_unload() {
     let mut fixture = fixture();
     fixture.adapter("a", "m", GIB);
     fixture.model("other", model_spec(1, 0, 1, 1), GIB);
@@ -220,7 +217,7 @@
 }
 
 #[test]
-fn orders_of_an_engine_come_in_fence_order() {
+fn orders_of_an_engine_are_in_fence_order() {
     let mut fixture = fixture();
     fixture.model("n", model_spec(1, 0, 1, 1), GIB);
     fixture.place("m", "e1");
--- a/crates/millpass-state/tests/properties/checks.rs
+++ b/crates/millpass-state/tests/properties/checks.rs
@@ -1,10 +1,10 @@
-//! What must hold of any state, and a router's copy that follows by deltas.
+//! Invariants of the state, and a router's copy that is updated by deltas.
 
 use millpass_proto::*;
 use millpass_state::{State, replica_bytes_each};
 use std::collections::BTreeMap;
 
-/// Capacity less what the replicas hold must be what is told to be free.
+/// Checks that the reported free memory equals the capacity minus the memory of the replicas.
 pub fn check_ledger(capacity: &[u64], replicas: &[&Replica], free: &[u64]) -> Result<(), String> {
     let mut left = capacity.to_vec();
     for replica in replicas {
@@ -31,13 +31,13 @@
         let backend = state.backend(&replica.backend).ok_or("engine is unknown")?;
         let current = backend.registration.incarnation == replica.incarnation;
         if !current || backend.state == BackendState::Gone {
-            return Err(format!("slot {} outlived its run", replica.slot));
+            return Err(format!("slot {} outlived its incarnation", replica.slot));
         }
     }
     Ok(())
 }
 
-/// Each open phase has its one outstanding order, and each order an open phase.
+/// Checks that each unsettled phase has exactly one outstanding order and vice versa.
 pub fn check_orders(state: &State) -> Result<(), String> {
     let mut open = 0;
     for replica in state.replicas() {
@@ -71,14 +71,14 @@
     pub fn catch_up(&mut self, state: &State) {
         let revision = ConfigurationRevision(self.configuration);
         if let Some(delta) = state.configuration_since(revision) {
-            self.take_configuration(delta);
+            self.apply_configuration(delta);
         }
         if let Some(delta) = state.placement_since(PlacementRevision(self.placement)) {
-            self.take_placement(delta);
+            self.apply_placement(delta);
         }
     }
 
-    pub fn take_configuration(&mut self, delta: ConfigurationDelta) {
+    pub fn apply_configuration(&mut self, delta: ConfigurationDelta) {
         if delta.full {
             self.objects.clear();
         }
@@ -93,7 +93,7 @@
         self.configuration = delta.to.0;
     }
 
-    pub fn take_placement(&mut self, delta: PlacementDelta) {
+    pub fn apply_placement(&mut self, delta: PlacementDelta) {
         if delta.full {
             self.replicas.clear();
             self.web.clear();
--- a/crates/millpass-state/tests/properties/main.rs
+++ b/crates/millpass-state/tests/properties/main.rs
@@ -1,5 +1,4 @@
-//! Random commands at random positions: the ledger, the slots, the orders, the deltas and the
-//! snapshots hold after each.
+//! Properties of ledger, slots, orders, deltas and snapshots under random commands.
 
 mod checks;
 mod steps;
@@ -53,12 +52,12 @@
         }
         Ok(())
     });
-    // Every kind of command took effect somewhere, or the property says little.
+    // Every kind of command must have taken effect at least once.
     assert_eq!(reached.len(), 10, "{reached:?}");
 }
 
 #[test]
-fn deltas_from_any_revision_give_the_full_copy() {
+fn deltas_from_any_revision_lead_to_the_full_copy() {
     check_cases(256, prop::collection::vec(step(), 1..120), |steps| {
         let mut fixture = Fixture::default();
         let mut followers = vec![Follower::default()];
@@ -71,8 +70,8 @@
             followers.push(follower);
         }
         let mut full = Follower::default();
-        full.take_configuration(fixture.state.full_configuration());
-        full.take_placement(fixture.state.full_placement());
+        full.apply_configuration(fixture.state.full_configuration());
+        full.apply_placement(fixture.state.full_placement());
         for mut follower in followers {
             follower.catch_up(&fixture.state);
             prop_assert_eq!(&follower, &full);
@@ -82,7 +81,7 @@
 }
 
 #[test]
-fn a_snapshot_goes_on_with_the_same_outcomes() {
+fn a_restored_snapshot_produces_the_same_outcomes() {
     let steps = prop::collection::vec(step(), 2..120);
     check_cases(128, (steps, any::<Index>()), |(steps, cut)| {
         let cut = cut.index(steps.len());
@@ -120,7 +119,7 @@
 }
 
 #[test]
-fn the_check_of_the_ledger_reports_a_breach() {
+fn the_ledger_check_reports_a_violation() {
     let mut fixture = Fixture::default();
     fixture.engine("e1", "z1", 1, 16 * GIB);
     fixture.model("m", model_spec(1, 0, 2, 1), 8 * GIB);
@@ -142,10 +141,9 @@
     )
 }
 
-/// One winner per version: whatever the order of the racing changes, each version of an object is
-/// accepted once.
+/// Each version of an object is accepted once, whatever the order of concurrent changes.
 #[test]
-fn each_version_has_one_winner() {
+fn each_version_is_accepted_once() {
     let race = prop::collection::vec((0..4_u64, 0..6_u64), 1..60);
     check_cases(256, race, |changes| {
         let mut fixture = Fixture::default();
--- a/crates/millpass-state/tests/properties/steps.rs
+++ b/crates/millpass-state/tests/properties/steps.rs
@@ -1,4 +1,4 @@
-//! Random steps, and the command that each gives as the state stands.
+//! Random steps and their commands in the current state.
 
 use crate::support::*;
 use millpass_proto::*;
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::sample::Index;
 
-/// A command in terms of what there is when it is applied.
+/// A command relative to the state in which it is applied.
 #[derive(Clone, Debug)]
 pub enum Step {
     Register {
@@ -136,7 +136,7 @@
     ]
 }
 
-/// Creates or replaces an object, whatever its version.
+/// Creates or replaces an object at its current version.
 fn put(state: &State, kind: ObjectKind, name: &str, id: u64, spec: ObjectSpec) -> Command {
     let stored = state.object(&key(kind, name));
     let expected = stored.map_or(0, |object| object.version);
@@ -183,7 +183,7 @@
     Some(settle_order(pick.get(&orders), Some(result.clone())))
 }
 
-/// The command of a step as the state stands; none when there is nothing that it could be about.
+/// Returns the command of a step in the current state, or `None` if it has no target.
 pub fn command_of(state: &State, id: u64, step: &Step) -> Option<Command> {
     let command = match step {
         Step::Register {
--- a/crates/millpass-state/tests/quarantine.rs
+++ b/crates/millpass-state/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests held back in the replicated state, and in its snapshots.
+//! Quarantined requests in the replicated state and its snapshots.
 
 use millpass_proto::*;
 use millpass_state::{MAXIMUM_QUARANTINED_REQUESTS, State};
@@ -15,34 +15,34 @@
     assert_eq!(state.apply(at, command), CommandOutcome::Done);
 }
 
-fn held(state: &mut State, index: u64, number: u64, ends: u32) {
-    let note = QuarantineRecord {
+fn quarantine(state: &mut State, index: u64, number: u64, crashes: u32) {
+    let record = QuarantineRecord {
         request: request(number),
-        crashes: ends,
+        crashes,
         expired: false,
     };
-    apply(state, index, &Command::QuarantineRequest(note));
+    apply(state, index, &Command::QuarantineRequest(record));
 }
 
 #[test]
-fn a_later_word_replaces_the_earlier_one_and_a_lift_removes_it() {
+fn a_new_record_replaces_the_earlier_one_and_a_lift_removes_it() {
     let mut state = State::default();
-    held(&mut state, 1, 5, 3);
-    held(&mut state, 2, 5, 4);
-    let ends: Vec<u32> = state
+    quarantine(&mut state, 1, 5, 3);
+    quarantine(&mut state, 2, 5, 4);
+    let crashes: Vec<u32> = state
         .quarantined_requests()
-        .map(|note| note.crashes)
+        .map(|record| record.crashes)
         .collect();
-    assert_eq!(ends, vec![4]);
+    assert_eq!(crashes, vec![4]);
     apply(&mut state, 3, &Command::LiftQuarantine(request(5)));
     assert_eq!(state.quarantined_requests().count(), 0);
 }
 
 #[test]
-fn they_are_bounded_and_the_first_gives_way() {
+fn quarantined_requests_are_bounded_and_the_oldest_is_evicted() {
     let mut state = State::default();
     for number in 0..MAXIMUM_QUARANTINED_REQUESTS as u64 + 3 {
-        held(&mut state, number + 1, number, 3);
+        quarantine(&mut state, number + 1, number, 3);
     }
     assert_eq!(
         state.quarantined_requests().count(),
@@ -51,14 +51,14 @@
     let first = state
         .quarantined_requests()
         .next()
-        .map(|note| note.request.clone());
+        .map(|record| record.request.clone());
     assert_eq!(first, Some(request(3)));
 }
 
 #[test]
-fn snapshots_keep_them_and_those_without_them_are_read() {
+fn quarantined_requests_survive_snapshots_and_older_snapshots_decode() {
     let mut state = State::default();
-    held(&mut state, 1, 5, 3);
+    quarantine(&mut state, 1, 5, 3);
     let read = State::decode(&state.encode()).expect("snapshot");
     assert_eq!(read, state);
     let without = State::default();
--- a/crates/millpass-state/tests/support/mod.rs
+++ b/crates/millpass-state/tests/support/mod.rs
@@ -1,14 +1,13 @@
-//! Builders of commands, and a state that is given them at growing positions. The scheduler's
-//! tests use them too.
+//! Command builders and a state that applies commands at increasing positions. Also used by the
+//! scheduler's tests.
 #![allow(dead_code)]
 
 use millpass_proto::*;
 use millpass_state::State;
 
-/// One gibibyte.
 pub const GIB: u64 = 1 << 30;
 
-/// A state with the position of the next command.
+/// A state and the position of the next command.
 #[derive(Clone, Default)]
 pub struct Fixture {
     pub state: State,
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Creates a model with one version `v1` of this size.
+    /// Creates a model with a version `v1` of this size.
     pub fn model(&mut self, name: &str, spec: ModelSpec, weights_bytes: u64) {
         self.accept(create(
             ObjectKind::Model,
@@ -91,7 +90,7 @@
         }
     }
 
-    /// The command that places one more replica as the state stands.
+    /// Returns the command that places another replica in the current state.
     pub fn placement(&self, model: &str, backend: &str) -> PlaceReplica {
         let model = ModelName::from(model);
         let spec = self.state.model(&model).expect("model");
@@ -240,7 +239,7 @@
     })
 }
 
-/// Settles an order with this result, or as done if none is given.
+/// Settles an order with `result`, or successfully if `None`.
 pub fn settle_order(order: &EngineOrder, result: Option<OrderResult>) -> Command {
     let (slot, adapter, done) = match &order.action {
         OrderAction::LoadModel(load) => (load.slot, None, OrderResult::Loaded),
@@ -267,7 +266,7 @@
     })
 }
 
-/// Runs a property over a fixed number of cases from a fixed seed: the same verdict every run.
+/// Runs a property over a fixed number of cases with a fixed seed.
 pub fn check_cases<S: proptest::strategy::Strategy>(
     cases: u32,
     strategy: S,
--- a/crates/millpass-storage/examples/fsync_batches.rs
+++ b/crates/millpass-storage/examples/fsync_batches.rs
@@ -1,7 +1,7 @@
-//! Proposals per second through the storage, by how many share one sync.
+//! Measures the write throughput of the storage by batch size.
 //!
-//! `cargo run --release -p millpass-storage --example fsync_batches -- FOLDER`; the folder is made
-//! and must not exist. Each batch size runs for a bounded time.
+//! `cargo run --release -p millpass-storage --example fsync_batches -- FOLDER`; the folder
+//! must not exist.
 
 use millpass_proto::{
     ChangeId, Command, EntryPayload, GroupId, LogEntry, LogPosition, MemberId, Membership,
@@ -34,7 +34,7 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let folder = std::env::args()
         .nth(1)
-        .ok_or("give a folder that does not exist")?;
+        .ok_or("pass the path of a folder that does not exist yet")?;
     let folder = PathBuf::from(folder);
     std::fs::create_dir(&folder)?;
     for batch in BATCHES {
--- a/crates/millpass-storage/tests/bounds.rs
+++ b/crates/millpass-storage/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What a folder holds at most, from its options.
+//! Limits of the size of a data folder.
 
 mod common;
 
@@ -10,11 +10,11 @@
 
 const SEGMENT_BYTES: u64 = 4_000;
 const LARGEST_STATE_BYTES: u64 = 2_000;
-/// Size of a body, and entries of a write, below the largest state together.
+/// Size of an entry body. A write of `WRITE_ENTRIES` entries is smaller than the largest state.
 const BODY_BYTES: usize = 300;
 const WRITE_ENTRIES: u64 = 5;
-/// Writes until a snapshot that is wanted has come.
-const LATE_WRITES: u64 = 2;
+/// Writes between a snapshot becoming due and being taken.
+const SNAPSHOT_DELAY_WRITES: u64 = 2;
 
 fn options() -> StorageOptions {
     StorageOptions {
@@ -25,35 +25,35 @@
     }
 }
 
-/// Snapshots are taken when the storage wants them, somewhat late, and at no other time.
+/// Snapshots are taken only some writes after they become due.
 #[test]
-fn a_folder_stays_within_its_bound_whatever_is_written() {
+fn a_folder_stays_within_its_maximum_size() {
     let (_root, folder) = new_folder();
     let (mut storage, _) = Storage::open_with(&folder, options()).expect("open");
     let mut last = 0;
-    let mut wanted = 0;
-    let mut most = 0;
+    let mut due_writes = 0;
+    let mut maximum = 0;
     for _ in 0..400 {
         let range = last + 1..=last + WRITE_ENTRIES;
         last += WRITE_ENTRIES;
         let entries: Vec<_> = range.map(|index| entry(1, index, BODY_BYTES)).collect();
         storage.write(None, None, &entries).expect("write");
-        wanted += u64::from(storage.is_snapshot_due());
-        if wanted > LATE_WRITES {
+        due_writes += u64::from(storage.is_snapshot_due());
+        if due_writes > SNAPSHOT_DELAY_WRITES {
             storage.save_snapshot(&snapshot(1, last)).expect("snapshot");
-            wanted = 0;
+            due_writes = 0;
         }
         let bytes = storage.bytes().expect("bytes");
         let found: u64 = contents(&folder).iter().map(|it| it.1.len() as u64).sum();
         assert_eq!(bytes, found);
-        most = most.max(bytes);
+        maximum = maximum.max(bytes);
     }
-    assert!(most <= options().maximum_bytes(), "{most} bytes");
-    assert!(most > SEGMENT_BYTES, "more than a segment was written");
+    assert!(maximum <= options().maximum_bytes(), "{maximum} bytes");
+    assert!(maximum > SEGMENT_BYTES, "more than a segment was written");
 }
 
 #[test]
-fn a_disk_that_cannot_hold_what_may_be_needed_is_refused_with_the_remedy() {
+fn a_disk_smaller_than_the_maximum_size_is_refused_with_a_remedy() {
     let (_root, folder) = new_folder();
     let required = options().maximum_bytes();
     let with_disk = |bytes| StorageOptions {
@@ -71,9 +71,9 @@
     Storage::open_with(&folder, with_disk(required)).expect("large enough");
 }
 
-/// A process is killed after its snapshot was written and before the older files were removed; then the disk is full.
+/// A process is killed between writing a snapshot and removing the covered files, and the disk is full at the restart.
 #[test]
-fn a_start_removes_what_a_snapshot_covers_before_it_needs_room() {
+fn opening_removes_covered_files_before_it_checks_for_free_space() {
     let (_root, folder) = new_folder();
     let (mut storage, _) = Storage::open_with(&folder, small_segments()).expect("open");
     for index in 1..=20 {
@@ -86,7 +86,7 @@
     storage.save_snapshot(&snapshot(1, 20)).expect("snapshot");
     drop(storage);
     for (path, bytes) in &before {
-        fs::write(path, bytes).expect("as if it had not been removed");
+        fs::write(path, bytes).expect("restore removed file");
     }
     let on_full_disk = StorageOptions {
         files: std::sync::Arc::new(FullDisk),
@@ -102,7 +102,7 @@
     assert_eq!(restored.snapshot, Some(snapshot(1, 20)));
 }
 
-/// Takes no byte.
+/// A disk without free space.
 #[derive(Debug)]
 struct FullDisk;
 
@@ -112,23 +112,22 @@
     }
 }
 
-/// Files can be written and not removed.
+/// A file system that cannot remove files.
 #[derive(Debug)]
-struct NothingGoes;
+struct UnremovableFiles;
 
-impl FileSystem for NothingGoes {
+impl FileSystem for UnremovableFiles {
     fn remove(&self, _path: &Path) -> io::Result<()> {
         Err(io::ErrorKind::PermissionDenied.into())
     }
 }
 
-/// A start whose trial file could not be removed waited for as long as that lasted, though the member could write all it
-/// had to, and other files that stay are only noted.
+/// A probe file that cannot be removed must not keep a member from starting.
 #[test]
-fn a_start_that_cannot_remove_its_trial_file_goes_on_and_says_so() {
+fn opening_succeeds_with_a_note_if_the_probe_file_cannot_be_removed() {
     let (_root, folder) = new_folder();
     let with_files = StorageOptions {
-        files: Arc::new(NothingGoes),
+        files: Arc::new(UnremovableFiles),
         ..options()
     };
     let (mut storage, restored) = Storage::open_with(&folder, with_files).expect("open");
@@ -139,16 +138,16 @@
     );
     storage
         .write(None, None, &entries(1, 1..=3))
-        .expect("it writes");
+        .expect("write");
     drop(storage);
-    let trials = || {
+    let probe_files = || {
         let files = contents(&folder).into_iter();
         files
             .filter(|(path, _)| path.to_string_lossy().contains("room"))
             .count()
     };
-    assert_eq!(trials(), 1);
+    assert_eq!(probe_files(), 1);
     let (_, restored) = Storage::open_with(&folder, options()).expect("open again");
     assert_eq!(restored.entries.len(), 3);
-    assert_eq!(trials(), 0, "the next start removes it");
+    assert_eq!(probe_files(), 0, "the next start removes it");
 }
--- a/crates/millpass-storage/tests/common/mod.rs
+++ b/crates/millpass-storage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the storage tests.
+//! Helpers for the storage tests.
 
 #![allow(dead_code)]
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// An entry with a body of `size` bytes or so.
+/// Returns an entry with a body of about `size` bytes.
 pub fn entry(term: u64, index: u64, size: usize) -> LogEntry {
     let payload = match size {
         0 => EntryPayload::Noop,
@@ -84,7 +84,7 @@
     }
 }
 
-/// A new folder with an initialized member.
+/// Creates a folder with an initialized member.
 pub fn new_folder() -> (tempfile::TempDir, PathBuf) {
     let root = tempfile::tempdir().expect("temporary folder");
     let folder = root.path().join("data");
@@ -96,7 +96,7 @@
     Storage::open(folder).expect("open")
 }
 
-/// Segments of a few records each.
+/// Options for segments of a few records.
 pub fn small_segments() -> StorageOptions {
     StorageOptions {
         segment_bytes: 256,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Files that are appended to through this.
+/// File system that wraps append files.
 #[derive(Debug)]
 struct AppendedThrough(fn(fs::File) -> Box<dyn AppendFile>);
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// Options with files that are appended to through this.
+/// Returns options whose append files are wrapped by `make`.
 pub fn appended_through(make: fn(fs::File) -> Box<dyn AppendFile>) -> StorageOptions {
     StorageOptions {
         files: Arc::new(AppendedThrough(make)),
@@ -122,15 +122,15 @@
     }
 }
 
-/// Opens, expecting an error.
+/// Opens the folder and returns the expected error.
 pub fn open_error(folder: &Path) -> StorageError {
     match Storage::open(folder) {
-        Ok(_) => panic!("opening should have been refused"),
+        Ok(_) => panic!("opening must fail"),
         Err(error) => error,
     }
 }
 
-/// Names and contents of all files but the lock.
+/// Returns the paths and contents of all files but the lock.
 pub fn contents(folder: &Path) -> Vec<(PathBuf, Vec<u8>)> {
     let mut files: Vec<_> = fs::read_dir(folder)
         .expect("folder")
@@ -145,7 +145,7 @@
     files
 }
 
-/// Files whose name starts so, sorted.
+/// Returns the sorted paths of the files whose name starts with `prefix`.
 pub fn files_named(folder: &Path, prefix: &str) -> Vec<PathBuf> {
     let is_named = |path: &PathBuf| {
         path.file_name()
--- a/crates/millpass-storage/tests/damage.rs
+++ b/crates/millpass-storage/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Damaged, torn, locked, unwritable and full: each with its typed error, nothing deleted.
+//! Damaged, torn, locked, inaccessible and full folders: typed errors without data loss.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A folder with three records after the first; returns the segment, the offset where the last
-/// record starts, and its bytes.
+/// Creates a folder with three records after the first. Returns the segment, the offset of the last
+/// record and the segment's bytes.
 fn written(size: usize) -> (tempfile::TempDir, PathBuf, PathBuf, usize, Vec<u8>) {
     let (root, folder) = new_folder();
     let (mut storage, _) = open(&folder);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_record_cut_short_at_any_byte_is_cut_off_with_a_note() {
+fn a_record_truncated_at_any_byte_is_cut_off_with_a_note() {
     let (_root, folder, segment, last_start, bytes) = written(20);
     for length in last_start..bytes.len() {
         fs::write(&segment, &bytes[..length]).expect("cut");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_once_and_writing_goes_on() {
+fn a_torn_tail_is_cut_off_once_and_the_log_stays_writable() {
     let (_root, folder, segment, last_start, bytes) = written(20);
     fs::write(&segment, &bytes[..bytes.len() - 3]).expect("cut");
     let (mut storage, restored) = open(&folder);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn zeros_from_any_sector_on_are_a_torn_tail() {
+fn zeros_from_any_sector_boundary_are_a_torn_tail() {
     let (_root, folder, segment, last_start, bytes) = written(2000);
     let sectors = (last_start.next_multiple_of(512)..bytes.len()).step_by(512);
     for zeros_from in sectors.chain([last_start]) {
@@ -84,7 +84,7 @@
 #[rstest]
 #[case::small_record(20)]
 #[case::record_over_sectors(1100)]
-fn any_flipped_byte_of_the_log_is_refused_and_nothing_is_changed(#[case] size: usize) {
+fn a_flipped_byte_in_the_log_is_refused_without_changes(#[case] size: usize) {
     let (_root, folder, segment, _, bytes) = written(size);
     for position in 0..bytes.len() {
         for mask in [0x01, 0x80, 0xff, bytes[position]] {
@@ -113,7 +113,7 @@
 #[rstest]
 #[case::snapshot("snapshot-")]
 #[case::identity("identity")]
-fn any_flipped_byte_of_another_file_is_refused(#[case] prefix: &str) {
+fn a_flipped_byte_in_other_files_is_refused(#[case] prefix: &str) {
     let (_root, folder, ..) = written(20);
     let (mut storage, _) = open(&folder);
     storage.save_snapshot(&snapshot(5, 2)).expect("snapshot");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn damage_names_file_place_and_remedy() {
+fn a_damage_error_states_file_offset_and_remedy() {
     let (_root, folder, segment, last_start, mut bytes) = written(20);
     bytes[last_start + 12] ^= 1;
     fs::write(&segment, &bytes).expect("damage");
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn an_unknown_version_names_the_remedy() {
+fn an_unknown_version_error_states_the_remedy() {
     let (_root, folder, segment, _, mut bytes) = written(20);
     bytes[8] = 9;
     fs::write(&segment, &bytes).expect("version");
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_tail_cut_short_before_a_later_segment_is_damage() {
+fn a_torn_tail_before_a_later_segment_is_damage() {
     let (_root, folder) = new_folder();
     let (mut storage, _) = Storage::open_with(&folder, small_segments()).expect("open");
     for index in 1..=30 {
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_lost_identity_is_not_initialized_over() {
+fn a_folder_with_a_lost_identity_is_not_initialized_again() {
     let (_root, folder, ..) = written(20);
     fs::remove_file(folder.join("identity")).expect("remove");
     assert!(matches!(
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_broken_off_initialization_can_be_repeated() {
+fn an_initialization_without_identity_can_be_repeated() {
     let (_root, folder) = new_folder();
     fs::remove_file(folder.join("identity")).expect("remove");
     Storage::initialize(&folder, identity(), initial()).expect("again");
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_half_written_file_is_removed_with_a_note() {
+fn an_incomplete_file_is_removed_with_a_note() {
     let (_root, folder) = new_folder();
     let temporary = folder.join("snapshot-0000000000000007.tmp");
     fs::write(&temporary, b"half").expect("half");
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn an_unusable_folder_names_the_path() {
+fn an_inaccessible_folder_error_states_the_path() {
     let root = tempfile::tempdir().expect("temporary folder");
     let file = root.path().join("file");
     fs::write(&file, b"not a folder").expect("file");
@@ -271,18 +271,18 @@
     assert!(matches!(missing, StorageError::NotInitialized { .. }));
 }
 
-/// A disk with room for one more kilobyte.
+/// A disk with limited free space.
 struct SmallDisk {
     file: fs::File,
-    room: usize,
-    /// Syncs that succeed; the first is that of the opening.
+    free_bytes: usize,
+    /// Number of successful syncs, including the one on opening.
     syncs: usize,
 }
 
 impl AppendFile for SmallDisk {
     fn append(&mut self, bytes: &[u8]) -> std::io::Result<()> {
-        let fits = bytes.len().min(self.room);
-        self.room -= fits;
+        let fits = bytes.len().min(self.free_bytes);
+        self.free_bytes -= fits;
         AppendFile::append(&mut self.file, &bytes[..fits])?;
         match fits == bytes.len() {
             true => Ok(()),
@@ -292,7 +292,7 @@
 
     fn sync(&mut self) -> std::io::Result<()> {
         let Some(left) = self.syncs.checked_sub(1) else {
-            return Err(std::io::Error::other("the disk is gone"));
+            return Err(std::io::Error::other("sync failed"));
         };
         self.syncs = left;
         AppendFile::sync(&mut self.file)
@@ -303,10 +303,10 @@
     }
 }
 
-fn small_disk(file: fs::File) -> Box<dyn AppendFile> {
+fn disk_with_one_kilobyte(file: fs::File) -> Box<dyn AppendFile> {
     Box::new(SmallDisk {
         file,
-        room: 1024,
+        free_bytes: 1024,
         syncs: usize::MAX,
     })
 }
@@ -314,7 +314,7 @@
 fn disk_that_never_syncs(file: fs::File) -> Box<dyn AppendFile> {
     Box::new(SmallDisk {
         file,
-        room: usize::MAX,
+        free_bytes: usize::MAX,
         syncs: 0,
     })
 }
@@ -331,18 +331,18 @@
     open(&folder);
 }
 
-fn disk_without_sync(file: fs::File) -> Box<dyn AppendFile> {
+fn disk_that_syncs_once(file: fs::File) -> Box<dyn AppendFile> {
     Box::new(SmallDisk {
         file,
-        room: usize::MAX,
+        free_bytes: usize::MAX,
         syncs: 1,
     })
 }
 
 #[test]
-fn a_full_disk_refuses_the_write_and_keeps_what_was_synced() {
+fn a_full_disk_refuses_the_write_and_keeps_the_synced_data() {
     let (_root, folder) = new_folder();
-    let options = appended_through(small_disk);
+    let options = appended_through(disk_with_one_kilobyte);
     let (mut storage, _) = Storage::open_with(&folder, options).expect("open");
     storage.write(None, None, &entries(1, 1..=2)).expect("fits");
     let error = storage
@@ -357,9 +357,9 @@
 }
 
 #[test]
-fn after_a_failed_sync_nothing_is_written_any_more() {
+fn writes_are_refused_after_a_failed_sync() {
     let (_root, folder) = new_folder();
-    let options = appended_through(disk_without_sync);
+    let options = appended_through(disk_that_syncs_once);
     let (mut storage, _) = Storage::open_with(&folder, options).expect("open");
     let first = storage.write(None, None, &entries(1, 1..=1));
     assert!(matches!(first, Err(StorageError::Inaccessible { .. })));
--- a/crates/millpass-storage/tests/faults.rs
+++ b/crates/millpass-storage/tests/faults.rs
@@ -1,10 +1,10 @@
-//! Any call to the file system may fail, at any moment: the disk is full, or refuses, for one call or until it is mended.
-//! A write may be taken in part, a rename or removal may have happened although it failed.
+//! Random failures of file system calls, once or until the disk recovers. Writes may be partial, and failed renames or
+//! removals may have taken effect.
 //!
-//! What is checked: a write that returned well outlasts it; one that failed has left nothing that a later start refuses;
-//! once the disk is mended the folder opens; nothing is left over; the bytes in the folder stay within their bound.
+//! Checks that successful writes persist, that the folder opens once the disk has recovered, and that its size stays
+//! within the limit.
 //!
-//! By hand with more seeds: `MILLPASS_FAULT_SEEDS=0..20000 cargo test --release -p millpass-storage --test faults`.
+//! Manual run with more seeds: `MILLPASS_FAULT_SEEDS=0..20000 cargo test --release -p millpass-storage --test faults`.
 
 mod common;
 
@@ -20,33 +20,33 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// Seeds that are played each time; those that once failed are among them.
 const SEEDS: std::ops::Range<u64> = 0..400;
-/// Writes of a run.
+/// Writes per run.
 const WRITES: u32 = 40;
-/// Times a folder is opened while its disk fails.
-const MOST_STARTS: u32 = 4;
-/// Most calls that go well before one fails: a write takes 2, a snapshot some 6, a start 10 and more.
-const MOST_CALLS_BEFORE: u64 = 12;
-/// Size of the bodies, and bytes from which a new segment is started.
+/// Maximum attempts to open a folder while its disk fails.
+const MAXIMUM_STARTS: u32 = 4;
+/// Maximum successful calls before a failure. A write takes 2 calls, a snapshot about 6, opening at minimum 10.
+const MAXIMUM_CALLS_BEFORE_FAILURE: u64 = 12;
+/// Size of an entry body.
 const BODY_BYTES: usize = 120;
 const SEGMENT_BYTES: u64 = 1_000;
-/// Most bytes in a folder: two segments, each with a write beyond its size, two snapshots, and the room that is tried.
-const MOST_BYTES: u64 = 2 * (SEGMENT_BYTES + 3_000) + 2 * 1_000 + START_ROOM;
-const START_ROOM: u64 = 2_000;
+/// Maximum size of a folder: two segments, each exceeded by a write, two snapshots and the probe file.
+const MAXIMUM_BYTES: u64 = 2 * (SEGMENT_BYTES + 3_000) + 2 * 1_000 + MINIMUM_FREE_BYTES;
+const MINIMUM_FREE_BYTES: u64 = 2_000;
 
-/// Which calls fail.
+/// Plan of failing calls.
 #[derive(Clone, Copy, Debug, Default)]
 struct Plan {
-    /// Calls that go well before the first that fails; none for a disk that is well.
+    /// Successful calls before the first failure; `None` for a healthy disk.
     after: Option<u64>,
-    /// How many fail then.
+    /// Number of failing calls.
     count: u64,
-    /// What they fail with.
+    /// Kind of the errors.
     kind: Option<io::ErrorKind>,
-    /// Of a write that fails, how many thousandths are taken; whether another call happens although it fails.
-    taken: usize,
-    happens: bool,
+    /// Part of a failing write that is written, in per mille.
+    written_per_mille: usize,
+    /// Whether other failing calls take effect.
+    takes_effect: bool,
 }
 
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
         *self.plan.lock().expect("plan") = plan;
     }
 
-    /// The plan, if this call is to fail.
+    /// Returns the plan if this call must fail.
     fn failing(&self) -> Option<Plan> {
         let mut plan = self.plan.lock().expect("plan");
         let after = plan.after?;
@@ -75,12 +75,12 @@
         Some(failing)
     }
 
-    /// A call that happens or does not, whatever it says.
+    /// Executes a call or lets it fail according to the plan.
     fn call<T>(&self, call: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
         match self.failing() {
             None => call(),
             Some(plan) => {
-                if plan.happens {
+                if plan.takes_effect {
                     call()?;
                 }
                 Err(plan.error())
@@ -94,8 +94,8 @@
         self.kind.unwrap_or(io::ErrorKind::StorageFull).into()
     }
 
-    fn taken_of<'a>(&self, bytes: &'a [u8]) -> &'a [u8] {
-        &bytes[..bytes.len() * self.taken / 1_000]
+    fn written_part<'a>(&self, bytes: &'a [u8]) -> &'a [u8] {
+        &bytes[..bytes.len() * self.written_per_mille / 1_000]
     }
 }
 
@@ -121,7 +121,7 @@
         let mut file = File::create(path)?;
         for part in parts {
             if let Some(plan) = self.0.failing() {
-                file.write_all(plan.taken_of(part))?;
+                file.write_all(plan.written_part(part))?;
                 return Err(plan.error());
             }
             file.write_all(part)?;
@@ -158,7 +158,7 @@
 impl AppendFile for FaultyAppend {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         if let Some(plan) = self.disk.failing() {
-            self.file.write_all(plan.taken_of(bytes))?;
+            self.file.write_all(plan.written_part(bytes))?;
             return Err(plan.error());
         }
         AppendFile::append(&mut self.file, bytes)
@@ -175,22 +175,22 @@
     }
 }
 
-/// What a folder holds, in short: contents follow from positions.
+/// Summary of the content of a folder; contents are determined by positions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Held {
+struct Summary {
     term: u64,
     last: u64,
     snapshot: u64,
 }
 
-impl Held {
-    fn of(restored: &RestoredStorage) -> Held {
+impl Summary {
+    fn of(restored: &RestoredStorage) -> Summary {
         let covered = restored.snapshot_meta().last.index;
         let last = restored
             .entries
             .last()
             .map_or(covered, |it| it.position.index);
-        Held {
+        Summary {
             term: restored.hard_state.term,
             last,
             snapshot: covered,
@@ -198,15 +198,15 @@
     }
 }
 
-/// One seed.
+/// Run of one seed.
 struct Run {
     random: ChaCha8Rng,
     disk: Arc<FaultyDisk>,
     folder: PathBuf,
     options: StorageOptions,
-    /// What was written well, and what the write that failed would have made of it.
-    held: Held,
-    tried: Option<Held>,
+    /// Result of the successful writes, and of the failed write if it had succeeded.
+    written: Summary,
+    attempted: Option<Summary>,
 }
 
 impl Run {
@@ -217,17 +217,17 @@
             folder: root.join("data").join("member"),
             options: StorageOptions {
                 segment_bytes: SEGMENT_BYTES,
-                minimum_free_bytes: START_ROOM,
+                minimum_free_bytes: MINIMUM_FREE_BYTES,
                 files: Arc::new(FaultyFiles(disk.clone())),
                 ..StorageOptions::default()
             },
             disk,
-            held: Held::default(),
-            tried: None,
+            written: Summary::default(),
+            attempted: None,
         }
     }
 
-    /// The disk fails from some call on, now and then.
+    /// Randomly plans failures.
     fn draw_fault(&mut self) {
         let fails = self.random.random_bool(0.4);
         let kinds = [
@@ -236,16 +236,16 @@
             io::ErrorKind::Other,
         ];
         let plan = Plan {
-            after: fails.then(|| self.random.random_range(0..MOST_CALLS_BEFORE)),
+            after: fails.then(|| self.random.random_range(0..MAXIMUM_CALLS_BEFORE_FAILURE)),
             count: [1, 2, u64::MAX][self.random.random_range(0..3)],
             kind: Some(kinds[self.random.random_range(0..3)]),
-            taken: self.random.random_range(0..1_001),
-            happens: self.random.random_bool(0.5),
+            written_per_mille: self.random.random_range(0..1_001),
+            takes_effect: self.random.random_bool(0.5),
         };
         self.disk.set(plan);
     }
 
-    fn play(&mut self) {
+    fn execute(&mut self) {
         let mut storage = self.start();
         for _ in 0..WRITES {
             self.draw_fault();
@@ -260,10 +260,10 @@
         drop(self.start());
     }
 
-    /// Starts until it succeeds, the last time on a disk that is well; the first time there is no member yet.
+    /// Opens the folder until that succeeds, finally on a healthy disk. Initializes it if necessary.
     fn start(&mut self) -> Storage {
         for starts in 1.. {
-            if starts >= MOST_STARTS {
+            if starts >= MAXIMUM_STARTS {
                 self.disk.set(Plan::default());
             }
             match self.open() {
@@ -272,19 +272,22 @@
                     return storage;
                 }
                 Err(error) => {
-                    assert!(error.is_transient(), "a start is refused: {error}");
-                    assert!(starts < MOST_STARTS, "a disk that is well: {error}");
+                    assert!(error.is_transient(), "opening failed permanently: {error}");
+                    assert!(
+                        starts < MAXIMUM_STARTS,
+                        "opening failed on a healthy disk: {error}"
+                    );
                 }
             }
             self.draw_fault();
         }
-        unreachable!("the disk is well in the end")
+        unreachable!("the disk recovers")
     }
 
     fn open(&self) -> Result<(Storage, RestoredStorage), StorageError> {
         match Storage::open_with(&self.folder, self.options.clone()) {
             Err(StorageError::NotInitialized { .. }) => {
-                assert_eq!(self.held, Held::default(), "what was written is gone");
+                assert_eq!(self.written, Summary::default(), "written data is lost");
                 Storage::initialize_with(&self.folder, &self.options, identity(), initial())?;
                 Storage::open_with(&self.folder, self.options.clone())
             }
@@ -293,21 +296,21 @@
     }
 
     fn check(&mut self, restored: &RestoredStorage) {
-        let found = Held::of(restored);
-        let least = self.held;
-        let most = self.tried.take().unwrap_or(least);
+        let found = Summary::of(restored);
+        let minimum = self.written;
+        let maximum = self.attempted.take().unwrap_or(minimum);
         let within = |low, found, high| (low..=high).contains(&found);
         assert!(
-            within(least.term, found.term, most.term),
-            "{least:?} {found:?} {most:?}"
+            within(minimum.term, found.term, maximum.term),
+            "{minimum:?} {found:?} {maximum:?}"
         );
         assert!(
-            within(least.last, found.last, most.last),
-            "{least:?} {found:?} {most:?}"
+            within(minimum.last, found.last, maximum.last),
+            "{minimum:?} {found:?} {maximum:?}"
         );
         assert!(
-            found.snapshot == least.snapshot || found.snapshot == most.snapshot,
-            "{least:?} {found:?} {most:?}"
+            found.snapshot == minimum.snapshot || found.snapshot == maximum.snapshot,
+            "{minimum:?} {found:?} {maximum:?}"
         );
         let expected: Vec<u64> = (found.snapshot + 1..=found.last).collect();
         let indexes: Vec<u64> = restored
@@ -315,18 +318,18 @@
             .iter()
             .map(|it| it.position.index)
             .collect();
-        assert_eq!(indexes, expected, "entries without a gap");
-        for held in &restored.entries {
-            assert_eq!(*held, entry(1, held.position.index, BODY_BYTES));
+        assert_eq!(indexes, expected, "entries must be contiguous");
+        for stored in &restored.entries {
+            assert_eq!(*stored, entry(1, stored.position.index, BODY_BYTES));
         }
-        if let Some(held) = &restored.snapshot {
-            assert_eq!(*held, snapshot(1, found.snapshot));
+        if let Some(stored) = &restored.snapshot {
+            assert_eq!(*stored, snapshot(1, found.snapshot));
         }
-        self.held = found;
+        self.written = found;
     }
 
     fn write(&mut self, storage: &mut Storage) -> Result<(), StorageError> {
-        let mut next = self.held;
+        let mut next = self.written;
         let written = match self.random.random_range(0..10) {
             0 => {
                 next.snapshot = self.random.random_range(next.snapshot..=next.last);
@@ -357,8 +360,8 @@
             }
         };
         match &written {
-            Ok(()) => self.held = next,
-            Err(_) => self.tried = Some(next),
+            Ok(()) => self.written = next,
+            Err(_) => self.attempted = Some(next),
         }
         written
     }
@@ -366,7 +369,7 @@
     fn check_bytes(&self) {
         let files = contents(&self.folder);
         let bytes: u64 = files.iter().map(|(_, bytes)| bytes.len() as u64).sum();
-        assert!(bytes <= MOST_BYTES, "{bytes} bytes in the folder");
+        assert!(bytes <= MAXIMUM_BYTES, "{bytes} bytes in the folder");
     }
 }
 
@@ -379,11 +382,11 @@
 }
 
 #[test]
-fn any_call_may_fail_and_nothing_that_was_written_is_lost() {
+fn no_written_data_is_lost_when_calls_fail() {
     for seed in seeds() {
         let root = tempfile::tempdir().expect("folder");
-        let run = std::panic::AssertUnwindSafe(|| Run::new(seed, root.path()).play());
-        let played = std::panic::catch_unwind(run);
-        assert!(played.is_ok(), "seed {seed} failed");
+        let run = std::panic::AssertUnwindSafe(|| Run::new(seed, root.path()).execute());
+        let result = std::panic::catch_unwind(run);
+        assert!(result.is_ok(), "seed {seed} failed");
     }
 }
--- a/crates/millpass-storage/tests/lost_power.rs
+++ b/crates/millpass-storage/tests/lost_power.rs
@@ -1,11 +1,7 @@
-//! What is left of a folder when power is lost in the middle of a call: each name that was made, renamed or removed
-//! since the folder was last synced is kept or lost, each independently of the others.
+//! Power loss during storage calls. Each directory change since the last sync of the folder persists or is lost
+//! independently of the others.
 //!
-//! What users would see: after a loss of all power a member refuses to start, as "the segment before it is missing".
-//! Where a disk is lost at the same moment, two of three members are left and both are needed: nobody leads any more.
-//!
-//! Cause: a snapshot that covers several segments removes them one after the other. The removal of a later one may
-//! last while that of an earlier one does not, and the gap was taken for a segment that had been lost.
+//! Guards against mistaking partially persisted removals of covered segments for a lost segment.
 
 mod common;
 
@@ -27,8 +23,8 @@
     contents(folder).into_iter().collect()
 }
 
-/// Makes the folder hold exactly these files.
-fn lay_out(folder: &Path, wanted: &Files) {
+/// Replaces the content of the folder with these files.
+fn replace_files(folder: &Path, wanted: &Files) {
     for path in files(folder).into_keys() {
         fs::remove_file(path).expect("remove");
     }
@@ -37,7 +33,7 @@
     }
 }
 
-/// Every choice of some of these names.
+/// Returns all subsets of the names.
 fn subsets(names: &[PathBuf]) -> impl Iterator<Item = Vec<&PathBuf>> {
     (0..1_usize << names.len()).map(move |chosen| {
         let is_chosen = |(place, name)| (chosen & (1_usize << place) != 0).then_some(name);
@@ -45,8 +41,8 @@
     })
 }
 
-/// A folder with `ENTRIES` entries in several segments, of which the last is in the newest.
-fn written(folder: &Path) -> Storage {
+/// Opens a folder and writes `ENTRIES` entries into several segments.
+fn open_with_entries(folder: &Path) -> Storage {
     let (mut storage, _) = Storage::open_with(folder, small_segments()).expect("open");
     for index in 1..=ENTRIES {
         storage
@@ -56,8 +52,8 @@
     storage
 }
 
-/// Opens, checks that the folder takes writes and gives the same once more.
-fn reopened(folder: &Path, state: &str) -> RestoredStorage {
+/// Opens the folder and checks that it is writable and that reopening returns the same data.
+fn reopen_and_check(folder: &Path, state: &str) -> RestoredStorage {
     let opened = Storage::open_with(folder, small_segments());
     let (storage, restored) = opened.unwrap_or_else(|error| panic!("{state}: {error}"));
     drop(storage);
@@ -74,39 +70,39 @@
     restored
 }
 
-/// How the snapshot reaches the folder.
+/// Source of a snapshot.
 #[derive(Clone, Copy, Debug)]
-enum Arrives {
-    /// The member took it of what it had applied.
+enum SnapshotSource {
+    /// Taken by the member from its applied entries.
     Taken,
-    /// The leader sent it, for it covers more than the member has.
-    Sent,
+    /// Received from the leader; covers more than the member's log.
+    Received,
 }
 
-fn take(storage: &mut Storage, arrives: Arrives, snapshot: &Snapshot) {
-    match arrives {
-        Arrives::Taken => storage.save_snapshot(snapshot),
-        Arrives::Sent => storage.write(None, Some(snapshot), &[]),
+fn save(storage: &mut Storage, source: SnapshotSource, snapshot: &Snapshot) {
+    match source {
+        SnapshotSource::Taken => storage.save_snapshot(snapshot),
+        SnapshotSource::Received => storage.write(None, Some(snapshot), &[]),
     }
     .expect("snapshot");
 }
 
 #[rstest]
-#[case::one_segment_goes(Arrives::Taken, 2)]
-#[case::some_segments_go(Arrives::Taken, 7)]
-#[case::nearly_all_go(Arrives::Taken, 13)]
-#[case::all_entries_go(Arrives::Taken, ENTRIES)]
-#[case::beyond_the_log(Arrives::Sent, ENTRIES + 10)]
-fn a_member_starts_whichever_removals_of_a_snapshot_lasted(
-    #[case] arrives: Arrives,
+#[case::one_segment_removed(SnapshotSource::Taken, 2)]
+#[case::some_segments_removed(SnapshotSource::Taken, 7)]
+#[case::nearly_all_segments_removed(SnapshotSource::Taken, 13)]
+#[case::all_entries_covered(SnapshotSource::Taken, ENTRIES)]
+#[case::beyond_the_log(SnapshotSource::Received, ENTRIES + 10)]
+fn a_member_starts_whichever_removals_after_a_snapshot_persisted(
+    #[case] source: SnapshotSource,
     #[case] index: u64,
 ) {
     let (_root, folder) = new_folder();
-    let mut storage = written(&folder);
-    // An older snapshot, which the next one removes.
+    let mut storage = open_with_entries(&folder);
+    // The next snapshot removes this one.
     storage.save_snapshot(&snapshot(1, 1)).expect("snapshot");
     let before = files(&folder);
-    take(&mut storage, arrives, &snapshot(1, index));
+    save(&mut storage, source, &snapshot(1, index));
     drop(storage);
     let after = files(&folder);
     let removed: Vec<PathBuf> = before
@@ -115,36 +111,41 @@
         .cloned()
         .collect();
     assert!(!removed.is_empty());
-    for left in subsets(&removed) {
+    for remaining in subsets(&removed) {
         let mut state = after.clone();
         state.extend(
-            left.iter()
+            remaining
+                .iter()
                 .map(|name| ((*name).clone(), before[*name].clone())),
         );
-        lay_out(&folder, &state);
-        let restored = reopened(&folder, &format!("still there: {left:?}"));
-        assert_eq!(restored.snapshot, Some(snapshot(1, index)), "{left:?}");
-        assert_eq!(restored.hard_state, hard_state(ENTRIES), "{left:?}");
+        replace_files(&folder, &state);
+        let restored = reopen_and_check(&folder, &format!("not removed: {remaining:?}"));
+        assert_eq!(restored.snapshot, Some(snapshot(1, index)), "{remaining:?}");
+        assert_eq!(restored.hard_state, hard_state(ENTRIES), "{remaining:?}");
         let kept: Vec<u64> = restored
             .entries
             .iter()
             .map(|entry| entry.position.index)
             .collect();
-        assert_eq!(kept, (index + 1..=ENTRIES).collect::<Vec<_>>(), "{left:?}");
+        assert_eq!(
+            kept,
+            (index + 1..=ENTRIES).collect::<Vec<_>>(),
+            "{remaining:?}"
+        );
     }
 }
 
 #[rstest]
-#[case::taken(Arrives::Taken, 7)]
-#[case::sent(Arrives::Sent, ENTRIES + 10)]
-fn a_member_starts_whichever_names_of_a_new_snapshot_lasted(
-    #[case] arrives: Arrives,
+#[case::taken(SnapshotSource::Taken, 7)]
+#[case::received(SnapshotSource::Received, ENTRIES + 10)]
+fn a_member_starts_whichever_directory_entries_of_a_new_snapshot_persisted(
+    #[case] source: SnapshotSource,
     #[case] index: u64,
 ) {
     let (_root, folder) = new_folder();
-    let mut storage = written(&folder);
+    let mut storage = open_with_entries(&folder);
     let before = files(&folder);
-    take(&mut storage, arrives, &snapshot(1, index));
+    save(&mut storage, source, &snapshot(1, index));
     drop(storage);
     let after = files(&folder);
     let (name, content) = after
@@ -152,7 +153,7 @@
         .find(|(name, _)| !before.contains_key(*name))
         .expect("a new file");
     let temporary = PathBuf::from(format!("{}.tmp", name.display()));
-    // Nothing is removed before the folder was synced with the new name in it.
+    // Files are only removed after the folder was synced with the new snapshot.
     for length in [None, Some(0), Some(content.len() / 2), Some(content.len())] {
         for renamed in [false, true] {
             let mut state = before.clone();
@@ -162,9 +163,9 @@
             if renamed {
                 state.insert(name.clone(), content.clone());
             }
-            lay_out(&folder, &state);
-            let case = format!("half-written: {length:?}, renamed: {renamed}");
-            let restored = reopened(&folder, &case);
+            replace_files(&folder, &state);
+            let case = format!("incomplete: {length:?}, renamed: {renamed}");
+            let restored = reopen_and_check(&folder, &case);
             assert_eq!(restored.snapshot.is_some(), renamed, "{case}");
             if !renamed {
                 assert_eq!(restored.entries.len() as u64, ENTRIES, "{case}");
@@ -174,9 +175,9 @@
 }
 
 #[test]
-fn a_member_starts_when_power_was_lost_while_a_segment_was_begun() {
+fn a_member_starts_after_power_loss_during_the_creation_of_a_segment() {
     let (_root, folder) = new_folder();
-    let mut storage = written(&folder);
+    let mut storage = open_with_entries(&folder);
     let mut index = ENTRIES;
     let (before, after) = loop {
         let before = files(&folder);
@@ -194,7 +195,7 @@
         .iter()
         .find(|(name, _)| !before.contains_key(*name))
         .expect("a new segment");
-    // What it held before the first entry: nothing of it is on the disk, a part, or all.
+    // None, a part or all of the initial content is on the disk.
     let whole = content.len();
     for length in 0..=whole {
         let mut state = before.clone();
@@ -202,44 +203,44 @@
             PathBuf::from(format!("{}.tmp", name.display())),
             content[..length].to_vec(),
         );
-        lay_out(&folder, &state);
-        let restored = reopened(&folder, &format!("{length} of {whole} bytes"));
+        replace_files(&folder, &state);
+        let restored = reopen_and_check(&folder, &format!("{length} of {whole} bytes"));
         assert_eq!(restored.entries.len() as u64, index - 1);
     }
 }
 
 #[test]
-fn a_folder_that_was_being_made_is_made_again() {
+fn an_interrupted_initialization_can_be_repeated() {
     let (_root, folder) = new_folder();
     let whole = files(&folder);
     let names: Vec<PathBuf> = whole.keys().cloned().collect();
     let identity = folder.join("identity");
     for lost in subsets(&names) {
-        // The identity's name is synced last, after all others.
+        // The identity file is synced last.
         if !lost.contains(&&identity) && !lost.is_empty() {
             continue;
         }
         let mut state = whole.clone();
         state.retain(|name, _| !lost.contains(&name));
-        lay_out(&folder, &state);
+        replace_files(&folder, &state);
         if lost.contains(&&identity) {
-            let made = Storage::initialize(&folder, common::identity(), initial());
-            made.unwrap_or_else(|error| panic!("lost {lost:?}: {error}"));
+            let initialized = Storage::initialize(&folder, common::identity(), initial());
+            initialized.unwrap_or_else(|error| panic!("lost {lost:?}: {error}"));
         }
-        let restored = reopened(&folder, &format!("lost: {lost:?}"));
+        let restored = reopen_and_check(&folder, &format!("lost: {lost:?}"));
         assert_eq!(restored.identity, common::identity());
     }
 }
 
-/// Bytes of the segment that the disk is known to hold.
-static ON_DISK: AtomicU64 = AtomicU64::new(0);
+/// Synced length of the segment.
+static SYNCED_LENGTH: AtomicU64 = AtomicU64::new(0);
 /// Whether the process is killed before its next sync.
 static KILLED: AtomicBool = AtomicBool::new(false);
 
-/// A file whose synced length is noted; a killed process leaves what it wrote, not synced.
-struct Watched(fs::File);
+/// A file that records its synced length; a killed process leaves unsynced writes.
+struct TrackedFile(fs::File);
 
-impl AppendFile for Watched {
+impl AppendFile for TrackedFile {
     fn append(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         AppendFile::append(&mut self.0, bytes)
     }
@@ -248,12 +249,12 @@
         if KILLED.load(Ordering::Relaxed) {
             return Err(std::io::Error::other("killed"));
         }
-        ON_DISK.store(self.0.metadata()?.len(), Ordering::Relaxed);
+        SYNCED_LENGTH.store(self.0.metadata()?.len(), Ordering::Relaxed);
         Ok(())
     }
 
     fn truncate(&mut self, length: u64) -> std::io::Result<()> {
-        // A process that was killed makes no further call.
+        // A killed process makes no further calls.
         if KILLED.load(Ordering::Relaxed) {
             return Err(std::io::Error::other("killed"));
         }
@@ -261,16 +262,16 @@
     }
 }
 
-fn watched(file: fs::File) -> Box<dyn AppendFile> {
-    Box::new(Watched(file))
+fn tracked(file: fs::File) -> Box<dyn AppendFile> {
+    Box::new(TrackedFile(file))
 }
 
-/// A process is killed between a write and its sync, and started again. It finds the entry and tells the leader that
-/// it has it; the leader commits it and acknowledges the change. Then power is lost.
+/// A process is killed between a write and its sync. After a restart it may acknowledge the entry, which must then
+/// survive a power loss.
 #[test]
-fn what_a_start_gives_back_outlasts_the_next_loss_of_power() {
+fn restored_entries_survive_the_next_power_loss() {
     let (_root, folder) = new_folder();
-    let options = appended_through(watched);
+    let options = appended_through(tracked);
     let (mut storage, _) = Storage::open_with(&folder, options.clone()).expect("open");
     storage
         .write(Some(&hard_state(1)), None, &entries(1, 1..=3))
@@ -282,11 +283,15 @@
     drop(storage);
     KILLED.store(false, Ordering::Relaxed);
     let (storage, started) = Storage::open_with(&folder, options.clone()).expect("open");
-    assert_eq!(started.entries.len(), 4, "the process finds what it wrote");
+    assert_eq!(
+        started.entries.len(),
+        4,
+        "the unsynced entry must be restored"
+    );
     drop(storage);
     let segment = files_named(&folder, "log-")[0].clone();
     let file = fs::File::options().write(true).open(segment);
-    let cut = file.and_then(|file| file.set_len(ON_DISK.load(Ordering::Relaxed)));
+    let cut = file.and_then(|file| file.set_len(SYNCED_LENGTH.load(Ordering::Relaxed)));
     cut.expect("loss of power");
     let (_storage, restored) = open(&folder);
     assert_eq!(restored.entries, started.entries);
--- a/crates/millpass-storage/tests/reopen.rs
+++ b/crates/millpass-storage/tests/reopen.rs
@@ -1,4 +1,4 @@
-//! Reopening a folder gives what was synced.
+//! Reopening a folder restores the synced data.
 
 mod common;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn writes_come_back_and_conflicting_entries_cut_the_log() {
+fn writes_are_restored_and_conflicting_entries_truncate_the_log() {
     let (_root, folder) = new_folder();
     let (mut storage, _) = open(&folder);
     storage
@@ -93,7 +93,7 @@
         .write(None, Some(&snapshot(4, 10)), &[])
         .expect("write");
     drop(storage);
-    std::fs::write(&log, before).expect("the machine died before the log record");
+    std::fs::write(&log, before).expect("restore the log without the record");
     let (mut storage, restored) = open(&folder);
     assert_eq!(restored.snapshot, Some(snapshot(4, 10)));
     assert!(restored.entries.is_empty());
@@ -120,11 +120,11 @@
     ));
 }
 
-/// One step of a random run. Numbers are taken relative to the state of the model.
+/// A step of a random run. Numbers are relative to the state of the model.
 #[derive(Clone, Debug)]
 enum Action {
     Append { count: u64, size: usize },
-    Cut { back: u64, count: u64 },
+    Truncate { back: u64, count: u64 },
     HardState,
     SaveSnapshot { back: u64 },
     ReceiveSnapshot { ahead: u64 },
@@ -135,7 +135,7 @@
 fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         4 => (1_u64..5, 0_usize..60).prop_map(|(count, size)| Action::Append { count, size }),
-        3 => (0_u64..8, 1_u64..4).prop_map(|(back, count)| Action::Cut { back, count }),
+        3 => (0_u64..8, 1_u64..4).prop_map(|(back, count)| Action::Truncate { back, count }),
         2 => Just(Action::HardState),
         2 => (0_u64..12).prop_map(|back| Action::SaveSnapshot { back }),
         1 => (1_u64..9).prop_map(|ahead| Action::ReceiveSnapshot { ahead }),
@@ -144,14 +144,14 @@
     ]
 }
 
-/// What the folder must hold.
+/// Expected content of the folder.
 struct Model {
     term: u64,
     hard_state: HardState,
     snapshot: Option<Snapshot>,
     base: LogPosition,
     entries: Vec<LogEntry>,
-    /// The log may not be cut at or before this index, as a committed prefix may not.
+    /// Committed index; the log must not be truncated at or before it.
     committed: u64,
 }
 
@@ -175,7 +175,7 @@
                 let added = self.append(self.last() + 1, *count, *size);
                 storage.write(None, None, &added).expect("write");
             }
-            Action::Cut { back, count } => {
+            Action::Truncate { back, count } => {
                 self.term += 1;
                 let first = (self.last() + 1)
                     .saturating_sub(*back)
@@ -221,8 +221,8 @@
 
     fn save_snapshot(&mut self, storage: &mut Storage, back: u64) {
         let index = self.last().saturating_sub(back);
-        let held = self.entries.iter().find(|e| e.position.index == index);
-        let Some(position) = held.map(|e| e.position) else {
+        let found = self.entries.iter().find(|e| e.position.index == index);
+        let Some(position) = found.map(|e| e.position) else {
             return;
         };
         let taken = snapshot(position.term, position.index);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn any_run_reopens_as_it_was_synced() {
+fn random_runs_reopen_with_the_synced_data() {
     let config = Config {
         cases: 96,
         failure_persistence: None,
