--- a/crates/millpass-control/src/api/specs.rs
+++ b/crates/millpass-control/src/api/specs.rs
@@ -1,22 +1,22 @@
-//! Content of objects to JSON and back.
+//! Conversion of object content to and from JSON.
 
 use millpass_proto::{ObjectKind, ObjectSpec};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Why JSON is not the content of an object.
+/// Why JSON is not valid object content.
 #[derive(Debug, thiserror::Error)]
 pub enum SpecError {
-    /// A field is missing or of another type.
-    #[error("the content does not fit the kind: {0}; correct that field")]
+    /// A field is missing or has the wrong type.
+    #[error("the content does not match the kind: {0}; correct that field")]
     Invalid(#[from] serde_json::Error),
     /// A field that the kind does not have.
     #[error("unknown field `{0}`; remove it or correct its name")]
     UnknownField(String),
 }
 
-/// Content as JSON, without its kind.
+/// Converts content to JSON, without its kind.
 pub fn spec_to_json(spec: &ObjectSpec) -> Result<Value, serde_json::Error> {
     match spec {
         ObjectSpec::Tenant(tenant) => serde_json::to_value(tenant),
@@ -29,7 +29,8 @@
     }
 }
 
-/// Content of this kind from JSON. Every field but optional ones must be there, and no other.
+/// Parses content of this kind. All required fields must be present, and unknown fields are
+/// rejected.
 pub fn spec_from_json(kind: ObjectKind, json: &Value) -> Result<ObjectSpec, SpecError> {
     match kind {
         ObjectKind::Tenant => read(json).map(ObjectSpec::Tenant),
@@ -44,28 +45,26 @@
 
 fn read<T: DeserializeOwned + Serialize>(json: &Value) -> Result<T, SpecError> {
     let content = T::deserialize(json)?;
-    let understood = serde_json::to_value(&content)?;
-    match unknown_field(json, &understood) {
+    let parsed = serde_json::to_value(&content)?;
+    match unknown_field(json, &parsed) {
         Some(field) => Err(SpecError::UnknownField(field)),
         None => Ok(content),
     }
 }
 
-/// First field of what was given that is not in what was understood.
-fn unknown_field(given: &Value, understood: &Value) -> Option<String> {
-    match (given, understood) {
-        (Value::Object(given), Value::Object(understood)) => {
-            given.iter().find_map(|(name, value)| {
-                let Some(known) = understood.get(name) else {
-                    return Some(name.clone());
-                };
-                unknown_field(value, known)
-            })
-        }
-        (Value::Array(given), Value::Array(understood)) => given
+/// Returns the first field of `given` that is missing from `parsed`.
+fn unknown_field(given: &Value, parsed: &Value) -> Option<String> {
+    match (given, parsed) {
+        (Value::Object(given), Value::Object(parsed)) => given.iter().find_map(|(name, value)| {
+            let Some(known) = parsed.get(name) else {
+                return Some(name.clone());
+            };
+            unknown_field(value, known)
+        }),
+        (Value::Array(given), Value::Array(parsed)) => given
             .iter()
-            .zip(understood)
-            .find_map(|(given, understood)| unknown_field(given, understood)),
+            .zip(parsed)
+            .find_map(|(given, parsed)| unknown_field(given, parsed)),
         _ => None,
     }
 }
