--- a/crates/millpass-control/src/disk_watch.rs
+++ b/crates/millpass-control/src/disk_watch.rs
@@ -81,7 +81,7 @@
 impl SpaceWatch {
     pub(crate) fn new(options: &StorageOptions) -> Self {
         SpaceWatch {
-            maximum_bytes: options.most_bytes(),
+            maximum_bytes: options.maximum_bytes(),
             largest_state_bytes: options.largest_state_bytes,
             checks: Throttle::new(CHECK_INTERVAL),
             warnings: Throttle::new(WARNING_INTERVAL),
