--- a/crates/millpass-experiment/src/fleet.rs
+++ b/crates/millpass-experiment/src/fleet.rs
@@ -155,7 +155,7 @@
                 | EngineOutput::Refused(..)
                 | EngineOutput::Finished(..) => self.outputs.push(output),
                 EngineOutput::Tokens { .. }
-                | EngineOutput::OrderAnswered(_)
+                | EngineOutput::OrderResponse(_)
                 | EngineOutput::CacheImported(_) => {}
             }
         }
@@ -165,7 +165,7 @@
         for output in self.store.step(now, input) {
             let (transfer, result) = match output {
                 StoreOutput::Done(transfer) => (transfer, FetchResult::Done),
-                StoreOutput::Refused(transfer, pause) => (transfer, FetchResult::Later(pause)),
+                StoreOutput::Refused(transfer, pause) => (transfer, FetchResult::RetryAfter(pause)),
             };
             if let Some((engine, fetch)) = self.transfers.remove(&transfer) {
                 self.step_engine(now, engine, EngineInput::FetchEnded(fetch, result));
--- a/crates/millpass-load/src/expected.rs
+++ b/crates/millpass-load/src/expected.rs
@@ -1,7 +1,7 @@
 //! What the answer of a request must be.
 
 use millpass_proto::{AdapterName, ModelName, VersionLabel};
-use millpass_standin::content::Answer;
+use millpass_standin::content::Completion;
 
 /// Tokens of the answer, in order.
 pub fn expected_tokens(
@@ -11,6 +11,6 @@
     prompt: &str,
     tokens: u32,
 ) -> Vec<String> {
-    let answer = Answer::new(model, version, adapter, prompt);
+    let answer = Completion::new(model, version, adapter, prompt);
     (0..tokens).map(|position| answer.token(position)).collect()
 }
--- a/crates/millpass-router/examples/router_bench/callers.rs
+++ b/crates/millpass-router/examples/router_bench/callers.rs
@@ -6,7 +6,7 @@
 use crate::common::completion_to;
 use anyhow::{Result, ensure};
 use hdrhistogram::Histogram;
-use millpass_standin::content::Answer;
+use millpass_standin::content::Completion;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Barrier, OnceLock};
@@ -101,8 +101,8 @@
 
 /// Returns true if `text` is the complete response to `prompt`.
 pub fn is_expected_response(prompt: &str, tokens: u32, text: &str) -> bool {
-    let expected = Answer::new(&"writer".into(), &"v1".into(), None, prompt);
-    expected.is_whole(0, tokens, text)
+    let expected = Completion::new(&"writer".into(), &"v1".into(), None, prompt);
+    expected.matches(0, tokens, text)
 }
 
 /// Sends a load over the targets in turn; returns the latencies of each.
--- a/crates/millpass-router/tests/standin.rs
+++ b/crates/millpass-router/tests/standin.rs
@@ -91,8 +91,8 @@
     } else {
         text_of(&response)
     };
-    let expected = content::Answer::new(&"writer".into(), &"v1".into(), None, PROMPT);
-    assert!(expected.is_whole(0, 12, &text), "{text}");
+    let expected = content::Completion::new(&"writer".into(), &"v1".into(), None, PROMPT);
+    assert!(expected.matches(0, 12, &text), "{text}");
     assert_eq!(request_counts(&engine), (1, 1, 0));
 }
 
--- a/crates/millpass-standin/examples/capacity.rs
+++ b/crates/millpass-standin/examples/capacity.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, Result, bail};
 use millpass_proto::*;
-use millpass_standin::content::Answer;
+use millpass_standin::content::Completion;
 use millpass_standin::engine::*;
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
@@ -120,8 +120,8 @@
         text.push_str(event["choices"][0]["text"].as_str().unwrap_or_default());
     }
     let version = VersionLabel::from("1");
-    let answer = Answer::new(&ModelName::from(MODEL), &version, None, &prompt);
-    Ok(answer.is_whole(0, u32::try_from(tokens)?, &text))
+    let answer = Completion::new(&ModelName::from(MODEL), &version, None, &prompt);
+    Ok(answer.matches(0, u32::try_from(tokens)?, &text))
 }
 
 fn measure_engines(count: u64) -> Result<()> {
--- a/crates/millpass-standin/src/content.rs
+++ b/crates/millpass-standin/src/content.rs
@@ -14,12 +14,12 @@
 
 /// Text of one answer, token by token.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Completion {
     seed: u64,
     nonce: String,
 }
 
-impl Answer {
+impl Completion {
     /// The answer of `model` in `version`, with `adapter` if any, to `prompt`.
     pub fn new(
         model: &ModelName,
@@ -29,7 +29,7 @@
     ) -> Self {
         let adapter = adapter.map_or("", AdapterName::as_str);
         let seed = hash_parts(&[model.as_str(), version.as_str(), adapter, prompt]);
-        Answer {
+        Completion {
             seed,
             nonce: nonce_of(prompt).unwrap_or("-").to_owned(),
         }
@@ -47,7 +47,7 @@
     }
 
     /// Whether `text` is the whole of the tokens `from..to`, and nothing else.
-    pub fn is_whole(&self, from: u32, to: u32, text: &str) -> bool {
+    pub fn matches(&self, from: u32, to: u32, text: &str) -> bool {
         self.text(from, to) == text
     }
 }
--- a/crates/millpass-standin/src/crashing.rs
+++ b/crates/millpass-standin/src/crashing.rs
@@ -35,23 +35,23 @@
 
 /// What the server does with a request.
 #[derive(Clone, Debug)]
-pub enum Reaction {
+pub enum RequestAction {
     /// Sends these bytes, a whole answer.
-    Answer(Vec<u8>),
+    Respond(Vec<u8>),
     /// Sends these bytes, the beginning of an answer, and ends.
-    End(Vec<u8>),
+    Crash(Vec<u8>),
 }
 
 /// Decides what to do with a request; called on the connection's thread, so it may take its time.
-pub type Reactor = dyn Fn(&RawRequest) -> Reaction + Send + Sync;
+pub type RequestHandler = dyn Fn(&RawRequest) -> RequestAction + Send + Sync;
 
 struct Inner {
     listener: TcpListener,
     /// Keeps the port from others while nobody listens at it.
     _holder: Socket,
     address: SocketAddr,
-    react: Box<Reactor>,
-    ended: AtomicBool,
+    react: Box<RequestHandler>,
+    crashed: AtomicBool,
     stopping: AtomicBool,
     connections: Mutex<Vec<TcpStream>>,
 }
@@ -63,8 +63,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn end(&self) {
-        self.ended.store(true, Ordering::Release);
+    fn crash(&self) {
+        self.crashed.store(true, Ordering::Release);
         // A socket that is not connected has nothing to shut down; that is no failure here.
         let _ = SockRef::from(&self.listener).shutdown(Shutdown::Both);
         for connection in self.connections().drain(..) {
@@ -73,8 +73,8 @@
         }
     }
 
-    fn has_ended(&self) -> bool {
-        self.ended.load(Ordering::Acquire)
+    fn has_crashed(&self) -> bool {
+        self.crashed.load(Ordering::Acquire)
     }
 }
 
@@ -86,14 +86,14 @@
 
 impl CrashingServer {
     /// Listens on a free port of loopback.
-    pub fn start(react: Box<Reactor>) -> io::Result<CrashingServer> {
+    pub fn start(react: Box<RequestHandler>) -> io::Result<CrashingServer> {
         let (holder, listener) = listen()?;
         let inner = Arc::new(Inner {
             address: listener.local_addr()?,
             listener,
             _holder: holder,
             react,
-            ended: AtomicBool::new(false),
+            crashed: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             connections: Mutex::default(),
         });
@@ -108,8 +108,8 @@
     }
 
     /// Whether it has ended and not begun again.
-    pub fn has_ended(&self) -> bool {
-        self.inner.has_ended()
+    pub fn has_crashed(&self) -> bool {
+        self.inner.has_crashed()
     }
 
     /// Connections of this run.
@@ -118,21 +118,21 @@
     }
 
     /// Ends it from outside, as a kill does.
-    pub fn end(&self) {
-        self.inner.end();
+    pub fn crash(&self) {
+        self.inner.crash();
     }
 
     /// Begins again at the same address.
-    pub fn begin_again(&self) -> io::Result<()> {
+    pub fn restart(&self) -> io::Result<()> {
         SockRef::from(&self.inner.listener).listen(BACKLOG)?;
-        self.inner.ended.store(false, Ordering::Release);
+        self.inner.crashed.store(false, Ordering::Release);
         Ok(())
     }
 
     /// Ends it for good.
     pub fn stop(&self) {
         self.inner.stopping.store(true, Ordering::Release);
-        self.inner.end();
+        self.inner.crash();
     }
 }
 
@@ -162,8 +162,8 @@
             continue;
         };
         inner.connections().push(kept);
-        if inner.has_ended() {
-            inner.end();
+        if inner.has_crashed() {
+            inner.crash();
             continue;
         }
         let serving = inner.clone();
@@ -176,14 +176,14 @@
     let mut reader = BufReader::new(stream);
     while let Some(request) = read_request(&mut reader) {
         match (inner.react)(&request) {
-            Reaction::Answer(bytes) => {
+            RequestAction::Respond(bytes) => {
                 if reader.get_mut().write_all(&bytes).is_err() {
                     return;
                 }
             }
-            Reaction::End(bytes) => {
+            RequestAction::Crash(bytes) => {
                 let _ = reader.get_mut().write_all(&bytes);
-                return inner.end();
+                return inner.crash();
             }
         }
     }
--- a/crates/millpass-standin/src/engine/events.rs
+++ b/crates/millpass-standin/src/engine/events.rs
@@ -20,8 +20,8 @@
     pub fn new(publishing: &PublishingSettings, limits: &EngineLimits) -> Self {
         EventLog {
             publishing: publishing.clone(),
-            kept: limits.kept_events,
-            per_answer: limits.events_per_answer,
+            kept: limits.retained_events,
+            per_answer: limits.events_per_response,
             next_number: 1,
             events: VecDeque::new(),
         }
--- a/crates/millpass-standin/src/engine/front/calls.rs
+++ b/crates/millpass-standin/src/engine/front/calls.rs
@@ -1,6 +1,6 @@
 //! Reads a completion request: body by API, and the headers that routers add.
 
-use crate::content::{self, Answer};
+use crate::content::{self, Completion};
 use crate::engine::messages::{EngineRequest, RequestHandle};
 use crate::engine::model::EngineModel;
 use crate::run::{ScaledClock, header_number, header_text, malformed_header, parse_json};
@@ -100,7 +100,7 @@
     /// Its version.
     pub version: VersionLabel,
     /// Text of the answer.
-    pub answer: Answer,
+    pub answer: Completion,
     /// What the batch gets to see. The driver sets the handle.
     pub request: EngineRequest,
 }
@@ -167,7 +167,7 @@
         Call {
             api: self.api,
             is_streamed: self.body.is_streamed,
-            answer: Answer::new(&model, &version, self.adapter.as_ref(), &self.body.prompt),
+            answer: Completion::new(&model, &version, self.adapter.as_ref(), &self.body.prompt),
             model,
             version,
             request: EngineRequest {
--- a/crates/millpass-standin/src/engine/front/fetches.rs
+++ b/crates/millpass-standin/src/engine/front/fetches.rs
@@ -47,7 +47,7 @@
     fn start(&self, id: FetchId, checkpoint: String, bytes: u64) {
         if self.running.fetch_add(1, Ordering::Relaxed) >= MAXIMUM_FETCHES {
             self.running.fetch_sub(1, Ordering::Relaxed);
-            return end(&self.driver, id, FetchResult::Later(BUSY_PAUSE));
+            return end(&self.driver, id, FetchResult::RetryAfter(BUSY_PAUSE));
         }
         let (driver, store) = (self.driver.clone(), self.store.clone());
         let running = self.running.clone();
--- a/crates/millpass-standin/src/engine/front/service.rs
+++ b/crates/millpass-standin/src/engine/front/service.rs
@@ -38,7 +38,7 @@
             EngineOutput::Started(request) | EngineOutput::Tokens { request, .. } => {
                 Some((request.0, false))
             }
-            EngineOutput::OrderAnswered(_)
+            EngineOutput::OrderResponse(_)
             | EngineOutput::Fetch { .. }
             | EngineOutput::AbandonFetch(_)
             | EngineOutput::CacheImported(_) => None,
@@ -143,11 +143,11 @@
         let mut outputs = self.driver.input(EngineInput::Order(order));
         let place = outputs
             .iter()
-            .position(|output| matches!(output, EngineOutput::OrderAnswered(_)));
+            .position(|output| matches!(output, EngineOutput::OrderResponse(_)));
         let answer = place.map(|place| outputs.swap_remove(place));
         self.fetches.start_all(outputs);
         match answer {
-            Some(EngineOutput::OrderAnswered(answer)) => {
+            Some(EngineOutput::OrderResponse(answer)) => {
                 log_order(&summary, &answer);
                 json_answer(StatusCode::OK, &answer)
             }
--- a/crates/millpass-standin/src/engine/loading.rs
+++ b/crates/millpass-standin/src/engine/loading.rs
@@ -68,12 +68,12 @@
                 self.checkpoints.store(&checkpoint, bytes);
                 self.begin_copy(now, slot, adapter, from_memory);
             }
-            FetchResult::Later(pause) if part.retries < retries_allowed => {
+            FetchResult::RetryAfter(pause) if part.retries < retries_allowed => {
                 part.retries += 1;
                 self.timers
                     .set(now + pause, Timer::FetchAgain(slot, adapter));
             }
-            FetchResult::Later(_) => {
+            FetchResult::RetryAfter(_) => {
                 let reason = "weight store stayed at its limit; order the load later".to_owned();
                 self.fail_load(now, slot, adapter, reason);
             }
@@ -186,7 +186,7 @@
     }
 
     fn set_unload_bound(&mut self, now: Timestamp, slot: SlotId) {
-        let cut_at = self.settings.limits.unload_bound.map(|bound| now + bound);
+        let cut_at = self.settings.limits.unload_timeout.map(|bound| now + bound);
         let Some(state) = self.slots.get_mut(&slot) else {
             return;
         };
--- a/crates/millpass-standin/src/engine/messages.rs
+++ b/crates/millpass-standin/src/engine/messages.rs
@@ -51,7 +51,7 @@
     /// The checkpoint is here.
     Done,
     /// The store is at its limit; ask again after this time.
-    Later(Duration),
+    RetryAfter(Duration),
     /// It failed, for this reason.
     Failed(String),
 }
@@ -128,7 +128,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
     /// Answer to the order of this step.
-    OrderAnswered(OrderResponse),
+    OrderResponse(OrderResponse),
     /// The request did not run.
     Refused(RequestHandle, Refusal),
     /// The request entered the running batch for the first time; it now counts as executed.
--- a/crates/millpass-standin/src/engine/model.rs
+++ b/crates/millpass-standin/src/engine/model.rs
@@ -54,7 +54,7 @@
     pub fn new(settings: EngineSettings, now: Timestamp) -> Self {
         let memory = AcceleratorMemory::new(settings.accelerator_bytes.clone());
         let checkpoints = CheckpointCache::new(&settings.checkpoints);
-        let fences = FenceLedger::new(settings.limits.remembered_orders);
+        let fences = FenceLedger::new(settings.limits.retained_orders);
         let idle = IdleClock::new(now, memory.accelerators());
         let first = first_report(&settings, &checkpoints);
         let (lag, interval) = (
@@ -73,8 +73,8 @@
             timers: Timers::default(),
             events: EventLog::new(&settings.publishing, &settings.limits),
             counters: blank_audit(settings.backend.clone(), settings.incarnation),
-            request_runs: RunCounts::new(settings.limits.remembered_runs),
-            key_runs: RunCounts::new(settings.limits.remembered_runs),
+            request_runs: RunCounts::new(settings.limits.tracked_runs),
+            key_runs: RunCounts::new(settings.limits.tracked_runs),
             failing_loads: 0,
             step_percent: NORMAL_STEP_PERCENT,
             outputs: Vec::new(),
@@ -251,9 +251,9 @@
 
     fn begin_event(&mut self, at: Timestamp) {
         self.idle.advance(at);
-        if self.reports.wants(at) {
+        if self.reports.should_record(at) {
             let state = self.current_report();
-            self.reports.keep(at, state);
+            self.reports.record(at, state);
         }
     }
 
--- a/crates/millpass-standin/src/engine/orders.rs
+++ b/crates/millpass-standin/src/engine/orders.rs
@@ -18,7 +18,7 @@
     /// Judges an order and, if it is new, carries it out.
     pub(super) fn take_order(&mut self, now: Timestamp, order: EngineOrder) {
         let answer = self.judge_order(now, order);
-        self.outputs.push(EngineOutput::OrderAnswered(answer));
+        self.outputs.push(EngineOutput::OrderResponse(answer));
     }
 
     fn judge_order(&mut self, now: Timestamp, order: EngineOrder) -> OrderResponse {
@@ -209,7 +209,7 @@
 
     /// Keeps the table of gone slots and adapters within its bound; the oldest fences go first.
     fn forget_gone_slots(&mut self) {
-        let bound = self.settings.limits.reported_gone_slots;
+        let bound = self.settings.limits.reported_unloaded_slots;
         let gone = self.slots.iter().filter(|(_, slot)| slot.weights.is_gone());
         let mut by_fence: BTreeMap<(LogPosition, SlotId), ()> = gone
             .map(|(id, slot)| ((slot.weights.fence, *id), ()))
--- a/crates/millpass-standin/src/engine/settings.rs
+++ b/crates/millpass-standin/src/engine/settings.rs
@@ -96,7 +96,7 @@
     /// Most prompt tokens outside the cache that a decode engine prefills itself.
     pub decode_prefill_tokens: u32,
     /// Longest wait for running requests in an unload; `None` waits until they end.
-    pub unload_bound: Option<Duration>,
+    pub unload_timeout: Option<Duration>,
     /// Times a load asks the weight store again after "later"; then it fails.
     pub fetch_retries: u32,
     /// Most slots, gone ones not counted.
@@ -104,15 +104,15 @@
     /// Most adapters beside one slot, gone ones not counted.
     pub adapters_per_slot: usize,
     /// Slots that are gone or failed and still reported.
-    pub reported_gone_slots: usize,
+    pub reported_unloaded_slots: usize,
     /// Orders whose answers are remembered for resends.
-    pub remembered_orders: usize,
+    pub retained_orders: usize,
     /// Request identities and idempotency keys whose runs are counted.
-    pub remembered_runs: usize,
+    pub tracked_runs: usize,
     /// Cache events kept.
-    pub kept_events: usize,
+    pub retained_events: usize,
     /// Most cache events in one answer.
-    pub events_per_answer: usize,
+    pub events_per_response: usize,
 }
 
 impl Default for EngineLimits {
@@ -124,15 +124,15 @@
             maximum_tokens: 4_096,
             cache_bytes_per_token: 128 * 1024,
             decode_prefill_tokens: 64,
-            unload_bound: None,
+            unload_timeout: None,
             fetch_retries: 20,
             slots: 64,
             adapters_per_slot: 256,
-            reported_gone_slots: 64,
-            remembered_orders: 256,
-            remembered_runs: 65_536,
-            kept_events: 1_024,
-            events_per_answer: 256,
+            reported_unloaded_slots: 64,
+            retained_orders: 256,
+            tracked_runs: 65_536,
+            retained_events: 1_024,
+            events_per_response: 256,
         }
     }
 }
--- a/crates/millpass-standin/src/lagged.rs
+++ b/crates/millpass-standin/src/lagged.rs
@@ -7,14 +7,14 @@
 const MAXIMUM_STATES: usize = 64;
 
 /// Past states by the time since which they held. No timers: a state is kept when the next change
-/// comes ([`Lagged::wants`], [`Lagged::keep`]), and a read picks the one that held `lag` ago.
+/// comes ([`Lagged::should_record`], [`Lagged::record`]), and a read picks the one that held `lag` ago.
 #[derive(Clone, Debug)]
 pub struct Lagged<T> {
     lag: Duration,
     interval: Duration,
     states: VecDeque<(Timestamp, T)>,
     changed: Timestamp,
-    is_kept: bool,
+    is_recorded: bool,
 }
 
 impl<T: Clone> Lagged<T> {
@@ -26,14 +26,14 @@
             interval,
             states: VecDeque::from([(start, first)]),
             changed: start,
-            is_kept: true,
+            is_recorded: true,
         }
     }
 
     /// Whether the state that held until `now` is to be kept before it changes. One that is left
     /// out ended less than the interval after the one kept before it began.
-    pub fn wants(&self, now: Timestamp) -> bool {
-        let is_new = !self.is_kept && self.changed < now;
+    pub fn should_record(&self, now: Timestamp) -> bool {
+        let is_new = !self.is_recorded && self.changed < now;
         is_new
             && self
                 .states
@@ -42,9 +42,9 @@
     }
 
     /// Keeps the state that held until `now`.
-    pub fn keep(&mut self, now: Timestamp, state: T) {
+    pub fn record(&mut self, now: Timestamp, state: T) {
         self.states.push_back((self.changed, state));
-        self.is_kept = true;
+        self.is_recorded = true;
         let shown = self.shown_time(now);
         while self.states.len() > 1 && self.states[1].0 <= shown {
             self.states.pop_front();
@@ -57,7 +57,7 @@
     /// Notes a change at `now`.
     pub fn mark_changed(&mut self, now: Timestamp) {
         self.changed = now;
-        self.is_kept = false;
+        self.is_recorded = false;
     }
 
     /// When the current state began.
--- a/crates/millpass-standin/src/platform/model.rs
+++ b/crates/millpass-standin/src/platform/model.rs
@@ -76,9 +76,9 @@
 
     /// Takes one input.
     pub fn step(&mut self, now: Timestamp, input: PlatformInput) -> Result<(), PlatformRefusal> {
-        if self.lists.wants(now) {
+        if self.lists.should_record(now) {
             let list = self.current();
-            self.lists.keep(now, list);
+            self.lists.record(now, list);
         }
         match input {
             PlatformInput::Register(machine) => self.register(machine)?,
--- a/crates/millpass-standin/src/web/model.rs
+++ b/crates/millpass-standin/src/web/model.rs
@@ -30,7 +30,7 @@
     /// Least time between two states kept for reports.
     pub report_interval: Duration,
     /// Keys whose runs are counted.
-    pub remembered_runs: usize,
+    pub tracked_runs: usize,
 }
 
 impl Default for WebSettings {
@@ -45,7 +45,7 @@
             maximum_running: 512,
             report_lag: Duration::from_millis(300),
             report_interval: Duration::from_millis(50),
-            remembered_runs: 65_536,
+            tracked_runs: 65_536,
         }
     }
 }
@@ -82,7 +82,7 @@
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WebAnswer {
+pub enum WebResponse {
     /// The page of the path, see [`crate::content::page`].
     Page(String),
     /// An endpoint that may not be repeated ran; this is the number of runs of its key, 0 without.
@@ -101,14 +101,14 @@
     /// Request.
     pub id: WebRequestId,
     /// Its answer.
-    pub answer: WebAnswer,
+    pub answer: WebResponse,
 }
 
 /// One web back end. Same inputs give the same outputs.
 #[derive(Clone, Debug)]
 pub struct WebModel {
     settings: WebSettings,
-    running: BTreeMap<WebRequestId, WebAnswer>,
+    running: BTreeMap<WebRequestId, WebResponse>,
     due: BTreeSet<(Timestamp, WebRequestId)>,
     counts: Lagged<u32>,
     runs: RunCounts,
@@ -125,7 +125,7 @@
             running: BTreeMap::new(),
             due: BTreeSet::new(),
             counts,
-            runs: RunCounts::new(settings.remembered_runs),
+            runs: RunCounts::new(settings.tracked_runs),
             requests: 0,
             once_runs: 0,
             once_without_key: 0,
@@ -189,12 +189,12 @@
         let id = request.id;
         let own = self.settings.incarnation;
         if request.incarnation.is_some_and(|wanted| wanted != own) {
-            let answer = WebAnswer::WrongIncarnation(own);
+            let answer = WebResponse::WrongIncarnation(own);
             outputs.push(WebOutput { id, answer });
             return;
         }
         if self.running.len() >= self.settings.maximum_running {
-            let answer = WebAnswer::Busy;
+            let answer = WebResponse::Busy;
             outputs.push(WebOutput { id, answer });
             return;
         }
@@ -207,19 +207,19 @@
     }
 
     /// Runs a request; its effect, the count, happens here and not when the answer is sent.
-    fn run(&mut self, request: &WebRequest) -> WebAnswer {
+    fn run(&mut self, request: &WebRequest) -> WebResponse {
         if !request.is_post {
-            return WebAnswer::Page(crate::content::page(&request.path));
+            return WebResponse::Page(crate::content::page(&request.path));
         }
         if !self.runs_once(&request.path) {
-            return WebAnswer::NotFound;
+            return WebResponse::NotFound;
         }
         self.once_runs += 1;
         let Some(key) = &request.key else {
             self.once_without_key += 1;
-            return WebAnswer::Ran(0);
+            return WebResponse::Ran(0);
         };
-        WebAnswer::Ran(self.runs.count(&request.tenant, key))
+        WebResponse::Ran(self.runs.count(&request.tenant, key))
     }
 
     fn runs_once(&self, path: &str) -> bool {
@@ -232,9 +232,9 @@
     }
 
     fn keep_count(&mut self, now: Timestamp) {
-        if self.counts.wants(now) {
+        if self.counts.should_record(now) {
             let count = self.running_count();
-            self.counts.keep(now, count);
+            self.counts.record(now, count);
         }
     }
 }
--- a/crates/millpass-standin/src/web/service.rs
+++ b/crates/millpass-standin/src/web/service.rs
@@ -1,7 +1,7 @@
 //! The web back end over HTTP.
 
 use super::model::{
-    WebAnswer, WebInput, WebModel, WebOutput, WebRequest, WebRequestId, WebSettings,
+    WebInput, WebModel, WebOutput, WebRequest, WebRequestId, WebResponse, WebSettings,
 };
 use crate::run::{
     Alarms, Driver, EXECUTED_HEADER, FrontSettings, RunNotes, RunStep, ScaledClock, Served,
@@ -116,7 +116,7 @@
             })
         });
         if let Ok(output) = answers.recv() {
-            if matches!(output.answer, WebAnswer::Page(_) | WebAnswer::Ran(_)) {
+            if matches!(output.answer, WebResponse::Page(_) | WebResponse::Ran(_)) {
                 let id = header_text(&request.headers, "x-request-id").unwrap_or_default();
                 let tenant = TenantName::from(tenant);
                 self.runs
@@ -127,26 +127,26 @@
     }
 }
 
-fn answer(path: &str, key: Option<&str>, answer: WebAnswer) -> Response {
+fn answer(path: &str, key: Option<&str>, answer: WebResponse) -> Response {
     match answer {
-        WebAnswer::Page(page) => {
+        WebResponse::Page(page) => {
             let html = "text/html; charset=utf-8";
             Response::with_type(StatusCode::OK, html, Bytes::from(page))
         }
-        WebAnswer::Ran(runs) => {
+        WebResponse::Ran(runs) => {
             let body = serde_json::json!({"path": path, "key": key, "runs": runs});
             Response::json(StatusCode::OK, &body).with_header(EXECUTED_HEADER, "yes")
         }
-        WebAnswer::NotFound => {
+        WebResponse::NotFound => {
             let message = "this path takes no POST; see docs/interfaces/web-back-end.md";
             error_answer(StatusCode::NOT_FOUND, "unknown_path", message, false)
         }
-        WebAnswer::WrongIncarnation(own) => {
+        WebResponse::WrongIncarnation(own) => {
             let message = format!("this is incarnation {own}; read the report again");
             let status = StatusCode::CONFLICT;
             error_answer(status, "wrong_incarnation", &message, false)
         }
-        WebAnswer::Busy => {
+        WebResponse::Busy => {
             let message = "too many requests at once; come back later";
             let status = StatusCode::SERVICE_UNAVAILABLE;
             retry_after_answer(status, "busy", message, BUSY_PAUSE)
--- a/crates/millpass-standin/src/weight_store/client.rs
+++ b/crates/millpass-standin/src/weight_store/client.rs
@@ -39,7 +39,7 @@
     match agent().get(&url).call() {
         Ok(answer) if answer.status().is_success() => read_whole(answer),
         Ok(answer) if answer.status().as_u16() == TOO_MANY_REQUESTS => {
-            FetchResult::Later(clock.to_simulated(pause_of(&answer)))
+            FetchResult::RetryAfter(clock.to_simulated(pause_of(&answer)))
         }
         Ok(answer) => FetchResult::Failed(format!(
             "weight store answered {}; check the checkpoint's name",
--- a/crates/millpass-standin/tests/common/mod.rs
+++ b/crates/millpass-standin/tests/common/mod.rs
@@ -133,7 +133,7 @@
         outputs
             .into_iter()
             .find_map(|output| match output {
-                EngineOutput::OrderAnswered(answer) => Some(answer),
+                EngineOutput::OrderResponse(answer) => Some(answer),
                 _ => None,
             })
             .expect("an order is answered")
--- a/crates/millpass-standin/tests/crashing.rs
+++ b/crates/millpass-standin/tests/crashing.rs
@@ -1,6 +1,6 @@
 //! A server whose process ends: nobody is answered, its port refuses, and it begins again at its address.
 
-use millpass_standin::crashing::{CrashingServer, RawRequest, Reaction};
+use millpass_standin::crashing::{CrashingServer, RawRequest, RequestAction};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::thread;
@@ -9,10 +9,10 @@
 /// Longest wait for a server to have ended; never reached by a good run.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-fn react(request: &RawRequest) -> Reaction {
+fn react(request: &RawRequest) -> RequestAction {
     match request.body.as_slice() {
-        b"end" => Reaction::End(b"HTTP/1.1 200 OK\r\n".to_vec()),
-        _ => Reaction::Answer(b"answer".to_vec()),
+        b"end" => RequestAction::Crash(b"HTTP/1.1 200 OK\r\n".to_vec()),
+        _ => RequestAction::Respond(b"answer".to_vec()),
     }
 }
 
@@ -44,12 +44,12 @@
     for _ in 0..3 {
         assert_eq!(ask(&server, "other").expect("answer"), b"answer");
         assert_ne!(ask(&server, "end").unwrap_or_default(), b"answer");
-        wait_until(|| server.has_ended());
+        wait_until(|| server.has_crashed());
         wait_until(|| {
             let refused = TcpStream::connect(server.address()).map_err(|error| error.kind());
             refused.err() == Some(ErrorKind::ConnectionRefused)
         });
-        server.begin_again().expect("listens");
+        server.restart().expect("listens");
     }
     assert_eq!(ask(&server, "other").expect("answer"), b"answer");
 }
--- a/crates/millpass-standin/tests/engine_front.rs
+++ b/crates/millpass-standin/tests/engine_front.rs
@@ -5,7 +5,7 @@
 use common::loopback::*;
 use common::*;
 use millpass_proto::*;
-use millpass_standin::content::Answer;
+use millpass_standin::content::Completion;
 use millpass_standin::engine::*;
 use std::io::{BufRead, BufReader};
 
@@ -63,8 +63,8 @@
     (text, false)
 }
 
-fn expected() -> Answer {
-    Answer::new(
+fn expected() -> Completion {
+    Completion::new(
         &ModelName::from(MODEL),
         &VersionLabel::from("1"),
         None,
@@ -77,7 +77,7 @@
     let engine = start_loaded();
     let (streamed, is_done) = stream_text(complete(&engine, 7, true, &[]));
     assert!(is_done);
-    assert!(expected().is_whole(0, 7, &streamed));
+    assert!(expected().matches(0, 7, &streamed));
     assert!(streamed.starts_with("abc-1.0."));
     let mut whole = complete(&engine, 7, false, &[]);
     let json: serde_json::Value = whole.body_mut().read_json().unwrap();
@@ -107,7 +107,7 @@
     let json: serde_json::Value = answer.body_mut().read_json().unwrap();
     let prompt = millpass_standin::content::chat_prompt([("user", PROMPT)]);
     let model = ModelName::from(MODEL);
-    let answer = Answer::new(&model, &VersionLabel::from("1"), None, &prompt);
+    let answer = Completion::new(&model, &VersionLabel::from("1"), None, &prompt);
     assert_eq!(json["choices"][0]["message"]["content"], answer.text(0, 3));
     engine.stop();
 }
@@ -185,7 +185,7 @@
     let json: serde_json::Value = ask().body_mut().read_json().unwrap();
     let (model, version) = (ModelName::from(MODEL), VersionLabel::from("1"));
     let dealer = AdapterName::from("dealer");
-    let answer = Answer::new(&model, &version, Some(&dealer), PROMPT);
+    let answer = Completion::new(&model, &version, Some(&dealer), PROMPT);
     assert_eq!(json["choices"][0]["text"], answer.text(0, 2));
     assert_ne!(answer, expected());
     engine.stop();
@@ -257,7 +257,7 @@
     let answer = send_order(&engines[1], &order(1, load(1, 500, 400)));
     assert!(matches!(answer, OrderResponse::Rejected(_)));
     let (text, is_done) = stream_text(complete(&engines[0], 3, true, &[]));
-    assert!(is_done && expected().is_whole(0, 3, &text));
+    assert!(is_done && expected().matches(0, 3, &text));
     let loads: u64 = engines
         .iter()
         .map(|engine| engine.audit().model_loads)
--- a/crates/millpass-standin/tests/engine_model.rs
+++ b/crates/millpass-standin/tests/engine_model.rs
@@ -147,7 +147,7 @@
         _ => None,
     }) {
         asked += 1;
-        let later = FetchResult::Later(Duration::from_secs(1));
+        let later = FetchResult::RetryAfter(Duration::from_secs(1));
         engine.step(now, EngineInput::FetchEnded(fetch, later));
         now = engine.next_wake().unwrap_or(now);
         outputs = engine.step(now, EngineInput::Tick);
@@ -242,7 +242,7 @@
 #[test]
 fn unload_bound_cuts_what_still_runs() {
     let mut settings = small_settings();
-    settings.limits.unload_bound = Some(Duration::from_millis(100));
+    settings.limits.unload_timeout = Some(Duration::from_millis(100));
     let mut driver = Driver::loaded(settings);
     driver.input(EngineInput::Submit(request(1, 1, 300)));
     let begin = driver.now;
--- a/crates/millpass-standin/tests/engine_properties.rs
+++ b/crates/millpass-standin/tests/engine_properties.rs
@@ -172,7 +172,7 @@
                 let index = self.next_fence.saturating_sub(FENCE_GAP * (back + 1) + 1);
                 let role = OrderAction::ChangeRole(EngineRole::Prefill);
                 let outputs = self.step(EngineInput::Order(order(index, role)));
-                let stale = EngineOutput::OrderAnswered(OrderResponse::StaleFence(highest));
+                let stale = EngineOutput::OrderResponse(OrderResponse::StaleFence(highest));
                 assert!(outputs.contains(&stale));
             }
             Action::Submit(submission) => self.submit(submission),
@@ -209,7 +209,7 @@
         };
         let result = match result {
             0 => FetchResult::Failed("store failed".to_owned()),
-            1 => FetchResult::Later(Duration::from_millis(700)),
+            1 => FetchResult::RetryAfter(Duration::from_millis(700)),
             _ => FetchResult::Done,
         };
         self.step(EngineInput::FetchEnded(fetch, result));
--- a/crates/millpass-standin/tests/outside_models.rs
+++ b/crates/millpass-standin/tests/outside_models.rs
@@ -4,7 +4,7 @@
 
 use common::check_property;
 use millpass_proto::*;
-use millpass_standin::content::{self, Answer};
+use millpass_standin::content::{self, Completion};
 use millpass_standin::lagged::Lagged;
 use millpass_standin::platform::*;
 use millpass_standin::web::*;
@@ -123,8 +123,8 @@
         let mut changes = vec![Timestamp::ZERO];
         for (current, pause) in pauses.iter().enumerate() {
             now = now + Duration::from_millis(*pause);
-            if lagged.wants(now) {
-                lagged.keep(now, current);
+            if lagged.should_record(now) {
+                lagged.record(now, current);
             }
             lagged.mark_changed(now);
             changes.push(now);
@@ -152,16 +152,16 @@
     check_property(texts, |(model, version, prompt, from, more)| {
         let model = ModelName(model);
         let version = VersionLabel(version);
-        let answer = Answer::new(&model, &version, None, &prompt);
+        let answer = Completion::new(&model, &version, None, &prompt);
         let end = from + more;
         let whole = answer.text(0, end);
         prop_assert_eq!(
             answer.text(0, from) + &answer.text(from, end),
             whole.clone()
         );
-        let other = Answer::new(&model, &version, None, &format!("{prompt} nonce=x1"));
-        prop_assert!(end == 0 || !other.is_whole(0, end, &whole));
-        prop_assert!(more == 0 || !answer.is_whole(0, end, &answer.text(0, from)));
+        let other = Completion::new(&model, &version, None, &format!("{prompt} nonce=x1"));
+        prop_assert!(end == 0 || !other.matches(0, end, &whole));
+        prop_assert!(more == 0 || !answer.matches(0, end, &answer.text(0, from)));
         Ok(())
     });
 }
@@ -205,7 +205,7 @@
     };
     assert!(post(&mut web, 1, "a").is_empty());
     assert!(post(&mut web, 2, "b").is_empty());
-    let answer = WebAnswer::Busy;
+    let answer = WebResponse::Busy;
     let busy = WebOutput {
         id: WebRequestId(3),
         answer,
