--- a/crates/millpass-standin/src/content.rs
+++ b/crates/millpass-standin/src/content.rs
@@ -1,5 +1,5 @@
-//! Text of an answer as a pure function of what was asked, so that a caller can tell whether an
-//! answer is whole and its own, and a resumed stream gives the same tail.
+//! Text of a response as a pure function of what was asked, so that a caller can tell whether an
+//! response is whole and its own, and a resumed stream gives the same tail.
 
 use millpass_proto::{AdapterName, ModelName, VersionLabel};
 
@@ -12,7 +12,7 @@
 /// Longest nonce that is repeated in tokens, in bytes.
 pub const MAXIMUM_NONCE_BYTES: usize = 32;
 
-/// Text of one answer, token by token.
+/// Text of one response, token by token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
     seed: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Completion {
-    /// The answer of `model` in `version`, with `adapter` if any, to `prompt`.
+    /// The response of `model` in `version`, with `adapter` if any, to `prompt`.
     pub fn new(
         model: &ModelName,
         version: &VersionLabel,
--- a/crates/millpass-standin/src/crashing.rs
+++ b/crates/millpass-standin/src/crashing.rs
@@ -12,7 +12,7 @@
 /// Connections that wait to be accepted.
 const BACKLOG: i32 = 128;
 /// Pause between two looks at whether the server has begun again.
-const REVIVAL_POLL: Duration = Duration::from_millis(5);
+const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A request as it came.
 #[derive(Clone, Debug, Default)]
@@ -36,9 +36,9 @@
 /// What the server does with a request.
 #[derive(Clone, Debug)]
 pub enum RequestAction {
-    /// Sends these bytes, a whole answer.
+    /// Sends these bytes, a whole response.
     Respond(Vec<u8>),
-    /// Sends these bytes, the beginning of an answer, and ends.
+    /// Sends these bytes, the beginning of a response, and ends.
     Crash(Vec<u8>),
 }
 
@@ -50,7 +50,7 @@
     /// Keeps the port from others while nobody listens at it.
     _holder: Socket,
     address: SocketAddr,
-    react: Box<RequestHandler>,
+    handle: Box<RequestHandler>,
     crashed: AtomicBool,
     stopping: AtomicBool,
     connections: Mutex<Vec<TcpStream>>,
@@ -86,13 +86,13 @@
 
 impl CrashingServer {
     /// Listens on a free port of loopback.
-    pub fn start(react: Box<RequestHandler>) -> io::Result<CrashingServer> {
+    pub fn start(handle: Box<RequestHandler>) -> io::Result<CrashingServer> {
         let (holder, listener) = listen()?;
         let inner = Arc::new(Inner {
             address: listener.local_addr()?,
             listener,
             _holder: holder,
-            react,
+            handle,
             crashed: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             connections: Mutex::default(),
@@ -155,13 +155,13 @@
 fn accept(inner: &Arc<Inner>) {
     while !inner.stopping.load(Ordering::Acquire) {
         let Ok((stream, _)) = inner.listener.accept() else {
-            thread::sleep(REVIVAL_POLL);
+            thread::sleep(RESTART_POLL_INTERVAL);
             continue;
         };
-        let Ok(kept) = stream.try_clone() else {
+        let Ok(retained) = stream.try_clone() else {
             continue;
         };
-        inner.connections().push(kept);
+        inner.connections().push(retained);
         if inner.has_crashed() {
             inner.crash();
             continue;
@@ -175,7 +175,7 @@
 fn serve(inner: &Inner, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
     while let Some(request) = read_request(&mut reader) {
-        match (inner.react)(&request) {
+        match (inner.handle)(&request) {
             RequestAction::Respond(bytes) => {
                 if reader.get_mut().write_all(&bytes).is_err() {
                     return;
--- a/crates/millpass-standin/src/engine/audit.rs
+++ b/crates/millpass-standin/src/engine/audit.rs
@@ -4,7 +4,7 @@
 
 /// The audit of an engine that did nothing yet. The model counts in it; figures that it can
 /// derive stay at zero until the audit is read.
-pub fn blank_audit(backend: BackendName, incarnation: Incarnation) -> EngineAudit {
+pub fn empty_audit(backend: BackendName, incarnation: Incarnation) -> EngineAudit {
     EngineAudit {
         backend,
         incarnation,
--- a/crates/millpass-standin/src/engine/checkpoints.rs
+++ b/crates/millpass-standin/src/engine/checkpoints.rs
@@ -7,44 +7,44 @@
 /// One tier: bounded room, least recently used out first.
 #[derive(Clone, Debug)]
 struct Tier {
-    room: u64,
+    capacity: u64,
     used: u64,
     entries: BTreeMap<String, (u64, u64)>,
 }
 
 impl Tier {
-    fn new(room: u64) -> Self {
+    fn new(capacity: u64) -> Self {
         Tier {
-            room,
+            capacity,
             used: 0,
             entries: BTreeMap::new(),
         }
     }
 
-    fn touch(&mut self, checkpoint: &str, turn: u64) -> bool {
+    fn touch(&mut self, checkpoint: &str, recency: u64) -> bool {
         let Some(entry) = self.entries.get_mut(checkpoint) else {
             return false;
         };
-        entry.1 = turn;
+        entry.1 = recency;
         true
     }
 
-    fn insert(&mut self, checkpoint: &str, bytes: u64, turn: u64) {
-        if bytes > self.room {
+    fn insert(&mut self, checkpoint: &str, bytes: u64, recency: u64) {
+        if bytes > self.capacity {
             return;
         }
         self.remove(checkpoint);
-        while self.used + bytes > self.room {
+        while self.used + bytes > self.capacity {
             self.evict_oldest();
         }
-        self.entries.insert(checkpoint.to_owned(), (bytes, turn));
+        self.entries.insert(checkpoint.to_owned(), (bytes, recency));
         self.used += bytes;
     }
 
     /// Entries, the least recently used first.
     fn contents(&self, tier: CheckpointTier) -> impl Iterator<Item = InitialCheckpoint> {
         let mut entries: Vec<_> = self.entries.iter().collect();
-        entries.sort_by_key(|(_, (_, turn))| *turn);
+        entries.sort_by_key(|(_, (_, recency))| *recency);
         entries
             .into_iter()
             .map(move |(name, (bytes, _))| InitialCheckpoint {
@@ -61,7 +61,7 @@
     }
 
     fn evict_oldest(&mut self) {
-        let oldest = self.entries.iter().min_by_key(|(_, (_, turn))| *turn);
+        let oldest = self.entries.iter().min_by_key(|(_, (_, recency))| *recency);
         if let Some(name) = oldest.map(|(name, _)| name.clone()) {
             self.remove(&name);
         }
@@ -73,7 +73,7 @@
 pub struct CheckpointCache {
     memory: Tier,
     disk: Tier,
-    turn: u64,
+    recency: u64,
 }
 
 impl CheckpointCache {
@@ -82,20 +82,20 @@
         let mut cache = CheckpointCache {
             memory: Tier::new(settings.memory_bytes),
             disk: Tier::new(settings.disk_bytes),
-            turn: 0,
+            recency: 0,
         };
         for initial in &settings.initial {
-            cache.turn += 1;
+            cache.recency += 1;
             match initial.tier {
                 CheckpointTier::Memory => {
                     cache
                         .memory
-                        .insert(&initial.checkpoint, initial.bytes, cache.turn);
+                        .insert(&initial.checkpoint, initial.bytes, cache.recency);
                 }
                 CheckpointTier::Disk => {
                     cache
                         .disk
-                        .insert(&initial.checkpoint, initial.bytes, cache.turn);
+                        .insert(&initial.checkpoint, initial.bytes, cache.recency);
                 }
                 CheckpointTier::Remote => {}
             }
@@ -106,13 +106,13 @@
     /// The fastest tier that has the checkpoint; using it makes it the most recent one, and
     /// brings it to memory.
     pub fn use_checkpoint(&mut self, checkpoint: &str, bytes: u64) -> CheckpointTier {
-        self.turn += 1;
-        let on_disk = self.disk.touch(checkpoint, self.turn);
-        if self.memory.touch(checkpoint, self.turn) {
+        self.recency += 1;
+        let on_disk = self.disk.touch(checkpoint, self.recency);
+        if self.memory.touch(checkpoint, self.recency) {
             return CheckpointTier::Memory;
         }
         if on_disk {
-            self.memory.insert(checkpoint, bytes, self.turn);
+            self.memory.insert(checkpoint, bytes, self.recency);
             return CheckpointTier::Disk;
         }
         CheckpointTier::Remote
@@ -120,9 +120,9 @@
 
     /// Keeps a checkpoint that came from the weight store.
     pub fn store(&mut self, checkpoint: &str, bytes: u64) {
-        self.turn += 1;
-        self.disk.insert(checkpoint, bytes, self.turn);
-        self.memory.insert(checkpoint, bytes, self.turn);
+        self.recency += 1;
+        self.disk.insert(checkpoint, bytes, self.recency);
+        self.memory.insert(checkpoint, bytes, self.recency);
     }
 
     /// What is cached, for the next run of an engine on this machine.
--- a/crates/millpass-standin/src/engine/events.rs
+++ b/crates/millpass-standin/src/engine/events.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Debug)]
 pub struct EventLog {
     publishing: PublishingSettings,
-    kept: usize,
-    per_answer: usize,
+    capacity: usize,
+    per_response: usize,
     next_number: u64,
     events: VecDeque<(Timestamp, CacheEvent)>,
 }
@@ -20,8 +20,8 @@
     pub fn new(publishing: &PublishingSettings, limits: &EngineLimits) -> Self {
         EventLog {
             publishing: publishing.clone(),
-            kept: limits.retained_events,
-            per_answer: limits.events_per_response,
+            capacity: limits.retained_events,
+            per_response: limits.events_per_response,
             next_number: 1,
             events: VecDeque::new(),
         }
@@ -42,7 +42,7 @@
         };
         self.events
             .push_back((now + self.publishing.event_lag, event));
-        if self.events.len() > self.kept {
+        if self.events.len() > self.capacity {
             self.events.pop_front();
         }
     }
@@ -53,7 +53,7 @@
             .iter()
             .take_while(|(published, _)| *published <= now)
             .filter(|(_, event)| event.number > after)
-            .take(self.per_answer)
+            .take(self.per_response)
             .map(|(_, event)| event.clone())
             .collect()
     }
--- a/crates/millpass-standin/src/engine/fences.rs
+++ b/crates/millpass-standin/src/engine/fences.rs
@@ -1,4 +1,4 @@
-//! Fences of orders: the highest seen, and the answers given, for resends.
+//! Fences of orders: the highest seen, and the responses given, for resends.
 
 use millpass_proto::{EngineOrder, LogPosition, OrderResponse};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 pub enum FenceVerdict {
     /// Not seen before and not stale: carry it out.
     New,
-    /// Seen before: the answer given then.
+    /// Seen before: the response given then.
     Resent(OrderResponse),
     /// The same fence with another order: a defect of the sender.
     Conflict,
@@ -21,17 +21,17 @@
 #[derive(Clone, Debug)]
 pub struct FenceLedger {
     highest: LogPosition,
-    answers: BTreeMap<LogPosition, (EngineOrder, OrderResponse)>,
-    bound: usize,
+    responses: BTreeMap<LogPosition, (EngineOrder, OrderResponse)>,
+    capacity: usize,
 }
 
 impl FenceLedger {
-    /// Empty; remembers the answers of the `bound` highest fences.
-    pub fn new(bound: usize) -> Self {
+    /// Empty; remembers the responses of the `bound` highest fences.
+    pub fn new(capacity: usize) -> Self {
         FenceLedger {
             highest: LogPosition::ZERO,
-            answers: BTreeMap::new(),
-            bound: bound.max(1),
+            responses: BTreeMap::new(),
+            capacity: capacity.max(1),
         }
     }
 
@@ -41,10 +41,10 @@
     }
 
     /// Judges an arriving order.
-    pub fn judge(&self, order: &EngineOrder) -> FenceVerdict {
-        if let Some((first, answer)) = self.answers.get(&order.fence) {
+    pub fn check(&self, order: &EngineOrder) -> FenceVerdict {
+        if let Some((first, response)) = self.responses.get(&order.fence) {
             return if first == order {
-                FenceVerdict::Resent(answer.clone())
+                FenceVerdict::Resent(response.clone())
             } else {
                 FenceVerdict::Conflict
             };
@@ -55,12 +55,12 @@
         FenceVerdict::New
     }
 
-    /// Records the answer to a new order.
-    pub fn record(&mut self, order: EngineOrder, answer: OrderResponse) {
+    /// Records the response to a new order.
+    pub fn record(&mut self, order: EngineOrder, response: OrderResponse) {
         self.highest = self.highest.max(order.fence);
-        self.answers.insert(order.fence, (order, answer));
-        while self.answers.len() > self.bound {
-            self.answers.pop_first();
+        self.responses.insert(order.fence, (order, response));
+        while self.responses.len() > self.capacity {
+            self.responses.pop_first();
         }
     }
 }
--- a/crates/millpass-standin/src/engine/front/calls.rs
+++ b/crates/millpass-standin/src/engine/front/calls.rs
@@ -12,10 +12,10 @@
 };
 use serde::Deserialize;
 
-/// Tokens of an answer when the caller names none.
+/// Tokens of a response when the caller names none.
 const DEFAULT_MAXIMUM_TOKENS: u32 = 16;
 /// What separates a model from an adapter in the body's `model`.
-const ADAPTER_MARK: char = ':';
+const ADAPTER_SEPARATOR: char = ':';
 /// Slot that never exists: slots are positions in a log, which begin at 1.
 const NO_SLOT: SlotId = SlotId(0);
 
@@ -93,14 +93,14 @@
 pub struct Call {
     /// Which API.
     pub api: Api,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub is_streamed: bool,
-    /// Model that answers.
+    /// Model that responses.
     pub model: ModelName,
     /// Its version.
     pub version: VersionLabel,
-    /// Text of the answer.
-    pub answer: Completion,
+    /// Text of the completion.
+    pub completion: Completion,
     /// What the batch gets to see. The driver sets the handle.
     pub request: EngineRequest,
 }
@@ -121,7 +121,7 @@
     slot: SlotId,
     /// Model and version, if it is loaded.
     loaded: Option<(ModelName, VersionLabel)>,
-    /// Most tokens of an answer.
+    /// Most tokens of a response.
     maximum_tokens: u32,
     /// The present time.
     now: Timestamp,
@@ -132,8 +132,8 @@
     pub fn read(api: Api, request: &Request) -> Result<Self, Box<Response>> {
         let body = Body::parse(api, &request.body)?;
         let headers = Headers::parse(&request.headers)?;
-        let in_model = split_model(body.model.as_deref()).1;
-        let adapter = headers.adapter.clone().or(in_model);
+        let model_adapter = split_model(body.model.as_deref()).1;
+        let adapter = headers.adapter.clone().or(model_adapter);
         Ok(Parsed {
             api,
             prompt_tokens: content::prompt_tokens(&body.prompt),
@@ -145,7 +145,7 @@
     }
 
     /// Looks the slot up: the one named, or the first that has the model.
-    pub fn look(&self, model: &EngineModel, now: Timestamp) -> SlotView {
+    pub fn find_slot(&self, model: &EngineModel, now: Timestamp) -> SlotView {
         let named = split_model(self.body.model.as_deref()).0;
         let slot = self.headers.slot.or_else(|| model.slot_of_model(named?));
         let slot = slot.unwrap_or(NO_SLOT);
@@ -160,14 +160,14 @@
 
     /// The call, for the slot that was found.
     pub fn into_call(self, view: SlotView, clock: ScaledClock) -> Call {
-        let nothing = || (ModelName::from(""), VersionLabel::from(""));
-        let (model, version) = view.loaded.unwrap_or_else(nothing);
+        let unknown = || (ModelName::from(""), VersionLabel::from(""));
+        let (model, version) = view.loaded.unwrap_or_else(unknown);
         let headers = self.headers;
-        let left = headers.deadline.map(|left| clock.to_simulated(left));
+        let timeout = headers.timeout.map(|timeout| clock.to_simulated(timeout));
         Call {
             api: self.api,
             is_streamed: self.body.is_streamed,
-            answer: Completion::new(&model, &version, self.adapter.as_ref(), &self.body.prompt),
+            completion: Completion::new(&model, &version, self.adapter.as_ref(), &self.body.prompt),
             model,
             version,
             request: EngineRequest {
@@ -182,7 +182,7 @@
                 urgency: headers.urgency,
                 maximum_tokens: self.body.maximum_tokens.min(view.maximum_tokens),
                 resume_from: headers.resume_from,
-                deadline: left.map(|left| view.now + left),
+                deadline: timeout.map(|timeout| view.now + timeout),
                 idempotency_key: headers.idempotency_key,
             },
         }
@@ -197,7 +197,7 @@
     incarnation: Option<Incarnation>,
     urgency: Urgency,
     resume_from: u32,
-    deadline: Option<Duration>,
+    timeout: Option<Duration>,
     adapter: Option<AdapterName>,
     idempotency_key: Option<String>,
 }
@@ -212,7 +212,7 @@
             incarnation: header_number(headers, "millpass-incarnation")?.map(Incarnation),
             urgency: urgency(text("millpass-priority"))?,
             resume_from: header_number(headers, "millpass-resume-from")?.unwrap_or(0),
-            deadline: header_number(headers, "millpass-deadline-ms")?.map(Duration::from_millis),
+            timeout: header_number(headers, "millpass-deadline-ms")?.map(Duration::from_millis),
             adapter: text("millpass-adapter").map(AdapterName::from),
             idempotency_key: text("idempotency-key").map(str::to_owned),
         })
@@ -233,7 +233,7 @@
 
 /// `model` or `model:adapter`.
 fn split_model(model: Option<&str>) -> (Option<&str>, Option<AdapterName>) {
-    match model.and_then(|name| name.split_once(ADAPTER_MARK)) {
+    match model.and_then(|name| name.split_once(ADAPTER_SEPARATOR)) {
         Some((name, adapter)) => (Some(name), Some(AdapterName::from(adapter))),
         None => (model, None),
     }
--- a/crates/millpass-standin/src/engine/front/chunks.rs
+++ b/crates/millpass-standin/src/engine/front/chunks.rs
@@ -1,4 +1,4 @@
-//! JSON of answers, in the form of the OpenAI API.
+//! JSON of responses, in the form of the OpenAI API.
 
 use super::calls::{Api, Call};
 use bytes::Bytes;
@@ -6,7 +6,7 @@
 
 /// End of a stream that is whole.
 pub const DONE: &[u8] = b"data: [DONE]\n\n";
-/// The answer has as many tokens as were asked for.
+/// The response has as many tokens as were asked for.
 const FINISH_REASON: &str = "length";
 
 #[derive(Serialize)]
@@ -58,7 +58,7 @@
 
 /// One event of a stream, with one token.
 pub fn token_event(call: &Call, position: u32, is_last: bool) -> Bytes {
-    let text = call.answer.token(position);
+    let text = call.completion.token(position);
     let finish_reason = is_last.then_some(FINISH_REASON);
     let json = match call.api {
         Api::Completions => {
@@ -92,9 +92,9 @@
     event(json.to_string().as_bytes())
 }
 
-/// A whole answer that is not streamed: the tokens `from..to`.
-pub fn whole_answer(call: &Call, from: u32, to: u32) -> Vec<u8> {
-    let text = call.answer.text(from, to);
+/// A whole response that is not streamed: the tokens `from..to`.
+pub fn full_completion(call: &Call, from: u32, to: u32) -> Vec<u8> {
+    let text = call.completion.text(from, to);
     let completion_tokens = to - from;
     let usage = Some(Usage {
         prompt_tokens: call.request.prompt_tokens,
--- a/crates/millpass-standin/src/engine/front/fetches.rs
+++ b/crates/millpass-standin/src/engine/front/fetches.rs
@@ -10,7 +10,7 @@
 
 /// Most fetches of one engine at once; one more is asked for later.
 const MAXIMUM_FETCHES: usize = 64;
-const BUSY_PAUSE: Duration = Duration::from_secs(1);
+const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Starts fetches for an engine. An abandoned fetch runs on until the store ends it, as a transfer
 /// would whose engine lost interest; its end is ignored.
@@ -47,7 +47,7 @@
     fn start(&self, id: FetchId, checkpoint: String, bytes: u64) {
         if self.running.fetch_add(1, Ordering::Relaxed) >= MAXIMUM_FETCHES {
             self.running.fetch_sub(1, Ordering::Relaxed);
-            return end(&self.driver, id, FetchResult::RetryAfter(BUSY_PAUSE));
+            return end(&self.driver, id, FetchResult::RetryAfter(BUSY_RETRY_AFTER));
         }
         let (driver, store) = (self.driver.clone(), self.store.clone());
         let running = self.running.clone();
--- a/crates/millpass-standin/src/engine/front/service.rs
+++ b/crates/millpass-standin/src/engine/front/service.rs
@@ -6,8 +6,8 @@
 use crate::engine::messages::{EngineInput, EngineOutput, FinishReason, RequestHandle};
 use crate::engine::model::EngineModel;
 use crate::run::{
-    Driver, RunNotes, RunStep, TimedModel, error_answer, header_text, json_answer, parse_json,
-    path_segments, query_number,
+    Driver, RunRecorder, RunStep, TimedModel, error_response, header_text, json_response,
+    parse_json, path_segments, query_number,
 };
 use bytes::Bytes;
 use http::{Method, StatusCode};
@@ -50,7 +50,7 @@
 pub struct Service {
     pub driver: Arc<Driver<EngineModel>>,
     pub fetches: Arc<Fetches>,
-    pub runs: RunNotes,
+    pub runs: RunRecorder,
 }
 
 impl Handler for Service {
@@ -82,12 +82,12 @@
     fn read(&self, path: &[&str], request: &Request) -> Response {
         let ok = StatusCode::OK;
         match path {
-            ["engine", "report"] => json_answer(ok, &self.driver.read(EngineModel::report)),
-            ["engine", "audit"] => json_answer(ok, &self.driver.read(EngineModel::audit)),
+            ["engine", "report"] => json_response(ok, &self.driver.read(EngineModel::report)),
+            ["engine", "audit"] => json_response(ok, &self.driver.read(EngineModel::audit)),
             ["engine", "events"] => {
                 let after = query_number(&request.uri, "after").unwrap_or(0);
-                let look = |model: &EngineModel, now| model.events_after(now, after);
-                json_answer(ok, &self.driver.read(look))
+                let query = |model: &EngineModel, now| model.events_after(now, after);
+                json_response(ok, &self.driver.read(query))
             }
             ["engine", "kv", hash] => self.export(hash, request),
             _ => unknown_path(),
@@ -98,11 +98,11 @@
         let clock = self.driver.alarms().clock();
         let parsed = match Parsed::read(api, request) {
             Ok(parsed) => parsed,
-            Err(answer) => return responder.send(*answer),
+            Err(response) => return responder.send(*response),
         };
-        let view = self.driver.read(|model, now| parsed.look(model, now));
+        let view = self.driver.read(|model, now| parsed.find_slot(model, now));
         let mut call = parsed.into_call(view, clock);
-        let gone = responder.caller_gone();
+        let caller_gone = responder.caller_gone();
         let (waiter, outputs) = self.driver.open_with_sender(
             |waiter| {
                 call.request.handle = RequestHandle(waiter);
@@ -115,20 +115,20 @@
                 let sender = sender.clone();
                 let handle = RequestHandle(waiter);
                 // Wakes the thread that delivers, also while the request waits for its turn.
-                gone.on_gone(move || {
+                caller_gone.on_gone(move || {
                     let reason = FinishReason::Cancelled;
                     let _ = sender.send(EngineOutput::Finished(handle, reason));
                 });
             },
         );
-        let note = |step| {
+        let record_step = |step| {
             let request = &call.request;
             let key = request.idempotency_key.as_deref();
             self.runs
-                .note(&request.request_id, &request.tenant, key, step);
+                .record(&request.request_id, &request.tenant, key, step);
         };
-        if deliver(&call, &outputs, responder, clock, &note) == Delivery::CallerGone {
-            note(RunStep::Cancelled);
+        if deliver(&call, &outputs, responder, clock, &record_step) == Delivery::CallerGone {
+            record_step(RunStep::Cancelled);
             self.driver
                 .input(EngineInput::Cancel(RequestHandle(waiter)));
         }
@@ -137,24 +137,24 @@
     fn order(&self, request: &Request) -> Response {
         let order: EngineOrder = match parse_json(&request.body) {
             Ok(order) => order,
-            Err(answer) => return *answer,
+            Err(response) => return *response,
         };
         let summary = format!("fence={} action={:?}", order.fence, order.action);
         let mut outputs = self.driver.input(EngineInput::Order(order));
         let place = outputs
             .iter()
             .position(|output| matches!(output, EngineOutput::OrderResponse(_)));
-        let answer = place.map(|place| outputs.swap_remove(place));
+        let response = place.map(|place| outputs.swap_remove(place));
         self.fetches.start_all(outputs);
-        match answer {
-            Some(EngineOutput::OrderResponse(answer)) => {
-                log_order(&summary, &answer);
-                json_answer(StatusCode::OK, &answer)
+        match response {
+            Some(EngineOutput::OrderResponse(response)) => {
+                log_order(&summary, &response);
+                json_response(StatusCode::OK, &response)
             }
-            _ => error_answer(
+            _ => error_response(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "no_answer",
-                "the model gave no answer; report this defect",
+                "the model gave no response; report this defect",
                 true,
             ),
         }
@@ -166,7 +166,7 @@
             .read(|model, _| model.requests_named(request_id));
         if handles.is_empty() {
             let message = "no such request is waiting or running here";
-            return error_answer(StatusCode::NOT_FOUND, "unknown_request", message, false);
+            return error_response(StatusCode::NOT_FOUND, "unknown_request", message, false);
         }
         for handle in handles {
             self.driver.input(EngineInput::Cancel(handle));
@@ -178,9 +178,9 @@
         let Ok(prefix_hash) = hash.parse::<u64>() else {
             return malformed_hash();
         };
-        let wanted = slot_of(request);
+        let requested = slot_of(request);
         let content = self.driver.read(|model, _| {
-            let slot = wanted.or_else(|| model.slot_with_cached(prefix_hash))?;
+            let slot = requested.or_else(|| model.slot_with_cached(prefix_hash))?;
             model
                 .has_cached(slot, prefix_hash)
                 .then(|| cache_content(model, slot, prefix_hash))?
@@ -190,7 +190,7 @@
                 let octets = "application/octet-stream";
                 Response::with_type(StatusCode::OK, octets, Bytes::from(content))
             }
-            None => error_answer(
+            None => error_response(
                 StatusCode::NOT_FOUND,
                 "not_cached",
                 "block is not cached here; prefill it",
@@ -206,19 +206,19 @@
         if request.body.len() > MAXIMUM_CACHE_BYTES {
             let message = "KV cache of one block has at most 64 KiB";
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            return error_answer(status, "body_too_large", message, false);
+            return error_response(status, "body_too_large", message, false);
         }
         let Some(slot) = slot_of(request) else {
             let message = "name the slot in header millpass-slot";
-            return error_answer(StatusCode::BAD_REQUEST, "missing_slot", message, false);
+            return error_response(StatusCode::BAD_REQUEST, "missing_slot", message, false);
         };
         let expected = self
             .driver
             .read(|model, _| cache_content(model, slot, prefix_hash));
-        let is_right = expected.is_some_and(|expected| expected.as_bytes() == &request.body[..]);
-        if !is_right {
+        let is_expected = expected.is_some_and(|expected| expected.as_bytes() == &request.body[..]);
+        if !is_expected {
             let message = "KV cache is of another model, version or block, or the slot is not here";
-            return error_answer(StatusCode::CONFLICT, "wrong_cache", message, false);
+            return error_response(StatusCode::CONFLICT, "wrong_cache", message, false);
         }
         let outputs = self
             .driver
@@ -227,7 +227,7 @@
             return Response::text(StatusCode::OK, "");
         }
         let message = "no room beside running requests; prefill instead";
-        error_answer(StatusCode::INSUFFICIENT_STORAGE, "no_room", message, false)
+        error_response(StatusCode::INSUFFICIENT_STORAGE, "no_room", message, false)
     }
 
     fn fault(&self, fault: &str, request: &Request) -> Response {
@@ -242,7 +242,7 @@
         };
         let Some(input) = input else {
             let message = "use fail-loads?count=N or slow?percent=N";
-            return error_answer(StatusCode::BAD_REQUEST, "missing_number", message, false);
+            return error_response(StatusCode::BAD_REQUEST, "missing_number", message, false);
         };
         self.driver.input(input);
         Response::text(StatusCode::OK, "")
@@ -261,8 +261,8 @@
     text.parse().ok().map(SlotId)
 }
 
-fn log_order(summary: &str, answer: &OrderResponse) {
-    match answer {
+fn log_order(summary: &str, response: &OrderResponse) {
+    match response {
         OrderResponse::Accepted => log::info!("event=order_accepted {summary}"),
         refused => log::warn!("event=order_refused {summary} answer={refused:?}"),
     }
@@ -270,10 +270,10 @@
 
 fn malformed_hash() -> Response {
     let message = "block hash must be a decimal number";
-    error_answer(StatusCode::BAD_REQUEST, "malformed_hash", message, false)
+    error_response(StatusCode::BAD_REQUEST, "malformed_hash", message, false)
 }
 
 fn unknown_path() -> Response {
     let message = "see docs/interfaces/engine.md";
-    error_answer(StatusCode::NOT_FOUND, "unknown_path", message, false)
+    error_response(StatusCode::NOT_FOUND, "unknown_path", message, false)
 }
--- a/crates/millpass-standin/src/engine/front/start.rs
+++ b/crates/millpass-standin/src/engine/front/start.rs
@@ -4,7 +4,7 @@
 use super::service::Service;
 use crate::engine::model::EngineModel;
 use crate::engine::settings::EngineSettings;
-use crate::run::{Alarms, Driver, FrontSettings, RunNotes, ScaledClock, Served};
+use crate::run::{Alarms, Driver, FrontSettings, RunRecorder, ScaledClock, Served};
 use crate::weight_store::StoreAccess;
 use anyhow::Result;
 use millpass_proto::{BackendKind, BackendState, EngineAudit, EngineReport, PlatformMachine};
@@ -79,7 +79,7 @@
         address: String::new(),
         state: BackendState::Live,
     };
-    let runs = RunNotes {
+    let runs = RunRecorder {
         journal: front.front.journal.clone(),
         backend: settings.backend.clone(),
         incarnation: settings.incarnation,
--- a/crates/millpass-standin/src/engine/front/streams.rs
+++ b/crates/millpass-standin/src/engine/front/streams.rs
@@ -1,9 +1,9 @@
 //! Carries one request's outputs to its caller.
 
 use super::calls::Call;
-use super::chunks::{DONE, error_event, token_event, whole_answer};
+use super::chunks::{DONE, error_event, full_completion, token_event};
 use crate::engine::messages::{EngineOutput, FinishReason, Refusal};
-use crate::run::{EXECUTED_HEADER, RunStep, ScaledClock, error_answer, retry_after_answer};
+use crate::run::{EXECUTED_HEADER, RunStep, ScaledClock, error_response, retry_after_response};
 use bytes::Bytes;
 use crossbeam::channel::Receiver;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE};
@@ -12,7 +12,7 @@
 use millpass_proto::Duration;
 
 /// Pause named to callers whose deadline passed while they waited.
-const DEADLINE_PAUSE: Duration = Duration::from_secs(1);
+const DEADLINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What became of a request on its way to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,33 +23,33 @@
     CallerGone,
 }
 
-/// Waits for the model and answers the caller.
+/// Waits for the model and responses the caller.
 pub fn deliver(
     call: &Call,
     outputs: &Receiver<EngineOutput>,
     responder: Responder,
     clock: ScaledClock,
-    note: &dyn Fn(RunStep),
+    record_step: &dyn Fn(RunStep),
 ) -> Delivery {
     // A closed channel means that the engine stops; dropping the responder cuts the connection.
     match outputs.recv() {
         Ok(EngineOutput::Refused(_, refusal)) => {
-            responder.send(refusal_answer(&refusal, clock));
+            responder.send(refusal_response(&refusal, clock));
             Delivery::Ended
         }
         Ok(EngineOutput::Started(_)) if call.is_streamed => {
-            note(first_step(call));
+            record_step(first_step(call));
             let writer = responder.stream(StatusCode::OK, stream_headers());
-            deliver_stream(call, outputs, writer, note)
+            deliver_stream(call, outputs, writer, record_step)
         }
         Ok(EngineOutput::Started(_)) => {
-            note(first_step(call));
-            deliver_whole(call, outputs, responder, note)
+            record_step(first_step(call));
+            deliver_full(call, outputs, responder, record_step)
         }
         Ok(_) if responder.is_caller_gone() => Delivery::CallerGone,
         Ok(_) => {
-            let (code, message) = cut_text(FinishReason::Cancelled);
-            responder.send(error_answer(StatusCode::CONFLICT, code, message, false));
+            let (code, message) = finish_error(FinishReason::Cancelled);
+            responder.send(error_response(StatusCode::CONFLICT, code, message, false));
             Delivery::Ended
         }
         Err(_) => Delivery::Ended,
@@ -60,7 +60,7 @@
     call: &Call,
     outputs: &Receiver<EngineOutput>,
     mut writer: BodyWriter,
-    note: &dyn Fn(RunStep),
+    record_step: &dyn Fn(RunStep),
 ) -> Delivery {
     for output in outputs {
         let written = match output {
@@ -68,17 +68,17 @@
                 write_tokens(call, &mut writer, from, count)
             }
             EngineOutput::Finished(_, FinishReason::Complete) => {
-                note(RunStep::Finished);
+                record_step(RunStep::Finished);
                 let written = writer.write(Bytes::from_static(DONE));
                 writer.finish();
-                return ended(written);
+                return delivery_after_write(written);
             }
             EngineOutput::Finished(_, reason) => {
-                note(last_step(reason));
-                let (code, message) = cut_text(reason);
+                record_step(last_step(reason));
+                let (code, message) = finish_error(reason);
                 let written = writer.write(error_event(code, message));
                 writer.abort();
-                return ended(written);
+                return delivery_after_write(written);
             }
             _ => Ok(()),
         };
@@ -86,7 +86,7 @@
             return Delivery::CallerGone;
         }
     }
-    note(RunStep::CutOff);
+    record_step(RunStep::CutOff);
     writer.abort();
     Delivery::Ended
 }
@@ -104,11 +104,11 @@
     Ok(())
 }
 
-fn deliver_whole(
+fn deliver_full(
     call: &Call,
     outputs: &Receiver<EngineOutput>,
     responder: Responder,
-    note: &dyn Fn(RunStep),
+    record_step: &dyn Fn(RunStep),
 ) -> Delivery {
     let mut range: Option<(u32, u32)> = None;
     for output in outputs {
@@ -118,18 +118,18 @@
                 range = Some((first, from + count));
             }
             EngineOutput::Finished(_, FinishReason::Complete) => {
-                note(RunStep::Finished);
+                record_step(RunStep::Finished);
                 let (from, to) = range.unwrap_or_default();
-                let body = Bytes::from(whole_answer(call, from, to));
-                let answer = Response::with_type(StatusCode::OK, "application/json", body);
-                responder.send(answer.with_header(EXECUTED_HEADER, "yes"));
+                let body = Bytes::from(full_completion(call, from, to));
+                let response = Response::with_type(StatusCode::OK, "application/json", body);
+                responder.send(response.with_header(EXECUTED_HEADER, "yes"));
                 return Delivery::Ended;
             }
             EngineOutput::Finished(_, reason) => {
-                note(last_step(reason));
-                let is_gone = responder.is_caller_gone();
-                responder.send(cut_answer(reason));
-                return if is_gone {
+                record_step(last_step(reason));
+                let is_caller_gone = responder.is_caller_gone();
+                responder.send(aborted_response(reason));
+                return if is_caller_gone {
                     Delivery::CallerGone
                 } else {
                     Delivery::Ended
@@ -138,11 +138,11 @@
             _ => {}
         }
     }
-    note(RunStep::CutOff);
+    record_step(RunStep::CutOff);
     Delivery::Ended
 }
 
-fn ended(written: Result<(), CallerGone>) -> Delivery {
+fn delivery_after_write(written: Result<(), CallerGone>) -> Delivery {
     match written {
         Ok(()) => Delivery::Ended,
         Err(CallerGone) => Delivery::CallerGone,
@@ -173,9 +173,9 @@
     headers
 }
 
-fn refusal_answer(refusal: &Refusal, clock: ScaledClock) -> Response {
+fn refusal_response(refusal: &Refusal, clock: ScaledClock) -> Response {
     let message = refusal.to_string();
-    let conflict = |code| error_answer(StatusCode::CONFLICT, code, &message, false);
+    let conflict = |code| error_response(StatusCode::CONFLICT, code, &message, false);
     match refusal {
         Refusal::SlotNotLoaded => conflict("slot_not_loaded"),
         Refusal::AdapterNotLoaded => conflict("adapter_not_loaded"),
@@ -183,32 +183,32 @@
         Refusal::WrongRole => conflict("wrong_role"),
         Refusal::TooLarge => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            error_answer(status, "too_large", &message, false)
+            error_response(status, "too_large", &message, false)
         }
         Refusal::QueueFull { retry_after } => {
             let pause = clock.to_real(*retry_after);
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            retry_after_answer(status, "queue_full", &message, pause)
+            retry_after_response(status, "queue_full", &message, pause)
         }
         Refusal::DeadlinePassed => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            retry_after_answer(status, "deadline_passed", &message, DEADLINE_PAUSE)
+            retry_after_response(status, "deadline_passed", &message, DEADLINE_RETRY_AFTER)
         }
     }
 }
 
-fn cut_answer(reason: FinishReason) -> Response {
-    let (code, message) = cut_text(reason);
+fn aborted_response(reason: FinishReason) -> Response {
+    let (code, message) = finish_error(reason);
     let status = match reason {
         FinishReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::INTERNAL_SERVER_ERROR,
     };
-    error_answer(status, code, message, true)
+    error_response(status, code, message, true)
 }
 
-fn cut_text(reason: FinishReason) -> (&'static str, &'static str) {
+fn finish_error(reason: FinishReason) -> (&'static str, &'static str) {
     match reason {
-        FinishReason::Complete => ("complete", "the answer is whole"),
+        FinishReason::Complete => ("complete", "the response is whole"),
         FinishReason::DeadlinePassed => (
             "deadline_passed",
             "deadline passed while the request ran; allow more time",
--- a/crates/millpass-standin/src/engine/loading.rs
+++ b/crates/millpass-standin/src/engine/loading.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{EngineOutput, FetchId, FetchResult, FinishReason, Refusal};
 use super::model::EngineModel;
-use super::slots::Part;
+use super::slots::Artifact;
 use super::timers::Timer;
 use millpass_proto::{AdapterName, CheckpointTier, Duration, EngineSlotPhase, SlotId, Timestamp};
 
@@ -14,37 +14,37 @@
         slot: SlotId,
         adapter: Option<AdapterName>,
     ) {
-        let Some(part) = self.part_mut(slot, adapter.as_ref()) else {
+        let Some(artifact) = self.artifact_mut(slot, adapter.as_ref()) else {
             return;
         };
-        let (checkpoint, bytes) = (part.checkpoint.clone(), part.bytes);
+        let (checkpoint, bytes) = (artifact.checkpoint.clone(), artifact.bytes);
         let timing = &self.settings.timing;
         let (from_memory, from_disk) =
             (timing.memory_bytes_per_second, timing.disk_bytes_per_second);
         match self.checkpoints.use_checkpoint(&checkpoint, bytes) {
             CheckpointTier::Memory => self.begin_copy(now, slot, adapter, from_memory),
             CheckpointTier::Disk => self.begin_copy(now, slot, adapter, from_disk),
-            CheckpointTier::Remote => self.fetch_again(slot, adapter),
+            CheckpointTier::Remote => self.start_fetch(slot, adapter),
         }
     }
 
     /// Asks the weight store for a part's checkpoint.
-    pub(super) fn fetch_again(&mut self, slot: SlotId, adapter: Option<AdapterName>) {
+    pub(super) fn start_fetch(&mut self, slot: SlotId, adapter: Option<AdapterName>) {
         let fetch = FetchId(self.next_fetch);
-        let Some(part) = self.part_mut(slot, adapter.as_ref()) else {
+        let Some(artifact) = self.artifact_mut(slot, adapter.as_ref()) else {
             return;
         };
-        let wanted = part.phase == EngineSlotPhase::Loading
-            && part.fetch.is_none()
-            && part.ready_at.is_none();
-        if !wanted {
+        let is_needed = artifact.phase == EngineSlotPhase::Loading
+            && artifact.fetch.is_none()
+            && artifact.ready_at.is_none();
+        if !is_needed {
             return;
         }
-        part.fetch = Some(fetch);
+        artifact.fetch = Some(fetch);
         let output = EngineOutput::Fetch {
             fetch,
-            checkpoint: part.checkpoint.clone(),
-            bytes: part.bytes,
+            checkpoint: artifact.checkpoint.clone(),
+            bytes: artifact.bytes,
         };
         self.next_fetch += 1;
         self.fetches.insert(fetch, (slot, adapter));
@@ -58,20 +58,20 @@
         };
         let retries_allowed = self.settings.limits.fetch_retries;
         let from_memory = self.settings.timing.memory_bytes_per_second;
-        let Some(part) = self.part_mut(slot, adapter.as_ref()) else {
+        let Some(artifact) = self.artifact_mut(slot, adapter.as_ref()) else {
             return;
         };
-        part.fetch = None;
+        artifact.fetch = None;
         match result {
             FetchResult::Done => {
-                let (checkpoint, bytes) = (part.checkpoint.clone(), part.bytes);
+                let (checkpoint, bytes) = (artifact.checkpoint.clone(), artifact.bytes);
                 self.checkpoints.store(&checkpoint, bytes);
                 self.begin_copy(now, slot, adapter, from_memory);
             }
-            FetchResult::RetryAfter(pause) if part.retries < retries_allowed => {
-                part.retries += 1;
+            FetchResult::RetryAfter(pause) if artifact.retries < retries_allowed => {
+                artifact.retries += 1;
                 self.timers
-                    .set(now + pause, Timer::FetchAgain(slot, adapter));
+                    .set(now + pause, Timer::RetryFetch(slot, adapter));
             }
             FetchResult::RetryAfter(_) => {
                 let reason = "weight store stayed at its limit; order the load later".to_owned();
@@ -84,9 +84,9 @@
 
     /// The copy of a part to the accelerators may be over.
     pub(super) fn load_due(&mut self, now: Timestamp, slot: SlotId, adapter: Option<AdapterName>) {
-        let is_due = self.part_mut(slot, adapter.as_ref()).is_some_and(|part| {
-            part.phase == EngineSlotPhase::Loading && part.ready_at == Some(now)
-        });
+        let is_due = self
+            .artifact_mut(slot, adapter.as_ref())
+            .is_some_and(|one| one.phase == EngineSlotPhase::Loading && one.ready_at == Some(now));
         if !is_due {
             return;
         }
@@ -105,33 +105,34 @@
         slot: SlotId,
         adapter: Option<AdapterName>,
     ) {
-        if let Some(part) = self.part_mut(slot, adapter.as_ref()) {
-            part.phase = EngineSlotPhase::Unloading;
+        if let Some(artifact) = self.artifact_mut(slot, adapter.as_ref()) {
+            artifact.phase = EngineSlotPhase::Unloading;
         }
         self.refuse_not_started(now, slot, adapter.as_ref());
         if adapter.is_none() {
             self.drop_loading_adapters(slot);
-            self.set_unload_bound(now, slot);
+            self.set_unload_timeout(now, slot);
         }
-        self.release_if_quiet(now, slot);
+        self.release_if_idle(now, slot);
     }
 
     /// Sets the release timer of every unloading part that no request uses any more.
-    pub(super) fn release_if_quiet(&mut self, now: Timestamp, slot: SlotId) {
+    pub(super) fn release_if_idle(&mut self, now: Timestamp, slot: SlotId) {
         let free_at = now + self.settings.timing.unload_time;
         let Some(state) = self.slots.get(&slot) else {
             return;
         };
         let adapters: Vec<AdapterName> = state.adapters.keys().cloned().collect();
-        let parts = adapters.into_iter().map(Some).chain([None]);
-        for adapter in parts {
-            let quiet = !self.is_used(slot, adapter.as_ref());
-            let Some(part) = self.part_mut(slot, adapter.as_ref()) else {
+        let artifacts = adapters.into_iter().map(Some).chain([None]);
+        for adapter in artifacts {
+            let is_idle = !self.is_used(slot, adapter.as_ref());
+            let Some(artifact) = self.artifact_mut(slot, adapter.as_ref()) else {
                 continue;
             };
-            let waits = part.phase == EngineSlotPhase::Unloading && part.free_at.is_none();
-            if waits && quiet {
-                part.free_at = Some(free_at);
+            let is_pending =
+                artifact.phase == EngineSlotPhase::Unloading && artifact.free_at.is_none();
+            if is_pending && is_idle {
+                artifact.free_at = Some(free_at);
                 self.timers.set(free_at, Timer::Unload(slot, adapter));
             }
         }
@@ -144,27 +145,27 @@
         slot: SlotId,
         adapter: Option<AdapterName>,
     ) {
-        let is_due = self.part_mut(slot, adapter.as_ref()).is_some_and(|part| {
-            part.phase == EngineSlotPhase::Unloading && part.free_at == Some(now)
-        });
+        let is_due = self
+            .artifact_mut(slot, adapter.as_ref())
+            .is_some_and(|one| one.phase == EngineSlotPhase::Unloading && one.free_at == Some(now));
         if is_due {
             self.finish_unload(now, slot, adapter);
         }
     }
 
     /// An unload waits no longer: what still runs is cut.
-    pub(super) fn unload_bound_due(&mut self, now: Timestamp, slot: SlotId) {
+    pub(super) fn unload_timeout_due(&mut self, now: Timestamp, slot: SlotId) {
         let Some(state) = self.slots.get(&slot) else {
             return;
         };
-        let is_due =
-            state.weights.phase == EngineSlotPhase::Unloading && state.weights.cut_at == Some(now);
+        let is_due = state.weights.phase == EngineSlotPhase::Unloading
+            && state.weights.abort_at == Some(now);
         if !is_due {
             return;
         }
-        let mut left = state.batch.running();
-        left.extend(state.batch.waiting());
-        for handle in left {
+        let mut remaining = state.batch.running();
+        remaining.extend(state.batch.waiting());
+        for handle in remaining {
             self.counters.requests_cut += 1;
             self.finish(now, handle, FinishReason::Unloaded);
         }
@@ -177,7 +178,7 @@
         slot: SlotId,
         adapter: Option<AdapterName>,
     ) {
-        self.drop_part(slot, adapter.as_ref(), EngineSlotPhase::Unloaded);
+        self.drop_artifact(slot, adapter.as_ref(), EngineSlotPhase::Unloaded);
         if adapter.is_none() {
             self.drop_all_adapters(slot, EngineSlotPhase::Unloaded);
             self.clear_prefix(now, slot);
@@ -185,14 +186,18 @@
         self.mark_changed(now);
     }
 
-    fn set_unload_bound(&mut self, now: Timestamp, slot: SlotId) {
-        let cut_at = self.settings.limits.unload_timeout.map(|bound| now + bound);
+    fn set_unload_timeout(&mut self, now: Timestamp, slot: SlotId) {
+        let abort_at = self
+            .settings
+            .limits
+            .unload_timeout
+            .map(|timeout| now + timeout);
         let Some(state) = self.slots.get_mut(&slot) else {
             return;
         };
-        state.weights.cut_at = cut_at;
-        if let Some(cut_at) = cut_at {
-            self.timers.set(cut_at, Timer::UnloadBound(slot));
+        state.weights.abort_at = abort_at;
+        if let Some(abort_at) = abort_at {
+            self.timers.set(abort_at, Timer::UnloadTimeout(slot));
         }
     }
 
@@ -204,11 +209,11 @@
         bytes_per_second: u64,
     ) {
         let setup = self.settings.timing.load_setup;
-        let Some(part) = self.part_mut(slot, adapter.as_ref()) else {
+        let Some(artifact) = self.artifact_mut(slot, adapter.as_ref()) else {
             return;
         };
-        let ready_at = now + setup + transfer_time(part.bytes, bytes_per_second);
-        part.ready_at = Some(ready_at);
+        let ready_at = now + setup + transfer_time(artifact.bytes, bytes_per_second);
+        artifact.ready_at = Some(ready_at);
         self.timers.set(ready_at, Timer::Load(slot, adapter));
     }
 
@@ -219,18 +224,18 @@
         if adapter.is_some() && !state.weights.is_loaded() {
             return; // The weights' own completion takes this adapter along.
         }
-        let Some(part) = state.part_mut(adapter.as_ref()) else {
+        let Some(artifact) = state.artifact_mut(adapter.as_ref()) else {
             return;
         };
-        part.phase = EngineSlotPhase::Loaded;
-        part.ready_at = None;
+        artifact.phase = EngineSlotPhase::Loaded;
+        artifact.ready_at = None;
         self.mark_changed(now);
         if adapter.is_some() {
             self.counters.adapter_loads += 1;
             return;
         }
         self.counters.model_loads += 1;
-        for name in self.adapters_where(slot, |part| part.ready_at.is_some_and(|at| at <= now)) {
+        for name in self.adapters_where(slot, |one| one.ready_at.is_some_and(|at| at <= now)) {
             self.complete_load(now, slot, Some(name));
         }
     }
@@ -244,7 +249,7 @@
     ) {
         self.counters.failed_loads += 1;
         let phase = EngineSlotPhase::Failed(reason);
-        self.drop_part(slot, adapter.as_ref(), phase.clone());
+        self.drop_artifact(slot, adapter.as_ref(), phase.clone());
         if adapter.is_none() {
             self.drop_all_adapters(slot, phase);
         }
@@ -252,27 +257,32 @@
     }
 
     fn drop_loading_adapters(&mut self, slot: SlotId) {
-        let loading = self.adapters_where(slot, |part| part.phase == EngineSlotPhase::Loading);
+        let loading = self.adapters_where(slot, |one| one.phase == EngineSlotPhase::Loading);
         for name in loading {
-            self.drop_part(slot, Some(&name), EngineSlotPhase::Unloaded);
+            self.drop_artifact(slot, Some(&name), EngineSlotPhase::Unloaded);
         }
     }
 
     fn drop_all_adapters(&mut self, slot: SlotId, phase: EngineSlotPhase) {
-        for name in self.adapters_where(slot, |part| !part.is_gone()) {
-            self.drop_part(slot, Some(&name), phase.clone());
+        for name in self.adapters_where(slot, |one| !one.is_released()) {
+            self.drop_artifact(slot, Some(&name), phase.clone());
         }
     }
 
-    fn drop_part(&mut self, slot: SlotId, adapter: Option<&AdapterName>, phase: EngineSlotPhase) {
-        let Some(part) = self.part_mut(slot, adapter) else {
+    fn drop_artifact(
+        &mut self,
+        slot: SlotId,
+        adapter: Option<&AdapterName>,
+        phase: EngineSlotPhase,
+    ) {
+        let Some(artifact) = self.artifact_mut(slot, adapter) else {
             return;
         };
-        part.phase = phase;
-        part.ready_at = None;
-        part.free_at = None;
-        let held = std::mem::take(&mut part.reservation);
-        let fetch = part.fetch.take();
+        artifact.phase = phase;
+        artifact.ready_at = None;
+        artifact.free_at = None;
+        let held = std::mem::take(&mut artifact.reservation);
+        let fetch = artifact.fetch.take();
         self.memory.release(&held);
         if let Some(fetch) = fetch {
             self.fetches.remove(&fetch);
@@ -287,11 +297,11 @@
         };
         let waiting = self.slots.get(&slot).map(|state| state.batch.waiting());
         for handle in waiting.unwrap_or_default() {
-            let concerned = self.requests.get(handle).is_some_and(|state| {
+            let is_affected = self.requests.get(handle).is_some_and(|state| {
                 !state.started && (adapter.is_none() || state.request.adapter.as_ref() == adapter)
             });
-            if concerned {
-                self.withdraw(now, handle, refusal.clone());
+            if is_affected {
+                self.refuse(now, handle, refusal.clone());
             }
         }
     }
@@ -309,15 +319,22 @@
             .any(|one| one.request.slot == slot && one.request.adapter.as_ref() == adapter)
     }
 
-    fn part_mut(&mut self, slot: SlotId, adapter: Option<&AdapterName>) -> Option<&mut Part> {
-        self.slots.get_mut(&slot)?.part_mut(adapter)
+    fn artifact_mut(
+        &mut self,
+        slot: SlotId,
+        adapter: Option<&AdapterName>,
+    ) -> Option<&mut Artifact> {
+        self.slots.get_mut(&slot)?.artifact_mut(adapter)
     }
 
-    fn adapters_where(&self, slot: SlotId, wanted: impl Fn(&Part) -> bool) -> Vec<AdapterName> {
+    fn adapters_where(&self, slot: SlotId, wanted: impl Fn(&Artifact) -> bool) -> Vec<AdapterName> {
         let Some(state) = self.slots.get(&slot) else {
             return Vec::new();
         };
-        let found = state.adapters.iter().filter(|(_, part)| wanted(part));
+        let found = state
+            .adapters
+            .iter()
+            .filter(|(_, artifact)| wanted(artifact));
         found.map(|(name, _)| name.clone()).collect()
     }
 }
--- a/crates/millpass-standin/src/engine/memory.rs
+++ b/crates/millpass-standin/src/engine/memory.rs
@@ -3,14 +3,14 @@
 /// A part of each accelerator's memory, as reserved by one model or adapter.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reservation {
-    shares: Vec<(usize, u64)>,
+    per_accelerator: Vec<(usize, u64)>,
 }
 
 impl Reservation {
     /// `bytes` spread evenly over `accelerators`; the first ones take the remainder.
     pub fn spread(accelerators: &[u32], bytes: u64) -> Self {
         let count = accelerators.len().max(1) as u64;
-        let shares = accelerators
+        let per_accelerator = accelerators
             .iter()
             .zip(0_u64..)
             .map(|(index, place)| {
@@ -18,7 +18,7 @@
                 (*index as usize, bytes / count + extra)
             })
             .collect();
-        Reservation { shares }
+        Reservation { per_accelerator }
     }
 }
 
@@ -50,14 +50,14 @@
     /// Takes a reservation; counts a breach and takes nothing if it does not fit.
     pub fn reserve(&mut self, wanted: &Reservation) -> bool {
         let fits = wanted
-            .shares
+            .per_accelerator
             .iter()
             .all(|(index, bytes)| self.fits(*index, *bytes));
         if !fits {
             self.overcommits += 1;
             return false;
         }
-        for (index, bytes) in &wanted.shares {
+        for (index, bytes) in &wanted.per_accelerator {
             self.used[*index] += bytes;
             self.peak[*index] = self.peak[*index].max(self.used[*index]);
         }
@@ -66,7 +66,7 @@
 
     /// Gives a reservation back.
     pub fn release(&mut self, held: &Reservation) {
-        for (index, bytes) in &held.shares {
+        for (index, bytes) in &held.per_accelerator {
             self.used[*index] = self.used[*index].saturating_sub(*bytes);
         }
     }
--- a/crates/millpass-standin/src/engine/messages.rs
+++ b/crates/millpass-standin/src/engine/messages.rs
@@ -35,9 +35,9 @@
     pub prompt_tokens: u32,
     /// Chained hashes of the prompt's blocks, see [`crate::content::prefix_blocks`].
     pub prefix_blocks: Vec<u64>,
-    /// Length of the answer.
+    /// Length of the response.
     pub maximum_tokens: u32,
-    /// Tokens that the caller has already; the answer goes on after them.
+    /// Tokens that the caller has already; the response goes on after them.
     pub resume_from: u32,
     /// When the request is given up.
     pub deadline: Option<Timestamp>,
@@ -100,8 +100,8 @@
         /// When to come back.
         retry_after: Duration,
     },
-    /// Prompt and answer together exceed the slot's cache memory.
-    #[error("prompt and answer need more than the slot's cache memory; shorten them")]
+    /// Prompt and response together exceed the slot's cache memory.
+    #[error("prompt and response need more than the slot's cache memory; shorten them")]
     TooLarge,
     /// The engine's role does not serve this request.
     #[error("engine's role does not serve this request; send it to another role")]
@@ -114,7 +114,7 @@
 /// How a request that ran ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishReason {
-    /// The whole answer was given.
+    /// The whole response was given.
     Complete,
     /// Its deadline passed while it ran.
     DeadlinePassed,
@@ -127,13 +127,13 @@
 /// What an engine does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
-    /// Answer to the order of this step.
+    /// Response to the order of this step.
     OrderResponse(OrderResponse),
     /// The request did not run.
     Refused(RequestHandle, Refusal),
     /// The request entered the running batch for the first time; it now counts as executed.
     Started(RequestHandle),
-    /// Tokens `from..from + count` of an answer.
+    /// Tokens `from..from + count` of a response.
     Tokens {
         /// Request.
         request: RequestHandle,
@@ -144,7 +144,7 @@
     },
     /// The request ended; nothing follows.
     Finished(RequestHandle, FinishReason),
-    /// Ask the weight store; answer with [`EngineInput::FetchEnded`].
+    /// Ask the weight store; response with [`EngineInput::FetchEnded`].
     Fetch {
         /// Number of the fetch.
         fetch: FetchId,
--- a/crates/millpass-standin/src/engine/model.rs
+++ b/crates/millpass-standin/src/engine/model.rs
@@ -1,7 +1,7 @@
 //! The engine model: state, time and reports. Orders, loads and requests are in the modules
 //! beside this one.
 
-use super::audit::blank_audit;
+use super::audit::empty_audit;
 use super::checkpoints::CheckpointCache;
 use super::events::EventLog;
 use super::fences::FenceLedger;
@@ -72,7 +72,7 @@
             requests: Requests::default(),
             timers: Timers::default(),
             events: EventLog::new(&settings.publishing, &settings.limits),
-            counters: blank_audit(settings.backend.clone(), settings.incarnation),
+            counters: empty_audit(settings.backend.clone(), settings.incarnation),
             request_runs: RunCounts::new(settings.limits.tracked_runs),
             key_runs: RunCounts::new(settings.limits.tracked_runs),
             failing_loads: 0,
@@ -90,7 +90,7 @@
         self.begin_event(now);
         match input {
             EngineInput::Tick => {}
-            EngineInput::Order(order) => self.take_order(now, order),
+            EngineInput::Order(order) => self.handle_order(now, order),
             EngineInput::Submit(request) => self.submit(now, request),
             EngineInput::Cancel(handle) => self.cancel(now, handle),
             EngineInput::FetchEnded(fetch, result) => self.fetch_ended(now, fetch, result),
@@ -214,7 +214,7 @@
             repeated_requests: self.request_runs.repeated(),
             loaded_accelerator_millis: loaded_micros / MICROS_PER_MILLI,
             idle_accelerator_millis: idle_micros / MICROS_PER_MILLI,
-            forgotten_runs: self.key_runs.forgotten() + self.request_runs.forgotten(),
+            forgotten_runs: self.key_runs.evicted() + self.request_runs.evicted(),
             ..self.counters.clone()
         }
     }
@@ -241,9 +241,9 @@
     fn fire(&mut self, at: Timestamp, timer: Timer) {
         match timer {
             Timer::Load(slot, adapter) => self.load_due(at, slot, adapter),
-            Timer::FetchAgain(slot, adapter) => self.fetch_again(slot, adapter),
+            Timer::RetryFetch(slot, adapter) => self.start_fetch(slot, adapter),
             Timer::Unload(slot, adapter) => self.unload_due(at, slot, adapter),
-            Timer::UnloadBound(slot) => self.unload_bound_due(at, slot),
+            Timer::UnloadTimeout(slot) => self.unload_timeout_due(at, slot),
             Timer::Step(slot) => self.step_due(at, slot),
             Timer::Deadline(handle) => self.deadline_due(at, handle),
         }
--- a/crates/millpass-standin/src/engine/orders.rs
+++ b/crates/millpass-standin/src/engine/orders.rs
@@ -4,7 +4,7 @@
 use super::memory::Reservation;
 use super::messages::EngineOutput;
 use super::model::EngineModel;
-use super::slots::{Part, Slot};
+use super::slots::{Artifact, Slot};
 use millpass_proto::{
     AdapterName, EngineOrder, EngineSlotPhase, LoadAdapterOrder, LoadModelOrder, LogPosition,
     OrderAction, OrderResponse, SlotId, Timestamp, UnloadAdapterOrder,
@@ -12,16 +12,16 @@
 use std::collections::BTreeMap;
 
 /// Result of carrying an order out; the error is the reason of a rejection.
-type Carried = Result<(), String>;
+type OrderResult = Result<(), String>;
 
 impl EngineModel {
     /// Judges an order and, if it is new, carries it out.
-    pub(super) fn take_order(&mut self, now: Timestamp, order: EngineOrder) {
-        let answer = self.judge_order(now, order);
-        self.outputs.push(EngineOutput::OrderResponse(answer));
+    pub(super) fn handle_order(&mut self, now: Timestamp, order: EngineOrder) {
+        let response = self.evaluate_order(now, order);
+        self.outputs.push(EngineOutput::OrderResponse(response));
     }
 
-    fn judge_order(&mut self, now: Timestamp, order: EngineOrder) -> OrderResponse {
+    fn evaluate_order(&mut self, now: Timestamp, order: EngineOrder) -> OrderResponse {
         if order.backend != self.settings.backend {
             self.counters.orders_rejected += 1;
             return OrderResponse::Rejected(format!(
@@ -33,9 +33,9 @@
             self.counters.wrong_incarnations += 1;
             return OrderResponse::WrongIncarnation(self.settings.incarnation);
         }
-        match self.fences.judge(&order) {
-            FenceVerdict::New => self.carry_out_and_record(now, order),
-            FenceVerdict::Resent(answer) => answer,
+        match self.fences.check(&order) {
+            FenceVerdict::New => self.execute_and_record(now, order),
+            FenceVerdict::Resent(response) => response,
             FenceVerdict::Stale(highest) => {
                 self.counters.stale_fences += 1;
                 OrderResponse::StaleFence(highest)
@@ -47,9 +47,9 @@
         }
     }
 
-    fn carry_out_and_record(&mut self, now: Timestamp, order: EngineOrder) -> OrderResponse {
+    fn execute_and_record(&mut self, now: Timestamp, order: EngineOrder) -> OrderResponse {
         self.mark_changed(now);
-        let answer = match self.carry_out(now, &order) {
+        let response = match self.execute_order(now, &order) {
             Ok(()) => {
                 self.counters.orders_accepted += 1;
                 OrderResponse::Accepted
@@ -59,12 +59,12 @@
                 OrderResponse::Rejected(reason)
             }
         };
-        self.fences.record(order, answer.clone());
-        self.forget_gone_slots();
-        answer
+        self.fences.record(order, response.clone());
+        self.evict_released_slots();
+        response
     }
 
-    fn carry_out(&mut self, now: Timestamp, order: &EngineOrder) -> Carried {
+    fn execute_order(&mut self, now: Timestamp, order: &EngineOrder) -> OrderResult {
         match &order.action {
             OrderAction::LoadModel(load) => self.load_model(now, order.fence, load),
             OrderAction::UnloadModel(slot) => self.unload_model(now, order.fence, *slot),
@@ -77,12 +77,17 @@
         }
     }
 
-    fn load_model(&mut self, now: Timestamp, fence: LogPosition, load: &LoadModelOrder) -> Carried {
+    fn load_model(
+        &mut self,
+        now: Timestamp,
+        fence: LogPosition,
+        load: &LoadModelOrder,
+    ) -> OrderResult {
         self.check_accelerators(&load.accelerators)?;
         if let Some(slot) = self.slots.get_mut(&load.slot)
-            && !slot.weights.is_gone()
+            && !slot.weights.is_released()
         {
-            return take_load_again(slot, fence, load);
+            return accept_repeated_load(slot, fence, load);
         }
         self.check_slot_count()?;
         let total = load
@@ -98,15 +103,15 @@
             version: load.version.clone(),
             accelerators: load.accelerators.clone(),
             cache_bytes: load.cache_bytes,
-            weights: Part::loading(fence, reservation, load.weights_bytes, &load.checkpoint),
-            ..Slot::gone(fence)
+            weights: Artifact::loading(fence, reservation, load.weights_bytes, &load.checkpoint),
+            ..Slot::unloaded(fence)
         };
         self.slots.insert(load.slot, slot);
         self.begin_load(now, load.slot, None);
         Ok(())
     }
 
-    fn check_accelerators(&self, accelerators: &[u32]) -> Carried {
+    fn check_accelerators(&self, accelerators: &[u32]) -> OrderResult {
         let mut distinct = accelerators.to_vec();
         distinct.sort_unstable();
         distinct.dedup();
@@ -119,17 +124,20 @@
         Ok(())
     }
 
-    fn check_slot_count(&self) -> Carried {
-        let held = self.slots.values().filter(|slot| !slot.weights.is_gone());
+    fn check_slot_count(&self) -> OrderResult {
+        let held = self
+            .slots
+            .values()
+            .filter(|slot| !slot.weights.is_released());
         if held.count() >= self.settings.limits.slots {
             return Err("engine holds its most slots; unload something first".into());
         }
         Ok(())
     }
 
-    fn unload_model(&mut self, now: Timestamp, fence: LogPosition, slot: SlotId) -> Carried {
+    fn unload_model(&mut self, now: Timestamp, fence: LogPosition, slot: SlotId) -> OrderResult {
         let Some(state) = self.slots.get_mut(&slot) else {
-            self.slots.insert(slot, Slot::gone(fence));
+            self.slots.insert(slot, Slot::unloaded(fence));
             return Ok(());
         };
         state.weights.fence = fence;
@@ -149,24 +157,24 @@
         now: Timestamp,
         fence: LogPosition,
         load: &LoadAdapterOrder,
-    ) -> Carried {
+    ) -> OrderResult {
         let slot = self
             .slots
             .get_mut(&load.slot)
             .ok_or("slot is not here; load its model first")?;
-        let takes_adapters = matches!(
+        let accepts_adapters = matches!(
             slot.weights.phase,
             EngineSlotPhase::Loading | EngineSlotPhase::Loaded
         );
-        if !takes_adapters {
+        if !accepts_adapters {
             return Err("slot is not loaded; load its model first".into());
         }
-        if let Some(part) = slot.adapters.get_mut(&load.adapter)
-            && !part.is_gone()
+        if let Some(artifact) = slot.adapters.get_mut(&load.adapter)
+            && !artifact.is_released()
         {
-            return take_adapter_again(part, fence);
+            return accept_repeated_adapter_load(artifact, fence);
         }
-        let held = slot.adapters.values().filter(|part| !part.is_gone());
+        let held = slot.adapters.values().filter(|one| !one.is_released());
         if held.count() >= self.settings.limits.adapters_per_slot {
             return Err("slot holds its most adapters; unload one first".into());
         }
@@ -174,8 +182,8 @@
         if !self.memory.reserve(&reservation) {
             return Err("accelerator memory lacks; unload something first".into());
         }
-        let part = Part::loading(fence, reservation, load.bytes, &load.checkpoint);
-        slot.adapters.insert(load.adapter.clone(), part);
+        let artifact = Artifact::loading(fence, reservation, load.bytes, &load.checkpoint);
+        slot.adapters.insert(load.adapter.clone(), artifact);
         self.begin_load(now, load.slot, Some(load.adapter.clone()));
         Ok(())
     }
@@ -185,53 +193,56 @@
         now: Timestamp,
         fence: LogPosition,
         unload: &UnloadAdapterOrder,
-    ) -> Carried {
+    ) -> OrderResult {
         let adapter = Some(unload.adapter.clone());
         let slot = self
             .slots
             .entry(unload.slot)
-            .or_insert_with(|| Slot::gone(fence));
-        let part = slot
+            .or_insert_with(|| Slot::unloaded(fence));
+        let artifact = slot
             .adapters
             .entry(unload.adapter.clone())
-            .or_insert_with(|| Part::gone(fence));
-        part.fence = fence;
-        match part.phase {
+            .or_insert_with(|| Artifact::unloaded(fence));
+        artifact.fence = fence;
+        match artifact.phase {
             EngineSlotPhase::Loading => self.finish_unload(now, unload.slot, adapter),
             EngineSlotPhase::Loaded => self.begin_unload(now, unload.slot, adapter),
             EngineSlotPhase::Unloading => {}
             EngineSlotPhase::Unloaded | EngineSlotPhase::Failed(_) => {
-                part.phase = EngineSlotPhase::Unloaded;
+                artifact.phase = EngineSlotPhase::Unloaded;
             }
         }
         Ok(())
     }
 
     /// Keeps the table of gone slots and adapters within its bound; the oldest fences go first.
-    fn forget_gone_slots(&mut self) {
-        let bound = self.settings.limits.reported_unloaded_slots;
-        let gone = self.slots.iter().filter(|(_, slot)| slot.weights.is_gone());
+    fn evict_released_slots(&mut self) {
+        let limit = self.settings.limits.reported_unloaded_slots;
+        let gone = self
+            .slots
+            .iter()
+            .filter(|(_, slot)| slot.weights.is_released());
         let mut by_fence: BTreeMap<(LogPosition, SlotId), ()> = gone
             .map(|(id, slot)| ((slot.weights.fence, *id), ()))
             .collect();
-        while by_fence.len() > bound {
+        while by_fence.len() > limit {
             if let Some(((_, oldest), ())) = by_fence.pop_first() {
                 self.slots.remove(&oldest);
             }
         }
         for slot in self.slots.values_mut() {
-            forget_gone_adapters(&mut slot.adapters, bound);
+            evict_released_adapters(&mut slot.adapters, limit);
         }
     }
 }
 
-fn forget_gone_adapters(adapters: &mut BTreeMap<AdapterName, Part>, bound: usize) {
+fn evict_released_adapters(adapters: &mut BTreeMap<AdapterName, Artifact>, limit: usize) {
     loop {
-        let gone = adapters.iter().filter(|(_, part)| part.is_gone());
-        if gone.clone().count() <= bound {
+        let gone = adapters.iter().filter(|(_, one)| one.is_released());
+        if gone.clone().count() <= limit {
             return;
         }
-        let oldest = gone.min_by_key(|(_, part)| part.fence);
+        let oldest = gone.min_by_key(|(_, artifact)| artifact.fence);
         if let Some(name) = oldest.map(|(name, _)| name.clone()) {
             adapters.remove(&name);
         }
@@ -239,7 +250,7 @@
 }
 
 /// A load of a slot that is loading or loaded: the same one is fine, under its new fence.
-fn take_load_again(slot: &mut Slot, fence: LogPosition, load: &LoadModelOrder) -> Carried {
+fn accept_repeated_load(slot: &mut Slot, fence: LogPosition, load: &LoadModelOrder) -> OrderResult {
     let same = slot.model == load.model
         && slot.version == load.version
         && slot.accelerators == load.accelerators
@@ -255,10 +266,10 @@
     Ok(())
 }
 
-fn take_adapter_again(part: &mut Part, fence: LogPosition) -> Carried {
-    if part.phase == EngineSlotPhase::Unloading {
+fn accept_repeated_adapter_load(artifact: &mut Artifact, fence: LogPosition) -> OrderResult {
+    if artifact.phase == EngineSlotPhase::Unloading {
         return Err("adapter is being unloaded; order the load after that".into());
     }
-    part.fence = fence;
+    artifact.fence = fence;
     Ok(())
 }
--- a/crates/millpass-standin/src/engine/prefix.rs
+++ b/crates/millpass-standin/src/engine/prefix.rs
@@ -10,20 +10,20 @@
 /// the slot's cache memory.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
-    turns_by_block: BTreeMap<u64, u64>,
-    blocks_by_turn: BTreeMap<u64, u64>,
-    turn: u64,
+    recency_by_block: BTreeMap<u64, u64>,
+    blocks_by_recency: BTreeMap<u64, u64>,
+    recency: u64,
 }
 
 impl PrefixCache {
     /// Number of blocks cached.
     pub fn len(&self) -> usize {
-        self.turns_by_block.len()
+        self.recency_by_block.len()
     }
 
     /// Whether this block is cached.
     pub fn contains(&self, block: u64) -> bool {
-        self.turns_by_block.contains_key(&block)
+        self.recency_by_block.contains_key(&block)
     }
 
     /// Number of leading blocks that are cached; they become the most recent ones.
@@ -45,24 +45,24 @@
     }
 
     /// Caches blocks, as far as `room` (in blocks) allows.
-    pub fn insert(&mut self, blocks: &[u64], room: usize, changes: &mut Vec<PrefixChange>) {
-        let kept = &blocks[..blocks.len().min(room)];
+    pub fn insert(&mut self, blocks: &[u64], capacity: usize, changes: &mut Vec<PrefixChange>) {
+        let kept = &blocks[..blocks.len().min(capacity)];
         for block in kept {
             if !self.contains(*block) {
                 changes.push((*block, CacheChange::Inserted));
             }
         }
         self.touch_all(kept);
-        self.shrink(room, changes);
+        self.shrink(capacity, changes);
     }
 
     /// Evicts the least recently used blocks until at most `room` are left.
-    pub fn shrink(&mut self, room: usize, changes: &mut Vec<PrefixChange>) {
-        while self.len() > room {
-            let Some((_, block)) = self.blocks_by_turn.pop_first() else {
+    pub fn shrink(&mut self, capacity: usize, changes: &mut Vec<PrefixChange>) {
+        while self.len() > capacity {
+            let Some((_, block)) = self.blocks_by_recency.pop_first() else {
                 return;
             };
-            self.turns_by_block.remove(&block);
+            self.recency_by_block.remove(&block);
             changes.push((block, CacheChange::Evicted));
         }
     }
@@ -76,10 +76,10 @@
     }
 
     fn touch(&mut self, block: u64) {
-        self.turn += 1;
-        if let Some(before) = self.turns_by_block.insert(block, self.turn) {
-            self.blocks_by_turn.remove(&before);
+        self.recency += 1;
+        if let Some(before) = self.recency_by_block.insert(block, self.recency) {
+            self.blocks_by_recency.remove(&before);
         }
-        self.blocks_by_turn.insert(self.turn, block);
+        self.blocks_by_recency.insert(self.recency, block);
     }
 }
--- a/crates/millpass-standin/src/engine/requests.rs
+++ b/crates/millpass-standin/src/engine/requests.rs
@@ -13,7 +13,7 @@
     pub place: QueuePlace,
     /// Position of the next token.
     pub position: u32,
-    /// Position at which the answer is whole.
+    /// Position at which the response is whole.
     pub end: u32,
     /// Cache memory it may fill while it runs.
     pub cache_bytes: u64,
--- a/crates/millpass-standin/src/engine/serving.rs
+++ b/crates/millpass-standin/src/engine/serving.rs
@@ -11,7 +11,7 @@
 impl EngineModel {
     /// Takes a request into the inner queue, or refuses it.
     pub(super) fn submit(&mut self, now: Timestamp, request: EngineRequest) {
-        if let Err(refusal) = self.check(now, &request) {
+        if let Err(refusal) = self.check_admission(now, &request) {
             self.counters.requests_refused += 1;
             let output = EngineOutput::Refused(request.handle, refusal);
             self.outputs.push(output);
@@ -29,7 +29,7 @@
             place,
             position: request.resume_from.min(end),
             end,
-            cache_bytes: self.cache_need(&request),
+            cache_bytes: self.required_cache_bytes(&request),
             started: false,
             request,
         };
@@ -54,7 +54,7 @@
     pub(super) fn deadline_due(&mut self, now: Timestamp, handle: RequestHandle) {
         match self.requests.get(handle).map(|state| state.started) {
             None => {}
-            Some(false) => self.withdraw(now, handle, Refusal::DeadlinePassed),
+            Some(false) => self.refuse(now, handle, Refusal::DeadlinePassed),
             Some(true) => {
                 self.counters.requests_cut += 1;
                 self.finish(now, handle, FinishReason::DeadlinePassed);
@@ -72,7 +72,7 @@
         }
         state.batch.step_ends = None;
         for handle in state.batch.running() {
-            self.give_tokens(now, handle);
+            self.emit_tokens(now, handle);
         }
         self.begin_step_if_idle(now, slot);
     }
@@ -86,8 +86,8 @@
         if is_loaded {
             self.cache_blocks(now, slot, &[prefix_hash]);
         }
-        let taken = self.has_cached(slot, prefix_hash);
-        self.outputs.push(EngineOutput::CacheImported(taken));
+        let imported = self.has_cached(slot, prefix_hash);
+        self.outputs.push(EngineOutput::CacheImported(imported));
     }
 
     /// Empties a slot's prefix cache.
@@ -101,22 +101,22 @@
 
     /// Ends a request that ran or was cancelled.
     pub(super) fn finish(&mut self, now: Timestamp, handle: RequestHandle, reason: FinishReason) {
-        if let Some(slot) = self.forget(now, handle) {
+        if let Some(slot) = self.remove_request(now, handle) {
             self.outputs.push(EngineOutput::Finished(handle, reason));
-            self.release_if_quiet(now, slot);
+            self.release_if_idle(now, slot);
         }
     }
 
     /// Refuses a request that waited and never ran.
-    pub(super) fn withdraw(&mut self, now: Timestamp, handle: RequestHandle, refusal: Refusal) {
-        if let Some(slot) = self.forget(now, handle) {
+    pub(super) fn refuse(&mut self, now: Timestamp, handle: RequestHandle, refusal: Refusal) {
+        if let Some(slot) = self.remove_request(now, handle) {
             self.counters.requests_refused += 1;
             self.outputs.push(EngineOutput::Refused(handle, refusal));
-            self.release_if_quiet(now, slot);
+            self.release_if_idle(now, slot);
         }
     }
 
-    fn check(&mut self, now: Timestamp, request: &EngineRequest) -> Result<(), Refusal> {
+    fn check_admission(&mut self, now: Timestamp, request: &EngineRequest) -> Result<(), Refusal> {
         let own = self.settings.incarnation;
         if request.incarnation.is_some_and(|wanted| wanted != own) {
             self.counters.wrong_incarnations += 1;
@@ -128,11 +128,10 @@
             return Err(Refusal::SlotNotLoaded);
         };
         let adapter = request.adapter.as_ref();
-        if adapter.is_some_and(|name| !slot.adapters.get(name).is_some_and(|part| part.is_loaded()))
-        {
+        if adapter.is_some_and(|name| !slot.adapters.get(name).is_some_and(|one| one.is_loaded())) {
             return Err(Refusal::AdapterNotLoaded);
         }
-        if self.cache_need(request) > slot.cache_bytes {
+        if self.required_cache_bytes(request) > slot.cache_bytes {
             return Err(Refusal::TooLarge);
         }
         if !self.role_serves(request) {
@@ -169,10 +168,10 @@
         }
     }
 
-    fn cache_need(&self, request: &EngineRequest) -> u64 {
+    fn required_cache_bytes(&self, request: &EngineRequest) -> u64 {
         let limits = &self.settings.limits;
-        let answer = request.maximum_tokens.min(limits.maximum_tokens);
-        let tokens = u64::from(request.prompt_tokens) + u64::from(answer);
+        let response = request.maximum_tokens.min(limits.maximum_tokens);
+        let tokens = u64::from(request.prompt_tokens) + u64::from(response);
         tokens.saturating_mul(limits.cache_bytes_per_token)
     }
 
@@ -214,10 +213,10 @@
             let Some((place, handle)) = state.batch.next_waiting() else {
                 return prefill_tokens;
             };
-            let need = self.requests.get(handle).map_or(0, |one| one.cache_bytes);
+            let required = self.requests.get(handle).map_or(0, |one| one.cache_bytes);
             let has_slot =
                 (state.batch.running_count() as usize) < self.settings.limits.batch_slots;
-            let has_memory = state.batch.running_bytes + need <= state.cache_bytes;
+            let has_memory = state.batch.running_bytes + required <= state.cache_bytes;
             if has_slot && has_memory {
                 prefill_tokens += self.start(now, slot, handle);
                 continue;
@@ -244,11 +243,11 @@
         one.started = true;
         let (place, bytes) = (one.place, one.cache_bytes);
         let context = one.request.prompt_tokens.saturating_add(one.position);
-        let is_whole = one.position >= one.end;
+        let is_complete = one.position >= one.end;
         let blocks = one.request.prefix_blocks.clone();
         let request = one.request.clone();
         if is_first {
-            self.count_start(&request);
+            self.record_start(&request);
         }
         let mut cached = 0;
         if let Some(state) = self.slots.get_mut(&slot) {
@@ -256,7 +255,7 @@
             cached = state.prefix.use_prefix(&blocks);
         }
         self.cache_blocks(now, slot, &blocks);
-        if is_whole {
+        if is_complete {
             self.counters.requests_finished += 1;
             self.finish(now, handle, FinishReason::Complete);
             return 0;
@@ -264,7 +263,7 @@
         context.saturating_sub(block_tokens(cached))
     }
 
-    fn count_start(&mut self, request: &EngineRequest) {
+    fn record_start(&mut self, request: &EngineRequest) {
         self.outputs.push(EngineOutput::Started(request.handle));
         self.counters.requests_started += 1;
         if let Some(key) = &request.idempotency_key {
@@ -278,7 +277,7 @@
         }
     }
 
-    fn give_tokens(&mut self, now: Timestamp, handle: RequestHandle) {
+    fn emit_tokens(&mut self, now: Timestamp, handle: RequestHandle) {
         let per_step = self.settings.timing.tokens_per_step.max(1);
         let Some(one) = self.requests.get_mut(handle) else {
             return;
@@ -286,14 +285,14 @@
         let from = one.position;
         let count = per_step.min(one.end - from);
         one.position += count;
-        let is_whole = one.position >= one.end;
+        let is_complete = one.position >= one.end;
         self.counters.tokens += u64::from(count);
         self.outputs.push(EngineOutput::Tokens {
             request: handle,
             from,
             count,
         });
-        if is_whole {
+        if is_complete {
             self.counters.requests_finished += 1;
             self.finish(now, handle, FinishReason::Complete);
         }
@@ -305,8 +304,8 @@
         let mut changes = Vec::new();
         if let Some(state) = self.slots.get_mut(&slot) {
             let free = state.cache_bytes - state.batch.running_bytes;
-            let room = usize::try_from(free / block_bytes).unwrap_or(usize::MAX);
-            state.prefix.insert(blocks, room, &mut changes);
+            let capacity = usize::try_from(free / block_bytes).unwrap_or(usize::MAX);
+            state.prefix.insert(blocks, capacity, &mut changes);
         }
         self.publish(now, slot, changes);
     }
@@ -318,7 +317,7 @@
     }
 
     /// Takes a request out of all tables; gives its slot.
-    fn forget(&mut self, now: Timestamp, handle: RequestHandle) -> Option<SlotId> {
+    fn remove_request(&mut self, now: Timestamp, handle: RequestHandle) -> Option<SlotId> {
         let state = self.requests.remove(handle)?;
         if let Some(deadline) = state.request.deadline {
             self.timers.clear(deadline, Timer::Deadline(handle));
--- a/crates/millpass-standin/src/engine/settings.rs
+++ b/crates/millpass-standin/src/engine/settings.rs
@@ -89,7 +89,7 @@
     pub waiting_requests: usize,
     /// Retry-After of a refusal for a full queue.
     pub retry_after: Duration,
-    /// Most tokens of one answer; more is cut to this.
+    /// Most tokens of one response; more is cut to this.
     pub maximum_tokens: u32,
     /// Cache memory of one token.
     pub cache_bytes_per_token: u64,
@@ -105,13 +105,13 @@
     pub adapters_per_slot: usize,
     /// Slots that are gone or failed and still reported.
     pub reported_unloaded_slots: usize,
-    /// Orders whose answers are remembered for resends.
+    /// Orders whose responses are remembered for resends.
     pub retained_orders: usize,
     /// Request identities and idempotency keys whose runs are counted.
     pub tracked_runs: usize,
     /// Cache events kept.
     pub retained_events: usize,
-    /// Most cache events in one answer.
+    /// Most cache events in one response.
     pub events_per_response: usize,
 }
 
--- a/crates/millpass-standin/src/engine/slots.rs
+++ b/crates/millpass-standin/src/engine/slots.rs
@@ -12,7 +12,7 @@
 
 /// One thing that is loaded as a whole: a model's weights, or an adapter.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct Artifact {
     /// Fence of the last order on it.
     pub fence: LogPosition,
     /// Phase.
@@ -32,10 +32,10 @@
     /// When the unload will be complete.
     pub free_at: Option<Timestamp>,
     /// When the unload waits no longer for requests.
-    pub cut_at: Option<Timestamp>,
+    pub abort_at: Option<Timestamp>,
 }
 
-impl Part {
+impl Artifact {
     /// A part whose load begins.
     pub fn loading(
         fence: LogPosition,
@@ -43,7 +43,7 @@
         bytes: u64,
         checkpoint: &str,
     ) -> Self {
-        Part {
+        Artifact {
             fence,
             phase: EngineSlotPhase::Loading,
             reservation,
@@ -53,19 +53,19 @@
             retries: 0,
             ready_at: None,
             free_at: None,
-            cut_at: None,
+            abort_at: None,
         }
     }
 
     /// A part that is gone and holds nothing.
-    pub fn gone(fence: LogPosition) -> Self {
-        let mut part = Part::loading(fence, Reservation::default(), 0, "");
-        part.phase = EngineSlotPhase::Unloaded;
-        part
+    pub fn unloaded(fence: LogPosition) -> Self {
+        let mut artifact = Artifact::loading(fence, Reservation::default(), 0, "");
+        artifact.phase = EngineSlotPhase::Unloaded;
+        artifact
     }
 
     /// Whether it is gone or failed, and so holds nothing.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         matches!(
             self.phase,
             EngineSlotPhase::Unloaded | EngineSlotPhase::Failed(_)
@@ -98,9 +98,9 @@
     /// Memory for caches.
     pub cache_bytes: u64,
     /// Weights; their reservation covers the caches too.
-    pub weights: Part,
+    pub weights: Artifact,
     /// Adapters.
-    pub adapters: BTreeMap<AdapterName, Part>,
+    pub adapters: BTreeMap<AdapterName, Artifact>,
     /// Prefix cache.
     pub prefix: PrefixCache,
     /// Requests.
@@ -109,13 +109,13 @@
 
 impl Slot {
     /// A slot that is gone.
-    pub fn gone(fence: LogPosition) -> Self {
+    pub fn unloaded(fence: LogPosition) -> Self {
         Slot {
             model: ModelName::from(""),
             version: VersionLabel::from(""),
             accelerators: Vec::new(),
             cache_bytes: 0,
-            weights: Part::gone(fence),
+            weights: Artifact::unloaded(fence),
             adapters: BTreeMap::new(),
             prefix: PrefixCache::default(),
             batch: Batch::default(),
@@ -123,7 +123,7 @@
     }
 
     /// The weights, or an adapter.
-    pub fn part_mut(&mut self, adapter: Option<&AdapterName>) -> Option<&mut Part> {
+    pub fn artifact_mut(&mut self, adapter: Option<&AdapterName>) -> Option<&mut Artifact> {
         match adapter {
             None => Some(&mut self.weights),
             Some(name) => self.adapters.get_mut(name),
@@ -135,10 +135,10 @@
         let adapters = self
             .adapters
             .iter()
-            .map(|(adapter, part)| EngineAdapterReport {
+            .map(|(adapter, artifact)| EngineAdapterReport {
                 adapter: adapter.clone(),
-                fence: part.fence,
-                phase: part.phase.clone(),
+                fence: artifact.fence,
+                phase: artifact.phase.clone(),
             });
         EngineSlotReport {
             slot,
--- a/crates/millpass-standin/src/engine/timers.rs
+++ b/crates/millpass-standin/src/engine/timers.rs
@@ -10,11 +10,11 @@
     /// The weights (or, with a name, an adapter) may be complete.
     Load(SlotId, Option<AdapterName>),
     /// The weight store is asked again.
-    FetchAgain(SlotId, Option<AdapterName>),
+    RetryFetch(SlotId, Option<AdapterName>),
     /// The memory of an unload is free.
     Unload(SlotId, Option<AdapterName>),
     /// An unload waits no longer.
-    UnloadBound(SlotId),
+    UnloadTimeout(SlotId),
     /// A step of the slot's batch is over.
     Step(SlotId),
     /// A request's deadline.
--- a/crates/millpass-standin/src/platform/client.rs
+++ b/crates/millpass-standin/src/platform/client.rs
@@ -7,31 +7,31 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use ureq::Agent;
 
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// Attempts to register, one each [`RETRY_PAUSE`]; the list may come up later than the machine.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Attempts to register, one each [`RETRY_INTERVAL`]; the list may come up later than the machine.
 const ATTEMPTS: u32 = 600;
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A machine's entry in the list.
 pub struct PlatformClient {
     agent: Agent,
     address: String,
     machine: PlatformMachine,
-    is_given_up: Arc<AtomicBool>,
+    is_cancelled: Arc<AtomicBool>,
 }
 
 impl PlatformClient {
-    /// Registers a machine at the list at `address`, at once if the list answers, else by a thread
+    /// Registers a machine at the list at `address`, at once if the list responses, else by a thread
     /// that goes on trying for a minute.
     pub fn register(address: &str, machine: PlatformMachine) -> Self {
         let config = Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .build();
         let client = PlatformClient {
             agent: Agent::new_with_config(config),
             address: address.to_owned(),
             machine,
-            is_given_up: Arc::new(AtomicBool::new(false)),
+            is_cancelled: Arc::new(AtomicBool::new(false)),
         };
         if let Err(error) = try_register(&client.agent, &client.address, &client.machine) {
             log::warn!("event=register_failed error={error:?} next=retry");
@@ -60,7 +60,7 @@
         grace: Duration,
     ) {
         if let Some(client) = client {
-            client.is_given_up.store(true, Ordering::Relaxed);
+            client.is_cancelled.store(true, Ordering::Relaxed);
             log_failure("mark_leaving", client.mark_leaving());
             std::thread::sleep(notice);
         }
@@ -77,11 +77,11 @@
 
     fn register_later(&self) {
         let (agent, address) = (self.agent.clone(), self.address.clone());
-        let (machine, is_given_up) = (self.machine.clone(), self.is_given_up.clone());
+        let (machine, is_cancelled) = (self.machine.clone(), self.is_cancelled.clone());
         let attempt_all = move || {
             for _ in 0..ATTEMPTS {
-                std::thread::sleep(RETRY_PAUSE);
-                if is_given_up.load(Ordering::Relaxed) {
+                std::thread::sleep(RETRY_INTERVAL);
+                if is_cancelled.load(Ordering::Relaxed) {
                     return;
                 }
                 if try_register(&agent, &address, &machine).is_ok() {
@@ -106,7 +106,7 @@
 
 impl Drop for PlatformClient {
     fn drop(&mut self) {
-        self.is_given_up.store(true, Ordering::Relaxed);
+        self.is_cancelled.store(true, Ordering::Relaxed);
     }
 }
 
--- a/crates/millpass-standin/src/platform/service.rs
+++ b/crates/millpass-standin/src/platform/service.rs
@@ -2,7 +2,7 @@
 
 use super::model::{PlatformInput, PlatformModel, PlatformRefusal, PlatformSettings};
 use crate::run::{
-    FrontSettings, ScaledClock, error_answer, json_answer, parse_json, path_segments,
+    FrontSettings, ScaledClock, error_response, json_response, parse_json, path_segments,
 };
 use anyhow::Result;
 use http::{Method, StatusCode};
@@ -58,14 +58,14 @@
     fn handle(&self, request: Request, responder: Responder) {
         let segments = path_segments(&request.uri);
         let path: Vec<&str> = segments.iter().map(String::as_str).collect();
-        let answer = match (request.method.clone(), path.as_slice()) {
+        let response = match (request.method.clone(), path.as_slice()) {
             (Method::GET, ["machines"]) => {
                 let list = self.lock().list(self.clock.now());
-                json_answer(StatusCode::OK, &list)
+                json_response(StatusCode::OK, &list)
             }
             (Method::POST, ["machines"]) => match parse_json(&request.body) {
                 Ok(machine) => self.change(PlatformInput::Register(machine)),
-                Err(answer) => *answer,
+                Err(response) => *response,
             },
             (Method::POST, ["machines", name, "leaving"]) => {
                 self.change(PlatformInput::Leaving(BackendName::from(*name)))
@@ -73,14 +73,14 @@
             (Method::DELETE, ["machines", name]) => {
                 self.change(PlatformInput::Remove(BackendName::from(*name)))
             }
-            _ => error_answer(
+            _ => error_response(
                 StatusCode::NOT_FOUND,
                 "unknown_path",
                 "see docs/interfaces/platform.md",
                 false,
             ),
         };
-        responder.send(answer);
+        responder.send(response);
     }
 }
 
@@ -94,7 +94,7 @@
                     PlatformRefusal::Unknown => (StatusCode::NOT_FOUND, "unknown_machine"),
                     PlatformRefusal::Full => (StatusCode::SERVICE_UNAVAILABLE, "list_full"),
                 };
-                error_answer(status, code, &refusal.to_string(), false)
+                error_response(status, code, &refusal.to_string(), false)
             }
         }
     }
--- a/crates/millpass-standin/src/run/alarm.rs
+++ b/crates/millpass-standin/src/run/alarm.rs
@@ -135,7 +135,7 @@
                 table = waited.unwrap_or_else(PoisonError::into_inner).0;
                 continue;
             }
-            let alarm = table.take_due(at, id);
+            let alarm = table.pop_due(at, id);
             drop(table);
             if let Some(alarm) = alarm {
                 alarm.wake();
@@ -146,7 +146,7 @@
 }
 
 impl Table {
-    fn take_due(&mut self, at: Timestamp, id: u64) -> Option<Arc<dyn Alarm>> {
+    fn pop_due(&mut self, at: Timestamp, id: u64) -> Option<Arc<dyn Alarm>> {
         self.due.remove(&(at, id));
         let entry = self.entries.get_mut(&id)?;
         entry.at = None;
--- a/crates/millpass-standin/src/run/clock.rs
+++ b/crates/millpass-standin/src/run/clock.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 /// Slowest and fastest clock.
-const SCALES: std::ops::RangeInclusive<f64> = 0.001..=100_000.0;
+const SCALE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=100_000.0;
 
 /// Clock that starts at zero and passes `scale` simulated seconds in a real one.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
         let wanted = if scale.is_finite() { scale } else { 1.0 };
         ScaledClock {
             start: Instant::now(),
-            scale: wanted.clamp(*SCALES.start(), *SCALES.end()),
+            scale: wanted.clamp(*SCALE_RANGE.start(), *SCALE_RANGE.end()),
         }
     }
 
--- a/crates/millpass-standin/src/run/driver.rs
+++ b/crates/millpass-standin/src/run/driver.rs
@@ -22,17 +22,17 @@
 }
 
 /// Takes outputs that nobody waits for.
-type Take<Output> = Box<dyn Fn(Vec<Output>) + Send + Sync>;
+type OutputHandler<Output> = Box<dyn Fn(Vec<Output>) + Send + Sync>;
 
 /// A model with its clock and those who wait for its outputs.
 pub struct Driver<M: TimedModel> {
-    cell: Mutex<Cell<M>>,
+    state: Mutex<State<M>>,
     alarms: Arc<Alarms>,
     alarm: OnceLock<u64>,
-    unclaimed: OnceLock<Take<M::Output>>,
+    unclaimed: OnceLock<OutputHandler<M::Output>>,
 }
 
-struct Cell<M: TimedModel> {
+struct State<M: TimedModel> {
     model: M,
     next_waiter: u64,
     waiters: BTreeMap<u64, Sender<M::Output>>,
@@ -41,28 +41,28 @@
 impl<M: TimedModel> Driver<M> {
     /// Begins to drive a model.
     pub fn new(model: M, alarms: Arc<Alarms>) -> Arc<Self> {
-        let cell = Cell {
+        let state = State {
             model,
             next_waiter: 1,
             waiters: BTreeMap::new(),
         };
         let driver = Arc::new(Driver {
-            cell: Mutex::new(cell),
+            state: Mutex::new(state),
             alarms: alarms.clone(),
             alarm: OnceLock::new(),
             unclaimed: OnceLock::new(),
         });
         let weak: Weak<Self> = Arc::downgrade(&driver);
-        // The cell is new, so this is the first and only setting.
+        // The state is new, so this is the first and only setting.
         let _ = driver.alarm.set(alarms.add(weak));
         driver
     }
 
     /// Says who takes outputs that nobody waits for and that come from the passing of time. To be
     /// called once, before the first input.
-    pub fn on_unclaimed(&self, take: impl Fn(Vec<M::Output>) + Send + Sync + 'static) {
+    pub fn on_unclaimed(&self, handle: impl Fn(Vec<M::Output>) + Send + Sync + 'static) {
         // A second call is ignored: the first owner keeps its outputs.
-        let _ = self.unclaimed.set(Box::new(take));
+        let _ = self.unclaimed.set(Box::new(handle));
     }
 
     /// The alarms and their clock.
@@ -72,8 +72,8 @@
 
     /// One input; gives the outputs that nobody waits for.
     pub fn input(&self, input: M::Input) -> Vec<M::Output> {
-        let mut cell = self.lock();
-        self.advance(&mut cell, Some(input))
+        let mut state = self.lock();
+        self.advance(&mut state, Some(input))
     }
 
     /// One input by someone who waits for the outputs under the number that `make` gets.
@@ -92,24 +92,24 @@
         prepare: impl FnOnce(u64, &Sender<M::Output>),
     ) -> (u64, Receiver<M::Output>) {
         let (sender, receiver) = unbounded();
-        let mut cell = self.lock();
-        let waiter = cell.next_waiter;
-        cell.next_waiter += 1;
+        let mut state = self.lock();
+        let waiter = state.next_waiter;
+        state.next_waiter += 1;
         prepare(waiter, &sender);
-        cell.waiters.insert(waiter, sender);
-        let unclaimed = self.advance(&mut cell, Some(make(waiter)));
-        drop(cell);
-        self.give_unclaimed(unclaimed);
+        state.waiters.insert(waiter, sender);
+        let unclaimed = self.advance(&mut state, Some(make(waiter)));
+        drop(state);
+        self.deliver_unclaimed(unclaimed);
         (waiter, receiver)
     }
 
     /// Reads the model at the present time.
-    pub fn read<T>(&self, look: impl FnOnce(&M, Timestamp) -> T) -> T {
-        let mut cell = self.lock();
-        let unclaimed = self.advance(&mut cell, None);
-        let seen = look(&cell.model, self.alarms.clock().now());
-        drop(cell);
-        self.give_unclaimed(unclaimed);
+    pub fn read<T>(&self, query: impl FnOnce(&M, Timestamp) -> T) -> T {
+        let mut state = self.lock();
+        let unclaimed = self.advance(&mut state, None);
+        let seen = query(&state.model, self.alarms.clock().now());
+        drop(state);
+        self.deliver_unclaimed(unclaimed);
         seen
     }
 
@@ -122,32 +122,32 @@
     }
 
     /// Steps and hands out under the lock, so that each waiter sees its outputs in order.
-    fn advance(&self, cell: &mut Cell<M>, input: Option<M::Input>) -> Vec<M::Output> {
+    fn advance(&self, state: &mut State<M>, input: Option<M::Input>) -> Vec<M::Output> {
         let now = self.alarms.clock().now();
-        let outputs = cell.model.advance(now, input);
-        let unclaimed = cell.hand_out(outputs);
+        let outputs = state.model.advance(now, input);
+        let unclaimed = state.dispatch(outputs);
         if let Some(alarm) = self.alarm.get() {
-            self.alarms.set(*alarm, cell.model.next_wake());
+            self.alarms.set(*alarm, state.model.next_wake());
         }
         unclaimed
     }
 
-    fn give_unclaimed(&self, outputs: Vec<M::Output>) {
+    fn deliver_unclaimed(&self, outputs: Vec<M::Output>) {
         if outputs.is_empty() {
             return;
         }
-        if let Some(take) = self.unclaimed.get() {
-            take(outputs);
+        if let Some(handle) = self.unclaimed.get() {
+            handle(outputs);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Cell<M>> {
-        self.cell.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State<M>> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl<M: TimedModel> Cell<M> {
-    fn hand_out(&mut self, outputs: Vec<M::Output>) -> Vec<M::Output> {
+impl<M: TimedModel> State<M> {
+    fn dispatch(&mut self, outputs: Vec<M::Output>) -> Vec<M::Output> {
         let mut unclaimed = Vec::new();
         for output in outputs {
             let Some((waiter, is_last)) = M::waiter_of(&output) else {
@@ -168,9 +168,9 @@
 
 impl<M: TimedModel> Alarm for Driver<M> {
     fn wake(&self) {
-        let mut cell = self.lock();
-        let unclaimed = self.advance(&mut cell, None);
-        drop(cell);
-        self.give_unclaimed(unclaimed);
+        let mut state = self.lock();
+        let unclaimed = self.advance(&mut state, None);
+        drop(state);
+        self.deliver_unclaimed(unclaimed);
     }
 }
--- a/crates/millpass-standin/src/run/front.rs
+++ b/crates/millpass-standin/src/run/front.rs
@@ -23,7 +23,7 @@
     pub time_scale: f64,
     /// Threads that carry connections.
     pub executor_threads: usize,
-    /// Most threads that wait for answers, one for each request in hand; they come and go.
+    /// Most threads that wait for responses, one for each request in hand; they come and go.
     pub handler_threads: usize,
     /// Most connections.
     pub maximum_connections: usize,
@@ -57,12 +57,13 @@
 }
 
 /// A refusal, not executed, with when to come back.
-pub(crate) fn retry_after_answer(
+pub(crate) fn retry_after_response(
     status: StatusCode,
     code: &str,
     message: &str,
     pause: Duration,
 ) -> Response {
     let seconds = pause.as_nanos().div_ceil(NANOS_PER_SECOND).max(1);
-    super::error_answer(status, code, message, false).with_header(RETRY_AFTER, &seconds.to_string())
+    super::error_response(status, code, message, false)
+        .with_header(RETRY_AFTER, &seconds.to_string())
 }
--- a/crates/millpass-standin/src/run/http.rs
+++ b/crates/millpass-standin/src/run/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers around requests and answers.
+//! Small helpers around requests and responses.
 
 use bytes::Bytes;
 use http::header::HeaderName;
@@ -12,8 +12,8 @@
 pub const EXECUTED_HEADER: HeaderName = HeaderName::from_static("millpass-executed");
 const JSON: &str = "application/json";
 
-/// An answer with this value as JSON.
-pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Response {
+/// A response with this value as JSON.
+pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => Response::with_type(status, JSON, Bytes::from(body)),
         Err(error) => Response::text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
@@ -21,7 +21,7 @@
 }
 
 /// A JSON error. `executed` says whether the request ran.
-pub fn error_answer(status: StatusCode, code: &str, message: &str, executed: bool) -> Response {
+pub fn error_response(status: StatusCode, code: &str, message: &str, executed: bool) -> Response {
     let executed = if executed { "yes" } else { "no" };
     let body = serde_json::json!({
         "error": {"code": code, "message": message, "executed": executed}
@@ -29,11 +29,11 @@
     Response::json(status, &body).with_header(EXECUTED_HEADER, executed)
 }
 
-/// The body as JSON of a type, or the answer that says what is wrong.
+/// The body as JSON of a type, or the response that says what is wrong.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Box<Response>> {
     serde_json::from_slice(body).map_err(|error| {
         let message = format!("body is not the expected JSON: {error}");
-        Box::new(error_answer(
+        Box::new(error_response(
             StatusCode::BAD_REQUEST,
             "malformed_body",
             &message,
@@ -63,7 +63,7 @@
 pub fn malformed_header(name: &str, wanted: &str) -> Box<Response> {
     let message = format!("header {name} must be {wanted}");
     let status = StatusCode::BAD_REQUEST;
-    Box::new(error_answer(status, "malformed_header", &message, false))
+    Box::new(error_response(status, "malformed_header", &message, false))
 }
 
 /// Parts of the path, decoded.
--- a/crates/millpass-standin/src/run/journal.rs
+++ b/crates/millpass-standin/src/run/journal.rs
@@ -84,15 +84,15 @@
 
 /// Who notes runs in a journal; without one, nothing is noted.
 #[derive(Clone, Debug)]
-pub(crate) struct RunNotes {
+pub(crate) struct RunRecorder {
     pub journal: Option<Arc<RunJournal>>,
     pub backend: BackendName,
     pub incarnation: Incarnation,
 }
 
-impl RunNotes {
+impl RunRecorder {
     /// Notes a step of a run.
-    pub fn note(&self, request_id: &str, tenant: &TenantName, key: Option<&str>, step: RunStep) {
+    pub fn record(&self, request_id: &str, tenant: &TenantName, key: Option<&str>, step: RunStep) {
         let Some(journal) = &self.journal else {
             return;
         };
--- a/crates/millpass-standin/src/run/served.rs
+++ b/crates/millpass-standin/src/run/served.rs
@@ -48,8 +48,8 @@
     }
 
     /// Reads the model at the present time, without lag: for checkers.
-    pub fn read<T>(&self, look: impl FnOnce(&M, millpass_proto::Timestamp) -> T) -> T {
-        self.driver.read(look)
+    pub fn read<T>(&self, query: impl FnOnce(&M, millpass_proto::Timestamp) -> T) -> T {
+        self.driver.read(query)
     }
 
     /// Leaves in a planned way: is marked as leaving, serves on for `notice`, waits at most
--- a/crates/millpass-standin/src/run_counts.rs
+++ b/crates/millpass-standin/src/run_counts.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Most repeated runs listed.
-const MAXIMUM_LISTED: usize = 256;
+const MAXIMUM_REPEATED: usize = 256;
 
 /// Runs by tenant and key, bounded: the keys seen first are forgotten first.
 #[derive(Clone, Debug)]
@@ -13,7 +13,7 @@
     runs: BTreeMap<(TenantName, String), u64>,
     order: VecDeque<(TenantName, String)>,
     repeated: BTreeMap<(TenantName, String), u64>,
-    forgotten: u64,
+    evicted: u64,
 }
 
 impl RunCounts {
@@ -24,20 +24,20 @@
             runs: BTreeMap::new(),
             order: VecDeque::new(),
             repeated: BTreeMap::new(),
-            forgotten: 0,
+            evicted: 0,
         }
     }
 
     /// Counts one run; gives the number of runs of this key so far.
     pub fn count(&mut self, tenant: &TenantName, key: &str) -> u64 {
-        let place = (tenant.clone(), key.to_owned());
-        let runs = self.runs.entry(place.clone()).or_insert(0);
+        let entry = (tenant.clone(), key.to_owned());
+        let runs = self.runs.entry(entry.clone()).or_insert(0);
         *runs += 1;
         let total = *runs;
         if total == 1 {
-            self.remember(place);
-        } else if self.repeated.len() < MAXIMUM_LISTED || self.repeated.contains_key(&place) {
-            self.repeated.insert(place, total);
+            self.insert(entry);
+        } else if self.repeated.len() < MAXIMUM_REPEATED || self.repeated.contains_key(&entry) {
+            self.repeated.insert(entry, total);
         }
         total
     }
@@ -48,8 +48,8 @@
     }
 
     /// Keys forgotten for want of room.
-    pub fn forgotten(&self) -> u64 {
-        self.forgotten
+    pub fn evicted(&self) -> u64 {
+        self.evicted
     }
 
     /// Keys that ran more than once, bounded.
@@ -64,14 +64,14 @@
             .collect()
     }
 
-    fn remember(&mut self, place: (TenantName, String)) {
-        self.order.push_back(place);
+    fn insert(&mut self, entry: (TenantName, String)) {
+        self.order.push_back(entry);
         if self.order.len() <= self.bound {
             return;
         }
         if let Some(oldest) = self.order.pop_front() {
             self.runs.remove(&oldest);
-            self.forgotten += 1;
+            self.evicted += 1;
         }
     }
 }
--- a/crates/millpass-standin/src/web/model.rs
+++ b/crates/millpass-standin/src/web/model.rs
@@ -21,7 +21,7 @@
     pub group: GroupName,
     /// Paths that begin like one of these take POST requests that may not be repeated.
     pub once_prefixes: Vec<String>,
-    /// Time from a request to its answer.
+    /// Time from a request to its response.
     pub think_time: Duration,
     /// Most requests at once; one more is refused.
     pub maximum_running: usize,
@@ -80,7 +80,7 @@
     Request(WebRequest),
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WebResponse {
     /// The page of the path, see [`crate::content::page`].
@@ -100,8 +100,8 @@
 pub struct WebOutput {
     /// Request.
     pub id: WebRequestId,
-    /// Its answer.
-    pub answer: WebResponse,
+    /// Its response.
+    pub response: WebResponse,
 }
 
 /// One web back end. Same inputs give the same outputs.
@@ -138,14 +138,14 @@
         let mut outputs = Vec::new();
         while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, id));
-            self.keep_count(at);
-            if let Some(answer) = self.running.remove(&id) {
-                outputs.push(WebOutput { id, answer });
+            self.record_count(at);
+            if let Some(response) = self.running.remove(&id) {
+                outputs.push(WebOutput { id, response });
             }
             self.counts.mark_changed(at);
         }
         if let WebInput::Request(request) = input {
-            self.take(now, request, &mut outputs);
+            self.handle_request(now, request, &mut outputs);
         }
         outputs
     }
@@ -178,40 +178,45 @@
             incarnation: self.settings.incarnation,
             requests: self.requests,
             once_runs: self.once_runs,
-            once_keys: self.runs.keys() as u64 + self.runs.forgotten(),
+            once_keys: self.runs.keys() as u64 + self.runs.evicted(),
             once_without_key: self.once_without_key,
-            forgotten_keys: self.runs.forgotten(),
+            forgotten_keys: self.runs.evicted(),
             repeated_keys: self.runs.repeated(),
         }
     }
 
-    fn take(&mut self, now: Timestamp, request: WebRequest, outputs: &mut Vec<WebOutput>) {
+    fn handle_request(
+        &mut self,
+        now: Timestamp,
+        request: WebRequest,
+        outputs: &mut Vec<WebOutput>,
+    ) {
         let id = request.id;
         let own = self.settings.incarnation;
         if request.incarnation.is_some_and(|wanted| wanted != own) {
-            let answer = WebResponse::WrongIncarnation(own);
-            outputs.push(WebOutput { id, answer });
+            let response = WebResponse::WrongIncarnation(own);
+            outputs.push(WebOutput { id, response });
             return;
         }
         if self.running.len() >= self.settings.maximum_running {
-            let answer = WebResponse::Busy;
-            outputs.push(WebOutput { id, answer });
+            let response = WebResponse::Busy;
+            outputs.push(WebOutput { id, response });
             return;
         }
-        self.keep_count(now);
+        self.record_count(now);
         self.requests += 1;
-        let answer = self.run(&request);
-        self.running.insert(id, answer);
+        let response = self.run(&request);
+        self.running.insert(id, response);
         self.due.insert((now + self.settings.think_time, id));
         self.counts.mark_changed(now);
     }
 
-    /// Runs a request; its effect, the count, happens here and not when the answer is sent.
+    /// Runs a request; its effect, the count, happens here and not when the response is sent.
     fn run(&mut self, request: &WebRequest) -> WebResponse {
         if !request.is_post {
             return WebResponse::Page(crate::content::page(&request.path));
         }
-        if !self.runs_once(&request.path) {
+        if !self.is_once_path(&request.path) {
             return WebResponse::NotFound;
         }
         self.once_runs += 1;
@@ -222,7 +227,7 @@
         WebResponse::Ran(self.runs.count(&request.tenant, key))
     }
 
-    fn runs_once(&self, path: &str) -> bool {
+    fn is_once_path(&self, path: &str) -> bool {
         let mut prefixes = self.settings.once_prefixes.iter();
         prefixes.any(|prefix| path.starts_with(prefix.as_str()))
     }
@@ -231,7 +236,7 @@
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    fn keep_count(&mut self, now: Timestamp) {
+    fn record_count(&mut self, now: Timestamp) {
         if self.counts.should_record(now) {
             let count = self.running_count();
             self.counts.record(now, count);
--- a/crates/millpass-standin/src/web/service.rs
+++ b/crates/millpass-standin/src/web/service.rs
@@ -4,8 +4,8 @@
     WebInput, WebModel, WebOutput, WebRequest, WebRequestId, WebResponse, WebSettings,
 };
 use crate::run::{
-    Alarms, Driver, EXECUTED_HEADER, FrontSettings, RunNotes, RunStep, ScaledClock, Served,
-    TimedModel, error_answer, header_number, header_text, json_answer, retry_after_answer,
+    Alarms, Driver, EXECUTED_HEADER, FrontSettings, RunRecorder, RunStep, ScaledClock, Served,
+    TimedModel, error_response, header_number, header_text, json_response, retry_after_response,
 };
 use anyhow::Result;
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 };
 use std::sync::Arc;
 
-const BUSY_PAUSE: Duration = Duration::from_secs(1);
+const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl TimedModel for WebModel {
     type Input = WebInput;
@@ -53,7 +53,7 @@
         address: String::new(),
         state: BackendState::Live,
     };
-    let runs = RunNotes {
+    let runs = RunRecorder {
         journal: front.journal.clone(),
         backend: settings.backend.clone(),
         incarnation: settings.incarnation,
@@ -70,7 +70,7 @@
 
 struct Service {
     driver: Arc<Driver<WebModel>>,
-    runs: RunNotes,
+    runs: RunRecorder,
 }
 
 impl Handler for Service {
@@ -78,14 +78,14 @@
         match (&request.method, request.uri.path()) {
             (&Method::GET, "/web/report") => {
                 let report = self.driver.read(WebModel::report);
-                responder.send(json_answer(StatusCode::OK, &report));
+                responder.send(json_response(StatusCode::OK, &report));
             }
             (&Method::GET, "/web/audit") => {
                 let audit = self.driver.read(|model, _| model.audit());
-                responder.send(json_answer(StatusCode::OK, &audit));
+                responder.send(json_response(StatusCode::OK, &audit));
             }
             (&Method::GET | &Method::HEAD | &Method::POST, _) => self.serve(&request, responder),
-            _ => responder.send(error_answer(
+            _ => responder.send(error_response(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "unknown_method",
                 "use GET, HEAD or POST",
@@ -103,9 +103,9 @@
         let path = request.uri.path().to_owned();
         let incarnation = match header_number(&request.headers, "millpass-incarnation") {
             Ok(number) => number.map(Incarnation),
-            Err(answer) => return responder.send(*answer),
+            Err(response) => return responder.send(*response),
         };
-        let (_, answers) = self.driver.open(|waiter| {
+        let (_, responses) = self.driver.open(|waiter| {
             WebInput::Request(WebRequest {
                 id: WebRequestId(waiter),
                 is_post,
@@ -115,20 +115,20 @@
                 incarnation,
             })
         });
-        if let Ok(output) = answers.recv() {
-            if matches!(output.answer, WebResponse::Page(_) | WebResponse::Ran(_)) {
+        if let Ok(output) = responses.recv() {
+            if matches!(output.response, WebResponse::Page(_) | WebResponse::Ran(_)) {
                 let id = header_text(&request.headers, "x-request-id").unwrap_or_default();
                 let tenant = TenantName::from(tenant);
                 self.runs
-                    .note(id, &tenant, key.as_deref(), RunStep::Started);
+                    .record(id, &tenant, key.as_deref(), RunStep::Started);
             }
-            responder.send(answer(&path, key.as_deref(), output.answer));
+            responder.send(to_response(&path, key.as_deref(), output.response));
         }
     }
 }
 
-fn answer(path: &str, key: Option<&str>, answer: WebResponse) -> Response {
-    match answer {
+fn to_response(path: &str, key: Option<&str>, response: WebResponse) -> Response {
+    match response {
         WebResponse::Page(page) => {
             let html = "text/html; charset=utf-8";
             Response::with_type(StatusCode::OK, html, Bytes::from(page))
@@ -139,17 +139,17 @@
         }
         WebResponse::NotFound => {
             let message = "this path takes no POST; see docs/interfaces/web-back-end.md";
-            error_answer(StatusCode::NOT_FOUND, "unknown_path", message, false)
+            error_response(StatusCode::NOT_FOUND, "unknown_path", message, false)
         }
         WebResponse::WrongIncarnation(own) => {
             let message = format!("this is incarnation {own}; read the report again");
             let status = StatusCode::CONFLICT;
-            error_answer(status, "wrong_incarnation", &message, false)
+            error_response(status, "wrong_incarnation", &message, false)
         }
         WebResponse::Busy => {
             let message = "too many requests at once; come back later";
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            retry_after_answer(status, "busy", message, BUSY_PAUSE)
+            retry_after_response(status, "busy", message, BUSY_RETRY_AFTER)
         }
     }
 }
--- a/crates/millpass-standin/src/weight_store/client.rs
+++ b/crates/millpass-standin/src/weight_store/client.rs
@@ -10,7 +10,7 @@
 /// Longest real time that a transfer may take; then the load fails.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(600);
 /// Pause before the store is asked again when it names none.
-const DEFAULT_PAUSE: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry-After in real milliseconds, finer than the standard header.
 pub(crate) const RETRY_AFTER_MILLIS: &str = "millpass-retry-after-ms";
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -37,29 +37,29 @@
     let name = utf8_percent_encode(checkpoint, NON_ALPHANUMERIC);
     let url = format!("http://{address}/checkpoints/{name}?bytes={bytes}");
     match agent().get(&url).call() {
-        Ok(answer) if answer.status().is_success() => read_whole(answer),
-        Ok(answer) if answer.status().as_u16() == TOO_MANY_REQUESTS => {
-            FetchResult::RetryAfter(clock.to_simulated(pause_of(&answer)))
+        Ok(response) if response.status().is_success() => read_body(response),
+        Ok(response) if response.status().as_u16() == TOO_MANY_REQUESTS => {
+            FetchResult::RetryAfter(clock.to_simulated(retry_after_of(&response)))
         }
-        Ok(answer) => FetchResult::Failed(format!(
+        Ok(response) => FetchResult::Failed(format!(
             "weight store answered {}; check the checkpoint's name",
-            answer.status()
+            response.status()
         )),
         Err(error) => FetchResult::Failed(format!("weight store failed: {error}; load again")),
     }
 }
 
-fn read_whole(mut answer: http::Response<ureq::Body>) -> FetchResult {
-    match answer.body_mut().read_to_vec() {
+fn read_body(mut response: http::Response<ureq::Body>) -> FetchResult {
+    match response.body_mut().read_to_vec() {
         Ok(_) => FetchResult::Done,
         Err(error) => FetchResult::Failed(format!("transfer broke off: {error}; load again")),
     }
 }
 
-fn pause_of(answer: &http::Response<ureq::Body>) -> Duration {
-    let value = answer.headers().get(RETRY_AFTER_MILLIS);
+fn retry_after_of(response: &http::Response<ureq::Body>) -> Duration {
+    let value = response.headers().get(RETRY_AFTER_MILLIS);
     let millis = value.and_then(|value| value.to_str().ok()?.parse().ok());
-    millis.map_or(DEFAULT_PAUSE, Duration::from_millis)
+    millis.map_or(DEFAULT_RETRY_AFTER, Duration::from_millis)
 }
 
 fn agent() -> &'static Agent {
--- a/crates/millpass-standin/src/weight_store/model.rs
+++ b/crates/millpass-standin/src/weight_store/model.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ActiveTransfer {
     bytes: u64,
-    needed: u128,
+    remaining: u128,
 }
 
 impl WeightStoreModel {
@@ -116,7 +116,7 @@
     /// When the store next does something by itself.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let start = self.waiting.front().map(|_| self.next_start.max(self.last));
-        start.into_iter().chain(self.next_end()).min()
+        start.into_iter().chain(self.next_completion()).min()
     }
 
     /// What was counted.
@@ -132,7 +132,7 @@
     fn request(&mut self, transfer: TransferId, bytes: u64, outputs: &mut Vec<StoreOutput>) {
         if self.waiting.len() >= self.settings.waiting_loads {
             self.audit.refused += 1;
-            outputs.push(StoreOutput::Refused(transfer, self.time_to_drain()));
+            outputs.push(StoreOutput::Refused(transfer, self.queue_drain_time()));
             return;
         }
         self.waiting.push_back((transfer, bytes));
@@ -151,23 +151,23 @@
     fn advance(&mut self, now: Timestamp, outputs: &mut Vec<StoreOutput>) {
         while let Some(at) = self.next_wake().filter(|at| *at <= now) {
             self.progress(at);
-            self.end_complete(outputs);
+            self.finish_complete(outputs);
             self.start_next(at);
         }
         self.progress(now);
     }
 
     fn progress(&mut self, now: Timestamp) {
-        let passed = now.as_micros().saturating_sub(self.last.as_micros());
-        let moved = u128::from(passed) * u128::from(self.rate());
+        let elapsed = now.as_micros().saturating_sub(self.last.as_micros());
+        let transferred = u128::from(elapsed) * u128::from(self.rate());
         for transfer in self.active.values_mut() {
-            transfer.needed = transfer.needed.saturating_sub(moved);
+            transfer.remaining = transfer.remaining.saturating_sub(transferred);
         }
         self.last = self.last.max(now);
     }
 
-    fn end_complete(&mut self, outputs: &mut Vec<StoreOutput>) {
-        let complete = self.active.iter().filter(|(_, one)| one.needed == 0);
+    fn finish_complete(&mut self, outputs: &mut Vec<StoreOutput>) {
+        let complete = self.active.iter().filter(|(_, one)| one.remaining == 0);
         let complete: Vec<TransferId> = complete.map(|(transfer, _)| *transfer).collect();
         for transfer in complete {
             if let Some(ended) = self.active.remove(&transfer) {
@@ -185,16 +185,16 @@
         let Some((transfer, bytes)) = self.waiting.pop_front() else {
             return;
         };
-        let needed = u128::from(bytes) * u128::from(MICROS_PER_SECOND);
+        let remaining = u128::from(bytes) * u128::from(MICROS_PER_SECOND);
         self.active
-            .insert(transfer, ActiveTransfer { bytes, needed });
+            .insert(transfer, ActiveTransfer { bytes, remaining });
         self.next_start = now + self.start_interval();
         self.audit.started += 1;
         self.audit.most_at_once = self.audit.most_at_once.max(self.active.len() as u64);
     }
 
-    fn next_end(&self) -> Option<Timestamp> {
-        let least = self.active.values().map(|one| one.needed).min()?;
+    fn next_completion(&self) -> Option<Timestamp> {
+        let least = self.active.values().map(|one| one.remaining).min()?;
         let micros = least.div_ceil(u128::from(self.rate()));
         let micros = u64::try_from(micros).unwrap_or(u64::MAX);
         Some(self.last + Duration::from_micros(micros))
@@ -215,7 +215,7 @@
         Duration::from_micros(MICROS_PER_SECOND / u64::from(self.settings.loads_per_second.max(1)))
     }
 
-    fn time_to_drain(&self) -> Duration {
+    fn queue_drain_time(&self) -> Duration {
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
         self.start_interval().saturating_mul(waiting.max(1))
     }
--- a/crates/millpass-standin/src/weight_store/service.rs
+++ b/crates/millpass-standin/src/weight_store/service.rs
@@ -3,8 +3,8 @@
 use super::client::RETRY_AFTER_MILLIS;
 use super::model::{StoreInput, StoreOutput, TransferId, WeightStoreModel, WeightStoreSettings};
 use crate::run::{
-    Alarms, Driver, FrontSettings, ScaledClock, Served, TimedModel, error_answer, json_answer,
-    parse_json, path_segments, query_number, retry_after_answer,
+    Alarms, Driver, FrontSettings, ScaledClock, Served, TimedModel, error_response, json_response,
+    parse_json, path_segments, query_number, retry_after_response,
 };
 use anyhow::Result;
 use crossbeam::channel::Receiver;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// Slow factors of the fault hook: from normal speed to a thousand times slower.
-const SLOW_FACTORS: std::ops::RangeInclusive<f64> = 0.001..=1_000.0;
+const SLOW_FACTOR_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1_000.0;
 const THOUSANDTHS: f64 = 1_000.0;
 
 impl TimedModel for WeightStoreModel {
@@ -72,10 +72,10 @@
             (Method::GET, ["checkpoints", _]) => self.transfer(&request, responder),
             (Method::GET, ["audit"]) => {
                 let audit = self.driver.read(|model, _| model.audit());
-                responder.send(json_answer(StatusCode::OK, &audit));
+                responder.send(json_response(StatusCode::OK, &audit));
             }
             (Method::POST, ["faults", "slow"]) => responder.send(self.slow(&request)),
-            _ => responder.send(error_answer(
+            _ => responder.send(error_response(
                 StatusCode::NOT_FOUND,
                 "unknown_path",
                 "see docs/interfaces/weight-store.md",
@@ -90,7 +90,7 @@
         let Some(bytes) = query_number(&request.uri, "bytes") else {
             let message = "name the size: ?bytes=N";
             let status = StatusCode::BAD_REQUEST;
-            return responder.send(error_answer(status, "missing_size", message, false));
+            return responder.send(error_response(status, "missing_size", message, false));
         };
         let gone = responder.caller_gone();
         let (waiter, ends) = self.driver.open_with_sender(
@@ -103,13 +103,13 @@
                 });
             },
         );
-        let answer = self.wait(&ends);
+        let response = self.wait(&ends);
         if responder.is_caller_gone() {
             self.driver.input(StoreInput::Abandon(TransferId(waiter)));
             return;
         }
-        if let Some(answer) = answer {
-            responder.send(answer);
+        if let Some(response) = response {
+            responder.send(response);
         }
     }
 
@@ -129,19 +129,19 @@
         let millis = real.as_millis().max(1).to_string();
         let message = "too many loads wait; come back later";
         let status = StatusCode::TOO_MANY_REQUESTS;
-        retry_after_answer(status, "rate_limited", message, real)
+        retry_after_response(status, "rate_limited", message, real)
             .with_header(HeaderName::from_static(RETRY_AFTER_MILLIS), &millis)
     }
 
     fn slow(&self, request: &Request) -> Response {
         let body: SlowBody = match parse_json(&request.body) {
             Ok(body) => body,
-            Err(answer) => return *answer,
+            Err(response) => return *response,
         };
-        if !SLOW_FACTORS.contains(&body.factor) {
+        if !SLOW_FACTOR_RANGE.contains(&body.factor) {
             let message = "factor must be from 0.001 to 1000";
             let status = StatusCode::BAD_REQUEST;
-            return error_answer(status, "out_of_range", message, false);
+            return error_response(status, "out_of_range", message, false);
         }
         let thousandths = (body.factor * THOUSANDTHS) as u64;
         self.driver.input(StoreInput::SlowFactor(thousandths));
--- a/crates/millpass-standin/tests/outside_models.rs
+++ b/crates/millpass-standin/tests/outside_models.rs
@@ -205,10 +205,10 @@
     };
     assert!(post(&mut web, 1, "a").is_empty());
     assert!(post(&mut web, 2, "b").is_empty());
-    let answer = WebResponse::Busy;
+    let response = WebResponse::Busy;
     let busy = WebOutput {
         id: WebRequestId(3),
-        answer,
+        response,
     };
     assert_eq!(post(&mut web, 3, "a"), vec![busy]);
     let outputs = web.step(Timestamp::ZERO + think_time, WebInput::Tick);
