--- a/crates/millpass-control/src/administration/operations.rs
+++ b/crates/millpass-control/src/administration/operations.rs
@@ -21,14 +21,14 @@
 use serde_json::json;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Number of newest audit records searched for a resend with the superseded bootstrap key. The state
-/// remembers more changes than that, so it is certain to recognize the resend.
+/// Number of newest audit records searched for a resend with the superseded bootstrap key. The
+/// state remembers more changes than that, so it is certain to recognize the resend.
 const BOOTSTRAP_RESEND_RECORDS: usize = millpass_state::MAXIMUM_REMEMBERED_CHANGES / 2;
 /// Remedy when the outcome of a change of an object is unknown.
 const RESEND_CHANGE: &str =
-    "resend it with the same change id until it is answered; it takes effect once at most";
+    "resend it with the same change id until it succeeds; it takes effect at most once";
 /// Remedy when the outcome of a call without change id is unknown; such calls are idempotent.
-const RESEND_CALL: &str = "send it again until it is answered; a repeat does no harm";
+const RESEND_CALL: &str = "resend it until it succeeds; the call is idempotent";
 
 /// Executes the route on behalf of the caller.
 pub(crate) fn execute(
@@ -110,14 +110,15 @@
     match calls.call(AdministrationRequest::Change(change)) {
         AdministrationResponse::Change(outcome) => change_response(outcome),
         AdministrationResponse::Unknown => Err(Failure::outcome_unknown(RESEND_CHANGE)),
-        // The core rejects invalid content in the outcome; it refuses a change only when overloaded.
+        // The core rejects invalid content in the outcome; it refuses a change only when
+        // overloaded.
         AdministrationResponse::Refused(reason) => Err(Failure::busy(reason)),
         other => Err(unexpected_response(other)),
     }
 }
 
-/// Allows only a resend of a change that the bootstrap key already made: the response to the change that
-/// created the first account may have been lost.
+/// Allows only a resend of a change that the bootstrap key already made: the response to the change
+/// that created the first account may have been lost.
 fn check_bootstrap_resend(calls: &dyn AdministrationCalls, change: &Change) -> Result<(), Failure> {
     let request = AdministrationRequest::Audit(ConfigurationRevision(0));
     let records = match calls.call(request) {
@@ -272,7 +273,7 @@
         AdministrationResponse::NotLeader { leader_address } => Failure::not_leader(leader_address),
         AdministrationResponse::Unknown => Failure::outcome_unknown(RESEND_CALL),
         AdministrationResponse::Busy => {
-            Failure::busy("too many changes are under way; none was done")
+            Failure::busy("too many calls are in progress; nothing was done")
         }
         AdministrationResponse::Refused(reason) => Failure::busy(reason),
         _ => Failure::internal("the core returned a response of another type"),
