--- a/crates/millpass-standin/src/content.rs
+++ b/crates/millpass-standin/src/content.rs
@@ -1,18 +1,18 @@
-//! Text of a response as a pure function of what was asked, so that a caller can tell whether an
-//! response is whole and its own, and a resumed stream gives the same tail.
+//! Generates completions and pages as pure functions of the request, so that callers can verify that a
+//! response is complete and theirs, and a resumed stream continues with the same text.
 
 use millpass_proto::{AdapterName, ModelName, VersionLabel};
 
-/// Words of a prompt in one block of the prefix cache.
+/// Prompt tokens in one block of the prefix cache.
 pub const BLOCK_TOKENS: usize = 16;
-/// Most blocks of a prompt that the prefix cache looks at.
+/// Maximum number of prompt blocks that the prefix cache considers.
 pub const MAXIMUM_BLOCKS: usize = 256;
-/// What precedes the caller's nonce in a prompt.
+/// Marker that precedes the caller's nonce in a prompt.
 pub const NONCE_MARK: &str = "nonce=";
-/// Longest nonce that is repeated in tokens, in bytes.
+/// Maximum length in bytes of a nonce that is echoed in tokens.
 pub const MAXIMUM_NONCE_BYTES: usize = 32;
 
-/// Text of one response, token by token.
+/// Generated text of one completion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
     seed: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Completion {
-    /// The response of `model` in `version`, with `adapter` if any, to `prompt`.
+    /// Creates the completion of `prompt` by this model, version and optional adapter.
     pub fn new(
         model: &ModelName,
         version: &VersionLabel,
@@ -35,24 +35,24 @@
         }
     }
 
-    /// Text of the token at `position`, counted from 0.
+    /// Returns the token at `position`, counted from 0.
     pub fn token(&self, position: u32) -> String {
         let word = mix(self.seed ^ mix(u64::from(position) + 1)) as u32;
         format!("{}.{position}.{word:08x} ", self.nonce)
     }
 
-    /// Text of the tokens `from..to`.
+    /// Returns the tokens `from..to` as text.
     pub fn text(&self, from: u32, to: u32) -> String {
         (from..to).map(|position| self.token(position)).collect()
     }
 
-    /// Whether `text` is the whole of the tokens `from..to`, and nothing else.
+    /// Whether `text` is exactly the tokens `from..to`.
     pub fn matches(&self, from: u32, to: u32, text: &str) -> bool {
         self.text(from, to) == text
     }
 }
 
-/// The caller's nonce in a prompt: the word after the last `nonce=`, if there is one.
+/// Returns the caller's nonce: the word after the last `nonce=` in the prompt, if it is valid.
 pub fn nonce_of(prompt: &str) -> Option<&str> {
     let (_, rest) = prompt.rsplit_once(NONCE_MARK)?;
     let word = rest.split_whitespace().next()?;
@@ -62,14 +62,14 @@
     (is_plain && word.len() <= MAXIMUM_NONCE_BYTES).then_some(word)
 }
 
-/// Tokens of a prompt: its words, at least one.
+/// Number of tokens of a prompt: its words, but at least one.
 pub fn prompt_tokens(prompt: &str) -> u32 {
     let words = prompt.split_whitespace().count().max(1);
     u32::try_from(words).unwrap_or(u32::MAX)
 }
 
-/// Chained hashes of the whole blocks of a prompt, one for each prefix that a cache can hold.
-/// The adapter is part of the chain, because it changes the cached values.
+/// Returns the chained hashes of a prompt's full blocks, one for each cacheable prefix. The hashes
+/// include the adapter, because it changes the cached values.
 pub fn prefix_blocks(adapter: Option<&AdapterName>, prompt: &str) -> Vec<u64> {
     let words: Vec<&str> = prompt
         .split_whitespace()
@@ -84,7 +84,7 @@
     hashes
 }
 
-/// Hash of a list of texts; the lengths are part of it.
+/// Hashes a list of texts together with their lengths.
 fn hash_parts(parts: &[&str]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -96,7 +96,7 @@
     u64::from_le_bytes(first)
 }
 
-/// The finalizer of SplitMix64: spreads a number over all bits.
+/// Mixes a number with the SplitMix64 finalizer.
 pub(crate) fn mix(value: u64) -> u64 {
     let mut mixed = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -104,7 +104,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// A chat as one prompt: one line for each message, `role: text`.
+/// Joins chat messages into one prompt, one `role: text` line each.
 pub fn chat_prompt<'a>(messages: impl IntoIterator<Item = (&'a str, &'a str)>) -> String {
     let lines = messages.into_iter();
     lines
@@ -112,7 +112,7 @@
         .collect()
 }
 
-/// The page that a web back end gives for a path, whichever of a group it is.
+/// Returns the page of a path; the same for all back ends of a group.
 pub fn page(path: &str) -> String {
     const PAGE_LINES: u64 = 16;
     let seed = hash_parts(&["page", path]);
--- a/crates/millpass-standin/src/crashing.rs
+++ b/crates/millpass-standin/src/crashing.rs
@@ -1,5 +1,5 @@
-//! A server whose process can end in the middle of its work: its connections are reset, its port refuses new ones,
-//! and stays held so that it can begin again there.
+//! A server that simulates process crashes: its connections are reset and its port refuses new ones.
+//! The port stays reserved so that the server can restart at the same address.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -9,45 +9,43 @@
 use std::thread;
 use std::time::Duration;
 
-/// Connections that wait to be accepted.
 const BACKLOG: i32 = 128;
-/// Pause between two looks at whether the server has begun again.
 const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A request as it came.
+/// A received request.
 #[derive(Clone, Debug, Default)]
 pub struct RawRequest {
-    /// Path with the query.
+    /// Path, including the query.
     pub path: String,
-    /// Headers in lower case.
+    /// Headers, with lower-case names.
     pub headers: Vec<(String, String)>,
-    /// Body, of stated length.
+    /// Body, as long as `Content-Length` states.
     pub body: Vec<u8>,
 }
 
 impl RawRequest {
-    /// Value of a header, named in lower case.
+    /// Returns the value of a header, given its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(found, _)| found == name);
         found.map(|(_, value)| value.as_str())
     }
 }
 
-/// What the server does with a request.
+/// How the server handles a request.
 #[derive(Clone, Debug)]
 pub enum RequestAction {
-    /// Sends these bytes, a whole response.
+    /// Sends these bytes as the complete response.
     Respond(Vec<u8>),
-    /// Sends these bytes, the beginning of a response, and ends.
+    /// Sends these bytes, the start of a response, and crashes.
     Crash(Vec<u8>),
 }
 
-/// Decides what to do with a request; called on the connection's thread, so it may take its time.
+/// Decides how to handle a request. Runs on the connection's thread and may block.
 pub type RequestHandler = dyn Fn(&RawRequest) -> RequestAction + Send + Sync;
 
 struct Inner {
     listener: TcpListener,
-    /// Keeps the port from others while nobody listens at it.
+    /// Reserves the port while the server is down.
     _holder: Socket,
     address: SocketAddr,
     handle: Box<RequestHandler>,
@@ -65,7 +63,7 @@
 
     fn crash(&self) {
         self.crashed.store(true, Ordering::Release);
-        // A socket that is not connected has nothing to shut down; that is no failure here.
+        // Fails harmlessly if the socket is not connected.
         let _ = SockRef::from(&self.listener).shutdown(Shutdown::Both);
         for connection in self.connections().drain(..) {
             let _ = SockRef::from(&connection).set_linger(Some(Duration::ZERO));
@@ -78,14 +76,14 @@
     }
 }
 
-/// A running server; dropping it ends it.
+/// A running server. Clones share the same server.
 #[derive(Clone)]
 pub struct CrashingServer {
     inner: Arc<Inner>,
 }
 
 impl CrashingServer {
-    /// Listens on a free port of loopback.
+    /// Starts a server on a free loopback port.
     pub fn start(handle: Box<RequestHandler>) -> io::Result<CrashingServer> {
         let (holder, listener) = listen()?;
         let inner = Arc::new(Inner {
@@ -102,42 +100,42 @@
         Ok(CrashingServer { inner })
     }
 
-    /// Where it listens.
+    /// Address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Whether it has ended and not begun again.
+    /// Whether it has crashed and not been restarted.
     pub fn has_crashed(&self) -> bool {
         self.inner.has_crashed()
     }
 
-    /// Connections of this run.
+    /// Number of connections accepted since the last crash.
     pub fn connections(&self) -> usize {
         self.inner.connections().len()
     }
 
-    /// Ends it from outside, as a kill does.
+    /// Crashes the server, as a kill from outside does.
     pub fn crash(&self) {
         self.inner.crash();
     }
 
-    /// Begins again at the same address.
+    /// Accepts connections again at the same address.
     pub fn restart(&self) -> io::Result<()> {
         SockRef::from(&self.inner.listener).listen(BACKLOG)?;
         self.inner.crashed.store(false, Ordering::Release);
         Ok(())
     }
 
-    /// Ends it for good.
+    /// Stops the server permanently.
     pub fn stop(&self) {
         self.inner.stopping.store(true, Ordering::Release);
         self.inner.crash();
     }
 }
 
-/// A socket that holds a free port of loopback, and one that listens at it. A socket keeps its port when it stops to
-/// listen only if it was bound to that very port.
+/// Returns a socket that reserves a free loopback port, and a listener on that port. A socket keeps its port after it
+/// stops listening only if it was bound to that port explicitly.
 fn listen() -> io::Result<(Socket, TcpListener)> {
     let bound = |port: u16| -> io::Result<Socket> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -171,7 +169,7 @@
     }
 }
 
-/// Answers the requests of one connection, until it or the server ends.
+/// Serves one connection until it closes or the server crashes.
 fn serve(inner: &Inner, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
     while let Some(request) = read_request(&mut reader) {
@@ -189,7 +187,7 @@
     }
 }
 
-/// The next request; none once the connection has ended.
+/// Reads the next request; `None` if the connection closed or the request is malformed.
 fn read_request(reader: &mut BufReader<TcpStream>) -> Option<RawRequest> {
     let first = read_line(reader)?;
     let mut request = RawRequest {
--- a/crates/millpass-standin/src/lagged.rs
+++ b/crates/millpass-standin/src/lagged.rs
@@ -1,13 +1,14 @@
-//! A state that is read with a lag, as load reports and machine lists are.
+//! State that readers see with a delay, such as load reports and machine lists.
 
 use millpass_proto::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Most states kept; the oldest go first, and a reader then sees a younger one.
+/// Maximum number of past states; beyond it the oldest is evicted and readers see a newer one.
 const MAXIMUM_STATES: usize = 64;
 
-/// Past states by the time since which they held. No timers: a state is kept when the next change
-/// comes ([`Lagged::should_record`], [`Lagged::record`]), and a read picks the one that held `lag` ago.
+/// Past states by the time from which they were current. Needs no timers: a state is recorded before
+/// the next change ([`Lagged::should_record`], [`Lagged::record`]), and a read selects the state that was
+/// current `lag` ago.
 #[derive(Clone, Debug)]
 pub struct Lagged<T> {
     lag: Duration,
@@ -18,8 +19,8 @@
 }
 
 impl<T: Clone> Lagged<T> {
-    /// Starts with a state. States closer than `interval` are merged into the next one kept, so a
-    /// read may be older than `lag` by that much.
+    /// Creates the history with an initial state. At most one state per `interval` is recorded, so a read
+    /// may be older than `lag` by up to `interval`.
     pub fn new(lag: Duration, interval: Duration, start: Timestamp, first: T) -> Self {
         Lagged {
             lag,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Whether the state that held until `now` is to be kept before it changes. One that is left
-    /// out ended less than the interval after the one kept before it began.
+    /// Whether the state that was current until `now` must be recorded before it changes. States that end
+    /// within `interval` of the start of the last recorded one are skipped.
     pub fn should_record(&self, now: Timestamp) -> bool {
         let is_new = !self.is_recorded && self.changed < now;
         is_new
@@ -41,7 +42,7 @@
                 .is_none_or(|(last, _)| now.since(*last) >= self.interval)
     }
 
-    /// Keeps the state that held until `now`.
+    /// Records the state that was current until `now`.
     pub fn record(&mut self, now: Timestamp, state: T) {
         self.states.push_back((self.changed, state));
         self.is_recorded = true;
@@ -54,18 +55,18 @@
         }
     }
 
-    /// Notes a change at `now`.
+    /// Marks the state as changed at `now`.
     pub fn mark_changed(&mut self, now: Timestamp) {
         self.changed = now;
         self.is_recorded = false;
     }
 
-    /// When the current state began.
+    /// Time of the last change.
     pub fn changed(&self) -> Timestamp {
         self.changed
     }
 
-    /// The state as read at `now`.
+    /// Returns the state that a reader sees at `now`.
     pub fn read(&self, now: Timestamp, current: impl FnOnce() -> T) -> T {
         let shown = self.shown_time(now);
         if self.changed <= shown {
@@ -76,7 +77,7 @@
         state.map_or_else(current, |(_, state)| state.clone())
     }
 
-    /// The time that a read at `now` shows.
+    /// Time of the state that a reader sees at `now`.
     pub fn shown_time(&self, now: Timestamp) -> Timestamp {
         let lag = u64::try_from(self.lag.as_micros()).unwrap_or(u64::MAX);
         Timestamp::from_micros(now.as_micros().saturating_sub(lag))
--- a/crates/millpass-standin/src/lib.rs
+++ b/crates/millpass-standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for outside systems: engine, web back end, weight store, platform list.
 //!
-//! Each is a pure model, a state machine without I/O, clock or threads that the simulator drives
-//! too, and a front end (`start`) that serves the model over loopback HTTP.
+//! Each consists of a model, a deterministic state machine without I/O, clock or threads, and a
+//! front end (`start`) that serves the model over loopback HTTP.
 
 pub mod content;
 pub mod crashing;
--- a/crates/millpass-standin/src/platform/client.rs
+++ b/crates/millpass-standin/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! How a machine puts itself on the platform's list.
+//! Client that registers a machine in the platform's list.
 
 use millpass_http::ServerHandle;
 use millpass_proto::{Duration, PlatformMachine};
@@ -8,11 +8,11 @@
 use ureq::Agent;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Attempts to register, one each [`RETRY_INTERVAL`]; the list may come up later than the machine.
+/// Registration attempts, one per [`RETRY_INTERVAL`]; the list may start later than the machine.
 const ATTEMPTS: u32 = 600;
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A machine's entry in the list.
+/// A machine's registration in the list.
 pub struct PlatformClient {
     agent: Agent,
     address: String,
@@ -46,13 +46,13 @@
         self.agent.post(&url).send_empty().map(drop)
     }
 
-    /// Takes the machine off the list.
+    /// Removes the machine from the list.
     pub fn remove(&self) -> Result<(), ureq::Error> {
         self.agent.delete(&self.url()).call().map(drop)
     }
 
-    /// A planned stop: marks the machine as leaving, serves on for `notice` (new work comes until
-    /// everyone knows), waits at most `grace` for requests in flight, and takes it off the list.
+    /// Departs gracefully: marks the machine as leaving, continues to serve for `notice` while the state
+    /// propagates, waits at most `grace` for requests in flight, and removes the machine from the list.
     pub(crate) fn leave(
         client: Option<&PlatformClient>,
         server: &ServerHandle,
--- a/crates/millpass-standin/src/platform/mod.rs
+++ b/crates/millpass-standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Platform's list of machines, which lags.
+//! The platform's list of machines, which lags behind.
 
 mod client;
 mod model;
--- a/crates/millpass-standin/src/platform/model.rs
+++ b/crates/millpass-standin/src/platform/model.rs
@@ -1,4 +1,4 @@
-//! The platform's machine list as a state machine.
+//! State machine of the platform's machine list.
 
 use crate::lagged::Lagged;
 use millpass_proto::{
@@ -6,14 +6,14 @@
 };
 use std::collections::BTreeMap;
 
-/// Everything that shapes the list, in simulated time.
+/// Settings of the list, in simulated time.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Age of the list that is read.
+    /// Delay with which readers see the list.
     pub list_lag: Duration,
-    /// Least time between two lists kept; a list read may be older by this much.
+    /// Minimum time between two recorded lists; a list that is read may be older by this much.
     pub list_interval: Duration,
-    /// Most machines.
+    /// Maximum number of machines.
     pub maximum_machines: usize,
 }
 
@@ -27,21 +27,21 @@
     }
 }
 
-/// What happens to the list.
+/// Input of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformInput {
-    /// A machine came up, or came back at another address.
+    /// A machine started, or restarted at another address.
     Register(PlatformMachine),
-    /// A machine will go.
+    /// A machine is about to depart.
     Leaving(BackendName),
-    /// A machine is gone.
+    /// A machine has departed.
     Remove(BackendName),
 }
 
-/// Why an input changed nothing.
+/// Reason for which an input was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformRefusal {
-    /// No such machine.
+    /// The machine is not in the list.
     #[error("machine is not listed; register it first")]
     Unknown,
     /// The list is full.
@@ -49,7 +49,7 @@
     Full,
 }
 
-/// The list.
+/// Model of the platform's machine list.
 #[derive(Clone, Debug)]
 pub struct PlatformModel {
     settings: PlatformSettings,
@@ -59,7 +59,7 @@
 }
 
 impl PlatformModel {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new(settings: PlatformSettings, now: Timestamp) -> Self {
         let empty = PlatformList {
             sequence: 0,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes one input.
+    /// Applies one input.
     pub fn step(&mut self, now: Timestamp, input: PlatformInput) -> Result<(), PlatformRefusal> {
         if self.lists.should_record(now) {
             let list = self.current();
@@ -97,12 +97,12 @@
         Ok(())
     }
 
-    /// The list as read at `now`.
+    /// Returns the list that a reader sees at `now`.
     pub fn list(&self, now: Timestamp) -> PlatformList {
         self.lists.read(now, || self.current())
     }
 
-    /// The list as it is, without lag: for checkers.
+    /// Returns the list without lag; for checkers.
     pub fn current(&self) -> PlatformList {
         PlatformList {
             sequence: self.sequence,
--- a/crates/millpass-standin/src/platform/service.rs
+++ b/crates/millpass-standin/src/platform/service.rs
@@ -1,4 +1,4 @@
-//! The platform's list over HTTP.
+//! HTTP interface of the platform's list.
 
 use super::model::{PlatformInput, PlatformModel, PlatformRefusal, PlatformSettings};
 use crate::run::{
@@ -23,12 +23,12 @@
         self.server.local_address()
     }
 
-    /// The list without lag, for checkers.
+    /// Returns the list without lag; for checkers.
     pub fn current(&self) -> PlatformList {
         self.service.lock().current()
     }
 
-    /// Stops at once.
+    /// Stops immediately.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/millpass-standin/src/run/alarm.rs
+++ b/crates/millpass-standin/src/run/alarm.rs
@@ -1,4 +1,4 @@
-//! One thread that wakes any number of models when they have something to do.
+//! A timer thread that wakes any number of models when they are due.
 
 use super::clock::ScaledClock;
 use millpass_proto::Timestamp;
@@ -6,13 +6,13 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError, Weak};
 use std::thread::JoinHandle;
 
-/// Something that is woken. Waking may set the next alarm.
+/// Target of an alarm. Waking it may set its next alarm.
 pub trait Alarm: Send + Sync {
-    /// Does what is due.
+    /// Processes everything that is due.
     fn wake(&self);
 }
 
-/// The thread and its alarms. Lock order: a model's lock before the table of alarms.
+/// The timer thread and its alarms. Lock order: a model's lock before the alarm table.
 pub struct Alarms {
     shared: Arc<Shared>,
     thread: Mutex<Option<JoinHandle<()>>>,
@@ -38,7 +38,7 @@
 }
 
 impl Alarms {
-    /// Starts the thread; all alarms run by this clock.
+    /// Starts the thread with the clock of all its alarms.
     pub fn start(clock: ScaledClock) -> std::io::Result<Arc<Alarms>> {
         let shared = Arc::new(Shared {
             clock,
@@ -54,12 +54,12 @@
         }))
     }
 
-    /// The clock.
+    /// Clock of the alarms.
     pub fn clock(&self) -> ScaledClock {
         self.shared.clock
     }
 
-    /// Adds an alarm, without a time; gives its number. It is forgotten when it is dropped.
+    /// Adds an alarm without a time and returns its id. The entry is removed after its target is dropped.
     pub fn add(&self, alarm: Weak<dyn Alarm>) -> u64 {
         let mut table = self.shared.lock();
         table.next_id += 1;
@@ -108,7 +108,7 @@
             .take();
         let own = std::thread::current().id();
         if let Some(thread) = thread.filter(|thread| thread.thread().id() != own) {
-            // A panic in the thread was reported by the panic hook already.
+            // The panic hook has already reported a panic of the thread.
             let _ = thread.join();
         }
     }
--- a/crates/millpass-standin/src/run/driver.rs
+++ b/crates/millpass-standin/src/run/driver.rs
@@ -1,4 +1,4 @@
-//! Drives a model by the clock, and hands its outputs to those who wait for them.
+//! Drives a model by the clock and dispatches its outputs to waiters.
 
 use super::alarm::{Alarm, Alarms};
 use crossbeam::channel::{Receiver, Sender, unbounded};
@@ -8,23 +8,23 @@
 
 /// A model that a [`Driver`] can drive.
 pub trait TimedModel: Send + 'static {
-    /// What happens to it.
+    /// Event that the model handles.
     type Input;
-    /// What it does.
+    /// Effect of a step.
     type Output: Send + 'static;
 
-    /// Brings it to `now`, then takes the input; without one, only time went on.
+    /// Advances the model to `now`, then applies the input, if any.
     fn advance(&mut self, now: Timestamp, input: Option<Self::Input>) -> Vec<Self::Output>;
-    /// When it next does something by itself.
+    /// Time at which the model must be advanced next without an input.
     fn next_wake(&self) -> Option<Timestamp>;
-    /// Number of the one who waits for this output, and whether it is the last for it.
+    /// Returns the waiter of this output and whether it is that waiter's last output.
     fn waiter_of(output: &Self::Output) -> Option<(u64, bool)>;
 }
 
-/// Takes outputs that nobody waits for.
+/// Handles outputs without a waiter.
 type OutputHandler<Output> = Box<dyn Fn(Vec<Output>) + Send + Sync>;
 
-/// A model with its clock and those who wait for its outputs.
+/// A model with its clock and the waiters for its outputs.
 pub struct Driver<M: TimedModel> {
     state: Mutex<State<M>>,
     alarms: Arc<Alarms>,
@@ -39,7 +39,7 @@
 }
 
 impl<M: TimedModel> Driver<M> {
-    /// Begins to drive a model.
+    /// Starts to drive a model.
     pub fn new(model: M, alarms: Arc<Alarms>) -> Arc<Self> {
         let state = State {
             model,
@@ -58,34 +58,34 @@
         driver
     }
 
-    /// Says who takes outputs that nobody waits for and that come from the passing of time. To be
-    /// called once, before the first input.
+    /// Sets the handler of outputs without a waiter that the passage of time produces. Must be called
+    /// once, before the first input.
     pub fn on_unclaimed(&self, handle: impl Fn(Vec<M::Output>) + Send + Sync + 'static) {
-        // A second call is ignored: the first owner keeps its outputs.
+        // A second call has no effect.
         let _ = self.unclaimed.set(Box::new(handle));
     }
 
-    /// The alarms and their clock.
+    /// Alarms that wake the model, and their clock.
     pub fn alarms(&self) -> &Alarms {
         &self.alarms
     }
 
-    /// One input; gives the outputs that nobody waits for.
+    /// Applies an input and returns the outputs without a waiter.
     pub fn input(&self, input: M::Input) -> Vec<M::Output> {
         let mut state = self.lock();
         self.advance(&mut state, Some(input))
     }
 
-    /// One input by someone who waits for the outputs under the number that `make` gets.
+    /// Applies the input that `make` creates for a new waiter, and returns the waiter's id and outputs.
     pub fn open(&self, make: impl FnOnce(u64) -> M::Input) -> (u64, Receiver<M::Output>) {
         self.open_with_sender(make, |_, _| ())
     }
 
-    /// As [`Driver::open`]; `prepare` gets the number and the sending end before the input, to let
-    /// others, such as a hang-up notice, wake the one who waits.
+    /// Like [`Driver::open`]; `prepare` receives the waiter's id and sender before the input is applied, so
+    /// that other events, such as a disconnect, can wake the waiter.
     ///
-    /// The channel has no bound of its own: a model gives a bounded number of outputs for each
-    /// waiter, and must never wait for a slow one.
+    /// The channel is unbounded so that a slow waiter never blocks the model, which emits a bounded number
+    /// of outputs per waiter.
     pub fn open_with_sender(
         &self,
         make: impl FnOnce(u64) -> M::Input,
@@ -103,7 +103,7 @@
         (waiter, receiver)
     }
 
-    /// Reads the model at the present time.
+    /// Queries the model at the current time.
     pub fn read<T>(&self, query: impl FnOnce(&M, Timestamp) -> T) -> T {
         let mut state = self.lock();
         let unclaimed = self.advance(&mut state, None);
@@ -113,7 +113,7 @@
         seen
     }
 
-    /// Stops driving: waiters see their channels close.
+    /// Stops driving the model and closes the waiters' channels.
     pub fn stop(&self) {
         self.lock().waiters.clear();
         if let Some(alarm) = self.alarm.get() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Steps and hands out under the lock, so that each waiter sees its outputs in order.
+    /// Steps and dispatches under the lock, so that each waiter receives its outputs in order.
     fn advance(&self, state: &mut State<M>, input: Option<M::Input>) -> Vec<M::Output> {
         let now = self.alarms.clock().now();
         let outputs = state.model.advance(now, input);
@@ -155,7 +155,7 @@
                 continue;
             };
             if let Some(sender) = self.waiters.get(&waiter) {
-                // One who no longer listens needs nothing.
+                // Fails if the waiter has stopped receiving.
                 let _ = sender.send(output);
             }
             if is_last {
--- a/crates/millpass-standin/src/run/front.rs
+++ b/crates/millpass-standin/src/run/front.rs
@@ -1,4 +1,4 @@
-//! Settings that every front end has.
+//! Settings shared by all front ends.
 
 use super::journal::RunJournal;
 use http::StatusCode;
@@ -13,19 +13,19 @@
 /// Where and how a stand-in serves.
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Address that others reach it at, where it differs (a relay).
+    /// Address to register, if others reach the stand-in at a different one, such as a relay.
     pub advertise: Option<SocketAddr>,
-    /// Where runs are noted, if anywhere.
+    /// Journal that records runs, if any.
     pub journal: Option<Arc<RunJournal>>,
-    /// Simulated seconds in a real one.
+    /// Simulated seconds per real second.
     pub time_scale: f64,
-    /// Threads that carry connections.
+    /// Number of threads that drive connections.
     pub executor_threads: usize,
-    /// Most threads that wait for responses, one for each request in hand; they come and go.
+    /// Maximum number of handler threads; each request in progress occupies one.
     pub handler_threads: usize,
-    /// Most connections.
+    /// Maximum number of connections.
     pub maximum_connections: usize,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl FrontSettings {
-    /// Settings of the server, under this name.
+    /// Returns the settings of a server with this name.
     pub(crate) fn server(&self, name: &str) -> ServerSettings {
         ServerSettings {
             name: name.to_owned(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// A refusal, not executed, with when to come back.
+/// Creates an error response for a request that did not run, with `Retry-After`.
 pub(crate) fn retry_after_response(
     status: StatusCode,
     code: &str,
--- a/crates/millpass-standin/src/run/http.rs
+++ b/crates/millpass-standin/src/run/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers around requests and responses.
+//! Helpers for HTTP requests and responses.
 
 use bytes::Bytes;
 use http::header::HeaderName;
@@ -8,11 +8,11 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::str::FromStr;
 
-/// Says whether a refused request ran: `no` is a promise, `yes` means that it may have.
+/// States whether a failed request ran: `no` guarantees that it did not, `yes` means that it may have.
 pub const EXECUTED_HEADER: HeaderName = HeaderName::from_static("millpass-executed");
 const JSON: &str = "application/json";
 
-/// A response with this value as JSON.
+/// Creates a JSON response.
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => Response::with_type(status, JSON, Bytes::from(body)),
@@ -20,7 +20,7 @@
     }
 }
 
-/// A JSON error. `executed` says whether the request ran.
+/// Creates a JSON error response; `executed` states whether the request ran.
 pub fn error_response(status: StatusCode, code: &str, message: &str, executed: bool) -> Response {
     let executed = if executed { "yes" } else { "no" };
     let body = serde_json::json!({
@@ -29,7 +29,7 @@
     Response::json(status, &body).with_header(EXECUTED_HEADER, executed)
 }
 
-/// The body as JSON of a type, or the response that says what is wrong.
+/// Parses a JSON body; the error is the response to send.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Box<Response>> {
     serde_json::from_slice(body).map_err(|error| {
         let message = format!("body is not the expected JSON: {error}");
@@ -42,12 +42,12 @@
     })
 }
 
-/// Text of a header.
+/// Returns a header's value, if it is valid text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A number in a header; `None` without the header.
+/// Parses a decimal header value; `None` without the header.
 pub fn header_number<T: FromStr>(
     headers: &HeaderMap,
     name: &str,
@@ -59,20 +59,20 @@
     parsed.map_err(|_| malformed_header(name, "a decimal number"))
 }
 
-/// Refusal of a header that is not what it must be.
+/// Creates the error response for a malformed header.
 pub fn malformed_header(name: &str, wanted: &str) -> Box<Response> {
     let message = format!("header {name} must be {wanted}");
     let status = StatusCode::BAD_REQUEST;
     Box::new(error_response(status, "malformed_header", &message, false))
 }
 
-/// Parts of the path, decoded.
+/// Returns the percent-decoded segments of the path.
 pub fn path_segments(uri: &Uri) -> Vec<String> {
     let parts = uri.path().split('/').filter(|part| !part.is_empty());
     parts.map(decoded).collect()
 }
 
-/// A number of the query.
+/// Parses a numeric query parameter.
 pub fn query_number(uri: &Uri, key: &str) -> Option<u64> {
     let pairs = uri.query()?.split('&');
     let mut values = pairs.filter_map(|pair| pair.split_once('='));
--- a/crates/millpass-standin/src/run/journal.rs
+++ b/crates/millpass-standin/src/run/journal.rs
@@ -1,4 +1,4 @@
-//! A file of JSON lines that tells which requests a stand-in ran, for checkers.
+//! A JSON Lines file of the requests that a stand-in ran, for checkers.
 
 use millpass_proto::{BackendName, Incarnation, TenantName};
 use serde::{Deserialize, Serialize};
@@ -9,19 +9,19 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What became of a run.
+/// Step in the lifecycle of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunStep {
-    /// It began.
+    /// The run started.
     Started,
-    /// It began, after tokens that another run gave out.
+    /// The run started after tokens that another run had emitted.
     Resumed,
-    /// It ended by itself.
+    /// The run completed.
     Finished,
-    /// Its caller ended it.
+    /// The caller cancelled the run.
     Cancelled,
-    /// The stand-in ended it.
+    /// The stand-in aborted the run.
     CutOff,
 }
 
@@ -30,21 +30,21 @@
 pub struct RunRecord {
     /// Microseconds since the Unix epoch.
     pub at_micros: u64,
-    /// Back end.
+    /// Name of the back end.
     pub backend: BackendName,
-    /// Its run.
+    /// Incarnation of the back end.
     pub incarnation: Incarnation,
-    /// Identity of the request, as the stand-in got it.
+    /// Request id, as received.
     pub request_id: String,
-    /// Tenant.
+    /// Tenant of the request.
     pub tenant: TenantName,
-    /// Idempotency key.
+    /// Idempotency key, if the request has one.
     pub key: Option<String>,
-    /// What happened.
+    /// Step of the run.
     pub step: RunStep,
 }
 
-/// A journal of bounded length. Each line is written at once, so that a killed process loses none.
+/// A journal of bounded length. Writes each line without buffering, so that a killed process loses none.
 #[derive(Debug)]
 pub struct RunJournal {
     file: Mutex<File>,
@@ -52,7 +52,7 @@
 }
 
 impl RunJournal {
-    /// Opens a journal to append to; lines beyond `maximum_lines` are left out.
+    /// Opens a journal for appending; drops lines beyond `maximum_lines`.
     pub fn open(path: &Path, maximum_lines: u64) -> io::Result<Arc<Self>> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Arc::new(RunJournal {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Who notes runs in a journal; without one, nothing is noted.
+/// Records runs of one back end in a journal, if there is one.
 #[derive(Clone, Debug)]
 pub(crate) struct RunRecorder {
     pub journal: Option<Arc<RunJournal>>,
@@ -91,7 +91,6 @@
 }
 
 impl RunRecorder {
-    /// Notes a step of a run.
     pub fn record(&self, request_id: &str, tenant: &TenantName, key: Option<&str>, step: RunStep) {
         let Some(journal) = &self.journal else {
             return;
--- a/crates/millpass-standin/src/run/mod.rs
+++ b/crates/millpass-standin/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! What the front ends share: a scaled clock, alarms that wake models, drivers and HTTP helpers.
+//! Shared parts of the front ends: scaled clock, alarms, drivers and HTTP helpers.
 
 mod alarm;
 mod clock;
--- a/crates/millpass-standin/src/run/served.rs
+++ b/crates/millpass-standin/src/run/served.rs
@@ -1,4 +1,4 @@
-//! A model that is served over HTTP.
+//! A model served over HTTP.
 
 use super::driver::{Driver, TimedModel};
 use super::front::FrontSettings;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A running stand-in. Dropping it stops it as [`Served::stop`] does.
+/// A running stand-in. Dropping it is equivalent to [`Served::stop`].
 pub struct Served<M: TimedModel> {
     server: ServerHandle,
     driver: Arc<Driver<M>>,
@@ -17,7 +17,7 @@
 }
 
 impl<M: TimedModel> Served<M> {
-    /// Listens and serves.
+    /// Binds the listener and starts serving.
     pub(crate) fn start(
         name: &str,
         front: &FrontSettings,
@@ -33,8 +33,7 @@
         })
     }
 
-    /// Puts the machine on the platform's list at `list`, if one is named. The machine's address
-    /// is set here.
+    /// Registers the machine, with the address set here, in the platform list at `list`, if given.
     pub(crate) fn register(mut self, list: Option<&str>, mut machine: PlatformMachine) -> Self {
         let reached_at = self.advertise.unwrap_or(self.address());
         machine.address = reached_at.to_string();
@@ -47,19 +46,19 @@
         self.server.local_address()
     }
 
-    /// Reads the model at the present time, without lag: for checkers.
+    /// Queries the model at the current time; for checkers.
     pub fn read<T>(&self, query: impl FnOnce(&M, millpass_proto::Timestamp) -> T) -> T {
         self.driver.read(query)
     }
 
-    /// Leaves in a planned way: is marked as leaving, serves on for `notice`, waits at most
-    /// `grace` for requests in flight, and is taken off the list. Real time.
+    /// Departs gracefully: marks the machine as leaving, continues to serve for `notice`, waits at most
+    /// `grace` for requests in flight, and removes the machine from the list. Both are real time.
     pub fn leave(&self, notice: Duration, grace: Duration) {
         PlatformClient::leave(self.platform.as_ref(), &self.server, notice, grace);
         self.driver.stop();
     }
 
-    /// Stops at once, as a machine that is reclaimed: requests are cut, the list isn't told.
+    /// Stops immediately, as if the machine were reclaimed: aborts requests and leaves the list unchanged.
     pub fn stop(&self) {
         self.driver.stop();
         self.server.stop();
--- a/crates/millpass-standin/src/run_counts.rs
+++ b/crates/millpass-standin/src/run_counts.rs
@@ -1,12 +1,12 @@
-//! Runs counted by tenant and key.
+//! Counts runs by tenant and key.
 
 use millpass_proto::{RepeatedRun, TenantName};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most repeated runs listed.
+/// Maximum number of repeated runs listed.
 const MAXIMUM_REPEATED: usize = 256;
 
-/// Runs by tenant and key, bounded: the keys seen first are forgotten first.
+/// Bounded run counts by tenant and key; evicts the keys seen first.
 #[derive(Clone, Debug)]
 pub struct RunCounts {
     bound: usize,
@@ -17,7 +17,7 @@
 }
 
 impl RunCounts {
-    /// Remembers at most `bound` keys.
+    /// Creates counts for at most `bound` keys.
     pub fn new(bound: usize) -> Self {
         RunCounts {
             bound: bound.max(1),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Counts one run; gives the number of runs of this key so far.
+    /// Counts one run and returns the number of runs of this key so far.
     pub fn count(&mut self, tenant: &TenantName, key: &str) -> u64 {
         let entry = (tenant.clone(), key.to_owned());
         let runs = self.runs.entry(entry.clone()).or_insert(0);
@@ -42,17 +42,17 @@
         total
     }
 
-    /// Different keys remembered.
+    /// Number of distinct keys held.
     pub fn keys(&self) -> usize {
         self.runs.len()
     }
 
-    /// Keys forgotten for want of room.
+    /// Number of keys evicted because the bound was reached.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Keys that ran more than once, bounded.
+    /// Keys that ran more than once, up to a fixed maximum.
     pub fn repeated(&self) -> Vec<RepeatedRun> {
         self.repeated
             .iter()
--- a/crates/millpass-standin/src/web/mod.rs
+++ b/crates/millpass-standin/src/web/mod.rs
@@ -1,4 +1,4 @@
-//! Web back end: pages by path, and endpoints that may not be repeated.
+//! Web back end: pages by path, and non-idempotent endpoints.
 
 mod model;
 mod service;
--- a/crates/millpass-standin/src/web/model.rs
+++ b/crates/millpass-standin/src/web/model.rs
@@ -1,4 +1,4 @@
-//! The web back end as a state machine.
+//! State machine of the web back end.
 
 use crate::lagged::Lagged;
 use crate::run_counts::RunCounts;
@@ -8,28 +8,28 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Everything that shapes one web back end, in simulated time.
+/// Settings of a web back end, in simulated time.
 #[derive(Clone, Debug)]
 pub struct WebSettings {
     /// Name in the deployment.
     pub backend: BackendName,
-    /// This run; the caller draws it.
+    /// Incarnation of this run, chosen by the caller.
     pub incarnation: Incarnation,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Group of interchangeable back ends it belongs to.
+    /// Group of interchangeable back ends.
     pub group: GroupName,
-    /// Paths that begin like one of these take POST requests that may not be repeated.
+    /// Path prefixes that accept non-idempotent POST requests.
     pub once_prefixes: Vec<String>,
-    /// Time from a request to its response.
+    /// Time between a request and its response.
     pub think_time: Duration,
-    /// Most requests at once; one more is refused.
+    /// Maximum number of concurrent requests; more are refused.
     pub maximum_running: usize,
-    /// Age of the state that a report shows.
+    /// Delay with which reports show the state.
     pub report_lag: Duration,
-    /// Least time between two states kept for reports.
+    /// Minimum time between two states recorded for reports.
     pub report_interval: Duration,
-    /// Keys whose runs are counted.
+    /// Maximum number of keys whose runs are counted.
     pub tracked_runs: usize,
 }
 
@@ -50,61 +50,61 @@
     }
 }
 
-/// Number that the driver gives a request; unique within the run.
+/// Request id assigned by the driver; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WebRequestId(pub u64);
 
-/// A request.
+/// A request to a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WebRequest {
-    /// The driver's number of it.
+    /// Id assigned by the driver.
     pub id: WebRequestId,
     /// Whether it is a POST.
     pub is_post: bool,
     /// Path, without query.
     pub path: String,
-    /// Tenant; empty if none is named.
+    /// Tenant; empty if the request names none.
     pub tenant: TenantName,
-    /// Idempotency key.
+    /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Run of the back end it is for, if the caller names one.
+    /// Incarnation that the request is addressed to, if the caller names one.
     pub incarnation: Option<Incarnation>,
 }
 
-/// What happens to the back end.
+/// Input of a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WebInput {
-    /// Only time went on.
+    /// Time advanced.
     Tick,
     /// A request arrived.
     Request(WebRequest),
 }
 
-/// A response.
+/// Response of a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WebResponse {
     /// The page of the path, see [`crate::content::page`].
     Page(String),
-    /// An endpoint that may not be repeated ran; this is the number of runs of its key, 0 without.
+    /// A non-idempotent endpoint ran; holds the number of runs of its key, 0 without a key.
     Ran(u64),
-    /// POST where only pages are; it did not run.
+    /// The path accepts no POST; the request did not run.
     NotFound,
-    /// Too many requests at once; it did not run.
+    /// Too many concurrent requests; the request did not run.
     Busy,
-    /// Meant for another run of the back end than this one; it did not run.
+    /// Addressed to another incarnation than this one; the request did not run.
     WrongIncarnation(Incarnation),
 }
 
-/// What the back end does.
+/// Output of a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WebOutput {
-    /// Request.
+    /// Id of the request.
     pub id: WebRequestId,
-    /// Its response.
+    /// Response to the request.
     pub response: WebResponse,
 }
 
-/// One web back end. Same inputs give the same outputs.
+/// Deterministic model of a web back end.
 #[derive(Clone, Debug)]
 pub struct WebModel {
     settings: WebSettings,
@@ -118,7 +118,7 @@
 }
 
 impl WebModel {
-    /// An idle back end.
+    /// Creates an idle back end.
     pub fn new(settings: WebSettings, now: Timestamp) -> Self {
         let counts = Lagged::new(settings.report_lag, settings.report_interval, now, 0);
         WebModel {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Brings the back end to `now`, then takes the input.
+    /// Advances the back end to `now`, then applies the input.
     pub fn step(&mut self, now: Timestamp, input: WebInput) -> Vec<WebOutput> {
         let mut outputs = Vec::new();
         while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
@@ -150,17 +150,17 @@
         outputs
     }
 
-    /// When the back end next does something by itself.
+    /// Time at which the back end must be advanced next without an input.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Settings it runs with.
+    /// Settings of the back end.
     pub fn settings(&self) -> &WebSettings {
         &self.settings
     }
 
-    /// The load report as read at `now`.
+    /// Returns the load report that a reader sees at `now`.
     pub fn report(&self, now: Timestamp) -> WebReport {
         WebReport {
             backend: self.settings.backend.clone(),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// What was counted.
+    /// Returns the counters.
     pub fn audit(&self) -> WebAudit {
         WebAudit {
             backend: self.settings.backend.clone(),
@@ -211,7 +211,7 @@
         self.counts.mark_changed(now);
     }
 
-    /// Runs a request; its effect, the count, happens here and not when the response is sent.
+    /// Runs a request. Its effect, the run count, takes place here, not when the response is sent.
     fn run(&mut self, request: &WebRequest) -> WebResponse {
         if !request.is_post {
             return WebResponse::Page(crate::content::page(&request.path));
--- a/crates/millpass-standin/src/web/service.rs
+++ b/crates/millpass-standin/src/web/service.rs
@@ -1,4 +1,4 @@
-//! The web back end over HTTP.
+//! HTTP interface of the web back end.
 
 use super::model::{
     WebInput, WebModel, WebOutput, WebRequest, WebRequestId, WebResponse, WebSettings,
@@ -38,7 +38,7 @@
 /// A running web back end.
 pub type WebHandle = Served<WebModel>;
 
-/// Starts a web back end and registers it at the platform's list, if one is named.
+/// Starts a web back end and registers it in the platform's list at `platform`, if given.
 pub fn start(
     settings: WebSettings,
     front: &FrontSettings,
@@ -138,16 +138,17 @@
             Response::json(StatusCode::OK, &body).with_header(EXECUTED_HEADER, "yes")
         }
         WebResponse::NotFound => {
-            let message = "this path takes no POST; see docs/interfaces/web-back-end.md";
+            let message = "this path accepts no POST; see docs/interfaces/web-back-end.md";
             error_response(StatusCode::NOT_FOUND, "unknown_path", message, false)
         }
         WebResponse::WrongIncarnation(own) => {
-            let message = format!("this is incarnation {own}; read the report again");
+            let message =
+                format!("request names another incarnation; this is {own}; read the report again");
             let status = StatusCode::CONFLICT;
             error_response(status, "wrong_incarnation", &message, false)
         }
         WebResponse::Busy => {
-            let message = "too many requests at once; come back later";
+            let message = "too many concurrent requests; retry later";
             let status = StatusCode::SERVICE_UNAVAILABLE;
             retry_after_response(status, "busy", message, BUSY_RETRY_AFTER)
         }
--- a/crates/millpass-standin/src/weight_store/client.rs
+++ b/crates/millpass-standin/src/weight_store/client.rs
@@ -1,4 +1,4 @@
-//! How an engine asks the weight store.
+//! Client that engines use to fetch checkpoints from the weight store.
 
 use crate::engine::FetchResult;
 use crate::run::ScaledClock;
@@ -7,24 +7,24 @@
 use std::sync::OnceLock;
 use ureq::Agent;
 
-/// Longest real time that a transfer may take; then the load fails.
+/// Real-time limit of a transfer; the load fails after it.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(600);
-/// Pause before the store is asked again when it names none.
+/// Retry delay if the store names none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry-After in real milliseconds, finer than the standard header.
 pub(crate) const RETRY_AFTER_MILLIS: &str = "millpass-retry-after-ms";
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Where an engine gets its checkpoints.
+/// Source of an engine's checkpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreAccess {
-    /// From the weight store at this IP address and port.
+    /// Weight store at this IP address and port.
     At(String),
-    /// Nowhere: each fetch ends at once. For tests of other things.
+    /// No store: each fetch completes immediately. For tests that do not cover the store.
     Instant,
 }
 
-/// Fetches a checkpoint; returns when the transfer is over or refused.
+/// Fetches a checkpoint; blocks until the transfer ends or is refused.
 pub fn fetch(
     access: &StoreAccess,
     clock: ScaledClock,
@@ -42,17 +42,21 @@
             FetchResult::RetryAfter(clock.to_simulated(retry_after_of(&response)))
         }
         Ok(response) => FetchResult::Failed(format!(
-            "weight store answered {}; check the checkpoint's name",
+            "weight store returned {}; check the checkpoint's name",
             response.status()
         )),
-        Err(error) => FetchResult::Failed(format!("weight store failed: {error}; load again")),
+        Err(error) => FetchResult::Failed(format!(
+            "request to weight store failed: {error}; retry the load"
+        )),
     }
 }
 
 fn read_body(mut response: http::Response<ureq::Body>) -> FetchResult {
     match response.body_mut().read_to_vec() {
         Ok(_) => FetchResult::Done,
-        Err(error) => FetchResult::Failed(format!("transfer broke off: {error}; load again")),
+        Err(error) => FetchResult::Failed(format!(
+            "transfer from weight store aborted: {error}; retry the load"
+        )),
     }
 }
 
--- a/crates/millpass-standin/src/weight_store/mod.rs
+++ b/crates/millpass-standin/src/weight_store/mod.rs
@@ -1,4 +1,4 @@
-//! Weight store: a rate limit, and bandwidth shared by the transfers that go on.
+//! Weight store with a start rate limit and bandwidth shared by active transfers.
 
 mod client;
 mod model;
--- a/crates/millpass-standin/src/weight_store/model.rs
+++ b/crates/millpass-standin/src/weight_store/model.rs
@@ -1,22 +1,22 @@
-//! The weight store as a state machine.
+//! State machine of the weight store.
 
 use millpass_proto::{Duration, StoreAudit, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Normal speed, as a slow factor in thousandths.
+/// Slow factor of normal speed, in thousandths.
 const NORMAL_SLOW_FACTOR: u64 = 1_000;
 
 /// Limits of a weight store, in simulated time.
 #[derive(Clone, Debug)]
 pub struct WeightStoreSettings {
-    /// Transfers that may start in a second.
+    /// Maximum number of transfers started per second.
     pub loads_per_second: u32,
-    /// Transfers at once that run at full speed; more share the same total bandwidth.
+    /// Number of concurrent transfers that run at full speed; more share the same total bandwidth.
     pub full_speed_loads: u32,
-    /// Full speed of one transfer, in bytes a second.
+    /// Full speed of one transfer, in bytes per second.
     pub bytes_per_second: u64,
-    /// Transfers that may wait for their start; one more is refused.
+    /// Maximum number of queued transfers; more are refused.
     pub waiting_loads: usize,
 }
 
@@ -31,36 +31,36 @@
     }
 }
 
-/// Number that the driver gives a transfer; unique within the run.
+/// Transfer id assigned by the driver; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferId(pub u64);
 
-/// What happens to the store.
+/// Input of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreInput {
-    /// Only time went on.
+    /// Time advanced.
     Tick,
-    /// A checkpoint of this size is asked for.
+    /// A checkpoint of this size in bytes is requested.
     Request(TransferId, u64),
-    /// The caller went away.
+    /// The caller disconnected.
     Abandon(TransferId),
-    /// Fault: transfers take this many times as long, in thousandths (1000 is normal).
+    /// Fault: multiplies transfer times by this factor, in thousandths (1000 is normal).
     SlowFactor(u64),
 }
 
-/// What the store does.
+/// Output of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreOutput {
-    /// The queue is full; come back after this time.
+    /// The queue is full; retry after this time.
     Refused(TransferId, Duration),
-    /// The transfer is over.
+    /// The transfer completed.
     Done(TransferId),
 }
 
-/// One weight store. Same inputs give the same outputs.
+/// Deterministic model of a weight store.
 ///
-/// What a transfer still needs is counted in byte-microseconds: bytes times a million, so that a
-/// rate in bytes a second times microseconds needs no division.
+/// Remaining work of a transfer is in bytes times a million, so that a rate in bytes per second multiplied by
+/// microseconds needs no division.
 #[derive(Clone, Debug)]
 pub struct WeightStoreModel {
     settings: WeightStoreSettings,
@@ -79,7 +79,7 @@
 }
 
 impl WeightStoreModel {
-    /// An idle store.
+    /// Creates an idle store.
     pub fn new(settings: WeightStoreSettings, now: Timestamp) -> Self {
         WeightStoreModel {
             settings,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Brings the store to `now`, then takes the input.
+    /// Advances the store to `now`, then applies the input.
     pub fn step(&mut self, now: Timestamp, input: StoreInput) -> Vec<StoreOutput> {
         let mut outputs = Vec::new();
         self.advance(now, &mut outputs);
@@ -113,18 +113,18 @@
         outputs
     }
 
-    /// When the store next does something by itself.
+    /// Time at which the store must be advanced next without an input.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let start = self.waiting.front().map(|_| self.next_start.max(self.last));
         start.into_iter().chain(self.next_completion()).min()
     }
 
-    /// What was counted.
+    /// Returns the counters.
     pub fn audit(&self) -> StoreAudit {
         self.audit.clone()
     }
 
-    /// Transfers that go on.
+    /// Number of active transfers.
     pub fn active_count(&self) -> usize {
         self.active.len()
     }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Runs everything that happens by itself up to `now`, in the order of time.
+    /// Processes completions and starts up to `now`, in order of time.
     fn advance(&mut self, now: Timestamp, outputs: &mut Vec<StoreOutput>) {
         while let Some(at) = self.next_wake().filter(|at| *at <= now) {
             self.progress(at);
@@ -200,7 +200,7 @@
         Some(self.last + Duration::from_micros(micros))
     }
 
-    /// Bytes a second of each transfer.
+    /// Bytes per second of each active transfer.
     fn rate(&self) -> u64 {
         let full_speed = u64::from(self.settings.full_speed_loads.max(1));
         let sharing = (self.active.len() as u64).max(full_speed);
--- a/crates/millpass-standin/src/weight_store/service.rs
+++ b/crates/millpass-standin/src/weight_store/service.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! HTTP interface of the weight store.
 
 use super::client::RETRY_AFTER_MILLIS;
 use super::model::{StoreInput, StoreOutput, TransferId, WeightStoreModel, WeightStoreSettings};
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// Slow factors of the fault hook: from normal speed to a thousand times slower.
+/// Slow factors accepted by the fault endpoint; 1 is normal speed.
 const SLOW_FACTOR_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1_000.0;
 const THOUSANDTHS: f64 = 1_000.0;
 
@@ -88,7 +88,7 @@
 impl Service {
     fn transfer(&self, request: &Request, responder: Responder) {
         let Some(bytes) = query_number(&request.uri, "bytes") else {
-            let message = "name the size: ?bytes=N";
+            let message = "checkpoint size is missing; add ?bytes=N";
             let status = StatusCode::BAD_REQUEST;
             return responder.send(error_response(status, "missing_size", message, false));
         };
@@ -96,7 +96,7 @@
         let (waiter, ends) = self.driver.open_with_sender(
             |waiter| StoreInput::Request(TransferId(waiter), bytes),
             |waiter, sender| {
-                // Any output wakes the thread that waits; it then sees that the caller is gone.
+                // Any output wakes the waiting thread, which then sees the disconnect.
                 let sender = sender.clone();
                 gone.on_gone(move || {
                     let _ = sender.send(StoreOutput::Done(TransferId(waiter)));
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Waits for the end of a transfer; `None` when the store stopped.
+    /// Waits for the end of a transfer; `None` if the store has stopped.
     fn wait(&self, ends: &Receiver<StoreOutput>) -> Option<Response> {
         match ends.recv().ok()? {
             StoreOutput::Done(transfer) => {
@@ -127,7 +127,7 @@
     fn refusal(&self, pause: Duration) -> Response {
         let real = self.driver.alarms().clock().to_real(pause);
         let millis = real.as_millis().max(1).to_string();
-        let message = "too many loads wait; come back later";
+        let message = "too many loads are queued; retry later";
         let status = StatusCode::TOO_MANY_REQUESTS;
         retry_after_response(status, "rate_limited", message, real)
             .with_header(HeaderName::from_static(RETRY_AFTER_MILLIS), &millis)
@@ -139,7 +139,7 @@
             Err(response) => return *response,
         };
         if !SLOW_FACTOR_RANGE.contains(&body.factor) {
-            let message = "factor must be from 0.001 to 1000";
+            let message = "factor is out of range; use 0.001 to 1000";
             let status = StatusCode::BAD_REQUEST;
             return error_response(status, "out_of_range", message, false);
         }
