--- a/crates/millpass-standin/src/crashing.rs
+++ b/crates/millpass-standin/src/crashing.rs
@@ -134,8 +134,8 @@
     }
 }
 
-/// Returns a socket that reserves a free loopback port, and a listener on that port. A socket keeps its port after it
-/// stops listening only if it was bound to that port explicitly.
+/// Returns a socket that reserves a free loopback port, and a listener on that port. A socket keeps
+/// its port after it stops listening only if it was bound to that port explicitly.
 fn listen() -> io::Result<(Socket, TcpListener)> {
     let bound = |port: u16| -> io::Result<Socket> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
--- a/crates/millpass-standin/src/engine/audit.rs
+++ b/crates/millpass-standin/src/engine/audit.rs
@@ -1,9 +1,9 @@
-//! The audit of an engine's run.
+//! Audit counters of an engine.
 
 use millpass_proto::{BackendName, EngineAudit, Incarnation};
 
-/// The audit of an engine that did nothing yet. The model counts in it; figures that it can
-/// derive stay at zero until the audit is read.
+/// Returns an audit with all counters at zero. The model counts in it; derived values stay at zero until
+/// the audit is read.
 pub fn empty_audit(backend: BackendName, incarnation: Incarnation) -> EngineAudit {
     EngineAudit {
         backend,
--- a/crates/millpass-standin/src/engine/checkpoints.rs
+++ b/crates/millpass-standin/src/engine/checkpoints.rs
@@ -1,10 +1,10 @@
-//! Checkpoints cached on the engine's machine, in memory and on disk, least recently used first out.
+//! LRU caches of checkpoints on the engine's machine, in memory and on disk.
 
 use super::settings::{CheckpointSettings, InitialCheckpoint};
 use millpass_proto::{CheckpointReport, CheckpointTier};
 use std::collections::BTreeMap;
 
-/// One tier: bounded room, least recently used out first.
+/// One LRU cache tier, bounded in bytes.
 #[derive(Clone, Debug)]
 struct Tier {
     capacity: u64,
@@ -41,7 +41,7 @@
         self.used += bytes;
     }
 
-    /// Entries, the least recently used first.
+    /// Returns the entries, least recently used first.
     fn contents(&self, tier: CheckpointTier) -> impl Iterator<Item = InitialCheckpoint> {
         let mut entries: Vec<_> = self.entries.iter().collect();
         entries.sort_by_key(|(_, (_, recency))| *recency);
@@ -68,7 +68,7 @@
     }
 }
 
-/// The machine's checkpoint caches.
+/// Checkpoint caches of the machine.
 #[derive(Clone, Debug)]
 pub struct CheckpointCache {
     memory: Tier,
@@ -77,7 +77,7 @@
 }
 
 impl CheckpointCache {
-    /// Caches with what was there at the start.
+    /// Creates the caches with their initial contents.
     pub fn new(settings: &CheckpointSettings) -> Self {
         let mut cache = CheckpointCache {
             memory: Tier::new(settings.memory_bytes),
@@ -103,8 +103,8 @@
         cache
     }
 
-    /// The fastest tier that has the checkpoint; using it makes it the most recent one, and
-    /// brings it to memory.
+    /// Returns the fastest tier that has the checkpoint, marks it as most recently used, and copies it from
+    /// disk to memory.
     pub fn use_checkpoint(&mut self, checkpoint: &str, bytes: u64) -> CheckpointTier {
         self.recency += 1;
         let on_disk = self.disk.touch(checkpoint, self.recency);
@@ -118,21 +118,21 @@
         CheckpointTier::Remote
     }
 
-    /// Keeps a checkpoint that came from the weight store.
+    /// Caches a checkpoint fetched from the weight store in both tiers.
     pub fn store(&mut self, checkpoint: &str, bytes: u64) {
         self.recency += 1;
         self.disk.insert(checkpoint, bytes, self.recency);
         self.memory.insert(checkpoint, bytes, self.recency);
     }
 
-    /// What is cached, for the next run of an engine on this machine.
+    /// Returns the cached checkpoints, for the next engine process on this machine.
     pub fn contents(&self) -> Vec<InitialCheckpoint> {
         let disk = self.disk.contents(CheckpointTier::Disk);
         let memory = self.memory.contents(CheckpointTier::Memory);
         disk.chain(memory).collect()
     }
 
-    /// Checkpoints in memory or on disk, each with its fastest tier.
+    /// Returns the cached checkpoints, each with its fastest tier.
     pub fn report(&self) -> Vec<CheckpointReport> {
         let mut tiers: BTreeMap<&String, CheckpointTier> = BTreeMap::new();
         for name in self.disk.entries.keys() {
--- a/crates/millpass-standin/src/engine/events.rs
+++ b/crates/millpass-standin/src/engine/events.rs
@@ -1,11 +1,11 @@
-//! Cache events: numbered, published late, some lost.
+//! Log of cache events, which are numbered, published with a lag, and sometimes lost.
 
 use super::settings::{EngineLimits, PublishingSettings};
 use crate::content::mix;
 use millpass_proto::{CacheChange, CacheEvent, SlotId, Timestamp};
 use std::collections::VecDeque;
 
-/// Log of cache events; the oldest go when it is full.
+/// Bounded log of cache events; evicts the oldest.
 #[derive(Clone, Debug)]
 pub struct EventLog {
     publishing: PublishingSettings,
@@ -16,7 +16,6 @@
 }
 
 impl EventLog {
-    /// Empty.
     pub fn new(publishing: &PublishingSettings, limits: &EngineLimits) -> Self {
         EventLog {
             publishing: publishing.clone(),
@@ -27,7 +26,7 @@
         }
     }
 
-    /// Numbers an event; it is published later, or lost.
+    /// Assigns the next number to an event and schedules its publication, unless it is lost.
     pub fn record(&mut self, now: Timestamp, slot: SlotId, prefix_hash: u64, change: CacheChange) {
         let number = self.next_number;
         self.next_number += 1;
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Published events with numbers above `after`, bounded.
+    /// Returns the published events with numbers above `after`, up to the limit per response.
     pub fn published_after(&self, now: Timestamp, after: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -58,7 +57,7 @@
             .collect()
     }
 
-    /// Oldest number kept.
+    /// Returns the oldest retained number, or the next number if the log is empty.
     pub fn oldest(&self) -> u64 {
         self.events
             .front()
--- a/crates/millpass-standin/src/engine/fences.rs
+++ b/crates/millpass-standin/src/engine/fences.rs
@@ -1,23 +1,23 @@
-//! Fences of orders: the highest seen, and the responses given, for resends.
+//! Order fences: the highest one accepted, and past responses for resends.
 
 use millpass_proto::{EngineOrder, LogPosition, OrderResponse};
 use std::collections::BTreeMap;
 
-/// What the ledger says of an arriving order.
+/// Classification of a received order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceVerdict {
-    /// Not seen before and not stale: carry it out.
+    /// Neither seen before nor stale: execute it.
     New,
-    /// Seen before: the response given then.
+    /// Seen before, with this response.
     Resent(OrderResponse),
-    /// The same fence with another order: a defect of the sender.
+    /// The fence was used by another order: a defect of the sender.
     Conflict,
-    /// Below the highest fence.
+    /// Not above this highest accepted fence.
     Stale(LogPosition),
 }
 
-/// Ledger of fences. A fence counts as accepted as soon as its order was examined, also when the
-/// order was rejected: so a late copy of a rejected order can never take effect.
+/// Ledger of fences. A fence counts as accepted even if its order was rejected, so that a delayed copy of a
+/// rejected order can never take effect.
 #[derive(Clone, Debug)]
 pub struct FenceLedger {
     highest: LogPosition,
@@ -26,7 +26,7 @@
 }
 
 impl FenceLedger {
-    /// Empty; remembers the responses of the `bound` highest fences.
+    /// Creates a ledger that retains the responses of the `capacity` highest fences.
     pub fn new(capacity: usize) -> Self {
         FenceLedger {
             highest: LogPosition::ZERO,
@@ -40,7 +40,7 @@
         self.highest
     }
 
-    /// Judges an arriving order.
+    /// Classifies a received order.
     pub fn check(&self, order: &EngineOrder) -> FenceVerdict {
         if let Some((first, response)) = self.responses.get(&order.fence) {
             return if first == order {
--- a/crates/millpass-standin/src/engine/front/calls.rs
+++ b/crates/millpass-standin/src/engine/front/calls.rs
@@ -1,4 +1,4 @@
-//! Reads a completion request: body by API, and the headers that routers add.
+//! Parses completion requests: the body of each API, and the headers that routers add.
 
 use crate::content::{self, Completion};
 use crate::engine::messages::{EngineRequest, RequestHandle};
@@ -12,14 +12,14 @@
 };
 use serde::Deserialize;
 
-/// Tokens of a response when the caller names none.
+/// Completion length if the caller names none.
 const DEFAULT_MAXIMUM_TOKENS: u32 = 16;
-/// What separates a model from an adapter in the body's `model`.
+/// Separator between model and adapter in the body's `model`.
 const ADAPTER_SEPARATOR: char = ':';
-/// Slot that never exists: slots are positions in a log, which begin at 1.
+/// Id of no slot: slot ids are log positions, which start at 1.
 const NO_SLOT: SlotId = SlotId(0);
 
-/// Which of the two APIs is spoken.
+/// Completion API of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Api {
     /// `/v1/completions`.
@@ -53,7 +53,7 @@
     content: String,
 }
 
-/// What the body says.
+/// Body fields common to both APIs.
 struct Body {
     model: Option<String>,
     prompt: String,
@@ -91,21 +91,18 @@
 
 /// One completion request, ready for the model.
 pub struct Call {
-    /// Which API.
     pub api: Api,
     /// Whether the response is streamed.
     pub is_streamed: bool,
-    /// Model that responses.
+    /// Requested model; empty if its slot is not loaded.
     pub model: ModelName,
-    /// Its version.
     pub version: VersionLabel,
-    /// Text of the completion.
     pub completion: Completion,
-    /// What the batch gets to see. The driver sets the handle.
+    /// Request for the batch scheduler; its handle is set on submission.
     pub request: EngineRequest,
 }
 
-/// A request as read, before the engine was looked at.
+/// A parsed request whose slot has not been resolved.
 pub struct Parsed {
     api: Api,
     body: Body,
@@ -115,20 +112,20 @@
     prefix_blocks: Vec<u64>,
 }
 
-/// What the engine says about a request's slot.
+/// Engine state that a request depends on.
 pub struct SlotView {
-    /// The slot; one that does not exist if none was found, which the model refuses and counts.
+    /// Resolved slot; [`NO_SLOT`] if none was found, which the model refuses and counts.
     slot: SlotId,
-    /// Model and version, if it is loaded.
+    /// Model and version of the slot, if it is loaded.
     loaded: Option<(ModelName, VersionLabel)>,
-    /// Most tokens of a response.
+    /// Maximum number of tokens of a completion.
     maximum_tokens: u32,
-    /// The present time.
+    /// Current time.
     now: Timestamp,
 }
 
 impl Parsed {
-    /// Reads headers and body.
+    /// Parses headers and body.
     pub fn read(api: Api, request: &Request) -> Result<Self, Box<Response>> {
         let body = Body::parse(api, &request.body)?;
         let headers = Headers::parse(&request.headers)?;
@@ -144,7 +141,7 @@
         })
     }
 
-    /// Looks the slot up: the one named, or the first that has the model.
+    /// Resolves the slot: the one named, or the first that has the model.
     pub fn find_slot(&self, model: &EngineModel, now: Timestamp) -> SlotView {
         let named = split_model(self.body.model.as_deref()).0;
         let slot = self.headers.slot.or_else(|| model.slot_of_model(named?));
@@ -158,7 +155,7 @@
         }
     }
 
-    /// The call, for the slot that was found.
+    /// Creates the call for the resolved slot.
     pub fn into_call(self, view: SlotView, clock: ScaledClock) -> Call {
         let unknown = || (ModelName::from(""), VersionLabel::from(""));
         let (model, version) = view.loaded.unwrap_or_else(unknown);
@@ -231,7 +228,7 @@
     }
 }
 
-/// `model` or `model:adapter`.
+/// Splits `model` or `model:adapter`.
 fn split_model(model: Option<&str>) -> (Option<&str>, Option<AdapterName>) {
     match model.and_then(|name| name.split_once(ADAPTER_SEPARATOR)) {
         Some((name, adapter)) => (Some(name), Some(AdapterName::from(adapter))),
--- a/crates/millpass-standin/src/engine/front/chunks.rs
+++ b/crates/millpass-standin/src/engine/front/chunks.rs
@@ -1,12 +1,12 @@
-//! JSON of responses, in the form of the OpenAI API.
+//! JSON bodies and stream events in the format of the OpenAI API.
 
 use super::calls::{Api, Call};
 use bytes::Bytes;
 use serde::Serialize;
 
-/// End of a stream that is whole.
+/// Last event of a complete stream.
 pub const DONE: &[u8] = b"data: [DONE]\n\n";
-/// The response has as many tokens as were asked for.
+/// All requested tokens were emitted.
 const FINISH_REASON: &str = "length";
 
 #[derive(Serialize)]
@@ -56,7 +56,7 @@
     total_tokens: u32,
 }
 
-/// One event of a stream, with one token.
+/// Creates a stream event with one token.
 pub fn token_event(call: &Call, position: u32, is_last: bool) -> Bytes {
     let text = call.completion.token(position);
     let finish_reason = is_last.then_some(FINISH_REASON);
@@ -84,7 +84,7 @@
     event(&json)
 }
 
-/// The event that says why a stream breaks off.
+/// Creates the stream event that states why a stream is aborted.
 pub fn error_event(code: &str, message: &str) -> Bytes {
     let json = serde_json::json!({
         "error": {"code": code, "message": message, "executed": "yes"}
@@ -92,7 +92,7 @@
     event(json.to_string().as_bytes())
 }
 
-/// A whole response that is not streamed: the tokens `from..to`.
+/// Creates the body of a response without streaming, with the tokens `from..to`.
 pub fn full_completion(call: &Call, from: u32, to: u32) -> Vec<u8> {
     let text = call.completion.text(from, to);
     let completion_tokens = to - from;
@@ -134,7 +134,7 @@
     Envelope {
         id: &call.request.request_id,
         object,
-        // Answers are pure functions of the request, so no wall-clock time goes into them.
+        // Responses are pure functions of the request, so they contain no wall-clock time.
         created: 0,
         model: call.model.as_str(),
         system_fingerprint: call.version.as_str(),
@@ -143,7 +143,7 @@
     }
 }
 
-/// These types hold only texts and numbers, which always serialize.
+/// Serialization cannot fail: the types hold only strings and numbers.
 fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/millpass-standin/src/engine/front/fetches.rs
+++ b/crates/millpass-standin/src/engine/front/fetches.rs
@@ -1,4 +1,4 @@
-//! Threads that wait for the weight store, one for each fetch that goes on.
+//! Fetches from the weight store, one thread each.
 
 use crate::engine::messages::{EngineInput, EngineOutput, FetchId, FetchResult};
 use crate::engine::model::EngineModel;
@@ -8,12 +8,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Weak};
 
-/// Most fetches of one engine at once; one more is asked for later.
+/// Maximum number of concurrent fetches of one engine; more are retried later.
 const MAXIMUM_FETCHES: usize = 64;
 const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Starts fetches for an engine. An abandoned fetch runs on until the store ends it, as a transfer
-/// would whose engine lost interest; its end is ignored.
+/// Starts fetches for an engine. An abandoned fetch continues until its transfer ends; the result is
+/// ignored.
 pub struct Fetches {
     driver: Weak<Driver<EngineModel>>,
     store: StoreAccess,
@@ -21,7 +21,6 @@
 }
 
 impl Fetches {
-    /// Fetches for this engine, from this store.
     pub fn new(driver: Weak<Driver<EngineModel>>, store: StoreAccess) -> Self {
         Fetches {
             driver,
@@ -61,13 +60,13 @@
         let builder = std::thread::Builder::new().name("fetch".to_owned());
         if let Err(error) = builder.spawn(wait) {
             self.running.fetch_sub(1, Ordering::Relaxed);
-            let reason = format!("no thread for the transfer: {error}; load later");
+            let reason = format!("cannot start a transfer thread: {error}; retry the load later");
             end(&self.driver, id, FetchResult::Failed(reason));
         }
     }
 }
 
-/// The end of a fetch makes no new fetch at once, so nothing unclaimed needs to be looked at.
+/// Passes a fetch result to the model. Discards the returned outputs: a result never starts a fetch directly.
 fn end(driver: &Weak<Driver<EngineModel>>, id: FetchId, result: FetchResult) {
     if let Some(driver) = driver.upgrade() {
         driver.input(EngineInput::FetchEnded(id, result));
--- a/crates/millpass-standin/src/engine/front/mod.rs
+++ b/crates/millpass-standin/src/engine/front/mod.rs
@@ -1,4 +1,4 @@
-//! The engine over HTTP.
+//! HTTP interface of the engine.
 
 mod calls;
 mod chunks;
--- a/crates/millpass-standin/src/engine/front/service.rs
+++ b/crates/millpass-standin/src/engine/front/service.rs
@@ -1,4 +1,4 @@
-//! Paths of the engine's HTTP interface.
+//! Request handling of the engine's HTTP interface.
 
 use super::calls::{Api, Parsed};
 use super::fetches::Fetches;
@@ -15,7 +15,7 @@
 use millpass_proto::{EngineOrder, OrderResponse, SlotId, Timestamp};
 use std::sync::Arc;
 
-/// Largest KV cache body.
+/// Maximum size of an imported KV cache block.
 const MAXIMUM_CACHE_BYTES: usize = 64 * 1024;
 
 impl TimedModel for EngineModel {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Answers requests to one engine.
+/// HTTP handler of one engine.
 pub struct Service {
     pub driver: Arc<Driver<EngineModel>>,
     pub fetches: Arc<Fetches>,
@@ -114,7 +114,7 @@
             |waiter, sender| {
                 let sender = sender.clone();
                 let handle = RequestHandle(waiter);
-                // Wakes the thread that delivers, also while the request waits for its turn.
+                // Wakes the delivering thread, even while the request is queued.
                 caller_gone.on_gone(move || {
                     let reason = FinishReason::Cancelled;
                     let _ = sender.send(EngineOutput::Finished(handle, reason));
@@ -154,7 +154,7 @@
             _ => error_response(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "no_answer",
-                "the model gave no response; report this defect",
+                "engine model returned no response; report this defect",
                 true,
             ),
         }
@@ -165,7 +165,7 @@
             .driver
             .read(|model, _| model.requests_named(request_id));
         if handles.is_empty() {
-            let message = "no such request is waiting or running here";
+            let message = "no waiting or running request has this id";
             return error_response(StatusCode::NOT_FOUND, "unknown_request", message, false);
         }
         for handle in handles {
@@ -193,7 +193,7 @@
             None => error_response(
                 StatusCode::NOT_FOUND,
                 "not_cached",
-                "block is not cached here; prefill it",
+                "block is not cached in this engine; prefill it",
                 false,
             ),
         }
@@ -204,12 +204,12 @@
             return malformed_hash();
         };
         if request.body.len() > MAXIMUM_CACHE_BYTES {
-            let message = "KV cache of one block has at most 64 KiB";
+            let message = "KV cache block exceeds 64 KiB; send one block";
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             return error_response(status, "body_too_large", message, false);
         }
         let Some(slot) = slot_of(request) else {
-            let message = "name the slot in header millpass-slot";
+            let message = "slot is missing; name it in header millpass-slot";
             return error_response(StatusCode::BAD_REQUEST, "missing_slot", message, false);
         };
         let expected = self
@@ -217,7 +217,8 @@
             .read(|model, _| cache_content(model, slot, prefix_hash));
         let is_expected = expected.is_some_and(|expected| expected.as_bytes() == &request.body[..]);
         if !is_expected {
-            let message = "KV cache is of another model, version or block, or the slot is not here";
+            let message =
+                "KV cache is of another model, version or block, or the slot is not loaded";
             return error_response(StatusCode::CONFLICT, "wrong_cache", message, false);
         }
         let outputs = self
@@ -226,7 +227,7 @@
         if outputs.contains(&EngineOutput::CacheImported(true)) {
             return Response::text(StatusCode::OK, "");
         }
-        let message = "no room beside running requests; prefill instead";
+        let message = "running requests leave no free cache memory; prefill instead";
         error_response(StatusCode::INSUFFICIENT_STORAGE, "no_room", message, false)
     }
 
@@ -241,7 +242,7 @@
             _ => return unknown_path(),
         };
         let Some(input) = input else {
-            let message = "use fail-loads?count=N or slow?percent=N";
+            let message = "fault parameter is missing; use fail-loads?count=N or slow?percent=N";
             return error_response(StatusCode::BAD_REQUEST, "missing_number", message, false);
         };
         self.driver.input(input);
@@ -249,8 +250,8 @@
     }
 }
 
-/// Exported KV cache of a block: hollow, but it names what it is of, so that an import into
-/// something else is refused.
+/// Returns the exported KV cache of a block: a placeholder that identifies block, model and version, so that
+/// an import into another model is refused.
 fn cache_content(model: &EngineModel, slot: SlotId, prefix_hash: u64) -> Option<String> {
     let (name, version) = model.loaded_model(slot)?;
     Some(format!("kv {prefix_hash} {name} {version}"))
--- a/crates/millpass-standin/src/engine/front/start.rs
+++ b/crates/millpass-standin/src/engine/front/start.rs
@@ -10,14 +10,14 @@
 use millpass_proto::{BackendKind, BackendState, EngineAudit, EngineReport, PlatformMachine};
 use std::sync::Arc;
 
-/// What an engine's front end needs beside the model's settings.
+/// Settings of an engine's front end.
 #[derive(Clone, Debug)]
 pub struct EngineFront {
-    /// Where and how it serves.
+    /// Server settings.
     pub front: FrontSettings,
-    /// Where checkpoints come from.
+    /// Source of checkpoints.
     pub store: StoreAccess,
-    /// Address of the platform's list to register at, if any.
+    /// Address of the platform list to register in, if any.
     pub platform: Option<String>,
 }
 
@@ -35,25 +35,25 @@
 pub type EngineHandle = Served<EngineModel>;
 
 impl Served<EngineModel> {
-    /// What it counted.
+    /// Returns the counters.
     pub fn audit(&self) -> EngineAudit {
         self.read(EngineModel::audit)
     }
 
-    /// Its state without lag, for checkers.
+    /// Returns the report without lag; for checkers.
     pub fn current_report(&self) -> EngineReport {
         self.read(|model, _| model.current_report())
     }
 }
 
-/// Starts an engine with its own thread for alarms.
+/// Starts an engine with its own alarm thread.
 pub fn start(settings: EngineSettings, front: &EngineFront) -> Result<EngineHandle> {
     let alarms = Alarms::start(ScaledClock::start(front.front.time_scale))?;
     start_with(settings, front, alarms)
 }
 
-/// Starts many engines in one process, for runs at scale: one listener and one thread that carries
-/// connections each, one thread for all alarms. Each has its own port, so `front` must name port 0.
+/// Starts many engines in one process. Each has its own listener and connection threads; all share one alarm
+/// thread. Each needs its own port, so `front` must name port 0.
 pub fn start_many(
     engines: impl IntoIterator<Item = EngineSettings>,
     front: &EngineFront,
@@ -65,7 +65,7 @@
     started.collect()
 }
 
-/// Starts an engine that shares the thread for alarms with others; the clock is theirs.
+/// Starts an engine with a shared alarm thread and its clock.
 pub fn start_with(
     settings: EngineSettings,
     front: &EngineFront,
--- a/crates/millpass-standin/src/engine/front/streams.rs
+++ b/crates/millpass-standin/src/engine/front/streams.rs
@@ -1,4 +1,4 @@
-//! Carries one request's outputs to its caller.
+//! Delivers one request's outputs to its caller.
 
 use super::calls::Call;
 use super::chunks::{DONE, error_event, full_completion, token_event};
@@ -11,19 +11,19 @@
 use millpass_http::{BodyWriter, CallerGone, Responder, Response};
 use millpass_proto::Duration;
 
-/// Pause named to callers whose deadline passed while they waited.
+/// Retry-After of requests whose deadline passed while they were queued.
 const DEADLINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of a request on its way to the caller.
+/// Result of delivering a request's outputs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The model is done with it.
+    /// The request has ended in the model.
     Ended,
-    /// The caller went away: the model is to cancel it.
+    /// The caller disconnected; the request must be cancelled.
     CallerGone,
 }
 
-/// Waits for the model and responses the caller.
+/// Waits for the model's outputs and sends them to the caller.
 pub fn deliver(
     call: &Call,
     outputs: &Receiver<EngineOutput>,
@@ -31,7 +31,7 @@
     clock: ScaledClock,
     record_step: &dyn Fn(RunStep),
 ) -> Delivery {
-    // A closed channel means that the engine stops; dropping the responder cuts the connection.
+    // The channel closes when the engine stops; dropping the responder closes the connection.
     match outputs.recv() {
         Ok(EngineOutput::Refused(_, refusal)) => {
             responder.send(refusal_response(&refusal, clock));
@@ -208,7 +208,7 @@
 
 fn finish_error(reason: FinishReason) -> (&'static str, &'static str) {
     match reason {
-        FinishReason::Complete => ("complete", "the response is whole"),
+        FinishReason::Complete => ("complete", "the response is complete"),
         FinishReason::DeadlinePassed => (
             "deadline_passed",
             "deadline passed while the request ran; allow more time",
@@ -217,6 +217,6 @@
             "unloaded",
             "model was unloaded; resume the stream at another replica",
         ),
-        FinishReason::Cancelled => ("cancelled", "request was cancelled; send it anew"),
+        FinishReason::Cancelled => ("cancelled", "request was cancelled; send it again"),
     }
 }
--- a/crates/millpass-standin/src/engine/idle.rs
+++ b/crates/millpass-standin/src/engine/idle.rs
@@ -1,17 +1,17 @@
-//! Accelerator time with weights loaded, and how much of it was idle.
+//! Accounts for accelerator time with loaded weights, and its idle part.
 
 use millpass_proto::Timestamp;
 
-/// What an accelerator does.
+/// Use of one accelerator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AcceleratorUse {
-    /// Weights are loaded.
+    /// Whether weights are loaded.
     pub loaded: bool,
-    /// A request runs.
+    /// Whether a request is running.
     pub running: bool,
 }
 
-/// Sums accelerator time.
+/// Accumulates loaded and idle accelerator time.
 #[derive(Clone, Debug)]
 pub struct IdleClock {
     last: Timestamp,
@@ -21,7 +21,7 @@
 }
 
 impl IdleClock {
-    /// Nothing loaded.
+    /// Starts with nothing loaded.
     pub fn new(now: Timestamp, accelerators: usize) -> Self {
         IdleClock {
             last: now,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Adds the time up to `now` under the uses that held until then.
+    /// Accounts for the time up to `now` with the current uses.
     pub fn advance(&mut self, now: Timestamp) {
         let (loaded, idle) = self.sums_at(now);
         self.loaded_micros = loaded;
@@ -39,14 +39,14 @@
         self.last = self.last.max(now);
     }
 
-    /// Sets what the accelerators do from now on.
+    /// Sets the uses from the last accounted time on.
     pub fn set_uses(&mut self, uses: Vec<AcceleratorUse>) {
         self.uses = uses;
     }
 
-    /// Microseconds loaded, and of these idle, up to `now`.
+    /// Returns the loaded microseconds up to `now`, and the idle ones among them.
     pub fn sums_at(&self, now: Timestamp) -> (u64, u64) {
-        let passed = now.as_micros().saturating_sub(self.last.as_micros());
+        let elapsed = now.as_micros().saturating_sub(self.last.as_micros());
         let loaded = self.uses.iter().filter(|one| one.loaded).count() as u64;
         let idle = self
             .uses
@@ -54,8 +54,8 @@
             .filter(|one| one.loaded && !one.running)
             .count() as u64;
         (
-            self.loaded_micros + loaded * passed,
-            self.idle_micros + idle * passed,
+            self.loaded_micros + loaded * elapsed,
+            self.idle_micros + idle * elapsed,
         )
     }
 }
--- a/crates/millpass-standin/src/engine/loading.rs
+++ b/crates/millpass-standin/src/engine/loading.rs
@@ -1,4 +1,4 @@
-//! Loads and unloads of weights and adapters. A part is a slot's weights, or one of its adapters.
+//! Loads and unloads of artifacts: weights and adapters.
 
 use super::messages::{EngineOutput, FetchId, FetchResult, FinishReason, Refusal};
 use super::model::EngineModel;
@@ -7,7 +7,7 @@
 use millpass_proto::{AdapterName, CheckpointTier, Duration, EngineSlotPhase, SlotId, Timestamp};
 
 impl EngineModel {
-    /// Begins to load a part whose memory is reserved.
+    /// Starts to load an artifact whose memory is reserved.
     pub(super) fn begin_load(
         &mut self,
         now: Timestamp,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Asks the weight store for a part's checkpoint.
+    /// Fetches an artifact's checkpoint from the weight store, if it is still needed.
     pub(super) fn start_fetch(&mut self, slot: SlotId, adapter: Option<AdapterName>) {
         let fetch = FetchId(self.next_fetch);
         let Some(artifact) = self.artifact_mut(slot, adapter.as_ref()) else {
@@ -51,7 +51,7 @@
         self.outputs.push(output);
     }
 
-    /// Takes the end of a fetch; ends of abandoned ones are ignored.
+    /// Handles the result of a fetch; ignores results of abandoned ones.
     pub(super) fn fetch_ended(&mut self, now: Timestamp, fetch: FetchId, result: FetchResult) {
         let Some((slot, adapter)) = self.fetches.remove(&fetch) else {
             return;
@@ -74,7 +74,8 @@
                     .set(now + pause, Timer::RetryFetch(slot, adapter));
             }
             FetchResult::RetryAfter(_) => {
-                let reason = "weight store stayed at its limit; order the load later".to_owned();
+                let reason = "weight store is at its limit after all retries; order the load later"
+                    .to_owned();
                 self.fail_load(now, slot, adapter, reason);
             }
             FetchResult::Failed(reason) => self.fail_load(now, slot, adapter, reason),
@@ -82,7 +83,7 @@
         self.mark_changed(now);
     }
 
-    /// The copy of a part to the accelerators may be over.
+    /// Completes a load, or fails it if a fault is injected.
     pub(super) fn load_due(&mut self, now: Timestamp, slot: SlotId, adapter: Option<AdapterName>) {
         let is_due = self
             .artifact_mut(slot, adapter.as_ref())
@@ -92,13 +93,13 @@
         }
         if self.failing_loads > 0 {
             self.failing_loads -= 1;
-            let reason = "fault ordered by the test; order the load again".to_owned();
+            let reason = "load failed by fault injection; order it again".to_owned();
             return self.fail_load(now, slot, adapter, reason);
         }
         self.complete_load(now, slot, adapter);
     }
 
-    /// Begins to unload a loaded part: nothing new starts on it, what runs goes on.
+    /// Starts to unload an artifact: refuses requests that have not started; running ones continue.
     pub(super) fn begin_unload(
         &mut self,
         now: Timestamp,
@@ -116,7 +117,7 @@
         self.release_if_idle(now, slot);
     }
 
-    /// Sets the release timer of every unloading part that no request uses any more.
+    /// Schedules the release of every unloading artifact that no request uses.
     pub(super) fn release_if_idle(&mut self, now: Timestamp, slot: SlotId) {
         let free_at = now + self.settings.timing.unload_time;
         let Some(state) = self.slots.get(&slot) else {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The memory of an unloading part may be free.
+    /// Completes an unload.
     pub(super) fn unload_due(
         &mut self,
         now: Timestamp,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// An unload waits no longer: what still runs is cut.
+    /// Aborts the requests that an unload still waits for.
     pub(super) fn unload_timeout_due(&mut self, now: Timestamp, slot: SlotId) {
         let Some(state) = self.slots.get(&slot) else {
             return;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A part is gone: gives its memory back.
+    /// Frees an artifact's memory and marks it as unloaded.
     pub(super) fn finish_unload(
         &mut self,
         now: Timestamp,
@@ -222,7 +223,7 @@
             return;
         };
         if adapter.is_some() && !state.weights.is_loaded() {
-            return; // The weights' own completion takes this adapter along.
+            return; // Completed together with the weights.
         }
         let Some(artifact) = state.artifact_mut(adapter.as_ref()) else {
             return;
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Whether a request in the slot (with this adapter, if one is named) runs or waits.
+    /// Whether any request in the slot, with this adapter if given, is running or waiting.
     fn is_used(&self, slot: SlotId, adapter: Option<&AdapterName>) -> bool {
         let Some(state) = self.slots.get(&slot) else {
             return false;
@@ -339,7 +340,6 @@
     }
 }
 
-/// Time to move `bytes` at a rate.
 fn transfer_time(bytes: u64, bytes_per_second: u64) -> Duration {
     const MICROS_PER_SECOND: u128 = 1_000_000;
     let micros = u128::from(bytes) * MICROS_PER_SECOND / u128::from(bytes_per_second.max(1));
--- a/crates/millpass-standin/src/engine/memory.rs
+++ b/crates/millpass-standin/src/engine/memory.rs
@@ -1,13 +1,13 @@
-//! Memory of the accelerators.
+//! Accelerator memory accounting.
 
-/// A part of each accelerator's memory, as reserved by one model or adapter.
+/// Memory of each accelerator reserved for one model or adapter.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reservation {
     per_accelerator: Vec<(usize, u64)>,
 }
 
 impl Reservation {
-    /// `bytes` spread evenly over `accelerators`; the first ones take the remainder.
+    /// Spreads `bytes` evenly over `accelerators`; the first ones take the remainder.
     pub fn spread(accelerators: &[u32], bytes: u64) -> Self {
         let count = accelerators.len().max(1) as u64;
         let per_accelerator = accelerators
@@ -22,7 +22,7 @@
     }
 }
 
-/// Used memory of each accelerator. Invariant: `used <= capacity` everywhere.
+/// Used memory of each accelerator. Invariant: `used <= capacity` for every accelerator.
 #[derive(Clone, Debug)]
 pub struct AcceleratorMemory {
     capacity: Vec<u64>,
@@ -32,7 +32,6 @@
 }
 
 impl AcceleratorMemory {
-    /// All free.
     pub fn new(capacity: Vec<u64>) -> Self {
         AcceleratorMemory {
             used: vec![0; capacity.len()],
@@ -42,12 +41,11 @@
         }
     }
 
-    /// Number of accelerators.
     pub fn accelerators(&self) -> usize {
         self.capacity.len()
     }
 
-    /// Takes a reservation; counts a breach and takes nothing if it does not fit.
+    /// Reserves memory. If it does not fit, counts an overcommit, reserves nothing and returns false.
     pub fn reserve(&mut self, wanted: &Reservation) -> bool {
         let fits = wanted
             .per_accelerator
@@ -64,29 +62,28 @@
         true
     }
 
-    /// Gives a reservation back.
     pub fn release(&mut self, held: &Reservation) {
         for (index, bytes) in &held.per_accelerator {
             self.used[*index] = self.used[*index].saturating_sub(*bytes);
         }
     }
 
-    /// Memory of each accelerator.
+    /// Capacity of each accelerator in bytes.
     pub fn capacity(&self) -> &[u64] {
         &self.capacity
     }
 
-    /// Memory in use on each.
+    /// Used bytes of each accelerator.
     pub fn used(&self) -> &[u64] {
         &self.used
     }
 
-    /// Most memory ever in use on each.
+    /// Peak used bytes of each accelerator.
     pub fn peak(&self) -> &[u64] {
         &self.peak
     }
 
-    /// Reservations that would have exceeded an accelerator.
+    /// Number of reservations refused because they did not fit.
     pub fn overcommits(&self) -> u64 {
         self.overcommits
     }
--- a/crates/millpass-standin/src/engine/messages.rs
+++ b/crates/millpass-standin/src/engine/messages.rs
@@ -5,167 +5,166 @@
     Urgency,
 };
 
-/// Number that the driver gives a request; unique within the run.
+/// Request handle assigned by the driver; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestHandle(pub u64);
 
-/// Number that the model gives a fetch from the weight store; unique within the run.
+/// Id that the model assigns to a fetch from the weight store; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FetchId(pub u64);
 
-/// A request as the engine's batch sees it. The text is not part of it: [`crate::content`] gives
-/// the tokens.
+/// A request as the batch scheduler sees it, without text: [`crate::content`] generates the tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRequest {
-    /// The driver's number of it.
+    /// Handle assigned by the driver.
     pub handle: RequestHandle,
-    /// The caller's identity of it (`X-Request-Id`).
+    /// Request id from the caller (`X-Request-Id`).
     pub request_id: String,
-    /// Tenant.
+    /// Tenant of the request.
     pub tenant: TenantName,
-    /// Slot it is for.
+    /// Target slot.
     pub slot: SlotId,
-    /// Run of the engine it is for, if the caller names one.
+    /// Incarnation that the request is addressed to, if the caller names one.
     pub incarnation: Option<Incarnation>,
-    /// Adapter to use.
+    /// Adapter to use, if any.
     pub adapter: Option<AdapterName>,
-    /// Priority.
+    /// Scheduling priority.
     pub urgency: Urgency,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// Chained hashes of the prompt's blocks, see [`crate::content::prefix_blocks`].
     pub prefix_blocks: Vec<u64>,
-    /// Length of the response.
+    /// Length of the completion in tokens.
     pub maximum_tokens: u32,
-    /// Tokens that the caller has already; the response goes on after them.
+    /// Number of tokens that the caller already has; the completion continues after them.
     pub resume_from: u32,
-    /// When the request is given up.
+    /// Time at which the request is aborted, if any.
     pub deadline: Option<Timestamp>,
-    /// Key of a request that may not be repeated.
+    /// Idempotency key, if any.
     pub idempotency_key: Option<String>,
 }
 
-/// How a fetch from the weight store ended.
+/// Result of a fetch from the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchResult {
-    /// The checkpoint is here.
+    /// The checkpoint was transferred.
     Done,
-    /// The store is at its limit; ask again after this time.
+    /// The store is at its limit; retry after this time.
     RetryAfter(Duration),
-    /// It failed, for this reason.
+    /// The fetch failed for this reason.
     Failed(String),
 }
 
-/// What happens to an engine.
+/// Input of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineInput {
-    /// Only time went on.
+    /// Time advanced.
     Tick,
     /// An order arrived.
     Order(EngineOrder),
     /// A request arrived.
     Submit(EngineRequest),
-    /// A request's caller went away.
+    /// The caller of a request disconnected or cancelled it.
     Cancel(RequestHandle),
     /// A fetch ended.
     FetchEnded(FetchId, FetchResult),
-    /// KV cache of one block arrives from another engine.
+    /// The KV cache of one block arrived from another engine.
     ImportCache {
-        /// Slot whose cache takes it.
+        /// Slot to import it into.
         slot: SlotId,
         /// Hash of the block's prefix.
         prefix_hash: u64,
     },
-    /// Fault: this many of the next loads fail after their fetch.
+    /// Fault: fails this many of the next loads after their fetch.
     FailLoads(u32),
-    /// Fault: every decode step takes this many times as long, in percent (100 is normal).
+    /// Fault: scales step times by this factor, in percent (100 is normal).
     SlowSteps(u32),
 }
 
-/// Why a request was refused; none of these ran.
+/// Reason for which a request was refused without running.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The slot is not loaded here.
-    #[error("slot is not loaded here; route by the current placement")]
+    /// The slot is not loaded in this engine.
+    #[error("slot is not loaded in this engine; route by the current placement")]
     SlotNotLoaded,
-    /// The adapter is not loaded beside the slot.
-    #[error("adapter is not loaded beside this slot; order its load first")]
+    /// The adapter is not loaded in the slot.
+    #[error("adapter is not loaded in this slot; order its load first")]
     AdapterNotLoaded,
-    /// The request is for another run of the engine.
-    #[error("this is incarnation {}; read the report again", .0.0)]
+    /// The request is addressed to another incarnation of the engine.
+    #[error("request names another incarnation; this is {}; read the report again", .0.0)]
     WrongIncarnation(Incarnation),
-    /// The inner queue is full.
+    /// The engine's queue is full.
     #[error("queue is full; retry after {} ms", .retry_after.as_millis())]
     QueueFull {
-        /// When to come back.
+        /// Time to wait before retrying.
         retry_after: Duration,
     },
-    /// Prompt and response together exceed the slot's cache memory.
-    #[error("prompt and response need more than the slot's cache memory; shorten them")]
+    /// Prompt and completion together exceed the slot's cache memory.
+    #[error("prompt and completion exceed the slot's cache memory; shorten them")]
     TooLarge,
     /// The engine's role does not serve this request.
     #[error("engine's role does not serve this request; send it to another role")]
     WrongRole,
-    /// The deadline passed before it began.
+    /// The deadline passed before the request ran.
     #[error("deadline passed while the request waited; allow more time")]
     DeadlinePassed,
 }
 
-/// How a request that ran ended.
+/// Reason for which a request that ran has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishReason {
-    /// The whole response was given.
+    /// All tokens were emitted.
     Complete,
-    /// Its deadline passed while it ran.
+    /// The deadline passed while the request ran.
     DeadlinePassed,
-    /// An unload did not wait longer.
+    /// The unload timeout of its slot elapsed.
     Unloaded,
-    /// Its caller cancelled it.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
-/// What an engine does.
+/// Output of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
-    /// Response to the order of this step.
+    /// Response to the order that this step received.
     OrderResponse(OrderResponse),
-    /// The request did not run.
+    /// The request was refused without running.
     Refused(RequestHandle, Refusal),
     /// The request entered the running batch for the first time; it now counts as executed.
     Started(RequestHandle),
-    /// Tokens `from..from + count` of a response.
+    /// Tokens `from..from + count` of a completion.
     Tokens {
-        /// Request.
+        /// Handle of the request.
         request: RequestHandle,
         /// Position of the first token.
         from: u32,
         /// Number of tokens.
         count: u32,
     },
-    /// The request ended; nothing follows.
+    /// The request ended; its last output.
     Finished(RequestHandle, FinishReason),
-    /// Ask the weight store; response with [`EngineInput::FetchEnded`].
+    /// Fetch a checkpoint from the weight store; the result is returned in [`EngineInput::FetchEnded`].
     Fetch {
-        /// Number of the fetch.
+        /// Id of the fetch.
         fetch: FetchId,
-        /// Checkpoint.
+        /// Name of the checkpoint.
         checkpoint: String,
-        /// Size.
+        /// Size of the checkpoint.
         bytes: u64,
     },
-    /// Stop this fetch if it still goes on; its end is ignored.
+    /// Stop this fetch if it is still active; its result is ignored.
     AbandonFetch(FetchId),
-    /// Whether the cache of the step's import was taken.
+    /// Whether the KV cache that this step received was imported.
     CacheImported(bool),
 }
 
 /// Cache memory of a slot. Invariant: `running_bytes + prefix_bytes <= total_bytes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheUse {
-    /// All of it.
+    /// Total size.
     pub total_bytes: u64,
-    /// What running requests may fill.
+    /// Reserved for running requests.
     pub running_bytes: u64,
-    /// What cached prefixes take.
+    /// Used by cached prefixes.
     pub prefix_bytes: u64,
 }
--- a/crates/millpass-standin/src/engine/mod.rs
+++ b/crates/millpass-standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Model engine: memory, fenced orders, loads, continuous batching, caches and reports.
+//! Inference engine: accelerator memory, fenced orders, loads, continuous batching, caches and reports.
 
 mod audit;
 mod batch;
--- a/crates/millpass-standin/src/engine/model.rs
+++ b/crates/millpass-standin/src/engine/model.rs
@@ -1,5 +1,4 @@
-//! The engine model: state, time and reports. Orders, loads and requests are in the modules
-//! beside this one.
+//! The engine model: state, time and reports. Sibling modules implement orders, loads and requests.
 
 use super::audit::empty_audit;
 use super::checkpoints::CheckpointCache;
@@ -20,12 +19,11 @@
 };
 use std::collections::BTreeMap;
 
-/// Microseconds of a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 /// Normal speed of decode steps, in percent.
 pub(super) const NORMAL_STEP_PERCENT: u32 = 100;
 
-/// One engine. Time is passed in and must not go backwards; same inputs give the same outputs.
+/// Deterministic model of one engine. The time passed in must not decrease.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     pub(super) settings: EngineSettings,
@@ -50,7 +48,7 @@
 }
 
 impl EngineModel {
-    /// An engine with nothing loaded, started at `now`.
+    /// Creates an engine with nothing loaded, started at `now`.
     pub fn new(settings: EngineSettings, now: Timestamp) -> Self {
         let memory = AcceleratorMemory::new(settings.accelerator_bytes.clone());
         let checkpoints = CheckpointCache::new(&settings.checkpoints);
@@ -84,7 +82,7 @@
         }
     }
 
-    /// Brings the engine to `now`, then takes the input. Gives what it did on the way, in order.
+    /// Advances the engine to `now`, then applies the input. Returns the outputs of both, in order.
     pub fn step(&mut self, now: Timestamp, input: EngineInput) -> Vec<EngineOutput> {
         self.advance(now);
         self.begin_event(now);
@@ -104,25 +102,25 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// When the engine next does something by itself.
+    /// Time at which the engine must be advanced next without an input.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.timers.next()
     }
 
-    /// Settings it runs with.
+    /// Settings of the engine.
     pub fn settings(&self) -> &EngineSettings {
         &self.settings
     }
 
-    /// The load report as read at `now`: the state of some time ago. Its sequence is the time
-    /// shown, in microseconds, so that it grows.
+    /// Returns the load report that a reader sees at `now`, which lags. Its sequence is the time of the
+    /// state shown, in microseconds, so that it increases.
     pub fn report(&self, now: Timestamp) -> EngineReport {
         let mut report = self.reports.read(now, || self.current_report());
         report.sequence = self.reports.shown_time(now).as_micros();
         report
     }
 
-    /// The state as it is, without lag: for checkers, never for decisions.
+    /// Returns the report without lag; for checkers, never for decisions.
     pub fn current_report(&self) -> EngineReport {
         let slots = self.slots.iter().map(|(slot, state)| state.report(*slot));
         EngineReport {
@@ -139,7 +137,7 @@
         }
     }
 
-    /// Cache events published by `now`, numbered above `after`.
+    /// Returns the cache events published by `now` with numbers above `after`.
     pub fn events_after(&self, now: Timestamp, after: u64) -> CacheEvents {
         CacheEvents {
             backend: self.settings.backend.clone(),
@@ -149,13 +147,13 @@
         }
     }
 
-    /// Checkpoints that the machine has cached: settings of the next engine on it, after the
-    /// process died. A machine that is reclaimed loses them.
+    /// Returns the checkpoints cached on the machine, for the settings of the next engine process on it.
+    /// A reclaimed machine loses them.
     pub fn cached_checkpoints(&self) -> Vec<InitialCheckpoint> {
         self.checkpoints.contents()
     }
 
-    /// Model and version of a loaded slot.
+    /// Returns the model and version of a loaded slot.
     pub fn loaded_model(&self, slot: SlotId) -> Option<(&ModelName, &VersionLabel)> {
         let state = self.slots.get(&slot)?;
         state
@@ -164,21 +162,21 @@
             .then_some((&state.model, &state.version))
     }
 
-    /// The first loaded slot that holds this model.
+    /// Returns the first loaded slot with this model.
     pub fn slot_of_model(&self, model: &str) -> Option<SlotId> {
         let mut slots = self.slots.iter();
         let found = slots.find(|(_, slot)| slot.weights.is_loaded() && slot.model.0 == model);
         found.map(|(slot, _)| *slot)
     }
 
-    /// The first loaded slot whose cache has this block.
+    /// Returns the first slot that has cached this block.
     pub fn slot_with_cached(&self, prefix_hash: u64) -> Option<SlotId> {
         let mut slots = self.slots.iter();
         let found = slots.find(|(_, slot)| slot.prefix.contains(prefix_hash));
         found.map(|(slot, _)| *slot)
     }
 
-    /// Requests inside the engine that came under this identity.
+    /// Returns the handles of the waiting and running requests with this id.
     pub fn requests_named(&self, request_id: &str) -> Vec<RequestHandle> {
         let named = self
             .requests
@@ -187,14 +185,14 @@
         named.map(|state| state.request.handle).collect()
     }
 
-    /// Whether the block's KV cache is in this slot, and can be exported.
+    /// Whether this slot has cached the block, so that it can be exported.
     pub fn has_cached(&self, slot: SlotId, prefix_hash: u64) -> bool {
         self.slots
             .get(&slot)
             .is_some_and(|state| state.prefix.contains(prefix_hash))
     }
 
-    /// The slot's cache memory, and what is in use of it.
+    /// Returns the size and use of the slot's cache memory.
     pub fn cache_use(&self, slot: SlotId) -> Option<CacheUse> {
         let state = self.slots.get(&slot)?;
         Some(CacheUse {
@@ -204,7 +202,7 @@
         })
     }
 
-    /// What was counted up to `now`.
+    /// Returns the counters up to `now`.
     pub fn audit(&self, now: Timestamp) -> EngineAudit {
         let (loaded_micros, idle_micros) = self.idle.sums_at(now);
         EngineAudit {
@@ -219,12 +217,12 @@
         }
     }
 
-    /// Notes that the state shown in reports changed at `now`.
+    /// Records that the reported state changed at `now`.
     pub(super) fn mark_changed(&mut self, now: Timestamp) {
         self.reports.mark_changed(now);
     }
 
-    /// Cache memory of one block of a prompt.
+    /// Cache memory of one prompt block.
     pub(super) fn block_bytes(&self) -> u64 {
         let block = crate::content::BLOCK_TOKENS as u64;
         (self.settings.limits.cache_bytes_per_token * block).max(1)
--- a/crates/millpass-standin/src/engine/orders.rs
+++ b/crates/millpass-standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders: which are taken, and what each begins.
+//! Validation and execution of fenced orders.
 
 use super::fences::FenceVerdict;
 use super::memory::Reservation;
@@ -11,11 +11,11 @@
 };
 use std::collections::BTreeMap;
 
-/// Result of carrying an order out; the error is the reason of a rejection.
+/// Result of executing an order; the error is the reason for a rejection.
 type OrderResult = Result<(), String>;
 
 impl EngineModel {
-    /// Judges an order and, if it is new, carries it out.
+    /// Responds to an order and executes it if it is new.
     pub(super) fn handle_order(&mut self, now: Timestamp, order: EngineOrder) {
         let response = self.evaluate_order(now, order);
         self.outputs.push(EngineOutput::OrderResponse(response));
@@ -25,7 +25,7 @@
         if order.backend != self.settings.backend {
             self.counters.orders_rejected += 1;
             return OrderResponse::Rejected(format!(
-                "this is engine {}; read the platform list again",
+                "order names another engine; this is {}; read the platform list again",
                 self.settings.backend
             ));
         }
@@ -42,7 +42,7 @@
             }
             FenceVerdict::Conflict => {
                 self.counters.conflicting_fences += 1;
-                OrderResponse::Rejected("another order came with this fence; use a new one".into())
+                OrderResponse::Rejected("fence was used by another order; use a new one".into())
             }
         }
     }
@@ -96,7 +96,7 @@
             .ok_or("sizes exceed 64 bits; correct the order")?;
         let reservation = Reservation::spread(&load.accelerators, total);
         if !self.memory.reserve(&reservation) {
-            return Err("accelerator memory lacks; unload something first".into());
+            return Err("not enough accelerator memory; unload something first".into());
         }
         let slot = Slot {
             model: load.model.clone(),
@@ -119,7 +119,9 @@
             .iter()
             .all(|index| (*index as usize) < self.memory.accelerators());
         if distinct.is_empty() || distinct.len() != accelerators.len() || !exist {
-            return Err("accelerators must be distinct and exist; read the report again".into());
+            return Err(
+                "accelerators are missing, repeated or unknown; read the report again".into(),
+            );
         }
         Ok(())
     }
@@ -130,7 +132,7 @@
             .values()
             .filter(|slot| !slot.weights.is_released());
         if held.count() >= self.settings.limits.slots {
-            return Err("engine holds its most slots; unload something first".into());
+            return Err("slot limit of the engine reached; unload something first".into());
         }
         Ok(())
     }
@@ -161,7 +163,7 @@
         let slot = self
             .slots
             .get_mut(&load.slot)
-            .ok_or("slot is not here; load its model first")?;
+            .ok_or("slot does not exist; load its model first")?;
         let accepts_adapters = matches!(
             slot.weights.phase,
             EngineSlotPhase::Loading | EngineSlotPhase::Loaded
@@ -176,11 +178,11 @@
         }
         let held = slot.adapters.values().filter(|one| !one.is_released());
         if held.count() >= self.settings.limits.adapters_per_slot {
-            return Err("slot holds its most adapters; unload one first".into());
+            return Err("adapter limit of the slot reached; unload one first".into());
         }
         let reservation = Reservation::spread(&slot.accelerators, load.bytes);
         if !self.memory.reserve(&reservation) {
-            return Err("accelerator memory lacks; unload something first".into());
+            return Err("not enough accelerator memory; unload something first".into());
         }
         let artifact = Artifact::loading(fence, reservation, load.bytes, &load.checkpoint);
         slot.adapters.insert(load.adapter.clone(), artifact);
@@ -215,7 +217,7 @@
         Ok(())
     }
 
-    /// Keeps the table of gone slots and adapters within its bound; the oldest fences go first.
+    /// Evicts unloaded and failed slots and adapters beyond the limit, lowest fences first.
     fn evict_released_slots(&mut self) {
         let limit = self.settings.limits.reported_unloaded_slots;
         let gone = self
@@ -249,7 +251,7 @@
     }
 }
 
-/// A load of a slot that is loading or loaded: the same one is fine, under its new fence.
+/// Accepts a repeated load of a loading or loaded slot under its new fence, if nothing else differs.
 fn accept_repeated_load(slot: &mut Slot, fence: LogPosition, load: &LoadModelOrder) -> OrderResult {
     let same = slot.model == load.model
         && slot.version == load.version
@@ -257,7 +259,7 @@
         && slot.cache_bytes == load.cache_bytes
         && slot.weights.bytes == load.weights_bytes;
     if !same {
-        return Err("slot holds something else; use a new slot".into());
+        return Err("slot holds another model or size; use a new slot".into());
     }
     if slot.weights.phase == EngineSlotPhase::Unloading {
         return Err("slot is being unloaded; use a new slot".into());
@@ -268,7 +270,7 @@
 
 fn accept_repeated_adapter_load(artifact: &mut Artifact, fence: LogPosition) -> OrderResult {
     if artifact.phase == EngineSlotPhase::Unloading {
-        return Err("adapter is being unloaded; order the load after that".into());
+        return Err("adapter is being unloaded; order the load after the unload".into());
     }
     artifact.fence = fence;
     Ok(())
--- a/crates/millpass-standin/src/engine/prefix.rs
+++ b/crates/millpass-standin/src/engine/prefix.rs
@@ -1,13 +1,13 @@
-//! Prefix cache of one slot: blocks of prompts, least recently used out first.
+//! Prefix cache of one slot: LRU cache of prompt blocks.
 
 use millpass_proto::CacheChange;
 use std::collections::BTreeMap;
 
-/// A change of the cache, to be published.
+/// A cache change to publish.
 pub type PrefixChange = (u64, CacheChange);
 
-/// Cached blocks of one slot. The memory they may take shrinks while requests run: both share
-/// the slot's cache memory.
+/// Cached blocks of one slot. Cached blocks and running requests share the slot's cache memory, so the
+/// capacity shrinks while requests run.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     recency_by_block: BTreeMap<u64, u64>,
@@ -16,17 +16,15 @@
 }
 
 impl PrefixCache {
-    /// Number of blocks cached.
     pub fn len(&self) -> usize {
         self.recency_by_block.len()
     }
 
-    /// Whether this block is cached.
     pub fn contains(&self, block: u64) -> bool {
         self.recency_by_block.contains_key(&block)
     }
 
-    /// Number of leading blocks that are cached; they become the most recent ones.
+    /// Returns the number of leading blocks that are cached, and marks them as most recently used.
     pub fn use_prefix(&mut self, blocks: &[u64]) -> usize {
         let cached = blocks
             .iter()
@@ -36,7 +34,7 @@
         cached
     }
 
-    /// Number of leading blocks that are cached, left as they are.
+    /// Returns the number of leading blocks that are cached, without changing their order.
     pub fn cached_prefix(&self, blocks: &[u64]) -> usize {
         blocks
             .iter()
@@ -44,7 +42,7 @@
             .count()
     }
 
-    /// Caches blocks, as far as `room` (in blocks) allows.
+    /// Caches leading blocks up to `capacity` blocks and evicts older ones beyond it.
     pub fn insert(&mut self, blocks: &[u64], capacity: usize, changes: &mut Vec<PrefixChange>) {
         let kept = &blocks[..blocks.len().min(capacity)];
         for block in kept {
@@ -56,7 +54,7 @@
         self.shrink(capacity, changes);
     }
 
-    /// Evicts the least recently used blocks until at most `room` are left.
+    /// Evicts the least recently used blocks until at most `capacity` remain.
     pub fn shrink(&mut self, capacity: usize, changes: &mut Vec<PrefixChange>) {
         while self.len() > capacity {
             let Some((_, block)) = self.blocks_by_recency.pop_first() else {
@@ -67,8 +65,8 @@
         }
     }
 
-    /// Makes a prefix the most recent one, its first block most of all: a prefix without its
-    /// first block is of no use, so it goes last.
+    /// Marks a prefix as most recently used. Later blocks are evicted first, because they are useless without
+    /// the preceding ones.
     fn touch_all(&mut self, blocks: &[u64]) {
         for block in blocks.iter().rev() {
             self.touch(*block);
--- a/crates/millpass-standin/src/engine/requests.rs
+++ b/crates/millpass-standin/src/engine/requests.rs
@@ -1,23 +1,22 @@
-//! Requests inside an engine.
+//! Waiting and running requests of an engine.
 
 use super::batch::QueuePlace;
 use super::messages::{EngineRequest, RequestHandle};
 use std::collections::BTreeMap;
 
-/// One request and how far it is.
+/// A request and its progress.
 #[derive(Clone, Debug)]
 pub struct RequestState {
-    /// The request.
     pub request: EngineRequest,
-    /// Place in its slot's queue or batch.
+    /// Position in the slot's queue or batch.
     pub place: QueuePlace,
     /// Position of the next token.
     pub position: u32,
-    /// Position at which the response is whole.
+    /// Position after the last token.
     pub end: u32,
-    /// Cache memory it may fill while it runs.
+    /// Cache memory reserved while it runs.
     pub cache_bytes: u64,
-    /// Whether it ran at some time.
+    /// Whether it has ever entered the running batch.
     pub started: bool,
 }
 
@@ -29,33 +28,29 @@
 }
 
 impl Requests {
-    /// Number to order the next arrival by.
+    /// Returns the sequence number of the next arrival.
     pub fn arrival(&mut self) -> u64 {
         self.next_arrival += 1;
         self.next_arrival
     }
 
-    /// Adds one.
     pub fn insert(&mut self, state: RequestState) {
         self.states.insert(state.request.handle, state);
     }
 
-    /// Looks one up.
     pub fn get(&self, handle: RequestHandle) -> Option<&RequestState> {
         self.states.get(&handle)
     }
 
-    /// Looks one up to change it.
     pub fn get_mut(&mut self, handle: RequestHandle) -> Option<&mut RequestState> {
         self.states.get_mut(&handle)
     }
 
-    /// Removes one.
     pub fn remove(&mut self, handle: RequestHandle) -> Option<RequestState> {
         self.states.remove(&handle)
     }
 
-    /// All of them, by handle.
+    /// Iterates over the requests, ordered by handle.
     pub fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.states.values()
     }
--- a/crates/millpass-standin/src/engine/serving.rs
+++ b/crates/millpass-standin/src/engine/serving.rs
@@ -1,4 +1,4 @@
-//! Requests: admission, continuous batching, preemption and their ends.
+//! Request admission, continuous batching, preemption and completion.
 
 use super::messages::{EngineOutput, EngineRequest, FinishReason, Refusal, RequestHandle};
 use super::model::{EngineModel, NORMAL_STEP_PERCENT};
@@ -9,7 +9,7 @@
 use millpass_proto::{Duration, EngineRole, SlotId, Timestamp, Urgency};
 
 impl EngineModel {
-    /// Takes a request into the inner queue, or refuses it.
+    /// Queues a request, or refuses it.
     pub(super) fn submit(&mut self, now: Timestamp, request: EngineRequest) {
         if let Err(refusal) = self.check_admission(now, &request) {
             self.counters.requests_refused += 1;
@@ -41,7 +41,7 @@
         self.begin_step_if_idle(now, slot);
     }
 
-    /// The caller of a request went away.
+    /// Cancels a request.
     pub(super) fn cancel(&mut self, now: Timestamp, handle: RequestHandle) {
         if self.requests.get(handle).is_none() {
             return;
@@ -50,7 +50,7 @@
         self.finish(now, handle, FinishReason::Cancelled);
     }
 
-    /// A request's deadline passed.
+    /// Ends a request whose deadline has passed.
     pub(super) fn deadline_due(&mut self, now: Timestamp, handle: RequestHandle) {
         match self.requests.get(handle).map(|state| state.started) {
             None => {}
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A step of a slot's batch is over: gives out its tokens and begins the next one.
+    /// Ends a step of a slot's batch: emits its tokens and starts the next step.
     pub(super) fn step_due(&mut self, now: Timestamp, slot: SlotId) {
         let Some(state) = self.slots.get_mut(&slot) else {
             return;
@@ -77,7 +77,7 @@
         self.begin_step_if_idle(now, slot);
     }
 
-    /// Takes a block of KV cache from another engine, if there is room beside running requests.
+    /// Imports a block of KV cache, if running requests leave enough cache memory.
     pub(super) fn import_cache(&mut self, now: Timestamp, slot: SlotId, prefix_hash: u64) {
         let is_loaded = self
             .slots
@@ -90,7 +90,7 @@
         self.outputs.push(EngineOutput::CacheImported(imported));
     }
 
-    /// Empties a slot's prefix cache.
+    /// Evicts all blocks of a slot's prefix cache.
     pub(super) fn clear_prefix(&mut self, now: Timestamp, slot: SlotId) {
         let mut changes = Vec::new();
         if let Some(state) = self.slots.get_mut(&slot) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Refuses a request that waited and never ran.
+    /// Refuses a waiting request that never ran.
     pub(super) fn refuse(&mut self, now: Timestamp, handle: RequestHandle, refusal: Refusal) {
         if let Some(slot) = self.remove_request(now, handle) {
             self.counters.requests_refused += 1;
@@ -152,7 +152,8 @@
         Ok(())
     }
 
-    /// A prefill engine gives one token at most; a decode engine takes over cached prompts.
+    /// Whether the role permits this request: a prefill engine emits at most one token, a decode engine
+    /// requires mostly cached prompts.
     fn role_serves(&self, request: &EngineRequest) -> bool {
         match self.role {
             EngineRole::Mixed => true,
@@ -202,8 +203,8 @@
         self.timers.set(ends, Timer::Step(slot));
     }
 
-    /// Moves waiting requests into the batch, the most urgent first, as batch slots and cache
-    /// memory allow. Gives the number of tokens to prefill.
+    /// Moves waiting requests into the batch in queue order, as batch slots and cache memory permit.
+    /// Returns the number of tokens to prefill.
     fn admit(&mut self, now: Timestamp, slot: SlotId) -> u32 {
         let mut prefill_tokens = 0;
         loop {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Starts one waiting request; gives the tokens to prefill.
+    /// Starts a waiting request and returns the number of tokens to prefill.
     fn start(&mut self, now: Timestamp, slot: SlotId, handle: RequestHandle) -> u32 {
         let Some(one) = self.requests.get_mut(handle) else {
             return 0;
@@ -298,7 +299,7 @@
         }
     }
 
-    /// Caches blocks in the room that running requests leave, and publishes the changes.
+    /// Caches blocks in the memory that running requests leave, and publishes the changes.
     fn cache_blocks(&mut self, now: Timestamp, slot: SlotId, blocks: &[u64]) {
         let block_bytes = self.block_bytes();
         let mut changes = Vec::new();
@@ -316,7 +317,7 @@
         }
     }
 
-    /// Takes a request out of all tables; gives its slot.
+    /// Removes a request from all tables and returns its slot.
     fn remove_request(&mut self, now: Timestamp, handle: RequestHandle) -> Option<SlotId> {
         let state = self.requests.remove(handle)?;
         if let Some(deadline) = state.request.deadline {
@@ -331,7 +332,6 @@
     }
 }
 
-/// Tokens of this many blocks.
 fn block_tokens(blocks: usize) -> u32 {
     u32::try_from(blocks * BLOCK_TOKENS).unwrap_or(u32::MAX)
 }
--- a/crates/millpass-standin/src/engine/settings.rs
+++ b/crates/millpass-standin/src/engine/settings.rs
@@ -2,26 +2,26 @@
 
 use millpass_proto::{BackendName, CheckpointTier, Duration, EngineRole, Incarnation, ZoneName};
 
-/// Everything that shapes one engine. Times are simulated time.
+/// Settings of one engine. Times are simulated time.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Name in the deployment.
     pub backend: BackendName,
-    /// This run of the engine; the caller draws it.
+    /// Incarnation of this run, chosen by the caller.
     pub incarnation: Incarnation,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Role at the start.
+    /// Initial role.
     pub role: EngineRole,
     /// Memory of each accelerator, in bytes.
     pub accelerator_bytes: Vec<u64>,
-    /// Speeds.
+    /// Speeds and delays.
     pub timing: EngineTiming,
-    /// Bounds.
+    /// Capacity limits.
     pub limits: EngineLimits,
     /// Checkpoint caches of the machine.
     pub checkpoints: CheckpointSettings,
-    /// How late and how gappy reports and events are.
+    /// Lag and loss of reports and events.
     pub publishing: PublishingSettings,
 }
 
@@ -41,27 +41,27 @@
     }
 }
 
-/// Bytes of one GiB.
+/// Bytes in one GiB.
 pub const GIB: u64 = 1 << 30;
 
-/// Speeds of an engine.
+/// Speeds and delays of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineTiming {
-    /// Time of one decode step of an empty batch.
+    /// Fixed time of one decode step.
     pub step_base: Duration,
-    /// Time that each running request adds to a decode step.
+    /// Additional time of a decode step per running request.
     pub step_per_request: Duration,
-    /// Time to prefill one prompt token that is not cached.
+    /// Prefill time per prompt token that is not cached.
     pub prefill_per_token: Duration,
-    /// Tokens of each request in one step of the model; more makes fewer, coarser steps.
+    /// Tokens per request and model step; higher values make steps fewer and coarser.
     pub tokens_per_step: u32,
-    /// Bytes a second from host memory to the accelerators.
+    /// Bytes per second from host memory to the accelerators.
     pub memory_bytes_per_second: u64,
-    /// Bytes a second from disk to the accelerators.
+    /// Bytes per second from disk to the accelerators.
     pub disk_bytes_per_second: u64,
-    /// Fixed time of every load, beside the bytes.
+    /// Fixed time of every load, in addition to the transfer.
     pub load_setup: Duration,
-    /// Time to give back the memory of an unloaded model or adapter.
+    /// Time to free the memory of an unloaded model or adapter.
     pub unload_time: Duration,
 }
 
@@ -80,38 +80,38 @@
     }
 }
 
-/// Bounds of an engine.
+/// Capacity limits of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineLimits {
-    /// Most requests in the running batch of one slot.
+    /// Maximum number of requests in the running batch of one slot.
     pub batch_slots: usize,
-    /// Most requests waiting inside the engine, over all slots.
+    /// Maximum number of waiting requests over all slots.
     pub waiting_requests: usize,
-    /// Retry-After of a refusal for a full queue.
+    /// Retry-After of requests refused because the queue is full.
     pub retry_after: Duration,
-    /// Most tokens of one response; more is cut to this.
+    /// Maximum number of tokens of one completion; longer ones are truncated.
     pub maximum_tokens: u32,
-    /// Cache memory of one token.
+    /// Cache memory per token.
     pub cache_bytes_per_token: u64,
-    /// Most prompt tokens outside the cache that a decode engine prefills itself.
+    /// Maximum number of uncached prompt tokens that a decode engine prefills itself.
     pub decode_prefill_tokens: u32,
-    /// Longest wait for running requests in an unload; `None` waits until they end.
+    /// Time after which an unload aborts running requests; `None` waits until they end.
     pub unload_timeout: Option<Duration>,
-    /// Times a load asks the weight store again after "later"; then it fails.
+    /// Maximum number of retries that the weight store may ask for before a load fails.
     pub fetch_retries: u32,
-    /// Most slots, gone ones not counted.
+    /// Maximum number of slots, not counting unloaded and failed ones.
     pub slots: usize,
-    /// Most adapters beside one slot, gone ones not counted.
+    /// Maximum number of adapters per slot, not counting unloaded and failed ones.
     pub adapters_per_slot: usize,
-    /// Slots that are gone or failed and still reported.
+    /// Maximum number of unloaded and failed slots that are still reported.
     pub reported_unloaded_slots: usize,
-    /// Orders whose responses are remembered for resends.
+    /// Maximum number of orders whose responses are retained for resends.
     pub retained_orders: usize,
-    /// Request identities and idempotency keys whose runs are counted.
+    /// Maximum number of request ids, and of idempotency keys, whose runs are counted.
     pub tracked_runs: usize,
-    /// Cache events kept.
+    /// Maximum number of retained cache events.
     pub retained_events: usize,
-    /// Most cache events in one response.
+    /// Maximum number of cache events in one response.
     pub events_per_response: usize,
 }
 
@@ -137,13 +137,13 @@
     }
 }
 
-/// Checkpoint caches of an engine's machine. They outlive the engine's process: what a
-/// predecessor left is passed in `initial`.
+/// Checkpoint caches of an engine's machine. They outlive the engine's process: `initial` passes on what a
+/// predecessor left.
 #[derive(Clone, Debug)]
 pub struct CheckpointSettings {
-    /// Room in host memory, in bytes.
+    /// Capacity in host memory, in bytes.
     pub memory_bytes: u64,
-    /// Room on disk, in bytes.
+    /// Capacity on disk, in bytes.
     pub disk_bytes: u64,
     /// Checkpoints present at the start.
     pub initial: Vec<InitialCheckpoint>,
@@ -164,22 +164,22 @@
 pub struct InitialCheckpoint {
     /// Name in the weight store.
     pub checkpoint: String,
-    /// Size.
+    /// Size of the checkpoint.
     pub bytes: u64,
-    /// Where it is; `Remote` is ignored.
+    /// Tier that holds it; `Remote` is ignored.
     pub tier: CheckpointTier,
 }
 
-/// How late and how gappy an engine publishes.
+/// Lag and loss of published reports and events.
 #[derive(Clone, Debug)]
 pub struct PublishingSettings {
-    /// Age of the state that a report shows.
+    /// Delay with which reports show the state.
     pub report_lag: Duration,
-    /// Least time between two states kept for reports; a report may be older by this much.
+    /// Minimum time between two states recorded for reports; a report may be older by this much.
     pub report_interval: Duration,
-    /// Time until a cache event is published.
+    /// Delay with which cache events are published.
     pub event_lag: Duration,
-    /// Cache events lost, of a thousand.
+    /// Lost cache events per thousand.
     pub lost_events_per_thousand: u64,
     /// Seed that decides which events are lost.
     pub seed: u64,
--- a/crates/millpass-standin/src/engine/slots.rs
+++ b/crates/millpass-standin/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! What a slot of an engine holds.
+//! State of an engine's slots.
 
 use super::batch::Batch;
 use super::memory::Reservation;
@@ -10,33 +10,32 @@
 };
 use std::collections::BTreeMap;
 
-/// One thing that is loaded as a whole: a model's weights, or an adapter.
+/// A unit of loading: a model's weights, or an adapter.
 #[derive(Clone, Debug)]
 pub struct Artifact {
-    /// Fence of the last order on it.
+    /// Fence of the last order that affected it.
     pub fence: LogPosition,
-    /// Phase.
     pub phase: EngineSlotPhase,
-    /// Memory held; empty once it is gone.
+    /// Memory held; empty after an unload or a failure.
     pub reservation: Reservation,
     /// Size of the checkpoint.
     pub bytes: u64,
-    /// Checkpoint in the weight store.
+    /// Name of the checkpoint in the weight store.
     pub checkpoint: String,
-    /// Fetch that goes on.
+    /// Active fetch.
     pub fetch: Option<FetchId>,
-    /// Times the store said "later".
+    /// Number of times the store asked for a retry.
     pub retries: u32,
-    /// When the load will be complete.
+    /// Time at which the load completes.
     pub ready_at: Option<Timestamp>,
-    /// When the unload will be complete.
+    /// Time at which the unload completes.
     pub free_at: Option<Timestamp>,
-    /// When the unload waits no longer for requests.
+    /// Time at which the unload aborts the remaining requests.
     pub abort_at: Option<Timestamp>,
 }
 
 impl Artifact {
-    /// A part whose load begins.
+    /// Creates an artifact that starts to load.
     pub fn loading(
         fence: LogPosition,
         reservation: Reservation,
@@ -57,14 +56,14 @@
         }
     }
 
-    /// A part that is gone and holds nothing.
+    /// Creates an unloaded artifact without memory.
     pub fn unloaded(fence: LogPosition) -> Self {
         let mut artifact = Artifact::loading(fence, Reservation::default(), 0, "");
         artifact.phase = EngineSlotPhase::Unloaded;
         artifact
     }
 
-    /// Whether it is gone or failed, and so holds nothing.
+    /// Whether it is unloaded or failed, and so holds no memory.
     pub fn is_released(&self) -> bool {
         matches!(
             self.phase,
@@ -72,7 +71,7 @@
         )
     }
 
-    /// Whether it is wholly in accelerator memory, loaded or being unloaded.
+    /// Whether it is completely in accelerator memory: loaded or being unloaded.
     pub fn is_in_memory(&self) -> bool {
         matches!(
             self.phase,
@@ -86,29 +85,23 @@
     }
 }
 
-/// One slot.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// Model.
     pub model: ModelName,
-    /// Version.
     pub version: VersionLabel,
     /// Accelerators it spans.
     pub accelerators: Vec<u32>,
-    /// Memory for caches.
+    /// Memory for KV and prefix caches.
     pub cache_bytes: u64,
-    /// Weights; their reservation covers the caches too.
+    /// Weights; their reservation includes the cache memory.
     pub weights: Artifact,
-    /// Adapters.
     pub adapters: BTreeMap<AdapterName, Artifact>,
-    /// Prefix cache.
     pub prefix: PrefixCache,
-    /// Requests.
     pub batch: Batch,
 }
 
 impl Slot {
-    /// A slot that is gone.
+    /// Creates an unloaded slot.
     pub fn unloaded(fence: LogPosition) -> Self {
         Slot {
             model: ModelName::from(""),
@@ -122,7 +115,7 @@
         }
     }
 
-    /// The weights, or an adapter.
+    /// Returns the named adapter, or the weights if `adapter` is `None`.
     pub fn artifact_mut(&mut self, adapter: Option<&AdapterName>) -> Option<&mut Artifact> {
         match adapter {
             None => Some(&mut self.weights),
@@ -130,7 +123,6 @@
         }
     }
 
-    /// The slot as it is reported.
     pub fn report(&self, slot: SlotId) -> EngineSlotReport {
         let adapters = self
             .adapters
--- a/crates/millpass-standin/src/engine/timers.rs
+++ b/crates/millpass-standin/src/engine/timers.rs
@@ -1,49 +1,47 @@
-//! Times at which the model does something by itself.
+//! Timers of the engine model.
 
 use super::messages::RequestHandle;
 use millpass_proto::{AdapterName, SlotId, Timestamp};
 use std::collections::BTreeSet;
 
-/// What is due. A timer whose cause is gone is ignored when it is due.
+/// Action of a timer. Expired timers that no longer apply are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The weights (or, with a name, an adapter) may be complete.
+    /// Completes the load of the weights or, with a name, of an adapter.
     Load(SlotId, Option<AdapterName>),
-    /// The weight store is asked again.
+    /// Retries a fetch from the weight store.
     RetryFetch(SlotId, Option<AdapterName>),
-    /// The memory of an unload is free.
+    /// Completes an unload and frees its memory.
     Unload(SlotId, Option<AdapterName>),
-    /// An unload waits no longer.
+    /// Aborts the requests that an unload still waits for.
     UnloadTimeout(SlotId),
-    /// A step of the slot's batch is over.
+    /// Ends a step of the slot's batch.
     Step(SlotId),
-    /// A request's deadline.
+    /// Enforces a request's deadline.
     Deadline(RequestHandle),
 }
 
-/// Ordered timers.
+/// Timers ordered by expiry.
 #[derive(Clone, Debug, Default)]
 pub struct Timers {
     due: BTreeSet<(Timestamp, Timer)>,
 }
 
 impl Timers {
-    /// Sets a timer.
     pub fn set(&mut self, at: Timestamp, timer: Timer) {
         self.due.insert((at, timer));
     }
 
-    /// Takes one back.
     pub fn clear(&mut self, at: Timestamp, timer: Timer) {
         self.due.remove(&(at, timer));
     }
 
-    /// Time of the next one.
+    /// Returns the next expiry time.
     pub fn next(&self) -> Option<Timestamp> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Takes the next one that is due by `now`.
+    /// Removes and returns the next timer that is due by `now`.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<(Timestamp, Timer)> {
         if self.next()? > now {
             return None;
--- a/crates/millpass-standin/src/platform/client.rs
+++ b/crates/millpass-standin/src/platform/client.rs
@@ -21,8 +21,8 @@
 }
 
 impl PlatformClient {
-    /// Registers a machine at the list at `address`, at once if the list responses, else by a thread
-    /// that goes on trying for a minute.
+    /// Registers a machine in the list at `address`; if the first attempt fails, a thread retries for a
+    /// minute.
     pub fn register(address: &str, machine: PlatformMachine) -> Self {
         let config = Agent::config_builder()
             .timeout_global(Some(CALL_TIMEOUT))
--- a/crates/millpass-standin/src/run/driver.rs
+++ b/crates/millpass-standin/src/run/driver.rs
@@ -53,7 +53,7 @@
             unclaimed: OnceLock::new(),
         });
         let weak: Weak<Self> = Arc::downgrade(&driver);
-        // The state is new, so this is the first and only setting.
+        // Cannot fail: the driver was created above.
         let _ = driver.alarm.set(alarms.add(weak));
         driver
     }
