--- a/crates/millpass-standin/src/engine/events.rs
+++ b/crates/millpass-standin/src/engine/events.rs
@@ -1,33 +1,32 @@
-//! Cache events: numbered, published late, some lost.
+//! Log of cache events, which are numbered, published with a lag, and sometimes lost.
 
 use super::settings::{EngineLimits, PublishingSettings};
 use crate::content::mix;
 use millpass_proto::{CacheChange, CacheEvent, SlotId, Timestamp};
 use std::collections::VecDeque;
 
-/// Log of cache events; the oldest go when it is full.
+/// Bounded log of cache events; evicts the oldest.
 #[derive(Clone, Debug)]
 pub struct EventLog {
     publishing: PublishingSettings,
-    kept: usize,
-    per_answer: usize,
+    capacity: usize,
+    per_response: usize,
     next_number: u64,
     events: VecDeque<(Timestamp, CacheEvent)>,
 }
 
 impl EventLog {
-    /// Empty.
     pub fn new(publishing: &PublishingSettings, limits: &EngineLimits) -> Self {
         EventLog {
             publishing: publishing.clone(),
-            kept: limits.kept_events,
-            per_answer: limits.events_per_answer,
+            capacity: limits.retained_events,
+            per_response: limits.events_per_response,
             next_number: 1,
             events: VecDeque::new(),
         }
     }
 
-    /// Numbers an event; it is published later, or lost.
+    /// Assigns the next number to an event and schedules its publication, unless it is lost.
     pub fn record(&mut self, now: Timestamp, slot: SlotId, prefix_hash: u64, change: CacheChange) {
         let number = self.next_number;
         self.next_number += 1;
@@ -42,23 +41,23 @@
         };
         self.events
             .push_back((now + self.publishing.event_lag, event));
-        if self.events.len() > self.kept {
+        if self.events.len() > self.capacity {
             self.events.pop_front();
         }
     }
 
-    /// Published events with numbers above `after`, bounded.
+    /// Returns the published events with numbers above `after`, up to the limit per response.
     pub fn published_after(&self, now: Timestamp, after: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
             .take_while(|(published, _)| *published <= now)
             .filter(|(_, event)| event.number > after)
-            .take(self.per_answer)
+            .take(self.per_response)
             .map(|(_, event)| event.clone())
             .collect()
     }
 
-    /// Oldest number kept.
+    /// Returns the oldest retained number, or the next number if the log is empty.
     pub fn oldest(&self) -> u64 {
         self.events
             .front()
--- a/crates/millpass-standin/src/engine/front/calls.rs
+++ b/crates/millpass-standin/src/engine/front/calls.rs
@@ -1,6 +1,6 @@
-//! Reads a completion request: body by API, and the headers that routers add.
+//! Parses completion requests: the body of each API, and the headers that routers add.
 
-use crate::content::{self, Answer};
+use crate::content::{self, Completion};
 use crate::engine::messages::{EngineRequest, RequestHandle};
 use crate::engine::model::EngineModel;
 use crate::run::{ScaledClock, header_number, header_text, malformed_header, parse_json};
@@ -12,14 +12,14 @@
 };
 use serde::Deserialize;
 
-/// Tokens of an answer when the caller names none.
+/// Completion length if the caller names none.
 const DEFAULT_MAXIMUM_TOKENS: u32 = 16;
-/// What separates a model from an adapter in the body's `model`.
-const ADAPTER_MARK: char = ':';
-/// Slot that never exists: slots are positions in a log, which begin at 1.
+/// Separator between model and adapter in the body's `model`.
+const ADAPTER_SEPARATOR: char = ':';
+/// Id of no slot: slot ids are log positions, which start at 1.
 const NO_SLOT: SlotId = SlotId(0);
 
-/// Which of the two APIs is spoken.
+/// Completion API of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Api {
     /// `/v1/completions`.
@@ -53,7 +53,7 @@
     content: String,
 }
 
-/// What the body says.
+/// Body fields common to both APIs.
 struct Body {
     model: Option<String>,
     prompt: String,
@@ -91,21 +91,18 @@
 
 /// One completion request, ready for the model.
 pub struct Call {
-    /// Which API.
     pub api: Api,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub is_streamed: bool,
-    /// Model that answers.
+    /// Requested model; empty if its slot is not loaded.
     pub model: ModelName,
-    /// Its version.
     pub version: VersionLabel,
-    /// Text of the answer.
-    pub answer: Answer,
-    /// What the batch gets to see. The driver sets the handle.
+    pub completion: Completion,
+    /// Request for the batch scheduler; its handle is set on submission.
     pub request: EngineRequest,
 }
 
-/// A request as read, before the engine was looked at.
+/// A parsed request whose slot has not been resolved.
 pub struct Parsed {
     api: Api,
     body: Body,
@@ -115,25 +112,25 @@
     prefix_blocks: Vec<u64>,
 }
 
-/// What the engine says about a request's slot.
+/// Engine state that a request depends on.
 pub struct SlotView {
-    /// The slot; one that does not exist if none was found, which the model refuses and counts.
+    /// Resolved slot; [`NO_SLOT`] if none was found, which the model refuses and counts.
     slot: SlotId,
-    /// Model and version, if it is loaded.
+    /// Model and version of the slot, if it is loaded.
     loaded: Option<(ModelName, VersionLabel)>,
-    /// Most tokens of an answer.
+    /// Maximum number of tokens of a completion.
     maximum_tokens: u32,
-    /// The present time.
+    /// Current time.
     now: Timestamp,
 }
 
 impl Parsed {
-    /// Reads headers and body.
+    /// Parses headers and body.
     pub fn read(api: Api, request: &Request) -> Result<Self, Box<Response>> {
         let body = Body::parse(api, &request.body)?;
         let headers = Headers::parse(&request.headers)?;
-        let in_model = split_model(body.model.as_deref()).1;
-        let adapter = headers.adapter.clone().or(in_model);
+        let model_adapter = split_model(body.model.as_deref()).1;
+        let adapter = headers.adapter.clone().or(model_adapter);
         Ok(Parsed {
             api,
             prompt_tokens: content::prompt_tokens(&body.prompt),
@@ -144,8 +141,8 @@
         })
     }
 
-    /// Looks the slot up: the one named, or the first that has the model.
-    pub fn look(&self, model: &EngineModel, now: Timestamp) -> SlotView {
+    /// Resolves the slot: the one named, or the first that has the model.
+    pub fn find_slot(&self, model: &EngineModel, now: Timestamp) -> SlotView {
         let named = split_model(self.body.model.as_deref()).0;
         let slot = self.headers.slot.or_else(|| model.slot_of_model(named?));
         let slot = slot.unwrap_or(NO_SLOT);
@@ -158,16 +155,16 @@
         }
     }
 
-    /// The call, for the slot that was found.
+    /// Creates the call for the resolved slot.
     pub fn into_call(self, view: SlotView, clock: ScaledClock) -> Call {
-        let nothing = || (ModelName::from(""), VersionLabel::from(""));
-        let (model, version) = view.loaded.unwrap_or_else(nothing);
+        let unknown = || (ModelName::from(""), VersionLabel::from(""));
+        let (model, version) = view.loaded.unwrap_or_else(unknown);
         let headers = self.headers;
-        let left = headers.deadline.map(|left| clock.to_simulated(left));
+        let timeout = headers.timeout.map(|timeout| clock.to_simulated(timeout));
         Call {
             api: self.api,
             is_streamed: self.body.is_streamed,
-            answer: Answer::new(&model, &version, self.adapter.as_ref(), &self.body.prompt),
+            completion: Completion::new(&model, &version, self.adapter.as_ref(), &self.body.prompt),
             model,
             version,
             request: EngineRequest {
@@ -182,7 +179,7 @@
                 urgency: headers.urgency,
                 maximum_tokens: self.body.maximum_tokens.min(view.maximum_tokens),
                 resume_from: headers.resume_from,
-                deadline: left.map(|left| view.now + left),
+                deadline: timeout.map(|timeout| view.now + timeout),
                 idempotency_key: headers.idempotency_key,
             },
         }
@@ -197,7 +194,7 @@
     incarnation: Option<Incarnation>,
     urgency: Urgency,
     resume_from: u32,
-    deadline: Option<Duration>,
+    timeout: Option<Duration>,
     adapter: Option<AdapterName>,
     idempotency_key: Option<String>,
 }
@@ -212,7 +209,7 @@
             incarnation: header_number(headers, "millpass-incarnation")?.map(Incarnation),
             urgency: urgency(text("millpass-priority"))?,
             resume_from: header_number(headers, "millpass-resume-from")?.unwrap_or(0),
-            deadline: header_number(headers, "millpass-deadline-ms")?.map(Duration::from_millis),
+            timeout: header_number(headers, "millpass-deadline-ms")?.map(Duration::from_millis),
             adapter: text("millpass-adapter").map(AdapterName::from),
             idempotency_key: text("idempotency-key").map(str::to_owned),
         })
@@ -231,9 +228,9 @@
     }
 }
 
-/// `model` or `model:adapter`.
+/// Splits `model` or `model:adapter`.
 fn split_model(model: Option<&str>) -> (Option<&str>, Option<AdapterName>) {
-    match model.and_then(|name| name.split_once(ADAPTER_MARK)) {
+    match model.and_then(|name| name.split_once(ADAPTER_SEPARATOR)) {
         Some((name, adapter)) => (Some(name), Some(AdapterName::from(adapter))),
         None => (model, None),
     }
--- a/crates/millpass-standin/src/engine/serving.rs
+++ b/crates/millpass-standin/src/engine/serving.rs
@@ -1,4 +1,4 @@
-//! Requests: admission, continuous batching, preemption and their ends.
+//! Request admission, continuous batching, preemption and completion.
 
 use super::messages::{EngineOutput, EngineRequest, FinishReason, Refusal, RequestHandle};
 use super::model::{EngineModel, NORMAL_STEP_PERCENT};
@@ -9,9 +9,9 @@
 use millpass_proto::{Duration, EngineRole, SlotId, Timestamp, Urgency};
 
 impl EngineModel {
-    /// Takes a request into the inner queue, or refuses it.
+    /// Queues a request, or refuses it.
     pub(super) fn submit(&mut self, now: Timestamp, request: EngineRequest) {
-        if let Err(refusal) = self.check(now, &request) {
+        if let Err(refusal) = self.check_admission(now, &request) {
             self.counters.requests_refused += 1;
             let output = EngineOutput::Refused(request.handle, refusal);
             self.outputs.push(output);
@@ -29,7 +29,7 @@
             place,
             position: request.resume_from.min(end),
             end,
-            cache_bytes: self.cache_need(&request),
+            cache_bytes: self.required_cache_bytes(&request),
             started: false,
             request,
         };
@@ -41,7 +41,7 @@
         self.begin_step_if_idle(now, slot);
     }
 
-    /// The caller of a request went away.
+    /// Cancels a request.
     pub(super) fn cancel(&mut self, now: Timestamp, handle: RequestHandle) {
         if self.requests.get(handle).is_none() {
             return;
@@ -50,11 +50,11 @@
         self.finish(now, handle, FinishReason::Cancelled);
     }
 
-    /// A request's deadline passed.
+    /// Ends a request whose deadline has passed.
     pub(super) fn deadline_due(&mut self, now: Timestamp, handle: RequestHandle) {
         match self.requests.get(handle).map(|state| state.started) {
             None => {}
-            Some(false) => self.withdraw(now, handle, Refusal::DeadlinePassed),
+            Some(false) => self.refuse(now, handle, Refusal::DeadlinePassed),
             Some(true) => {
                 self.counters.requests_cut += 1;
                 self.finish(now, handle, FinishReason::DeadlinePassed);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A step of a slot's batch is over: gives out its tokens and begins the next one.
+    /// Ends a step of a slot's batch: emits its tokens and starts the next step.
     pub(super) fn step_due(&mut self, now: Timestamp, slot: SlotId) {
         let Some(state) = self.slots.get_mut(&slot) else {
             return;
@@ -72,12 +72,12 @@
         }
         state.batch.step_ends = None;
         for handle in state.batch.running() {
-            self.give_tokens(now, handle);
+            self.emit_tokens(now, handle);
         }
         self.begin_step_if_idle(now, slot);
     }
 
-    /// Takes a block of KV cache from another engine, if there is room beside running requests.
+    /// Imports a block of KV cache, if running requests leave enough cache memory.
     pub(super) fn import_cache(&mut self, now: Timestamp, slot: SlotId, prefix_hash: u64) {
         let is_loaded = self
             .slots
@@ -86,11 +86,11 @@
         if is_loaded {
             self.cache_blocks(now, slot, &[prefix_hash]);
         }
-        let taken = self.has_cached(slot, prefix_hash);
-        self.outputs.push(EngineOutput::CacheImported(taken));
+        let imported = self.has_cached(slot, prefix_hash);
+        self.outputs.push(EngineOutput::CacheImported(imported));
     }
 
-    /// Empties a slot's prefix cache.
+    /// Evicts all blocks of a slot's prefix cache.
     pub(super) fn clear_prefix(&mut self, now: Timestamp, slot: SlotId) {
         let mut changes = Vec::new();
         if let Some(state) = self.slots.get_mut(&slot) {
@@ -101,22 +101,22 @@
 
     /// Ends a request that ran or was cancelled.
     pub(super) fn finish(&mut self, now: Timestamp, handle: RequestHandle, reason: FinishReason) {
-        if let Some(slot) = self.forget(now, handle) {
+        if let Some(slot) = self.remove_request(now, handle) {
             self.outputs.push(EngineOutput::Finished(handle, reason));
-            self.release_if_quiet(now, slot);
+            self.release_if_idle(now, slot);
         }
     }
 
-    /// Refuses a request that waited and never ran.
-    pub(super) fn withdraw(&mut self, now: Timestamp, handle: RequestHandle, refusal: Refusal) {
-        if let Some(slot) = self.forget(now, handle) {
+    /// Refuses a waiting request that never ran.
+    pub(super) fn refuse(&mut self, now: Timestamp, handle: RequestHandle, refusal: Refusal) {
+        if let Some(slot) = self.remove_request(now, handle) {
             self.counters.requests_refused += 1;
             self.outputs.push(EngineOutput::Refused(handle, refusal));
-            self.release_if_quiet(now, slot);
+            self.release_if_idle(now, slot);
         }
     }
 
-    fn check(&mut self, now: Timestamp, request: &EngineRequest) -> Result<(), Refusal> {
+    fn check_admission(&mut self, now: Timestamp, request: &EngineRequest) -> Result<(), Refusal> {
         let own = self.settings.incarnation;
         if request.incarnation.is_some_and(|wanted| wanted != own) {
             self.counters.wrong_incarnations += 1;
@@ -128,11 +128,10 @@
             return Err(Refusal::SlotNotLoaded);
         };
         let adapter = request.adapter.as_ref();
-        if adapter.is_some_and(|name| !slot.adapters.get(name).is_some_and(|part| part.is_loaded()))
-        {
+        if adapter.is_some_and(|name| !slot.adapters.get(name).is_some_and(|one| one.is_loaded())) {
             return Err(Refusal::AdapterNotLoaded);
         }
-        if self.cache_need(request) > slot.cache_bytes {
+        if self.required_cache_bytes(request) > slot.cache_bytes {
             return Err(Refusal::TooLarge);
         }
         if !self.role_serves(request) {
@@ -153,7 +152,8 @@
         Ok(())
     }
 
-    /// A prefill engine gives one token at most; a decode engine takes over cached prompts.
+    /// Whether the role permits this request: a prefill engine emits at most one token, a decode engine
+    /// requires mostly cached prompts.
     fn role_serves(&self, request: &EngineRequest) -> bool {
         match self.role {
             EngineRole::Mixed => true,
@@ -169,10 +169,10 @@
         }
     }
 
-    fn cache_need(&self, request: &EngineRequest) -> u64 {
+    fn required_cache_bytes(&self, request: &EngineRequest) -> u64 {
         let limits = &self.settings.limits;
-        let answer = request.maximum_tokens.min(limits.maximum_tokens);
-        let tokens = u64::from(request.prompt_tokens) + u64::from(answer);
+        let response = request.maximum_tokens.min(limits.maximum_tokens);
+        let tokens = u64::from(request.prompt_tokens) + u64::from(response);
         tokens.saturating_mul(limits.cache_bytes_per_token)
     }
 
@@ -203,8 +203,8 @@
         self.timers.set(ends, Timer::Step(slot));
     }
 
-    /// Moves waiting requests into the batch, the most urgent first, as batch slots and cache
-    /// memory allow. Gives the number of tokens to prefill.
+    /// Moves waiting requests into the batch in queue order, as batch slots and cache memory permit.
+    /// Returns the number of tokens to prefill.
     fn admit(&mut self, now: Timestamp, slot: SlotId) -> u32 {
         let mut prefill_tokens = 0;
         loop {
@@ -214,10 +214,10 @@
             let Some((place, handle)) = state.batch.next_waiting() else {
                 return prefill_tokens;
             };
-            let need = self.requests.get(handle).map_or(0, |one| one.cache_bytes);
+            let required = self.requests.get(handle).map_or(0, |one| one.cache_bytes);
             let has_slot =
                 (state.batch.running_count() as usize) < self.settings.limits.batch_slots;
-            let has_memory = state.batch.running_bytes + need <= state.cache_bytes;
+            let has_memory = state.batch.running_bytes + required <= state.cache_bytes;
             if has_slot && has_memory {
                 prefill_tokens += self.start(now, slot, handle);
                 continue;
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Starts one waiting request; gives the tokens to prefill.
+    /// Starts a waiting request and returns the number of tokens to prefill.
     fn start(&mut self, now: Timestamp, slot: SlotId, handle: RequestHandle) -> u32 {
         let Some(one) = self.requests.get_mut(handle) else {
             return 0;
@@ -244,11 +244,11 @@
         one.started = true;
         let (place, bytes) = (one.place, one.cache_bytes);
         let context = one.request.prompt_tokens.saturating_add(one.position);
-        let is_whole = one.position >= one.end;
+        let is_complete = one.position >= one.end;
         let blocks = one.request.prefix_blocks.clone();
         let request = one.request.clone();
         if is_first {
-            self.count_start(&request);
+            self.record_start(&request);
         }
         let mut cached = 0;
         if let Some(state) = self.slots.get_mut(&slot) {
@@ -256,7 +256,7 @@
             cached = state.prefix.use_prefix(&blocks);
         }
         self.cache_blocks(now, slot, &blocks);
-        if is_whole {
+        if is_complete {
             self.counters.requests_finished += 1;
             self.finish(now, handle, FinishReason::Complete);
             return 0;
@@ -264,7 +264,7 @@
         context.saturating_sub(block_tokens(cached))
     }
 
-    fn count_start(&mut self, request: &EngineRequest) {
+    fn record_start(&mut self, request: &EngineRequest) {
         self.outputs.push(EngineOutput::Started(request.handle));
         self.counters.requests_started += 1;
         if let Some(key) = &request.idempotency_key {
@@ -278,7 +278,7 @@
         }
     }
 
-    fn give_tokens(&mut self, now: Timestamp, handle: RequestHandle) {
+    fn emit_tokens(&mut self, now: Timestamp, handle: RequestHandle) {
         let per_step = self.settings.timing.tokens_per_step.max(1);
         let Some(one) = self.requests.get_mut(handle) else {
             return;
@@ -286,27 +286,27 @@
         let from = one.position;
         let count = per_step.min(one.end - from);
         one.position += count;
-        let is_whole = one.position >= one.end;
+        let is_complete = one.position >= one.end;
         self.counters.tokens += u64::from(count);
         self.outputs.push(EngineOutput::Tokens {
             request: handle,
             from,
             count,
         });
-        if is_whole {
+        if is_complete {
             self.counters.requests_finished += 1;
             self.finish(now, handle, FinishReason::Complete);
         }
     }
 
-    /// Caches blocks in the room that running requests leave, and publishes the changes.
+    /// Caches blocks in the memory that running requests leave, and publishes the changes.
     fn cache_blocks(&mut self, now: Timestamp, slot: SlotId, blocks: &[u64]) {
         let block_bytes = self.block_bytes();
         let mut changes = Vec::new();
         if let Some(state) = self.slots.get_mut(&slot) {
             let free = state.cache_bytes - state.batch.running_bytes;
-            let room = usize::try_from(free / block_bytes).unwrap_or(usize::MAX);
-            state.prefix.insert(blocks, room, &mut changes);
+            let capacity = usize::try_from(free / block_bytes).unwrap_or(usize::MAX);
+            state.prefix.insert(blocks, capacity, &mut changes);
         }
         self.publish(now, slot, changes);
     }
@@ -317,8 +317,8 @@
         }
     }
 
-    /// Takes a request out of all tables; gives its slot.
-    fn forget(&mut self, now: Timestamp, handle: RequestHandle) -> Option<SlotId> {
+    /// Removes a request from all tables and returns its slot.
+    fn remove_request(&mut self, now: Timestamp, handle: RequestHandle) -> Option<SlotId> {
         let state = self.requests.remove(handle)?;
         if let Some(deadline) = state.request.deadline {
             self.timers.clear(deadline, Timer::Deadline(handle));
@@ -332,7 +332,6 @@
     }
 }
 
-/// Tokens of this many blocks.
 fn block_tokens(blocks: usize) -> u32 {
     u32::try_from(blocks * BLOCK_TOKENS).unwrap_or(u32::MAX)
 }
--- a/crates/millpass-standin/src/engine/slots.rs
+++ b/crates/millpass-standin/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! What a slot of an engine holds.
+//! State of an engine's slots.
 
 use super::batch::Batch;
 use super::memory::Reservation;
@@ -10,40 +10,39 @@
 };
 use std::collections::BTreeMap;
 
-/// One thing that is loaded as a whole: a model's weights, or an adapter.
+/// A unit of loading: a model's weights, or an adapter.
 #[derive(Clone, Debug)]
-pub struct Part {
-    /// Fence of the last order on it.
+pub struct Artifact {
+    /// Fence of the last order that affected it.
     pub fence: LogPosition,
-    /// Phase.
     pub phase: EngineSlotPhase,
-    /// Memory held; empty once it is gone.
+    /// Memory held; empty after an unload or a failure.
     pub reservation: Reservation,
     /// Size of the checkpoint.
     pub bytes: u64,
-    /// Checkpoint in the weight store.
+    /// Name of the checkpoint in the weight store.
     pub checkpoint: String,
-    /// Fetch that goes on.
+    /// Active fetch.
     pub fetch: Option<FetchId>,
-    /// Times the store said "later".
+    /// Number of times the store asked for a retry.
     pub retries: u32,
-    /// When the load will be complete.
+    /// Time at which the load completes.
     pub ready_at: Option<Timestamp>,
-    /// When the unload will be complete.
+    /// Time at which the unload completes.
     pub free_at: Option<Timestamp>,
-    /// When the unload waits no longer for requests.
-    pub cut_at: Option<Timestamp>,
+    /// Time at which the unload aborts the remaining requests.
+    pub abort_at: Option<Timestamp>,
 }
 
-impl Part {
-    /// A part whose load begins.
+impl Artifact {
+    /// Creates an artifact that starts to load.
     pub fn loading(
         fence: LogPosition,
         reservation: Reservation,
         bytes: u64,
         checkpoint: &str,
     ) -> Self {
-        Part {
+        Artifact {
             fence,
             phase: EngineSlotPhase::Loading,
             reservation,
@@ -53,26 +52,26 @@
             retries: 0,
             ready_at: None,
             free_at: None,
-            cut_at: None,
+            abort_at: None,
         }
     }
 
-    /// A part that is gone and holds nothing.
-    pub fn gone(fence: LogPosition) -> Self {
-        let mut part = Part::loading(fence, Reservation::default(), 0, "");
-        part.phase = EngineSlotPhase::Unloaded;
-        part
+    /// Creates an unloaded artifact without memory.
+    pub fn unloaded(fence: LogPosition) -> Self {
+        let mut artifact = Artifact::loading(fence, Reservation::default(), 0, "");
+        artifact.phase = EngineSlotPhase::Unloaded;
+        artifact
     }
 
-    /// Whether it is gone or failed, and so holds nothing.
-    pub fn is_gone(&self) -> bool {
+    /// Whether it is unloaded or failed, and so holds no memory.
+    pub fn is_released(&self) -> bool {
         matches!(
             self.phase,
             EngineSlotPhase::Unloaded | EngineSlotPhase::Failed(_)
         )
     }
 
-    /// Whether it is wholly in accelerator memory, loaded or being unloaded.
+    /// Whether it is completely in accelerator memory: loaded or being unloaded.
     pub fn is_in_memory(&self) -> bool {
         matches!(
             self.phase,
@@ -86,59 +85,52 @@
     }
 }
 
-/// One slot.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// Model.
     pub model: ModelName,
-    /// Version.
     pub version: VersionLabel,
     /// Accelerators it spans.
     pub accelerators: Vec<u32>,
-    /// Memory for caches.
+    /// Memory for KV and prefix caches.
     pub cache_bytes: u64,
-    /// Weights; their reservation covers the caches too.
-    pub weights: Part,
-    /// Adapters.
-    pub adapters: BTreeMap<AdapterName, Part>,
-    /// Prefix cache.
+    /// Weights; their reservation includes the cache memory.
+    pub weights: Artifact,
+    pub adapters: BTreeMap<AdapterName, Artifact>,
     pub prefix: PrefixCache,
-    /// Requests.
     pub batch: Batch,
 }
 
 impl Slot {
-    /// A slot that is gone.
-    pub fn gone(fence: LogPosition) -> Self {
+    /// Creates an unloaded slot.
+    pub fn unloaded(fence: LogPosition) -> Self {
         Slot {
             model: ModelName::from(""),
             version: VersionLabel::from(""),
             accelerators: Vec::new(),
             cache_bytes: 0,
-            weights: Part::gone(fence),
+            weights: Artifact::unloaded(fence),
             adapters: BTreeMap::new(),
             prefix: PrefixCache::default(),
             batch: Batch::default(),
         }
     }
 
-    /// The weights, or an adapter.
-    pub fn part_mut(&mut self, adapter: Option<&AdapterName>) -> Option<&mut Part> {
+    /// Returns the named adapter, or the weights if `adapter` is `None`.
+    pub fn artifact_mut(&mut self, adapter: Option<&AdapterName>) -> Option<&mut Artifact> {
         match adapter {
             None => Some(&mut self.weights),
             Some(name) => self.adapters.get_mut(name),
         }
     }
 
-    /// The slot as it is reported.
     pub fn report(&self, slot: SlotId) -> EngineSlotReport {
         let adapters = self
             .adapters
             .iter()
-            .map(|(adapter, part)| EngineAdapterReport {
+            .map(|(adapter, artifact)| EngineAdapterReport {
                 adapter: adapter.clone(),
-                fence: part.fence,
-                phase: part.phase.clone(),
+                fence: artifact.fence,
+                phase: artifact.phase.clone(),
             });
         EngineSlotReport {
             slot,
--- a/crates/millpass-standin/src/web/model.rs
+++ b/crates/millpass-standin/src/web/model.rs
@@ -1,4 +1,4 @@
-//! The web back end as a state machine.
+//! State machine of the web back end.
 
 use crate::lagged::Lagged;
 use crate::run_counts::RunCounts;
@@ -8,29 +8,29 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Everything that shapes one web back end, in simulated time.
+/// Settings of a web back end, in simulated time.
 #[derive(Clone, Debug)]
 pub struct WebSettings {
     /// Name in the deployment.
     pub backend: BackendName,
-    /// This run; the caller draws it.
+    /// Incarnation of this run, chosen by the caller.
     pub incarnation: Incarnation,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Group of interchangeable back ends it belongs to.
+    /// Group of interchangeable back ends.
     pub group: GroupName,
-    /// Paths that begin like one of these take POST requests that may not be repeated.
+    /// Path prefixes that accept non-idempotent POST requests.
     pub once_prefixes: Vec<String>,
-    /// Time from a request to its answer.
+    /// Time between a request and its response.
     pub think_time: Duration,
-    /// Most requests at once; one more is refused.
+    /// Maximum number of concurrent requests; more are refused.
     pub maximum_running: usize,
-    /// Age of the state that a report shows.
+    /// Delay with which reports show the state.
     pub report_lag: Duration,
-    /// Least time between two states kept for reports.
+    /// Minimum time between two states recorded for reports.
     pub report_interval: Duration,
-    /// Keys whose runs are counted.
-    pub remembered_runs: usize,
+    /// Maximum number of keys whose runs are counted.
+    pub tracked_runs: usize,
 }
 
 impl Default for WebSettings {
@@ -45,70 +45,70 @@
             maximum_running: 512,
             report_lag: Duration::from_millis(300),
             report_interval: Duration::from_millis(50),
-            remembered_runs: 65_536,
+            tracked_runs: 65_536,
         }
     }
 }
 
-/// Number that the driver gives a request; unique within the run.
+/// Request id assigned by the driver; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WebRequestId(pub u64);
 
-/// A request.
+/// A request to a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WebRequest {
-    /// The driver's number of it.
+    /// Id assigned by the driver.
     pub id: WebRequestId,
     /// Whether it is a POST.
     pub is_post: bool,
     /// Path, without query.
     pub path: String,
-    /// Tenant; empty if none is named.
+    /// Tenant; empty if the request names none.
     pub tenant: TenantName,
-    /// Idempotency key.
+    /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Run of the back end it is for, if the caller names one.
+    /// Incarnation that the request is addressed to, if the caller names one.
     pub incarnation: Option<Incarnation>,
 }
 
-/// What happens to the back end.
+/// Input of a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WebInput {
-    /// Only time went on.
+    /// Time advanced.
     Tick,
     /// A request arrived.
     Request(WebRequest),
 }
 
-/// An answer.
+/// Response of a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WebAnswer {
+pub enum WebResponse {
     /// The page of the path, see [`crate::content::page`].
     Page(String),
-    /// An endpoint that may not be repeated ran; this is the number of runs of its key, 0 without.
+    /// A non-idempotent endpoint ran; holds the number of runs of its key, 0 without a key.
     Ran(u64),
-    /// POST where only pages are; it did not run.
+    /// The path accepts no POST; the request did not run.
     NotFound,
-    /// Too many requests at once; it did not run.
+    /// Too many concurrent requests; the request did not run.
     Busy,
-    /// Meant for another run of the back end than this one; it did not run.
+    /// Addressed to another incarnation than this one; the request did not run.
     WrongIncarnation(Incarnation),
 }
 
-/// What the back end does.
+/// Output of a web back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WebOutput {
-    /// Request.
+    /// Id of the request.
     pub id: WebRequestId,
-    /// Its answer.
-    pub answer: WebAnswer,
+    /// Response to the request.
+    pub response: WebResponse,
 }
 
-/// One web back end. Same inputs give the same outputs.
+/// Deterministic model of a web back end.
 #[derive(Clone, Debug)]
 pub struct WebModel {
     settings: WebSettings,
-    running: BTreeMap<WebRequestId, WebAnswer>,
+    running: BTreeMap<WebRequestId, WebResponse>,
     due: BTreeSet<(Timestamp, WebRequestId)>,
     counts: Lagged<u32>,
     runs: RunCounts,
@@ -118,14 +118,14 @@
 }
 
 impl WebModel {
-    /// An idle back end.
+    /// Creates an idle back end.
     pub fn new(settings: WebSettings, now: Timestamp) -> Self {
         let counts = Lagged::new(settings.report_lag, settings.report_interval, now, 0);
         WebModel {
             running: BTreeMap::new(),
             due: BTreeSet::new(),
             counts,
-            runs: RunCounts::new(settings.remembered_runs),
+            runs: RunCounts::new(settings.tracked_runs),
             requests: 0,
             once_runs: 0,
             once_without_key: 0,
@@ -133,34 +133,34 @@
         }
     }
 
-    /// Brings the back end to `now`, then takes the input.
+    /// Advances the back end to `now`, then applies the input.
     pub fn step(&mut self, now: Timestamp, input: WebInput) -> Vec<WebOutput> {
         let mut outputs = Vec::new();
         while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, id));
-            self.keep_count(at);
-            if let Some(answer) = self.running.remove(&id) {
-                outputs.push(WebOutput { id, answer });
+            self.record_count(at);
+            if let Some(response) = self.running.remove(&id) {
+                outputs.push(WebOutput { id, response });
             }
             self.counts.mark_changed(at);
         }
         if let WebInput::Request(request) = input {
-            self.take(now, request, &mut outputs);
+            self.handle_request(now, request, &mut outputs);
         }
         outputs
     }
 
-    /// When the back end next does something by itself.
+    /// Time at which the back end must be advanced next without an input.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Settings it runs with.
+    /// Settings of the back end.
     pub fn settings(&self) -> &WebSettings {
         &self.settings
     }
 
-    /// The load report as read at `now`.
+    /// Returns the load report that a reader sees at `now`.
     pub fn report(&self, now: Timestamp) -> WebReport {
         WebReport {
             backend: self.settings.backend.clone(),
@@ -171,58 +171,63 @@
         }
     }
 
-    /// What was counted.
+    /// Returns the counters.
     pub fn audit(&self) -> WebAudit {
         WebAudit {
             backend: self.settings.backend.clone(),
             incarnation: self.settings.incarnation,
             requests: self.requests,
             once_runs: self.once_runs,
-            once_keys: self.runs.keys() as u64 + self.runs.forgotten(),
+            once_keys: self.runs.keys() as u64 + self.runs.evicted(),
             once_without_key: self.once_without_key,
-            forgotten_keys: self.runs.forgotten(),
+            forgotten_keys: self.runs.evicted(),
             repeated_keys: self.runs.repeated(),
         }
     }
 
-    fn take(&mut self, now: Timestamp, request: WebRequest, outputs: &mut Vec<WebOutput>) {
+    fn handle_request(
+        &mut self,
+        now: Timestamp,
+        request: WebRequest,
+        outputs: &mut Vec<WebOutput>,
+    ) {
         let id = request.id;
         let own = self.settings.incarnation;
         if request.incarnation.is_some_and(|wanted| wanted != own) {
-            let answer = WebAnswer::WrongIncarnation(own);
-            outputs.push(WebOutput { id, answer });
+            let response = WebResponse::WrongIncarnation(own);
+            outputs.push(WebOutput { id, response });
             return;
         }
         if self.running.len() >= self.settings.maximum_running {
-            let answer = WebAnswer::Busy;
-            outputs.push(WebOutput { id, answer });
+            let response = WebResponse::Busy;
+            outputs.push(WebOutput { id, response });
             return;
         }
-        self.keep_count(now);
+        self.record_count(now);
         self.requests += 1;
-        let answer = self.run(&request);
-        self.running.insert(id, answer);
+        let response = self.run(&request);
+        self.running.insert(id, response);
         self.due.insert((now + self.settings.think_time, id));
         self.counts.mark_changed(now);
     }
 
-    /// Runs a request; its effect, the count, happens here and not when the answer is sent.
-    fn run(&mut self, request: &WebRequest) -> WebAnswer {
+    /// Runs a request. Its effect, the run count, takes place here, not when the response is sent.
+    fn run(&mut self, request: &WebRequest) -> WebResponse {
         if !request.is_post {
-            return WebAnswer::Page(crate::content::page(&request.path));
+            return WebResponse::Page(crate::content::page(&request.path));
         }
-        if !self.runs_once(&request.path) {
-            return WebAnswer::NotFound;
+        if !self.is_once_path(&request.path) {
+            return WebResponse::NotFound;
         }
         self.once_runs += 1;
         let Some(key) = &request.key else {
             self.once_without_key += 1;
-            return WebAnswer::Ran(0);
+            return WebResponse::Ran(0);
         };
-        WebAnswer::Ran(self.runs.count(&request.tenant, key))
+        WebResponse::Ran(self.runs.count(&request.tenant, key))
     }
 
-    fn runs_once(&self, path: &str) -> bool {
+    fn is_once_path(&self, path: &str) -> bool {
         let mut prefixes = self.settings.once_prefixes.iter();
         prefixes.any(|prefix| path.starts_with(prefix.as_str()))
     }
@@ -231,10 +236,10 @@
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    fn keep_count(&mut self, now: Timestamp) {
-        if self.counts.wants(now) {
+    fn record_count(&mut self, now: Timestamp) {
+        if self.counts.should_record(now) {
             let count = self.running_count();
-            self.counts.keep(now, count);
+            self.counts.record(now, count);
         }
     }
 }
