--- a/crates/millpass-checkers/src/answers.rs
+++ b/crates/millpass-checkers/src/answers.rs
@@ -1,9 +1,8 @@
-//! Every request is answered or refused by its deadline, with exactly one final answer.
+//! Checks that every request gets exactly one final answer or refusal by its deadline.
 //!
-//! Allowed for: a caller that hung up; a router that was killed, whose callers see their
-//! connections end; a router that was frozen, which answers as soon as it runs again for longer
-//! than a moment, and which counts the time of a request that came meanwhile from when it reads
-//! it.
+//! Exempt are requests whose caller hung up and connections lost because the router was killed. A
+//! frozen router answers after it resumes, and the timeout of a request that arrived during the
+//! freeze starts when the router reads it.
 
 use crate::process_times::ProcessTimes;
 use crate::{AnswerOutcome, Breach, Event, History, Limits, ProcessName, RequestId};
@@ -12,31 +11,30 @@
 /// Name of the checker.
 pub const NAME: &str = "answers";
 
-/// A waking shorter than this is too short to read the requests that came during the freeze.
-const READING_MICROS: u64 = 1_000;
+/// A router that resumes for less than this may not read the requests queued during the freeze.
+const MIN_AWAKE_MICROS: u64 = 1_000;
 
-/// What is known of one request.
-struct Sent {
+struct SentRequest {
     at: u64,
     router: ProcessName,
     deadline: u64,
     endings: Vec<(u64, AnswerOutcome)>,
 }
 
-/// Reports requests without an answer, with a late one, with more than one, and connections that
-/// ended though their router lived.
+/// Reports requests with a missing, late or repeated final answer, and connections lost while the
+/// router was alive.
 pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
     let times = ProcessTimes::of(history);
-    let over = history
+    let run_end = history
         .records()
         .iter()
         .rev()
         .find(|record| matches!(record.event, Event::RunOver));
-    let over = over.map_or(0, |record| record.at_micros);
+    let run_end = run_end.map_or(0, |record| record.at_micros);
     let requests = collect(history);
     let mut breaches = Vec::new();
     for (request, sent) in &requests {
-        if let Some(detail) = judge(sent, &times, over, limits) {
+        if let Some(detail) = check_request(sent, &times, run_end, limits) {
             breaches.push(Breach {
                 checker: NAME,
                 at_micros: sent.deadline,
@@ -47,7 +45,7 @@
     breaches
 }
 
-fn collect(history: &History) -> BTreeMap<RequestId, Sent> {
+fn collect(history: &History) -> BTreeMap<RequestId, SentRequest> {
     let mut requests = BTreeMap::new();
     for record in history.records() {
         match &record.event {
@@ -57,7 +55,7 @@
                 deadline_micros,
                 ..
             } => {
-                let sent = Sent {
+                let sent = SentRequest {
                     at: record.at_micros,
                     router: router.clone(),
                     deadline: *deadline_micros,
@@ -76,23 +74,29 @@
     requests
 }
 
-fn judge(sent: &Sent, times: &ProcessTimes, over: u64, limits: &Limits) -> Option<String> {
+fn check_request(
+    sent: &SentRequest,
+    times: &ProcessTimes,
+    run_end: u64,
+    limits: &Limits,
+) -> Option<String> {
     let grace = limits.answer_grace_micros;
-    let read = times.woken_after(&sent.router, sent.at, sent.at, READING_MICROS);
+    let read_at = times.woken_after(&sent.router, sent.at, sent.at, MIN_AWAKE_MICROS);
     let allowed = sent.deadline - sent.at;
-    let deadline = read.map_or(sent.deadline, |read| read.saturating_add(allowed));
-    let woken = times.woken_after(&sent.router, sent.at, deadline.saturating_add(grace), grace);
-    let due = deadline.max(woken.unwrap_or(0)).saturating_add(grace);
+    let deadline = read_at.map_or(sent.deadline, |read_at| read_at.saturating_add(allowed));
+    let resumed_at =
+        times.woken_after(&sent.router, sent.at, deadline.saturating_add(grace), grace);
+    let due = deadline.max(resumed_at.unwrap_or(0)).saturating_add(grace);
     match sent.endings.as_slice() {
-        [] if due > over => None,
+        [] if due > run_end => None,
         [] => Some(format!("no final answer by {due}")),
-        [(at, outcome)] => judge_ending(sent, times, *at, outcome, due),
+        [(at, outcome)] => check_ending(sent, times, *at, outcome, due),
         several => Some(format!("{} final answers", several.len())),
     }
 }
 
-fn judge_ending(
-    sent: &Sent,
+fn check_ending(
+    sent: &SentRequest,
     times: &ProcessTimes,
     at: u64,
     outcome: &AnswerOutcome,
@@ -101,7 +105,7 @@
     match outcome {
         AnswerOutcome::CallerGone => None,
         AnswerOutcome::ConnectionLost if times.killed_between(&sent.router, sent.at, at) => None,
-        AnswerOutcome::ConnectionLost => Some("connection ended though the router lived".into()),
+        AnswerOutcome::ConnectionLost => Some("connection lost while the router was alive".into()),
         _ if at > due => Some(format!("final answer at {at}, due by {due}")),
         _ => None,
     }
--- a/crates/millpass-checkers/src/configuration.rs
+++ b/crates/millpass-checkers/src/configuration.rs
@@ -1,8 +1,8 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Checks that accepted configuration is applied in time and never reverts.
 //!
-//! In force: each router that can reach a majority applies a committed revision within the bound,
-//! counted from the last disturbance. Never reverts: what a run of a router applied never goes
-//! back, and each change that an operator was told is accepted stands in the audit log at the end.
+//! A router that can reach a majority applies a committed revision within the bound after the last
+//! disturbance. Within an incarnation the applied revision never decreases, and every change
+//! reported as accepted is in the final audit log.
 
 use crate::{Breach, Event, History, Limits};
 use millpass_proto::{
@@ -13,7 +13,7 @@
 /// Name of the checker.
 pub const NAME: &str = "configuration";
 
-/// Reports late, reverted and lost revisions.
+/// Reports revisions that were late, reverted or lost.
 pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
     let mut breaches = reverted(history);
     breaches.extend(lost(history));
@@ -45,7 +45,7 @@
         if let Some(before) = before.filter(|before| before.0 > revision.0) {
             breaches.push(breach(
                 record.at_micros,
-                format!("router {router} went back from revision {before} to {revision}"),
+                format!("router {router} reverted from revision {before} to {revision}"),
             ));
         }
     }
@@ -79,13 +79,13 @@
                 revision,
             } => {
                 let before = audited.insert(change_id, *revision);
-                let twice = before.map(|_| {
+                let duplicate = before.map(|_| {
                     breach(
                         record.at_micros,
-                        format!("change {change_id} stands twice in the audit log"),
+                        format!("change {change_id} is in the audit log twice"),
                     )
                 });
-                breaches.extend(twice);
+                breaches.extend(duplicate);
             }
             Event::FinalAuditCalled => before_audit = accepted.clone(),
             Event::FinalAuditRead => audit_read = Some(record.at_micros),
@@ -99,14 +99,15 @@
         if audited.get(change_id) != Some(&revision) {
             breaches.push(breach(
                 read_at,
-                format!("accepted change {change_id} at revision {revision} is lost"),
+                format!(
+                    "accepted change {change_id} at revision {revision} is missing in the audit log"
+                ),
             ));
         }
     }
     breaches
 }
 
-/// What is known of one router over time.
 #[derive(Default)]
 struct RouterTimeline {
     applied: Vec<(u64, u64)>,
@@ -114,32 +115,34 @@
 }
 
 impl RouterTimeline {
-    /// Start of a stretch of `bound` that is free of unreachable times and disturbances, at or
-    /// after `from`; none when there is none before the end of the run.
-    fn settled_from(
+    /// Returns the start of the first interval of length `bound`, at or after `from`, during which
+    /// the router is reachable and nothing is disturbed; `None` if the run ends before.
+    fn stable_from(
         &self,
         from: u64,
         bound: u64,
         disturbances: &BTreeSet<u64>,
-        over: u64,
+        run_end: u64,
     ) -> Option<u64> {
         let mut start = from;
         loop {
-            if start.saturating_add(bound) > over {
+            if start.saturating_add(bound) > run_end {
                 return None;
             }
             start = self.reachable_from(start)?;
             let end = start.saturating_add(bound);
             let disturbed = disturbances.range(start + 1..=end).next_back().copied();
-            let cut = self
+            let unreachable = self
                 .reachable
                 .iter()
                 .rev()
                 .find(|(at, reachable)| !reachable && *at > start && *at <= end);
-            match (disturbed, cut) {
-                (None, None) => return (end <= over).then_some(start),
-                (disturbed, cut) => {
-                    start = disturbed.unwrap_or(0).max(cut.map_or(0, |(at, _)| *at));
+            match (disturbed, unreachable) {
+                (None, None) => return (end <= run_end).then_some(start),
+                (disturbed, unreachable) => {
+                    start = disturbed
+                        .unwrap_or(0)
+                        .max(unreachable.map_or(0, |(at, _)| *at));
                 }
             }
         }
@@ -156,7 +159,7 @@
         }
     }
 
-    /// What the last record up to this time says: of several at one time, the last.
+    /// Returns the state after the last record up to `at`, inclusive.
     fn is_reachable_at(&self, at: u64) -> bool {
         let before = self.reachable.iter().rev().find(|(when, _)| *when <= at);
         before.is_some_and(|(_, reachable)| *reachable)
@@ -172,7 +175,7 @@
     let mut timelines: BTreeMap<&RouterName, RouterTimeline> = BTreeMap::new();
     let mut disturbances = BTreeSet::new();
     let mut committed = Vec::new();
-    let mut over = 0;
+    let mut run_end = 0;
     for record in history.records() {
         let at = record.at_micros;
         match &record.event {
@@ -192,7 +195,7 @@
                 disturbances.insert(at);
             }
             Event::RevisionCommitted { revision } => committed.push((at, *revision)),
-            Event::RunOver => over = at,
+            Event::RunOver => run_end = at,
             _ => {}
         }
     }
@@ -200,8 +203,8 @@
     for (at, revision) in committed {
         for (router, timeline) in &timelines {
             let bound = limits.in_force_micros;
-            let settled = timeline.settled_from(at, bound, &disturbances, over);
-            let Some(due) = settled.map(|start| start + bound) else {
+            let stable = timeline.stable_from(at, bound, &disturbances, run_end);
+            let Some(due) = stable.map(|start| start + bound) else {
                 continue;
             };
             let applied = timeline.applied_at(due);
@@ -209,8 +212,8 @@
                 breaches.push(breach(
                     due,
                     format!(
-                        "router {router} applies {applied} where {revision}, committed at {at}, \
-                         was due"
+                        "router {router} still applies {applied}; revision {revision}, committed at \
+                         {at}, is due"
                     ),
                 ));
             }
--- a/crates/millpass-checkers/src/drain.rs
+++ b/crates/millpass-checkers/src/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request in flight, at a back end or at a router.
+//! Checks that a planned stop interrupts no request in flight at a back end or router.
 
 use crate::process_times::ProcessTimes;
 use crate::{AnswerOutcome, Breach, Event, History, Limits, ProcessName, RequestId, RunEnding};
@@ -7,9 +7,8 @@
 /// Name of the checker.
 pub const NAME: &str = "drain";
 
-/// Reports runs that a planned stop of their back end cut off, and requests in flight that a
-/// planned stop of their router cut off. A process that is killed while it drains is no planned
-/// stop.
+/// Reports runs and requests interrupted by a planned stop of their back end or router. A process
+/// that is killed while it drains is exempt.
 pub fn check(history: &History, _limits: &Limits) -> Vec<Breach> {
     let times = ProcessTimes::of(history);
     let mut sent: BTreeMap<RequestId, (u64, &ProcessName)> = BTreeMap::new();
@@ -50,7 +49,7 @@
     breaches
 }
 
-/// Whether an orderly stop was under way and the process was not killed since.
+/// Whether a planned stop was in progress at `at` and the process was not killed since it began.
 fn stopped_as_planned(times: &ProcessTimes, process: &ProcessName, at: u64) -> bool {
     times
         .stop_planned_before(process, at)
@@ -62,7 +61,7 @@
         checker: NAME,
         at_micros,
         detail: format!(
-            "the planned stop of {} cut off request {}",
+            "planned stop of {} interrupted request {}",
             process.0, request.0
         ),
     }
--- a/crates/millpass-checkers/src/enforcement.rs
+++ b/crates/millpass-checkers/src/enforcement.rs
@@ -1,5 +1,5 @@
-//! An accepted removal of a tenant holds at every router after a bound, also at one that is cut
-//! off or was frozen: its lease ends and it stops admitting.
+//! Checks that every router enforces an accepted removal of a tenant after the bound. A router that
+//! is unreachable or was frozen stops admitting requests when its lease expires.
 
 use crate::{AnswerOutcome, Breach, Event, History, Limits, RequestId};
 use millpass_proto::TenantName;
@@ -8,7 +8,7 @@
 /// Name of the checker.
 pub const NAME: &str = "enforcement";
 
-/// Reports each request of a removed tenant that was sent later than the bound and served.
+/// Reports each request of a removed tenant that was sent after the bound and served.
 pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
     let mut removed: BTreeMap<&TenantName, u64> = BTreeMap::new();
     let mut too_late: BTreeMap<RequestId, &TenantName> = BTreeMap::new();
--- a/crates/millpass-checkers/src/event.rs
+++ b/crates/millpass-checkers/src/event.rs
@@ -1,4 +1,4 @@
-//! The events of a history: what was decided, done, asked, answered and broken.
+//! Events of a history: decisions, requests, responses, process states and faults.
 
 use millpass_proto::{
     BackendName, ChangeId, ClaimDecision, ClaimKey, ConfigurationRevision, Incarnation,
@@ -17,15 +17,15 @@
     }
 }
 
-/// A caller's name for its request, unique in the run.
+/// Identifier of a caller's request, unique in the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// Content of an answer, as a hash over all of it.
+/// Hash over the complete content of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerDigest(pub u64);
 
-/// What a refusal says of the request.
+/// Whether the refused request ran, as stated by the refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatedExecution {
     /// It did not run and will not.
@@ -34,56 +34,56 @@
     Unknown,
 }
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request as seen by its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerOutcome {
-    /// A whole answer, with its explicit end.
+    /// A complete answer, terminated explicitly.
     Whole(AnswerDigest),
     /// A refusal.
     Refused {
-        /// What it says of the request.
+        /// Whether the request ran, as stated by the refusal.
         executed: StatedExecution,
         /// Reason.
         reason: String,
     },
-    /// An explicit error after part of the answer.
+    /// An explicit error after a part of the answer.
     BrokenOff,
     /// The connection to the router ended without a final answer.
     ConnectionLost,
-    /// The caller hung up itself.
+    /// The caller closed the connection.
     CallerGone,
 }
 
 /// How a run at a back end ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnding {
-    /// It ran to its end.
+    /// It completed.
     Finished,
-    /// It was cancelled by the router.
+    /// The router cancelled it.
     Cancelled,
-    /// The back end stopped or unloaded under it.
+    /// The back end stopped, or unloaded the model, before it completed.
     CutOff,
 }
 
-/// A memory use of one accelerator.
+/// Memory use of one accelerator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryUse {
     /// Bytes in use.
     pub used_bytes: u64,
-    /// Bytes there are.
+    /// Total bytes.
     pub capacity_bytes: u64,
 }
 
-/// What one router's claim operation was.
+/// A router's operation on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimOperation {
-    /// It asked for the claim.
+    /// Requests the claim.
     Begin,
-    /// It ended the claim: the run was answered with this digest of the recorded answer.
+    /// Ends the claim: the request ran, and its recorded answer has this digest.
     FinishAnswered(u64),
-    /// It ended the claim: nothing ran.
+    /// Ends the claim: the request did not run.
     FinishNotRun,
-    /// It ended the claim: it may have run.
+    /// Ends the claim: the request may have run.
     FinishUnknown,
 }
 
@@ -92,13 +92,13 @@
 pub struct AttemptId {
     /// Router.
     pub router: RouterName,
-    /// Run of the router.
+    /// Incarnation of the router.
     pub incarnation: Incarnation,
-    /// Number of the request in that run.
+    /// Number of the request in that incarnation.
     pub attempt: u64,
 }
 
-/// Key of a claim: keys of two tenants never meet.
+/// Key of a claim, scoped to its tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ScopedKey {
     /// Tenant.
@@ -127,32 +127,32 @@
         model: ModelName,
         /// Engine.
         backend: BackendName,
-        /// Run of the engine.
+        /// Incarnation of the engine.
         incarnation: Incarnation,
-        /// Replicas the model may have.
+        /// Maximum number of replicas of the model.
         maximum: u32,
     },
-    /// A committed command released a replica; it counts no more.
+    /// A committed command released a replica.
     ReplicaReleased {
         /// Slot.
         slot: SlotId,
     },
-    /// An engine began to hold memory for a replica.
+    /// An engine allocated memory for a replica.
     ReplicaHeld {
         /// Engine.
         backend: BackendName,
-        /// Run of the engine.
+        /// Incarnation of the engine.
         incarnation: Incarnation,
         /// Slot.
         slot: SlotId,
         /// Model.
         model: ModelName,
     },
-    /// An engine holds nothing of a replica any more.
+    /// An engine freed all memory of a replica.
     ReplicaFreed {
         /// Engine.
         backend: BackendName,
-        /// Run of the engine.
+        /// Incarnation of the engine.
         incarnation: Incarnation,
         /// Slot.
         slot: SlotId,
@@ -168,66 +168,66 @@
     RequestSent {
         /// Request.
         request: RequestId,
-        /// Tenant whose key it carries.
+        /// Tenant of its API key.
         tenant: TenantName,
-        /// Router it went to.
+        /// Router that received it.
         router: ProcessName,
-        /// When it must be answered or refused.
+        /// Time by which it must be answered or refused, in microseconds.
         deadline_micros: u64,
-        /// The only whole answer that is its own.
+        /// Digest of its complete answer.
         expected: AnswerDigest,
-        /// Key, when it may not be repeated.
+        /// Claim key; `None` if the request may be repeated.
         key: Option<ScopedKey>,
     },
-    /// A caller got the final answer, or gave up.
+    /// A caller received the final outcome, or hung up.
     RequestEnded {
         /// Request.
         request: RequestId,
-        /// How.
+        /// Outcome.
         outcome: AnswerOutcome,
     },
     /// A back end began to run a request.
     RunStarted {
         /// Back end.
         backend: BackendName,
-        /// Run of the back end.
+        /// Incarnation of the back end.
         incarnation: Incarnation,
         /// Request.
         request: RequestId,
-        /// Key, when it may not be repeated.
+        /// Claim key; `None` if the request may be repeated.
         key: Option<ScopedKey>,
-        /// Whether it goes on with a stream that broke off elsewhere.
+        /// Whether it resumes a stream that another attempt began.
         resumed: bool,
     },
     /// A back end ended a run.
     RunEnded {
         /// Back end.
         backend: BackendName,
-        /// Run of the back end.
+        /// Incarnation of the back end.
         incarnation: Incarnation,
         /// Request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         ending: RunEnding,
     },
-    /// The platform's list first shows a back end as leaving.
+    /// The platform's list shows a back end as leaving for the first time.
     ListedLeaving {
         /// Back end.
         backend: BackendName,
-        /// Run of the back end.
+        /// Incarnation of the back end.
         incarnation: Incarnation,
     },
-    /// A process was told to stop in an orderly way.
+    /// A planned stop of a process began.
     StopPlanned {
         /// Process.
         process: ProcessName,
     },
-    /// A process ended in the way planned.
+    /// A process ended after a planned stop.
     Stopped {
         /// Process.
         process: ProcessName,
     },
-    /// A process died or its machine was taken.
+    /// A process was killed or its machine was reclaimed.
     Killed {
         /// Process.
         process: ProcessName,
@@ -237,95 +237,95 @@
         /// Process.
         process: ProcessName,
     },
-    /// A process stopped running without ending.
+    /// A process was suspended.
     Frozen {
         /// Process.
         process: ProcessName,
     },
-    /// A frozen process runs again.
+    /// A suspended process resumed.
     Woken {
         /// Process.
         process: ProcessName,
     },
-    /// A router can, or can't, exchange messages with a majority of the control group.
+    /// Reachability between a router and a majority of the control group changed.
     RouterReachable {
         /// Router.
         router: RouterName,
-        /// Whether it can.
+        /// Whether they can exchange messages.
         reachable: bool,
     },
-    /// Something was broken or mended.
+    /// A fault was injected or ended.
     Disturbed {
-        /// What.
+        /// Description of the fault.
         what: String,
     },
-    /// The last fault has ended and every process runs.
+    /// All faults have ended and every process runs.
     AllHealed,
-    /// The run ended; requests due before are judged.
+    /// The run ended. Requests due earlier must have an outcome.
     RunOver,
     /// A catalog revision was committed.
     RevisionCommitted {
         /// Revision.
         revision: ConfigurationRevision,
     },
-    /// A router uses a catalog revision.
+    /// A router applied a catalog revision.
     RevisionApplied {
         /// Router.
         router: RouterName,
-        /// Run of the router.
+        /// Incarnation of the router.
         incarnation: Incarnation,
         /// Revision.
         revision: ConfigurationRevision,
     },
-    /// An operator submitted a change. A resend has another number and the same change id.
+    /// An operator submitted a change. A resend has a new call number and the same change id.
     ChangeCalled {
         /// Number of the call, unique in the run.
         call: u64,
         /// Object.
         object: ObjectKey,
-        /// Version the operator saw.
+        /// Version read by the operator.
         expected_version: u64,
         /// Identity of the change.
         change_id: ChangeId,
         /// Whether it deletes the object.
         deletes: bool,
     },
-    /// An operator got the outcome of a change. No event means that it is unknown.
+    /// An operator received the outcome of a change. Without this event the outcome is unknown.
     ChangeReturned {
         /// Number of the call.
         call: u64,
         /// Outcome.
         outcome: ObjectChangeOutcome,
     },
-    /// An operator was told that the removal of a tenant is accepted.
+    /// An operator received the acceptance of the removal of a tenant.
     TenantRemoved {
         /// Tenant.
         tenant: TenantName,
     },
-    /// An operator asked for an object.
+    /// An operator requested an object.
     ReadCalled {
         /// Number of the call, unique in the run.
         call: u64,
         /// Object.
         object: ObjectKey,
     },
-    /// An operator got the object's version; 0 when it does not exist.
+    /// An operator received the version of an object; 0 if it does not exist.
     ReadReturned {
         /// Number of the call.
         call: u64,
         /// Version.
         version: u64,
     },
-    /// The audit log read at the end of the run holds this change.
+    /// The audit log read at the end of the run contains this change.
     FinalAudit {
         /// Identity of the change.
         change_id: ChangeId,
         /// Revision.
         revision: ConfigurationRevision,
     },
-    /// The audit log is asked for: it must hold every change accepted before.
+    /// The audit log was requested. It must contain every change accepted before.
     FinalAuditCalled,
-    /// The audit log was read to its end.
+    /// The audit log was read completely.
     FinalAuditRead,
     /// A router sent a claim operation.
     ClaimCalled {
@@ -336,7 +336,7 @@
         /// Operation.
         operation: ClaimOperation,
     },
-    /// A router got the decision on a claim.
+    /// A router received the decision on a claim.
     ClaimReturned {
         /// Attempt.
         attempt: AttemptId,
@@ -345,19 +345,19 @@
         /// Decision.
         decision: ClaimDecision,
     },
-    /// A router learned that the end of its claim is committed.
+    /// A router received the confirmation that the end of its claim is committed.
     ClaimFinishReturned {
         /// Attempt.
         attempt: AttemptId,
         /// Key.
         key: ScopedKey,
     },
-    /// A load began at the weight store.
+    /// A load from the weight store began.
     StoreLoadStarted {
         /// Number of the load, unique in the run.
         load: u64,
     },
-    /// A load ended at the weight store.
+    /// A load from the weight store ended.
     StoreLoadEnded {
         /// Number of the load.
         load: u64,
--- a/crates/millpass-checkers/src/history.rs
+++ b/crates/millpass-checkers/src/history.rs
@@ -1,4 +1,4 @@
-//! A history: timed events in order, kept as one JSON object a line in files.
+//! Timed events in order, stored in files as JSON lines.
 
 use crate::event::Event;
 use serde::{Deserialize, Serialize};
@@ -7,25 +7,27 @@
 /// One event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Microseconds of the run's one clock: the simulator's, or the lab machine's.
+    /// Time in microseconds on the clock of the simulator or of the lab machine.
     pub at_micros: u64,
     /// Event.
     pub event: Event,
 }
 
-/// Why a history could not be read or written.
+/// An error while reading or writing a history.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// A line is not a record.
-    #[error("line {line} is not a record ({reason}); write the history with the same release")]
+    /// A line could not be decoded.
+    #[error(
+        "invalid record in line {line}: {reason}; read the history with the release that wrote it"
+    )]
     Malformed {
         /// Number of the line, from 1.
         line: usize,
-        /// What the decoder says.
+        /// Error of the decoder.
         reason: String,
     },
-    /// The file failed.
-    #[error("history file failed: {0}; check path and space")]
+    /// The file could not be read or written.
+    #[error("cannot access the history file: {0}; check its path and the free disk space")]
     Io(#[from] std::io::Error),
 }
 
@@ -36,13 +38,13 @@
 }
 
 impl History {
-    /// Takes records in any order and sorts them by time; equal times keep their order.
+    /// Creates a history from records in any order; the sort by time is stable.
     pub fn new(mut records: Vec<Record>) -> Self {
         records.sort_by_key(|record| record.at_micros);
         History { records }
     }
 
-    /// Appends an event that is no earlier than the last.
+    /// Appends an event, which must not be earlier than the last one.
     pub fn push(&mut self, at_micros: u64, event: Event) {
         debug_assert!(
             self.records
@@ -52,12 +54,12 @@
         self.records.push(Record { at_micros, event });
     }
 
-    /// The records in order.
+    /// Returns the records in order of time.
     pub fn records(&self) -> &[Record] {
         &self.records
     }
 
-    /// Reads a file of JSON lines; empty lines are passed over.
+    /// Reads JSON lines and skips empty ones.
     pub fn read(reader: impl BufRead) -> Result<Self, HistoryError> {
         let mut records = Vec::new();
         for (number, line) in reader.lines().enumerate() {
--- a/crates/millpass-checkers/src/integrity.rs
+++ b/crates/millpass-checkers/src/integrity.rs
@@ -1,4 +1,4 @@
-//! Each caller receives the whole answer to its own request.
+//! Checks that every complete answer belongs to the request of its caller.
 
 use crate::{AnswerDigest, AnswerOutcome, Breach, Event, History, Limits, RequestId};
 use std::collections::BTreeMap;
@@ -6,8 +6,8 @@
 /// Name of the checker.
 pub const NAME: &str = "integrity";
 
-/// Reports a whole answer that is not the one of its request: somebody else's, shortened, with a
-/// part doubled or out of order.
+/// Reports complete answers whose digest differs from the expected one: those of another request,
+/// truncated, duplicated in part or out of order.
 pub fn check(history: &History, _limits: &Limits) -> Vec<Breach> {
     let mut expected: BTreeMap<RequestId, AnswerDigest> = BTreeMap::new();
     let mut breaches = Vec::new();
@@ -26,7 +26,10 @@
             } if expected.get(request) != Some(digest) => breaches.push(Breach {
                 checker: NAME,
                 at_micros: record.at_micros,
-                detail: format!("request {} got an answer that is not its own", request.0),
+                detail: format!(
+                    "request {} received an answer whose digest differs from the expected one",
+                    request.0
+                ),
             }),
             _ => {}
         }
--- a/crates/millpass-checkers/src/leaving.rs
+++ b/crates/millpass-checkers/src/leaving.rs
@@ -1,4 +1,4 @@
-//! A back end that is leaving receives no new work after a few seconds.
+//! Checks that a leaving back end starts no new requests after the bound.
 
 use crate::{Breach, Event, History, Limits};
 use millpass_proto::{BackendName, Incarnation};
@@ -7,8 +7,7 @@
 /// Name of the checker.
 pub const NAME: &str = "leaving";
 
-/// Reports each run that starts at a back end later than the bound after it was listed as
-/// leaving.
+/// Reports each run that starts later than the bound after its back end was listed as leaving.
 pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
     let mut listed: BTreeMap<(&BackendName, Incarnation), u64> = BTreeMap::new();
     let mut breaches = Vec::new();
@@ -37,7 +36,7 @@
                         checker: NAME,
                         at_micros: record.at_micros,
                         detail: format!(
-                            "request {} starts on {backend} {after} us after it was listed leaving",
+                            "request {} started on {backend} {after} us after it was listed as leaving",
                             request.0
                         ),
                     });
--- a/crates/millpass-checkers/src/lib.rs
+++ b/crates/millpass-checkers/src/lib.rs
@@ -1,8 +1,7 @@
-//! Checkers of what must always hold, over histories of simulated and real runs.
+//! Invariant checkers over histories of simulated and real runs.
 //!
-//! A [`History`] is a list of timed [`Event`]s. Simulator and lab write the same events, so one
-//! set of checkers judges both. [`check`] runs every checker; each lives in a module of its own
-//! and has a test in which it reports the breach that it is there for.
+//! A [`History`] is a list of timed [`Event`]s, written by the simulator and by the lab. [`check`]
+//! runs every checker over it.
 
 pub mod agreement;
 pub mod answers;
@@ -27,14 +26,14 @@
 pub use history::{History, HistoryError, Record};
 pub use limits::Limits;
 
-/// One thing that must hold and did not.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Checker that reports it.
+    /// Name of the checker that reports it.
     pub checker: &'static str,
-    /// When, in microseconds of the history's clock.
+    /// Time of the violation, in microseconds of the history's clock.
     pub at_micros: u64,
-    /// What happened, with the names involved.
+    /// Description of the violation.
     pub detail: String,
 }
 
@@ -48,7 +47,7 @@
     }
 }
 
-/// One checker: reads a history and reports what it finds.
+/// Reports the violations of one invariant in a history.
 pub type Checker = fn(&History, &Limits) -> Vec<Breach>;
 
 /// Every checker with its name.
@@ -73,7 +72,7 @@
     (liveness::NAME, liveness::check),
 ];
 
-/// Runs every checker.
+/// Runs every checker and returns all violations.
 pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
     CHECKERS
         .iter()
--- a/crates/millpass-checkers/src/limits.rs
+++ b/crates/millpass-checkers/src/limits.rs
@@ -1,26 +1,26 @@
-//! The bounds that the checkers hold a run to.
+//! Bounds that the checkers enforce.
 
 /// Bounds of a run. All times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Time after its deadline within which a request's final answer must have reached the
-    /// caller: one way to the caller, and the router's tick.
+    /// Time after the deadline of a request by which its final answer must reach the caller. Covers
+    /// the one-way latency to the caller and a tick of the router.
     pub answer_grace_micros: u64,
-    /// Time from a back end's listing as leaving until no new run starts there.
+    /// Time after a back end is listed as leaving from which it may start no new run.
     pub leaving_micros: u64,
-    /// Time from an accepted change until each reachable router has applied it.
+    /// Time within which each reachable router applies a committed revision.
     pub in_force_micros: u64,
-    /// Time from an accepted change after which no router at all, reachable or not, admits by an
-    /// older catalog: the router's lease and the time to hand a request to it.
+    /// Time after an accepted change from which no router, reachable or not, admits requests by an
+    /// older catalog. Covers the router's lease and the delivery of a request.
     pub enforced_micros: u64,
-    /// Time from the end of the last fault until requests are served again.
+    /// Time after the end of the last fault by which requests are served again.
     pub recovery_micros: u64,
-    /// Loads that may start at the weight store in any second.
+    /// Maximum loads from the weight store that start within any second.
     pub store_loads_per_second: usize,
-    /// Loads that may run at the weight store at once.
+    /// Maximum concurrent loads from the weight store.
     pub store_concurrent_loads: usize,
-    /// Most operations on one object or claim key that the linearizability check takes. A longer
-    /// history is reported instead of being passed over.
+    /// Maximum operations on one object or claim key that are checked for linearizability. More
+    /// operations are reported as a violation instead of being skipped.
     pub maximum_operations: usize,
 }
 
--- a/crates/millpass-checkers/src/linearizable.rs
+++ b/crates/millpass-checkers/src/linearizable.rs
@@ -1,5 +1,5 @@
-//! Linearizability of configuration changes (per object) and of claims (per tenant and key),
-//! with the WGL checker of `todc-utils`.
+//! Checks that configuration changes (per object) and claims (per tenant and key) are
+//! linearizable, with the WGL checker of `todc-utils`.
 
 mod catalog;
 mod claims;
--- a/crates/millpass-checkers/src/linearizable/catalog.rs
+++ b/crates/millpass-checkers/src/linearizable/catalog.rs
@@ -1,6 +1,6 @@
-//! Compare-and-set changes and reads of catalog objects.
+//! Linearizability of compare-and-set changes and reads of catalog objects.
 
-use super::operations::{TimedOperation, judge};
+use super::operations::{TimedOperation, check_operations};
 use crate::{Breach, Event, History, Limits};
 use millpass_proto::{ChangeId, ObjectChangeOutcome, ObjectKey};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 /// Name of the checker.
 pub const CONFIGURATION: &str = "configuration-linearizable";
 
-/// What a change came to.
+/// Outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Outcome {
     Accepted { version: u64 },
@@ -31,7 +31,7 @@
     },
 }
 
-/// State of one object: how often it changed, and whether it exists.
+/// State of one object: its number of changes, and whether it exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ObjectState {
     changes: u64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// A compare-and-set register.
+/// Sequential specification of a compare-and-set register.
 struct CompareAndSet;
 
 impl Specification for CompareAndSet {
@@ -89,27 +89,27 @@
     }
 }
 
-/// Calls and answers of one change id: resends are one operation.
+/// All calls and responses of one change id; resends are the same operation.
 struct Change {
     object: ObjectKey,
     expected: u64,
     deletes: bool,
     called: usize,
-    answer: Option<(usize, Outcome)>,
+    response: Option<(usize, Outcome)>,
 }
 
-/// Reports objects whose changes and reads have no order that explains every answer, and resends
-/// that got a different answer.
+/// Reports objects whose changes and reads are not linearizable, and resends whose outcome differs
+/// from the first.
 pub fn check_configuration(history: &History, limits: &Limits) -> Vec<Breach> {
-    let mut collected = Collected::default();
+    let mut collector = OperationCollector::default();
     for (order, record) in history.records().iter().enumerate() {
-        collected.take(order, record.at_micros, &record.event);
+        collector.take(order, record.at_micros, &record.event);
     }
     let last = history.records().last().map_or(0, |r| r.at_micros);
-    let mut breaches = std::mem::take(&mut collected.breaches);
-    for (object, operations) in collected.by_object() {
+    let mut breaches = std::mem::take(&mut collector.breaches);
+    for (object, operations) in collector.by_object() {
         let name = format!("{:?} {}", object.kind, object.name);
-        breaches.extend(judge::<CompareAndSet>(
+        breaches.extend(check_operations::<CompareAndSet>(
             CONFIGURATION,
             &name,
             &operations,
@@ -121,7 +121,7 @@
 }
 
 #[derive(Default)]
-struct Collected {
+struct OperationCollector {
     changes: BTreeMap<ChangeId, Change>,
     change_of_call: BTreeMap<u64, ChangeId>,
     reads: BTreeMap<u64, (ObjectKey, usize)>,
@@ -129,7 +129,7 @@
     breaches: Vec<Breach>,
 }
 
-impl Collected {
+impl OperationCollector {
     fn take(&mut self, order: usize, at_micros: u64, event: &Event) {
         match event {
             Event::ChangeCalled {
@@ -147,7 +147,7 @@
                         expected: *expected_version,
                         deletes: *deletes,
                         called: order,
-                        answer: None,
+                        response: None,
                     });
             }
             Event::ChangeReturned { call, outcome } => {
@@ -186,13 +186,13 @@
             },
             ObjectChangeOutcome::Rejected(_) => Outcome::Rejected,
         };
-        match change.answer {
-            None => change.answer = Some((order, outcome)),
+        match change.response {
+            None => change.response = Some((order, outcome)),
             Some((_, first)) if first == outcome => {}
             Some((_, first)) => self.breaches.push(Breach {
                 checker: CONFIGURATION,
                 at_micros,
-                detail: format!("change {change_id} was answered {first:?}, then {outcome:?}"),
+                detail: format!("change {change_id} returned {first:?}, then {outcome:?}"),
             }),
         }
     }
@@ -208,12 +208,12 @@
         for change in self.changes.values() {
             let operation = TimedOperation {
                 called: change.called,
-                returned: change.answer.map(|(order, _)| order),
+                returned: change.response.map(|(order, _)| order),
                 operation: Operation::Change {
                     expected: change.expected,
                     deletes: change.deletes,
                     outcome: change
-                        .answer
+                        .response
                         .map_or(Outcome::Unknown, |(_, outcome)| outcome),
                 },
             };
--- a/crates/millpass-checkers/src/linearizable/claims.rs
+++ b/crates/millpass-checkers/src/linearizable/claims.rs
@@ -1,6 +1,6 @@
-//! Claims of requests that may not be repeated.
+//! Linearizability of claims of requests that may not be repeated.
 
-use super::operations::{TimedOperation, judge};
+use super::operations::{TimedOperation, check_operations};
 use crate::{AttemptId, Breach, ClaimOperation, Event, History, Limits, ScopedKey};
 use millpass_proto::ClaimDecision;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 /// Name of the checker.
 pub const CLAIMS: &str = "claims-linearizable";
 
-/// A decision, with the recorded answer as its hash.
+/// A decision; a recorded answer is represented by its hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Decision {
     Granted,
@@ -43,7 +43,7 @@
     MayHaveRun(AttemptId),
 }
 
-/// The claim of one key.
+/// Sequential specification of the claim of one key.
 struct Claim;
 
 impl Specification for Claim {
@@ -75,7 +75,7 @@
             (same, state.clone())
         }
         Decision::InProgress => (held_by_other, state.clone()),
-        // The control group may give up on a holder whose router is gone.
+        // The control group may end the claim of a holder whose router has ended.
         Decision::MayHaveRun => match state {
             KeyState::MayHaveRun(_) => (true, state.clone()),
             KeyState::Held(holder) => (held_by_other, KeyState::MayHaveRun(holder.clone())),
@@ -103,8 +103,8 @@
     }
 }
 
-/// Reports keys whose claims have no order that explains every decision: above all, two grants
-/// without a release between them.
+/// Reports keys whose claim operations are not linearizable, for instance two grants without a
+/// release between them.
 pub fn check_claims(history: &History, limits: &Limits) -> Vec<Breach> {
     let mut keys: BTreeMap<&ScopedKey, Vec<TimedOperation<Operation>>> = BTreeMap::new();
     for (order, record) in history.records().iter().enumerate() {
@@ -113,43 +113,43 @@
                 attempt,
                 key,
                 operation,
-            } => call(keys.entry(key).or_default(), order, attempt, operation),
+            } => record_call(keys.entry(key).or_default(), order, attempt, operation),
             Event::ClaimReturned {
                 attempt,
                 key,
                 decision,
-            } => decided(keys.entry(key).or_default(), order, attempt, decision),
+            } => record_decision(keys.entry(key).or_default(), order, attempt, decision),
             Event::ClaimFinishReturned { attempt, key } => {
-                finished(keys.entry(key).or_default(), order, attempt);
+                record_finish(keys.entry(key).or_default(), order, attempt);
             }
             _ => {}
         }
     }
     let last = history.records().last().map_or(0, |r| r.at_micros);
-    let judged = keys.iter().filter_map(|(key, operations)| {
+    let breaches = keys.iter().filter_map(|(key, operations)| {
         let name = format!("key {} of {}", key.key, key.tenant);
-        judge::<Claim>(CLAIMS, &name, operations, last, limits)
+        check_operations::<Claim>(CLAIMS, &name, operations, last, limits)
     });
-    judged.collect()
+    breaches.collect()
 }
 
-/// Adds a call; a resend by the same attempt is the same operation.
-fn call(
+/// Records a call. A resend by the same attempt is the same operation.
+fn record_call(
     operations: &mut Vec<TimedOperation<Operation>>,
     order: usize,
     attempt: &AttemptId,
     operation: &ClaimOperation,
 ) {
-    let known = operations.iter().any(|known| match &known.operation {
+    let recorded = operations.iter().any(|recorded| match &recorded.operation {
         Operation::Begin { attempt: other, .. } => {
             other == attempt && *operation == ClaimOperation::Begin
         }
         Operation::Finish {
             attempt: other,
-            operation: ended,
-        } => other == attempt && ended == operation,
+            operation: finish,
+        } => other == attempt && finish == operation,
     });
-    if known {
+    if recorded {
         return;
     }
     let operation = match operation {
@@ -157,9 +157,9 @@
             attempt: attempt.clone(),
             decision: Decision::Unknown,
         },
-        ended => Operation::Finish {
+        finish => Operation::Finish {
             attempt: attempt.clone(),
-            operation: ended.clone(),
+            operation: finish.clone(),
         },
     };
     operations.push(TimedOperation {
@@ -169,7 +169,7 @@
     });
 }
 
-fn decided(
+fn record_decision(
     operations: &mut [TimedOperation<Operation>],
     order: usize,
     attempt: &AttemptId,
@@ -177,10 +177,10 @@
 ) {
     for timed in operations.iter_mut().filter(|o| o.returned.is_none()) {
         if let Operation::Begin {
-            attempt: asked,
+            attempt: requester,
             decision,
         } = &mut timed.operation
-            && asked == attempt
+            && requester == attempt
         {
             *decision = decision_of(answer);
             timed.returned = Some(order);
@@ -188,11 +188,11 @@
     }
 }
 
-fn finished(operations: &mut [TimedOperation<Operation>], order: usize, attempt: &AttemptId) {
+fn record_finish(operations: &mut [TimedOperation<Operation>], order: usize, attempt: &AttemptId) {
     for timed in operations.iter_mut().filter(|o| o.returned.is_none()) {
-        let ended = matches!(&timed.operation,
-            Operation::Finish { attempt: asked, .. } if asked == attempt);
-        if ended {
+        let finish = matches!(&timed.operation,
+            Operation::Finish { attempt: requester, .. } if requester == attempt);
+        if finish {
             timed.returned = Some(order);
         }
     }
@@ -211,7 +211,7 @@
     }
 }
 
-/// Hash of a recorded answer's body, as [`ClaimOperation::FinishAnswered`] carries it.
+/// Returns the hash of the body of a recorded answer, as in [`ClaimOperation::FinishAnswered`].
 pub fn digest_of(body: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     body.hash(&mut hasher);
--- a/crates/millpass-checkers/src/linearizable/operations.rs
+++ b/crates/millpass-checkers/src/linearizable/operations.rs
@@ -1,4 +1,4 @@
-//! Operations with the time of their call and response, made into a history for the checker.
+//! Operations with the order of their calls and responses, checked for linearizability.
 
 use crate::{Breach, Limits};
 use todc_utils::linearizability::WGLChecker;
@@ -8,17 +8,17 @@
 /// One operation on one object.
 #[derive(Clone, Debug)]
 pub struct TimedOperation<O> {
-    /// Order in the run of its call.
+    /// Index of its call in the history.
     pub called: usize,
-    /// Order in the run of its response; none when it never came, so that the operation may take
+    /// Index of its response in the history. `None` without a response: the operation may take
     /// effect at any later time, or never.
     pub returned: Option<usize>,
-    /// What was asked and answered.
+    /// Operation with its result.
     pub operation: O,
 }
 
-/// Judges the operations on one object.
-pub fn judge<S: Specification>(
+/// Returns a violation if the operations on one object are not linearizable.
+pub fn check_operations<S: Specification>(
     checker: &'static str,
     name: &str,
     operations: &[TimedOperation<S::Operation>],
@@ -36,7 +36,7 @@
             checker,
             at_micros,
             detail: format!(
-                "{name}: {} operations are too many to check; spread the run over more names",
+                "{name}: {} operations exceed the limit of the check; use more objects or keys in the run",
                 operations.len()
             ),
         });
--- a/crates/millpass-checkers/src/liveness.rs
+++ b/crates/millpass-checkers/src/liveness.rs
@@ -1,12 +1,12 @@
-//! After the faults end, requests are served again within a bound.
+//! Checks that requests are served again within a bound after the faults end.
 
 use crate::{AnswerOutcome, Breach, Event, History, Limits};
 
 /// Name of the checker.
 pub const NAME: &str = "liveness";
 
-/// Reports a run in which no request sent after the last fault is served within the bound,
-/// though some were sent.
+/// Reports a run in which requests were sent after the last fault and none was served within the
+/// bound.
 pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
     let records = history.records();
     let Some(healed) = records
@@ -19,7 +19,7 @@
     let bound = healed_at + limits.recovery_micros;
     let after = &records[healed..];
     let ran_long_enough = after.iter().any(|record| record.at_micros >= bound);
-    let asked = after
+    let requested = after
         .iter()
         .any(|record| matches!(record.event, Event::RequestSent { .. }));
     let served = after.iter().any(|record| {
@@ -32,12 +32,12 @@
         );
         whole && record.at_micros <= bound
     });
-    if served || !asked || !ran_long_enough {
+    if served || !requested || !ran_long_enough {
         return Vec::new();
     }
     vec![Breach {
         checker: NAME,
         at_micros: bound,
-        detail: format!("nothing served between {healed_at} and {bound}"),
+        detail: format!("no request was served between {healed_at} and {bound}"),
     }]
 }
--- a/crates/millpass-checkers/src/memory.rs
+++ b/crates/millpass-checkers/src/memory.rs
@@ -1,11 +1,11 @@
-//! Accelerator memory is never overcommitted by loads, adapters or caches.
+//! Checks that accelerator memory is never overcommitted.
 
 use crate::{Breach, Event, History, Limits};
 
 /// Name of the checker.
 pub const NAME: &str = "memory";
 
-/// Reports each moment at which an accelerator uses more than it has.
+/// Reports each memory event in which an accelerator uses more than its capacity.
 pub fn check(history: &History, _limits: &Limits) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for record in history.records() {
--- a/crates/millpass-checkers/src/once.rs
+++ b/crates/millpass-checkers/src/once.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once for each tenant and key.
+//! Checks that a request that may not be repeated runs at most once per tenant and key.
 
 use crate::{Breach, Event, History, Limits, ScopedKey};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 /// Name of the checker.
 pub const NAME: &str = "once";
 
-/// Reports each second run of one key.
+/// Reports each further run of a key.
 pub fn check(history: &History, _limits: &Limits) -> Vec<Breach> {
     let mut first_run: BTreeMap<&ScopedKey, String> = BTreeMap::new();
     let mut breaches = Vec::new();
--- a/crates/millpass-checkers/src/process_times.rs
+++ b/crates/millpass-checkers/src/process_times.rs
@@ -1,26 +1,25 @@
-//! When processes were killed, stopped, frozen or unreachable, for the checkers that must allow
-//! for it.
+//! Times at which processes were killed, stopped or frozen, for checkers that exempt them.
 
 use crate::{Event, History, ProcessName};
 use std::collections::BTreeMap;
 
-/// A stretch of time in microseconds, the end included.
+/// A time interval in microseconds, including its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
     /// Start.
     pub from: u64,
-    /// End; `u64::MAX` when it never ended.
+    /// End; `u64::MAX` while it is open.
     pub to: u64,
 }
 
 impl Span {
-    /// Whether it meets the other stretch.
+    /// Whether it overlaps the interval from `from` to `to`, both inclusive.
     pub fn overlaps(&self, from: u64, to: u64) -> bool {
         self.from <= to && from <= self.to
     }
 }
 
-/// Times of every process.
+/// Kill, stop and freeze times by process.
 #[derive(Debug, Default)]
 pub struct ProcessTimes {
     killed: BTreeMap<ProcessName, Vec<u64>>,
@@ -29,16 +28,16 @@
 }
 
 impl ProcessTimes {
-    /// Collects the times of a history.
+    /// Collects the times from a history.
     pub fn of(history: &History) -> Self {
         let mut times = ProcessTimes::default();
         for record in history.records() {
-            times.take(record.at_micros, &record.event);
+            times.record(record.at_micros, &record.event);
         }
         times
     }
 
-    fn take(&mut self, at: u64, event: &Event) {
+    fn record(&mut self, at: u64, event: &Event) {
         match event {
             Event::Killed { process } => {
                 self.killed.entry(process.clone()).or_default().push(at);
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Whether the process was killed between the two times.
+    /// Whether the process was killed between the two times, both inclusive.
     pub fn killed_between(&self, process: &ProcessName, from: u64, to: u64) -> bool {
         let inside = |at: &u64| (from..=to).contains(at);
         self.killed
@@ -78,14 +77,15 @@
             .is_some_and(|times| times.iter().any(inside))
     }
 
-    /// Latest time at or before `to` at which an orderly stop was asked for.
+    /// Returns the latest time up to `to` at which a planned stop began.
     pub fn stop_planned_before(&self, process: &ProcessName, to: u64) -> Option<u64> {
         let times = self.stop_planned.get(process)?;
         times.iter().copied().filter(|at| *at <= to).max()
     }
 
-    /// End of the last freeze that meets the stretch, or that follows such a freeze within
-    /// `grace` of its end: so short a waking may be too short to do anything.
+    /// Returns the end of the last freeze that overlaps the interval. Freezes that begin within
+    /// `grace` of the end of the previous one count as one, since the process may have made no
+    /// progress between them.
     pub fn woken_after(
         &self,
         process: &ProcessName,
--- a/crates/millpass-checkers/src/refusals.rs
+++ b/crates/millpass-checkers/src/refusals.rs
@@ -1,5 +1,4 @@
-//! When a refusal says that a request did not run, it truly did not run: not before the refusal
-//! and not after it.
+//! Checks that a request refused as not run does not run, neither before nor after the refusal.
 
 use crate::{AnswerOutcome, Breach, Event, History, Limits, RequestId, StatedExecution};
 use std::collections::BTreeMap;
@@ -7,7 +6,7 @@
 /// Name of the checker.
 pub const NAME: &str = "refusals";
 
-/// Reports each request refused as not run that some back end ran.
+/// Reports each request that was refused as not run and ran at a back end.
 pub fn check(history: &History, _limits: &Limits) -> Vec<Breach> {
     let mut refused: BTreeMap<RequestId, u64> = BTreeMap::new();
     let mut ran: BTreeMap<RequestId, String> = BTreeMap::new();
@@ -32,13 +31,17 @@
             _ => {}
         }
     }
-    let both = refused
+    let refused_and_ran = refused
         .iter()
         .filter_map(|(request, at)| Some((request, at, ran.get(request)?)));
-    both.map(|(request, at, place)| Breach {
-        checker: NAME,
-        at_micros: *at,
-        detail: format!("request {} refused as not run, ran on {place}", request.0),
-    })
-    .collect()
+    refused_and_ran
+        .map(|(request, at, place)| Breach {
+            checker: NAME,
+            at_micros: *at,
+            detail: format!(
+                "request {} was refused as not run but ran on {place}",
+                request.0
+            ),
+        })
+        .collect()
 }
--- a/crates/millpass-checkers/src/replicas.rs
+++ b/crates/millpass-checkers/src/replicas.rs
@@ -1,7 +1,7 @@
-//! No model has more replicas loaded than were decided, at any moment.
+//! Checks that engines hold only decided replicas.
 //!
-//! Stronger than counting: each replica that an engine holds must be a decided slot, on that
-//! engine and that run of it, from before the engine takes memory until after it is free.
+//! From before an engine allocates memory until after it has freed it, the slot must be decided
+//! for that engine, incarnation and model.
 
 use crate::{Breach, Event, History, Limits};
 use millpass_proto::{BackendName, Incarnation, ModelName, SlotId};
@@ -10,27 +10,27 @@
 /// Name of the checker.
 pub const NAME: &str = "replicas";
 
-/// Where a decided replica belongs.
+/// Placement of a decided replica.
 struct Decided {
     model: ModelName,
     backend: BackendName,
     incarnation: Incarnation,
 }
 
-/// What is decided and held so far.
+/// Decided and held replicas.
 #[derive(Default)]
 struct Ledger {
     decided: BTreeMap<SlotId, Decided>,
     held: BTreeSet<(BackendName, Incarnation, SlotId)>,
 }
 
-/// Reports a replica held without decision, a release while still held, and a model decided more
-/// often than its maximum.
+/// Reports replicas held without a decision, replicas released while still held, and models with
+/// more decided replicas than their maximum.
 pub fn check(history: &History, _limits: &Limits) -> Vec<Breach> {
     let mut ledger = Ledger::default();
     let mut breaches = Vec::new();
     for record in history.records() {
-        if let Some(detail) = ledger.take(&record.event) {
+        if let Some(detail) = ledger.apply(&record.event) {
             breaches.push(Breach {
                 checker: NAME,
                 at_micros: record.at_micros,
@@ -42,7 +42,7 @@
 }
 
 impl Ledger {
-    fn take(&mut self, event: &Event) -> Option<String> {
+    fn apply(&mut self, event: &Event) -> Option<String> {
         match event {
             Event::ReplicaDecided {
                 slot,
@@ -110,7 +110,7 @@
         self.held.insert((backend.clone(), incarnation, slot));
         match self.decided.get(&slot) {
             None => Some(format!(
-                "engine {backend} holds slot {slot} of model {model}, which is not decided"
+                "engine {backend} holds slot {slot} of model {model}, which no command decided"
             )),
             Some(decided)
                 if decided.backend != *backend
--- a/crates/millpass-checkers/src/store.rs
+++ b/crates/millpass-checkers/src/store.rs
@@ -1,4 +1,4 @@
-//! The weight store's limits are kept: loads a second and loads at once.
+//! Checks the weight store's limits on loads per second and concurrent loads.
 
 use crate::{Breach, Event, History, Limits};
 use std::collections::{BTreeSet, VecDeque};
@@ -8,7 +8,7 @@
 
 const WINDOW_MICROS: u64 = 1_000_000;
 
-/// Reports each load that starts beyond a limit.
+/// Reports each load whose start exceeds a limit.
 pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
     let mut recent: VecDeque<u64> = VecDeque::new();
     let mut running: BTreeSet<u64> = BTreeSet::new();
@@ -23,13 +23,13 @@
                     recent.pop_front();
                 }
                 let details = [
-                    over(
-                        "loads in a second",
+                    exceeded(
+                        "loads started within one second",
                         recent.len(),
                         limits.store_loads_per_second,
                     ),
-                    over(
-                        "loads at once",
+                    exceeded(
+                        "concurrent loads",
                         running.len(),
                         limits.store_concurrent_loads,
                     ),
@@ -51,6 +51,6 @@
     breaches
 }
 
-fn over(what: &str, count: usize, limit: usize) -> Option<String> {
+fn exceeded(what: &str, count: usize, limit: usize) -> Option<String> {
     (count > limit).then(|| format!("{count} {what}, {limit} allowed"))
 }
--- a/crates/millpass-checkers/tests/breaches.rs
+++ b/crates/millpass-checkers/tests/breaches.rs
@@ -1,4 +1,4 @@
-//! Each checker passes a history that holds and reports the one breach of a history that doesn't.
+//! Each checker accepts valid histories and reports the violation in an invalid one.
 
 mod builder;
 
@@ -10,7 +10,7 @@
 use millpass_proto::{ClaimDecision, ConfigurationRevision};
 use rstest::rstest;
 
-/// Names of the checkers that report something.
+/// Names of the checkers that report a violation.
 fn reporting(events: Vec<(u64, Event)>) -> Vec<&'static str> {
     let breaches = check(&history(events), &Limits::default());
     let mut names: Vec<&'static str> = breaches
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_run_that_holds_has_no_breach() {
+fn valid_run_has_no_breach() {
     let events = vec![
         (0, committed(1, 1, 5)),
         (1, committed(2, 1, 5)),
@@ -90,11 +90,11 @@
     (3, run(1, "engine-1", None)),
 ])]
 #[case::key_ran_twice("once", vec![(0, run(1, "web-1", Some("key"))), (1, run(2, "web-2", Some("key")))])]
-#[case::new_work_while_leaving("leaving", vec![
+#[case::new_run_while_leaving("leaving", vec![
     (0, Event::ListedLeaving { backend: "engine-1".into(), incarnation: RUN }),
     (5_000_001, run(1, "engine-1", None)),
 ])]
-#[case::stop_cuts_a_run("drain", vec![
+#[case::planned_stop_interrupts_run("drain", vec![
     (0, run(1, "engine-1", None)),
     (1, Event::StopPlanned { process: "engine-1".into() }),
     (2, run_ended(1, "engine-1", RunEnding::CutOff)),
@@ -117,8 +117,8 @@
     (2, ended(1, refused(StatedExecution::No))),
     (16_000_000, Event::RunOver),
 ])]
-#[case::revision_went_back("configuration", vec![(0, applied("router-1", 4)), (1, applied("router-1", 3))])]
-#[case::revision_late_after_a_moment_of_reach("configuration", vec![
+#[case::revision_reverted("configuration", vec![(0, applied("router-1", 4)), (1, applied("router-1", 3))])]
+#[case::revision_late_after_brief_reachability("configuration", vec![
     (0, reachable("router-1", false)),
     (2, Event::RevisionCommitted { revision: ConfigurationRevision(4) }),
     (1_000_000, reachable("router-1", true)),
@@ -173,7 +173,10 @@
     (4, claim(2, ClaimOperation::Begin)),
     (5, claim_decided(2, ClaimDecision::Granted)),
 ])]
-fn each_breach_is_reported(#[case] checker: &str, #[case] events: Vec<(u64, Event)>) {
+fn each_breach_is_reported_by_its_checker(
+    #[case] checker: &str,
+    #[case] events: Vec<(u64, Event)>,
+) {
     assert_eq!(reporting(events), vec![checker]);
 }
 
@@ -190,14 +193,14 @@
     (5_000_001, ended(1, refused(StatedExecution::No))),
     (9_000_000, Event::RunOver),
 ])]
-#[case::router_was_frozen_when_the_request_came(vec![
+#[case::router_was_frozen_when_request_arrived(vec![
     (0, Event::Frozen { process: "router-1".into() }),
     (1, sent(1, "router-1", 1_000_001, None)),
     (5_000_000, Event::Woken { process: "router-1".into() }),
     (5_900_000, ended(1, whole(1))),
     (9_000_000, Event::RunOver),
 ])]
-#[case::accepted_after_the_audit_was_asked_for(vec![
+#[case::accepted_after_audit_was_requested(vec![
     (0, change_called(1, 0, "change-1")),
     (1, Event::FinalAuditCalled),
     (2, accepted(1, 1)),
@@ -213,18 +216,18 @@
     (2, Event::Killed { process: "engine-1".into() }),
     (2, run_ended(1, "engine-1", RunEnding::CutOff)),
 ])]
-#[case::new_work_within_the_bound(vec![
+#[case::new_run_within_bound(vec![
     (0, Event::ListedLeaving { backend: "engine-1".into(), incarnation: RUN }),
     (4_999_999, run(1, "engine-1", None)),
 ])]
-#[case::unreachable_router_is_late(vec![
+#[case::unreachable_router_may_be_late(vec![
     (0, reachable("router-1", false)),
     (2, Event::RevisionCommitted { revision: ConfigurationRevision(4) }),
     (4_000_000, reachable("router-1", true)),
     (6_000_000, applied("router-1", 4)),
     (9_000_000, Event::RunOver),
 ])]
-#[case::router_reachable_for_a_moment_is_late(vec![
+#[case::briefly_reachable_router_may_be_late(vec![
     (0, reachable("router-1", false)),
     (2, Event::RevisionCommitted { revision: ConfigurationRevision(4) }),
     (1_000_000, reachable("router-1", true)),
@@ -241,7 +244,7 @@
     (3_000_000, Event::Woken { process: "router-1".into() }),
     (3_050_000, ended(1, whole(1))),
 ])]
-#[case::disturbed_router_is_late(vec![
+#[case::disturbed_router_may_be_late(vec![
     (0, reachable("router-1", true)),
     (2, Event::RevisionCommitted { revision: ConfigurationRevision(4) }),
     (2_000_000, Event::Disturbed { what: "kill".into() }),
@@ -265,12 +268,12 @@
     (3, claim(2, ClaimOperation::Begin)),
     (4, claim_decided(2, ClaimDecision::Granted)),
 ])]
-fn what_must_be_allowed_for_is(#[case] events: Vec<(u64, Event)>) {
+fn exempt_histories_have_no_breach(#[case] events: Vec<(u64, Event)>) {
     assert_eq!(reporting(events), Vec::<&str>::new());
 }
 
 #[test]
-fn a_history_too_long_to_check_is_reported() {
+fn history_above_the_operation_limit_is_reported() {
     let events = (0..61)
         .map(|call| (call, change_called(call, 0, &format!("change-{call}"))))
         .collect();
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn checker_names_differ() {
+fn checker_names_are_unique() {
     let mut names: Vec<_> = CHECKERS.iter().map(|(name, _)| name).collect();
     names.sort_unstable();
     names.dedup();
--- a/crates/millpass-checkers/tests/builder/mod.rs
+++ b/crates/millpass-checkers/tests/builder/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to write events in tests.
+//! Builders of events for tests.
 #![allow(dead_code)]
 
 use millpass_checkers::{
@@ -10,7 +10,7 @@
     ObjectChangeOutcome, ObjectKey, ObjectKind, SlotId,
 };
 
-/// The one run of every process in these tests.
+/// Incarnation of every process in these tests.
 pub const RUN: Incarnation = Incarnation(1);
 
 pub fn history(events: Vec<(u64, Event)>) -> History {
--- a/crates/millpass-checkers/tests/files.rs
+++ b/crates/millpass-checkers/tests/files.rs
@@ -1,4 +1,4 @@
-//! Histories written to files read back the same, and damaged ones are an error.
+//! Round trip of history files, and errors of damaged ones.
 
 mod builder;
 
@@ -7,7 +7,7 @@
 use millpass_proto::ClaimDecision;
 
 #[test]
-fn a_history_reads_back() {
+fn written_history_reads_back_unchanged() {
     let written = history(vec![
         (2, sent(1, "router-1", 1_000, Some("key"))),
         (1, decided(7, "engine-1", 1)),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_damaged_line_is_named() {
+fn malformed_line_is_reported_with_its_number() {
     let mut file = Vec::new();
     history(vec![(1, decided(7, "engine-1", 1))])
         .write(&mut file)
--- a/crates/millpass-sim/src/back_ends.rs
+++ b/crates/millpass-sim/src/back_ends.rs
@@ -1,4 +1,4 @@
-//! Machines of back ends: engines and web servers, their processes and where they listen.
+//! Machines and processes of back ends: engines and web servers.
 
 use crate::engine::{EngineModel, EngineProtections};
 use crate::event::{BackEnd, BackEndRequest, ReplyTo};
@@ -9,10 +9,10 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Reports kept to show an older state.
-pub const KEPT_REPORTS: usize = 200;
+/// Maximum number of recorded reports, from which delayed ones are served.
+pub const MAX_RECORDED_REPORTS: usize = 200;
 
-/// A request that runs at a back end.
+/// A running request at a back end.
 pub struct Run {
     /// Request.
     pub request: BackEndRequest,
@@ -21,7 +21,7 @@
 }
 
 impl Run {
-    /// A request that begins, and the event of it.
+    /// Begins a run and returns it with its event.
     pub fn begin(
         backend: &BackendName,
         incarnation: Incarnation,
@@ -38,7 +38,7 @@
         (Run { request, position }, event)
     }
 
-    /// The event of its end.
+    /// Returns the event of its end.
     pub fn end(&self, backend: &BackendName, incarnation: Incarnation, ending: RunEnding) -> Event {
         Event::RunEnded {
             backend: backend.clone(),
@@ -57,22 +57,22 @@
     pub zone: Zone,
     /// Whether a process runs.
     pub alive: bool,
-    /// Whether the machine was taken back by the platform.
+    /// Whether the platform reclaimed the machine.
     pub reclaimed: bool,
     /// Number of the process's run.
     pub run: u64,
-    /// Number drawn by the run.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Model of the process.
+    /// State of the engine process.
     pub model: EngineModel,
-    /// States by the time since which they hold, for late reports.
+    /// Recorded reports with their start of validity, for delayed reports.
     pub reports: VecDeque<(u64, EngineReport)>,
-    /// Requests that run.
+    /// Running requests.
     pub runs: BTreeMap<ReplyTo, Run>,
 }
 
 impl EngineNode {
-    /// A machine without a process.
+    /// Creates a machine without a process.
     pub fn new(name: BackendName, zone: Zone) -> Self {
         let model = EngineModel::new(
             name.clone(),
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Address of its HTTP interface.
+    /// Returns the address of its HTTP interface.
     pub fn address(&self) -> String {
         format!("10.2.{}:9000", self.name)
     }
 
-    /// Its line on the platform's list.
+    /// Returns its entry in the platform's list.
     pub fn machine(&self, state: BackendState) -> PlatformMachine {
         PlatformMachine {
             backend: self.name.clone(),
@@ -112,16 +112,16 @@
         }
     }
 
-    /// Keeps the present state for later reports.
-    pub fn keep_report(&mut self, now: u64) {
-        if self.reports.len() == KEPT_REPORTS {
+    /// Records the current report.
+    pub fn record_report(&mut self, now: u64) {
+        if self.reports.len() == MAX_RECORDED_REPORTS {
             self.reports.pop_front();
         }
         self.reports.push_back((now, self.model.report()));
     }
 
-    /// The state as it was at a time.
-    pub fn report_of(&self, at: u64) -> EngineReport {
+    /// Returns the report that was current at a time, or the oldest recorded one.
+    pub fn report_at(&self, at: u64) -> EngineReport {
         let older = self.reports.iter().rev().find(|(since, _)| *since <= at);
         let oldest = older.or_else(|| self.reports.front());
         oldest.map_or_else(|| self.model.report(), |(_, report)| report.clone())
@@ -138,16 +138,16 @@
     pub alive: bool,
     /// Number of the process's run.
     pub run: u64,
-    /// Number drawn by the run.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Requests that run.
+    /// Running requests.
     pub runs: BTreeMap<ReplyTo, Run>,
-    /// Number of the next report.
+    /// Sequence number of the last report.
     pub sequence: u64,
 }
 
 impl WebNode {
-    /// A machine without a process.
+    /// Creates a machine without a process.
     pub fn new(name: BackendName, zone: Zone) -> Self {
         WebNode {
             name,
@@ -160,12 +160,12 @@
         }
     }
 
-    /// Address of its HTTP interface.
+    /// Returns the address of its HTTP interface.
     pub fn address(&self) -> String {
         format!("10.3.{}:9000", self.name)
     }
 
-    /// Its line on the platform's list.
+    /// Returns its entry in the platform's list.
     pub fn machine(&self, state: BackendState) -> PlatformMachine {
         PlatformMachine {
             backend: self.name.clone(),
@@ -179,7 +179,7 @@
 }
 
 impl BackEnd {
-    /// Number to order and hash by.
+    /// Returns a unique number for the trace hash.
     pub fn number(&self) -> u64 {
         match self {
             BackEnd::Engine(index) => *index as u64,
--- a/crates/millpass-sim/src/callers.rs
+++ b/crates/millpass-sim/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: an open loop with bursts, deadlines, streams, hang-ups, and requests that may not be
-//! repeated and are sent again with the same key.
+//! Callers: an open loop with bursts, deadlines, streams and hang-ups. Requests that may not be
+//! repeated are resent with the same claim key.
 
 use crate::catalog::{self, ADAPTED_MODEL, PUBLISH_PATH, RESULTS_PATH};
 use crate::clock::START_UNIX_MILLIS;
@@ -20,42 +20,42 @@
 const ADAPTER_PERMILLE: u64 = 400;
 const STREAM_PERMILLE: u64 = 600;
 const HANG_UP_PERMILLE: u64 = 40;
-const TWICE_PERMILLE: u64 = 300;
+const DUPLICATE_PERMILLE: u64 = 300;
 const REMOVED_TENANT_PERMILLE: u64 = 120;
 const HANG_UP_MICROS: u64 = 400 * MILLIS;
-const RESENDS: u32 = 3;
+const MAX_RESENDS: u32 = 3;
 const RESEND_PAUSE: u64 = 500 * MILLIS;
 const LONGEST_ANSWER: u64 = 48;
 const BURST_SPREAD: u64 = 30 * MILLIS;
 
-/// A request that its caller waits for.
-struct Waiting {
+/// A request accepted by a router and not ended.
+struct InFlight {
     request: CallerRequest,
     router: usize,
     received: u64,
     digest: RunningDigest,
 }
 
-/// All callers.
+/// State of all callers.
 #[derive(Default)]
 pub struct Callers {
-    waiting: BTreeMap<RequestId, Waiting>,
+    in_flight: BTreeMap<RequestId, InFlight>,
     next_request: u64,
     next_key: u64,
     sent: BTreeMap<RequestId, CallerRequest>,
 }
 
 impl Callers {
-    /// A router's machine took the request.
+    /// Records the router that accepted a request.
     pub fn accepted_by(&mut self, request: RequestId, router: usize) {
         if let Some(sent) = self.sent.remove(&request) {
-            let waiting = Waiting {
+            let in_flight = InFlight {
                 request: sent,
                 router,
                 received: 0,
                 digest: RunningDigest::default(),
             };
-            self.waiting.insert(request, waiting);
+            self.in_flight.insert(request, in_flight);
         }
     }
 
@@ -77,29 +77,29 @@
     /// Handles an event of the callers.
     pub(crate) fn caller_event(&mut self, event: CallerEvent) {
         match event {
-            CallerEvent::Next => self.next_caller(),
+            CallerEvent::Next => self.send_next_request(),
             CallerEvent::Burst(model) => self.burst(model),
             CallerEvent::Send(request) => self.send_request(*request),
-            CallerEvent::Answer(request, part) => self.caller_gets(request, &part),
-            CallerEvent::Ended(request, outcome) => self.caller_ends(request, outcome),
+            CallerEvent::Answer(request, part) => self.receive_answer_part(request, &part),
+            CallerEvent::Ended(request, outcome) => self.complete_caller_request(request, outcome),
             CallerEvent::HangUp(request) => self.hang_up(request),
         }
     }
 
-    fn next_caller(&mut self) {
+    fn send_next_request(&mut self) {
         let pause = self.workload.below(2 * self.settings.load.request_interval) + 1;
         let at = self.now + pause;
-        // The last requests still get their answers before the run ends.
-        if at + LONGEST_DEADLINE < self.settings.times.over {
+        // Stops early enough for the last requests to end before the run does.
+        if at + LONGEST_DEADLINE < self.settings.times.run_end {
             self.queue.push(at, SimEvent::Caller(CallerEvent::Next));
         }
-        let request = self.some_request();
-        self.send_request_maybe_twice(request);
+        let request = self.random_request();
+        self.send_with_duplicate(request);
     }
 
-    /// A request that may not be repeated is sometimes sent by two routers at once.
-    fn send_request_maybe_twice(&mut self, request: CallerRequest) {
-        if request.key.is_some() && self.workload.chance(TWICE_PERMILLE) {
+    /// Sends a request; one with a claim key is sometimes sent twice at once.
+    fn send_with_duplicate(&mut self, request: CallerRequest) {
+        if request.key.is_some() && self.workload.chance(DUPLICATE_PERMILLE) {
             let copy = CallerRequest {
                 id: self.callers.number(),
                 ..request.clone()
@@ -124,7 +124,7 @@
         }
     }
 
-    fn some_request(&mut self) -> CallerRequest {
+    fn random_request(&mut self) -> CallerRequest {
         if self.workload.chance(WEB_PERMILLE) {
             let keyed = self.workload.chance(500);
             let path = if keyed { PUBLISH_PATH } else { RESULTS_PATH };
@@ -136,7 +136,7 @@
         }
         let model = self.workload.index(self.settings.sizes.models);
         let adapted = model == ADAPTED_MODEL && self.workload.chance(ADAPTER_PERMILLE);
-        let adapter = adapted.then(|| self.some_adapter());
+        let adapter = adapted.then(|| self.random_adapter());
         let target = Target::Model {
             model: catalog::model(model),
             adapter,
@@ -147,7 +147,7 @@
         self.request_for(target, keyed)
     }
 
-    fn some_adapter(&mut self) -> AdapterName {
+    fn random_adapter(&mut self) -> AdapterName {
         let adapters = self.settings.sizes.adapters;
         let number = if adapters > 1 {
             self.workload.index(adapters)
@@ -172,7 +172,7 @@
             api_key: catalog::api_key(&tenant),
             tenant,
             target,
-            allowed_micros: random.between(SHORTEST_DEADLINE, LONGEST_DEADLINE),
+            timeout_micros: random.between(SHORTEST_DEADLINE, LONGEST_DEADLINE),
             sent_at: 0,
             stream: !web && !keyed && random.chance(STREAM_PERMILLE),
             length: if web {
@@ -181,13 +181,13 @@
                 random.between(1, LONGEST_ANSWER)
             },
             key,
-            born_unix_millis: START_UNIX_MILLIS + self.now / MILLIS,
-            resends: if keyed { RESENDS } else { 0 },
+            key_created_unix_millis: START_UNIX_MILLIS + self.now / MILLIS,
+            resends: if keyed { MAX_RESENDS } else { 0 },
             hang_up_after: hangs_up.then(|| random.between(1, HANG_UP_MICROS)),
         }
     }
 
-    /// Sends a request to some router that listens.
+    /// Sends a request to a random router that accepts requests.
     fn send_request(&mut self, mut request: CallerRequest) {
         let listening: Vec<usize> = (0..self.routers.len())
             .filter(|router| self.routers[*router].listens())
@@ -205,54 +205,54 @@
         self.router_later(router, CALLER_MICROS, event);
     }
 
-    fn caller_gets(&mut self, request: RequestId, part: &AnswerPart) {
-        let Some(waiting) = self.callers.waiting.get_mut(&request) else {
+    fn receive_answer_part(&mut self, request: RequestId, part: &AnswerPart) {
+        let Some(in_flight) = self.callers.in_flight.get_mut(&request) else {
             return;
         };
-        waiting.digest.extend(&part.tokens);
-        waiting.received += part.tokens.len() as u64;
+        in_flight.digest.extend(&part.tokens);
+        in_flight.received += part.tokens.len() as u64;
         if part.last {
-            let digest = waiting.digest.value();
-            self.caller_ends(request, AnswerOutcome::Whole(digest));
+            let digest = in_flight.digest.value();
+            self.complete_caller_request(request, AnswerOutcome::Whole(digest));
         }
     }
 
-    fn caller_ends(&mut self, request: RequestId, outcome: AnswerOutcome) {
-        let Some(waiting) = self.callers.waiting.remove(&request) else {
+    fn complete_caller_request(&mut self, request: RequestId, outcome: AnswerOutcome) {
+        let Some(in_flight) = self.callers.in_flight.remove(&request) else {
             return;
         };
         if matches!(outcome, AnswerOutcome::Whole(_)) {
             self.statistics.whole_answers += 1;
         } else {
-            self.resend(waiting.request);
+            self.resend(in_flight.request);
         }
         self.record(Event::RequestEnded { request, outcome });
     }
 
-    /// Sends a request with a key again, as another request with the same key.
+    /// Resends a request with a claim key, as a new request with the same key.
     fn resend(&mut self, request: CallerRequest) {
         if request.resends == 0 {
             return;
         }
-        let again = CallerRequest {
+        let resend = CallerRequest {
             id: self.callers.number(),
             resends: request.resends - 1,
             ..request
         };
         let at = self.now + 1 + self.workload.below(RESEND_PAUSE);
-        if at + LONGEST_DEADLINE < self.settings.times.over {
-            let send = CallerEvent::Send(Box::new(again));
+        if at + LONGEST_DEADLINE < self.settings.times.run_end {
+            let send = CallerEvent::Send(Box::new(resend));
             self.queue.push(at, SimEvent::Caller(send));
         }
     }
 
     fn hang_up(&mut self, request: RequestId) {
-        let Some(waiting) = self.callers.waiting.remove(&request) else {
+        let Some(in_flight) = self.callers.in_flight.remove(&request) else {
             return;
         };
         let outcome = AnswerOutcome::CallerGone;
         self.record(Event::RequestEnded { request, outcome });
         let gone = RouterEvent::CallerGone(request);
-        self.router_later(waiting.router, CALLER_MICROS, gone);
+        self.router_later(in_flight.router, CALLER_MICROS, gone);
     }
 }
--- a/crates/millpass-sim/src/catalog.rs
+++ b/crates/millpass-sim/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog that a simulated deployment starts with.
+//! Initial catalog of a simulated deployment.
 
 use crate::settings::Sizes;
 use anyhow::bail;
@@ -9,17 +9,17 @@
 };
 use millpass_state::State;
 
-/// Tenants that stay.
+/// Number of permanent tenants.
 pub const TENANTS: usize = 3;
-/// Tenants that operators remove during a run.
+/// Number of tenants that operators remove during a run.
 pub const REMOVED_TENANTS: usize = 2;
-/// Path that may be repeated.
+/// Path of requests that may be repeated.
 pub const RESULTS_PATH: &str = "/results/totals";
-/// Path that may not be repeated.
+/// Path of requests that may not be repeated.
 pub const PUBLISH_PATH: &str = "/results/publish";
 /// Group of the web back ends.
 pub const WEB_GROUP: &str = "results";
-/// Model that has adapters.
+/// Index of the model that has adapters.
 pub const ADAPTED_MODEL: usize = 0;
 
 const TENANT_CAPACITY_BYTES: u64 = 1_000_000_000;
@@ -28,32 +28,32 @@
 const CACHE_BYTES: u64 = 15_000;
 const CONCURRENCY: u32 = 4;
 
-/// Name of a tenant that stays.
+/// Returns the name of a permanent tenant.
 pub fn tenant(number: usize) -> TenantName {
     TenantName(format!("tenant-{number}"))
 }
 
-/// Name of a tenant that is removed during the run.
+/// Returns the name of a tenant that operators remove.
 pub fn removed_tenant(number: usize) -> TenantName {
     TenantName(format!("removed-{number}"))
 }
 
-/// API key of a tenant.
+/// Returns the API key of a tenant.
 pub fn api_key(tenant: &TenantName) -> String {
     format!("key-of-{tenant}")
 }
 
-/// Name of a model.
+/// Returns the name of a model.
 pub fn model(number: usize) -> ModelName {
     ModelName(format!("model-{number}"))
 }
 
-/// Name of an adapter.
+/// Returns the name of an adapter.
 pub fn adapter(number: usize) -> AdapterName {
     AdapterName(format!("adapter-{number}"))
 }
 
-/// Key of an object that operators race for.
+/// Returns the key of an object that all operators change.
 pub fn contested(number: usize) -> ObjectKey {
     ObjectKey {
         kind: ObjectKind::Tenant,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Content of a tenant.
+/// Returns the specification of a tenant.
 pub fn tenant_spec(tenant: &TenantName, share_weight: u32) -> ObjectSpec {
     let key_hash = blake3::hash(api_key(tenant).as_bytes()).to_hex();
     ObjectSpec::Tenant(TenantSpec {
@@ -72,18 +72,18 @@
     })
 }
 
-/// What a deployment starts with.
-pub struct Initial {
-    /// State with the whole catalog.
+/// Initial state of a deployment.
+pub struct InitialCatalog {
+    /// State with the complete catalog.
     pub state: State,
     /// Position of its last change.
     pub at: LogPosition,
-    /// The changes with their answers.
+    /// The changes with their outcomes.
     pub changes: Vec<(ObjectChange, ObjectChangeOutcome)>,
 }
 
-/// The state with the whole catalog, as if operators had submitted it.
-pub fn initial_state(sizes: &Sizes) -> anyhow::Result<Initial> {
+/// Returns the state after applying the changes that create the catalog.
+pub fn initial_state(sizes: &Sizes) -> anyhow::Result<InitialCatalog> {
     let mut state = State::default();
     let mut at = LogPosition { term: 1, index: 0 };
     let mut changes = Vec::new();
@@ -101,10 +101,12 @@
             CommandOutcome::Object(outcome @ ObjectChangeOutcome::Accepted(_)) => {
                 changes.push((change, outcome));
             }
-            other => bail!("initial catalog is refused: {other:?}; mend the simulator's catalog"),
+            other => bail!(
+                "initial catalog was rejected: {other:?}; fix the objects in the simulator's catalog"
+            ),
         }
     }
-    Ok(Initial { state, at, changes })
+    Ok(InitialCatalog { state, at, changes })
 }
 
 fn objects(sizes: &Sizes) -> Vec<(ObjectKind, String, ObjectSpec)> {
--- a/crates/millpass-sim/src/clock.rs
+++ b/crates/millpass-sim/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks of simulated processes: each starts anywhere and drifts.
+//! Clocks of simulated processes, with random start and drift.
 
 use crate::random::Random;
 use millpass_proto::Timestamp;
@@ -19,7 +19,7 @@
 }
 
 impl NodeClock {
-    /// A clock with random start, drift and wall-clock error.
+    /// Creates a clock with random start, drift and wall-clock offset.
     pub fn new(random: &mut Random) -> Self {
         let drift = random.below(2 * MAXIMUM_DRIFT_PARTS + 1) as i64;
         NodeClock {
@@ -29,14 +29,14 @@
         }
     }
 
-    /// What it shows at a time of the run.
+    /// Returns the monotonic time at a time of the run.
     pub fn local(&self, at_micros: u64) -> Timestamp {
         let elapsed = i128::from(at_micros);
         let drifted = elapsed + elapsed * i128::from(self.drift_parts_per_million) / PARTS;
         Timestamp::from_micros(self.start_micros + drifted as u64)
     }
 
-    /// What its wall clock shows, in Unix milliseconds.
+    /// Returns the wall-clock time at a time of the run, in Unix milliseconds.
     pub fn unix_millis(&self, at_micros: u64) -> u64 {
         START_UNIX_MILLIS + self.wall_offset_millis + at_micros / 1_000
     }
--- a/crates/millpass-sim/src/content.rs
+++ b/crates/millpass-sim/src/content.rs
@@ -1,15 +1,14 @@
-//! Content of answers as a pure function of what was asked, so that a caller can tell whether an
-//! answer is whole and its own.
+//! Content of answers as a pure function of the request, so that a caller can verify its answer.
 
 use millpass_checkers::{AnswerDigest, RequestId, ScopedKey};
 
-/// What an answer is made from: the request, or its key when the run may stand for several
-/// requests.
+/// Seed of the content of an answer: the request id, or the claim key, which several requests may
+/// share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentSeed(pub u64);
 
 impl ContentSeed {
-    /// Seed of a request's answer.
+    /// Returns the seed of the answer to a request.
     pub fn of(request: RequestId, key: Option<&ScopedKey>) -> Self {
         match key {
             None => ContentSeed(mix(request.0)),
@@ -17,17 +16,17 @@
         }
     }
 
-    /// Token at a position.
+    /// Returns the token at a position.
     pub fn token(&self, position: u64) -> u64 {
         mix(self.0 ^ mix(position + 1))
     }
 
-    /// Tokens of a stretch.
+    /// Returns the tokens from `from` up to `to`, exclusive.
     pub fn tokens(&self, from: u64, to: u64) -> Vec<u64> {
         (from..to).map(|position| self.token(position)).collect()
     }
 
-    /// Digest of the whole answer of this length.
+    /// Returns the digest of a complete answer of this length.
     pub fn digest(&self, length: u64) -> AnswerDigest {
         let mut digest = RunningDigest::default();
         digest.extend(&self.tokens(0, length));
@@ -35,25 +34,25 @@
     }
 }
 
-/// Digest of an answer as it comes in.
+/// Incremental digest of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunningDigest(u64);
 
 impl RunningDigest {
-    /// Adds tokens in the order in which they came.
+    /// Adds tokens in order of arrival.
     pub fn extend(&mut self, tokens: &[u64]) {
         for token in tokens {
             self.0 = mix(self.0.rotate_left(5) ^ token);
         }
     }
 
-    /// Digest of all so far.
+    /// Returns the digest of the tokens so far.
     pub fn value(&self) -> AnswerDigest {
         AnswerDigest(self.0)
     }
 }
 
-/// Tokens as bytes, for recorded answers.
+/// Encodes tokens as bytes, for recorded answers.
 pub fn to_bytes(tokens: &[u64]) -> Vec<u8> {
     tokens
         .iter()
@@ -61,7 +60,7 @@
         .collect()
 }
 
-/// What [`to_bytes`] gave.
+/// Decodes the bytes of [`to_bytes`].
 pub fn from_bytes(bytes: &[u8]) -> Vec<u64> {
     let words = bytes.chunks_exact(8);
     words
@@ -70,7 +69,7 @@
         .collect()
 }
 
-/// Hash of a text, the same in every run.
+/// Returns the hash of a text, stable over runs.
 pub fn hash_text(text: &str) -> u64 {
     text.bytes()
         .fold(0, |hash, byte| mix(hash ^ u64::from(byte)))
--- a/crates/millpass-sim/src/control_host.rs
+++ b/crates/millpass-sim/src/control_host.rs
@@ -1,4 +1,4 @@
-//! What the process around a control member's core does, in virtual time.
+//! Host of a control member's core in virtual time.
 
 use crate::event::{ANY_RUN, ControlEvent, EngineEvent, OrderReply, RouterEvent, SimEvent};
 use crate::settings::MILLIS;
@@ -15,16 +15,16 @@
 const SLOW_SYNC_MICROS: u64 = 60 * MILLIS;
 const SNAPSHOT_MICROS: u64 = 30 * MILLIS;
 const HANDOFF_MICROS: u64 = 300;
-/// Old orders that a rogue sender may deliver again.
-const REMEMBERED_ORDERS: usize = 64;
+/// Orders kept for replay.
+const MAX_RECENT_ORDERS: usize = 64;
 
 impl World {
-    /// Name of the process at a place.
+    /// Returns the name of the process at a place.
     pub(crate) fn control_name(place: usize) -> ProcessName {
         ProcessName(format!("control-{place}"))
     }
 
-    /// Schedules an event for a member's present run.
+    /// Schedules an event for the current run of a member.
     pub(crate) fn control_later(&mut self, place: usize, delay: u64, event: ControlEvent) {
         let run = self.control[place].run;
         let at = self.now + delay;
@@ -40,16 +40,16 @@
         if let ControlEvent::DiskSynced(write) = event {
             node.disk.sync(write);
             let input = ControlInput::Persisted { write };
-            return self.control_runs(place, ControlEvent::Input(Box::new(input)));
+            return self.handle_unless_frozen(place, ControlEvent::Input(Box::new(input)));
         }
         if let ControlEvent::SnapshotSaved(snapshot) = event {
             return node.disk.save_snapshot(*snapshot);
         }
-        self.control_runs(place, event);
+        self.handle_unless_frozen(place, event);
     }
 
-    /// Lets the process handle an event, now or when it wakes.
-    fn control_runs(&mut self, place: usize, event: ControlEvent) {
+    /// Handles an event now, or after the process resumes if it is frozen.
+    fn handle_unless_frozen(&mut self, place: usize, event: ControlEvent) {
         let node = &mut self.control[place];
         if !node.frozen {
             return self.control_handle(place, event);
@@ -67,7 +67,7 @@
                 self.control_step(place, ControlInput::Tick);
             }
             ControlEvent::Input(input) => self.control_step(place, *input),
-            ControlEvent::Act(output) => self.control_act(place, *output),
+            ControlEvent::Execute(output) => self.execute_output(place, *output),
             ControlEvent::Opened(connection, router, run) => {
                 let peer = (router, run);
                 self.control[place].connections.insert(connection, peer);
@@ -93,15 +93,15 @@
                     self.control_step(place, ControlInput::RouterDisconnected(connection));
                 }
             }
-            ControlEvent::AskToJoin => self.ask_to_join(place),
-            ControlEvent::OrderAnswered(delivery, answer) => {
-                self.order_answered(place, delivery, answer);
+            ControlEvent::RequestJoin => self.request_join(place),
+            ControlEvent::DeliveryEnded(delivery, response) => {
+                self.end_delivery(place, delivery, response);
             }
             ControlEvent::DiskSynced(_) | ControlEvent::SnapshotSaved(_) => {}
         }
     }
 
-    /// Gives an input to the core and carries out what it wants.
+    /// Passes an input to the core and executes its outputs.
     pub(crate) fn control_step(&mut self, place: usize, input: ControlInput) {
         let now = self.now;
         let node = &mut self.control[place];
@@ -119,7 +119,7 @@
         match output {
             ControlOutput::Persist(request) => {
                 let member = self.control[place].address.member;
-                self.observer.wrote(member, &request);
+                self.observer.record_write(member, &request);
                 let write = request.write;
                 self.control[place].disk.write(request);
                 let latency = self.sync_latency(place);
@@ -137,17 +137,17 @@
             }
             ControlOutput::DeliverOrder { .. } => {
                 let delay = self.random.below(HANDOFF_MICROS);
-                self.control_later(place, delay, ControlEvent::Act(Box::new(output)));
+                self.control_later(place, delay, ControlEvent::Execute(Box::new(output)));
                 if self.freeze_leader_at_order {
                     self.freeze_leader_at_order = false;
                     self.freeze_control(place);
                 }
             }
-            other => self.control_act(place, other),
+            other => self.execute_output(place, other),
         }
     }
 
-    /// Time until a write is synced; syncs of one disk end in order.
+    /// Returns the time until a write is synced; syncs of one disk complete in order.
     fn sync_latency(&mut self, place: usize) -> u64 {
         let mut latency = SYNC_MICROS + self.random.below(SYNC_JITTER_MICROS);
         if self.random.chance(SLOW_SYNC_PERMILLE) {
@@ -158,7 +158,7 @@
         *busy_until - self.now
     }
 
-    fn control_act(&mut self, place: usize, output: ControlOutput) {
+    fn execute_output(&mut self, place: usize, output: ControlOutput) {
         match output {
             ControlOutput::SendRouter {
                 connection,
@@ -173,10 +173,9 @@
                 let input = ControlInput::PlatformListed(list);
                 self.control_later(place, delay, ControlEvent::Input(Box::new(input)));
             }
-            ControlOutput::AdministrationResponse {
-                call,
-                response: answer,
-            } => self.answer_operator(place, call, answer),
+            ControlOutput::AdministrationResponse { call, response } => {
+                self.send_administration_response(place, call, response)
+            }
             ControlOutput::Stopped => self.control_stopped(place),
             ControlOutput::ForwardJoin { address, joiner } => {
                 if let Some(target) = self.place_of_peer(&address) {
@@ -185,7 +184,7 @@
                     self.control_later(target, delay, ControlEvent::Input(Box::new(input)));
                 }
             }
-            // No instances announce themselves here.
+            // The simulator has no instances that announce themselves.
             ControlOutput::SendShare { .. }
             | ControlOutput::SendShareResponse { .. }
             | ControlOutput::Instruct { .. }
@@ -203,7 +202,7 @@
         if let PeerMessage::AppendRequest(request) = &envelope.message {
             let events = self
                 .observer
-                .leads(envelope.from, envelope.term, request.commit);
+                .record_leader(envelope.from, envelope.term, request.commit);
             self.record_all(events);
         }
         let Some(target) = self.place_of_peer(address) else {
@@ -216,7 +215,7 @@
         }
     }
 
-    /// Place of the member that listens at a peer or administration address.
+    /// Returns the place of the member with this peer or administration address.
     pub(crate) fn place_of_peer(&self, address: &str) -> Option<usize> {
         self.control.iter().position(|node| {
             node.address.peer_address == address || node.address.administration_address == address
@@ -231,24 +230,24 @@
         let (from, to) = (node.zone, self.routers[router].zone);
         match self.network.stream_delay(&mut self.random, from, to) {
             Some(delay) => {
-                let message = self.tampered(message);
+                let message = self.apply_disabled_mechanisms(message);
                 let event = RouterEvent::FromControl(connection, Box::new(message));
-                let at = self.in_order((connection, true), delay);
+                let at = self.stream_arrival((connection, true), delay);
                 self.queue.push(at, SimEvent::Router(router, run, event));
             }
-            // A stream over a cut breaks once its ends notice.
+            // A stream between partitioned zones breaks once its ends detect it.
             None => self.break_link(place, connection),
         }
     }
 
     /// What a router is given: leases without end, or no change of the catalog, when that
     /// mechanism is off.
-    fn tampered(&self, message: ControlToRouter) -> ControlToRouter {
+    fn apply_disabled_mechanisms(&self, message: ControlToRouter) -> ControlToRouter {
         const NEVER_MILLIS: u64 = 3_600_000;
         let ControlToRouter::Update(mut update) = message else {
             return message;
         };
-        if !self.settings.mechanisms.leases_end {
+        if !self.settings.mechanisms.leases_expire {
             update.lease_millis = NEVER_MILLIS;
         }
         let known = update.configuration.as_ref().map(|delta| delta.to.0);
@@ -258,7 +257,7 @@
         ControlToRouter::Update(update)
     }
 
-    /// Ends a connection; each end learns of it once messages pass again, or by its own timeout.
+    /// Ends a connection; both ends detect it after the link timeout.
     pub(crate) fn break_link(&mut self, place: usize, connection: ConnectionId) {
         let Some((router, run)) = self.control[place].connections.get(&connection).copied() else {
             return;
@@ -273,9 +272,9 @@
     fn deliver_order(&mut self, place: usize, address: &str, order: EngineOrder) {
         let member = self.control[place].address.member;
         let fence = order.fence;
-        let events = self.observer.leads(member, fence.term, fence.index);
+        let events = self.observer.record_leader(member, fence.term, fence.index);
         self.record_all(events);
-        self.remember_order(&order);
+        self.record_order(&order);
         let delivery = self.open_delivery(place, &order);
         let Some(engine) = self.engine_at(address) else {
             return;
@@ -287,44 +286,44 @@
         };
         let (from, to) = (self.control[place].zone, self.engines[engine].zone);
         for delay in self.network.delays(&mut self.random, from, to) {
-            // An order reaches whatever run of the engine listens when it arrives.
+            // An order reaches any run of the engine; its fence and incarnation reject stale ones.
             let event = EngineEvent::Order(Box::new(order.clone()), Some(reply_to));
             self.engine_later(engine, ANY_RUN, delay, event);
         }
     }
 
-    /// Notes a delivery under way; without an answer in time it counts as unanswered.
+    /// Records a delivery and schedules its timeout.
     fn open_delivery(&mut self, place: usize, order: &EngineOrder) -> u64 {
         self.next_delivery += 1;
         let delivery = self.next_delivery;
         let subject = (order.backend.clone(), order.fence);
         self.control[place].deliveries.insert(delivery, subject);
         let timeout = self.settings.times.call_timeout;
-        self.control_later(place, timeout, ControlEvent::OrderAnswered(delivery, None));
+        self.control_later(place, timeout, ControlEvent::DeliveryEnded(delivery, None));
         delivery
     }
 
-    /// The first answer to a delivery counts.
-    fn order_answered(&mut self, place: usize, delivery: u64, answer: Option<OrderResponse>) {
+    /// Passes the first response to a delivery, or its timeout, to the core.
+    fn end_delivery(&mut self, place: usize, delivery: u64, response: Option<OrderResponse>) {
         let Some((backend, fence)) = self.control[place].deliveries.remove(&delivery) else {
             return;
         };
         let input = ControlInput::OrderDelivered {
             backend,
             fence,
-            response: answer,
+            response,
         };
         self.control_step(place, input);
     }
 
-    fn remember_order(&mut self, order: &EngineOrder) {
-        if self.old_orders.len() == REMEMBERED_ORDERS {
-            self.old_orders.remove(0);
+    fn record_order(&mut self, order: &EngineOrder) {
+        if self.recent_orders.len() == MAX_RECENT_ORDERS {
+            self.recent_orders.remove(0);
         }
-        self.old_orders.push(order.clone());
+        self.recent_orders.push(order.clone());
     }
 
-    /// A call of the administration API reaches a member.
+    /// Schedules the arrival of an administration call at a member.
     pub(crate) fn administration_call(
         &mut self,
         place: usize,
@@ -336,7 +335,7 @@
         self.control_later(place, delay, ControlEvent::Input(Box::new(input)));
     }
 
-    /// A router's message on its way to a member.
+    /// Schedules the arrival of a router's message at a member.
     pub(crate) fn send_to_control(
         &mut self,
         place: usize,
--- a/crates/millpass-sim/src/control_node.rs
+++ b/crates/millpass-sim/src/control_node.rs
@@ -1,4 +1,4 @@
-//! A simulated control member: the decision core with its disk, clock and connections.
+//! A simulated control member: its core, disk, clock and connections.
 
 use crate::clock::NodeClock;
 use crate::disk::Disk;
@@ -14,13 +14,13 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// The one control group.
+/// The control group of the deployment.
 pub const GROUP: GroupId = GroupId(1);
 const SNAPSHOT_ENTRIES: u64 = 150;
 
-/// One control machine with the process on it.
+/// A control machine and its process.
 pub struct ControlNode {
-    /// Address and identity of the process.
+    /// Addresses and identity of the member.
     pub address: MemberAddress,
     /// Zone.
     pub zone: Zone,
@@ -28,33 +28,33 @@
     pub clock: NodeClock,
     /// Disk.
     pub disk: Disk,
-    /// Core; none while no process runs.
+    /// Core; `None` while no process runs.
     pub core: Option<ControlPlane>,
     /// Number of the process's run.
     pub run: u64,
-    /// Whether it stopped running without ending.
+    /// Whether the process is suspended.
     pub frozen: bool,
-    /// Events that came while it was frozen, or that its workers left undone.
+    /// Events that arrived while it was frozen.
     pub backlog: Vec<ControlEvent>,
-    /// Open connections: router and its run.
+    /// Open connections, with router and its run.
     pub connections: BTreeMap<ConnectionId, (usize, u64)>,
-    /// Deliveries of orders under way.
+    /// Deliveries of orders in flight.
     pub deliveries: BTreeMap<u64, (BackendName, LogPosition)>,
-    /// Whether the disk was lost, so that the next process has a new identity.
+    /// Whether the disk was lost, so that the next process gets a new identity.
     pub disk_lost: bool,
-    /// Whether the process is to ask to become a member.
+    /// Whether the process requests membership.
     pub joining: bool,
-    /// Whether it was told to stop.
+    /// Whether a planned stop began.
     pub draining: bool,
 }
 
 impl ControlNode {
-    /// Whether a process lives here and runs.
+    /// Whether a process runs and is not frozen.
     pub fn runs(&self) -> bool {
         self.core.is_some() && !self.frozen
     }
 
-    /// Starts a process from the disk.
+    /// Starts a process from the state on the disk.
     pub fn start(&mut self, at_micros: u64, seed: u64, store: StoreLimits) -> anyhow::Result<()> {
         let (restored, data) = self.disk.restore();
         let state = read_state(&restored, data)?;
@@ -76,12 +76,12 @@
     Ok(State::decode(data)?)
 }
 
-/// Identity of the member at a place after some losses of its disk.
+/// Returns the identity of the member at a place; `losses` distinguishes replaced disks.
 pub fn member_id(place: usize, losses: u64) -> MemberId {
     MemberId(place as u64 + 1 + 100 * losses)
 }
 
-/// Address of the member at a place.
+/// Returns the addresses of the member at a place.
 pub fn member_address(place: usize, zone: Zone, member: MemberId) -> MemberAddress {
     MemberAddress {
         member,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Name of a zone.
+/// Returns the name of a zone.
 pub fn zone_name(zone: Zone) -> millpass_proto::ZoneName {
     millpass_proto::ZoneName(format!("zone-{zone}"))
 }
--- a/crates/millpass-sim/src/control_process.rs
+++ b/crates/millpass-sim/src/control_process.rs
@@ -1,4 +1,4 @@
-//! Start and end of a control member's process, with its disk and identity.
+//! Start and end of a control member's process.
 
 use crate::control_node::member_id;
 use crate::event::{ControlEvent, RouterEvent, SimEvent};
@@ -10,15 +10,15 @@
 const JOIN_INTERVAL: u64 = SECONDS;
 
 impl World {
-    /// A process without membership asks every other one, until it is a member.
-    pub(crate) fn ask_to_join(&mut self, place: usize) {
+    /// Requests membership from every other member, until the process is a member.
+    pub(crate) fn request_join(&mut self, place: usize) {
         let address = self.control[place].address.clone();
         let voters = &self.observer.membership().voters;
         if voters.iter().any(|voter| voter.member == address.member) {
             self.control[place].joining = false;
             return;
         }
-        self.control_later(place, JOIN_INTERVAL, ControlEvent::AskToJoin);
+        self.control_later(place, JOIN_INTERVAL, ControlEvent::RequestJoin);
         for target in 0..self.control.len() {
             let (from, to) = (self.control[place].zone, self.control[target].zone);
             if target == place {
@@ -31,15 +31,15 @@
         }
     }
 
-    /// The process ended by itself after draining.
+    /// Handles the end of a drained process.
     pub(crate) fn control_stopped(&mut self, place: usize) {
         let process = Self::control_name(place);
         self.record(Event::Stopped { process });
         self.end_control(place);
-        self.dead_in_order.push(place);
+        self.dead_members.push(place);
     }
 
-    /// Ends the process at a place; unsynced writes may be lost.
+    /// Ends the process at a place; writes that are not synced may be lost.
     pub(crate) fn end_control(&mut self, place: usize) {
         let connections: Vec<ConnectionId> =
             self.control[place].connections.keys().copied().collect();
@@ -60,7 +60,7 @@
         self.disk_busy_until[place] = self.now;
     }
 
-    /// The router's end of a connection whose other end is gone.
+    /// Schedules the end of a connection at its router.
     fn end_link_at_router(&mut self, place: usize, connection: ConnectionId) {
         let node = &self.control[place];
         let Some(&(router, run)) = node.connections.get(&connection) else {
@@ -83,43 +83,45 @@
             return;
         }
         if self.control[place].disk_lost {
-            self.new_identity(place);
+            self.assign_new_identity(place);
         }
         let seed = self.random.number();
         let now = self.now;
-        let store = self.permitted_loads();
+        let store = self.scheduler_store_limits();
         let node = &mut self.control[place];
         node.run += 1;
         if let Err(error) = node.start(now, seed, store) {
-            self.fail(format!("control-{place} does not start: {error}"));
+            self.fail(format!(
+                "control-{place} failed to start from its disk: {error}"
+            ));
             return;
         }
         let member = node.address.member;
         let entries = node.disk.entries().to_vec();
-        self.observer.restarted(member, &entries);
+        self.observer.record_restart(member, &entries);
         let joining = self.control[place].joining;
         self.record(Event::Started {
             process: Self::control_name(place),
         });
         self.control_later(place, self.settings.times.tick, ControlEvent::Tick);
         if joining {
-            self.control_later(place, MILLIS, ControlEvent::AskToJoin);
+            self.control_later(place, MILLIS, ControlEvent::RequestJoin);
         }
     }
 
-    /// What the scheduler takes for the weight store's limits.
-    fn permitted_loads(&self) -> StoreLimits {
-        const WITHOUT_LIMIT: u32 = 1_000;
+    /// Returns the weight store limits configured for the scheduler.
+    fn scheduler_store_limits(&self) -> StoreLimits {
+        const UNLIMITED: u32 = 1_000;
         if self.settings.mechanisms.store_permits {
             return self.settings.store;
         }
         StoreLimits {
-            loads_per_second: WITHOUT_LIMIT,
-            concurrent_loads: WITHOUT_LIMIT,
+            loads_per_second: UNLIMITED,
+            concurrent_loads: UNLIMITED,
         }
     }
 
-    fn new_identity(&mut self, place: usize) {
+    fn assign_new_identity(&mut self, place: usize) {
         self.disk_losses += 1;
         let losses = self.disk_losses;
         let node = &mut self.control[place];
--- a/crates/millpass-sim/src/disk.rs
+++ b/crates/millpass-sim/src/disk.rs
@@ -1,11 +1,11 @@
-//! A control member's disk: what was synced survives a kill, what was not may or may not.
+//! A control member's disk. Synced writes survive a kill; a random prefix of the others does too.
 
 use crate::random::Random;
 use millpass_consensus::{PersistRequest, RestoredLog};
 use millpass_proto::{HardState, LogEntry, Snapshot};
 use std::collections::VecDeque;
 
-/// What a disk holds.
+/// Content of a disk.
 #[derive(Clone)]
 pub struct Disk {
     hard_state: HardState,
@@ -15,7 +15,7 @@
 }
 
 impl Disk {
-    /// A disk with a snapshot and nothing else.
+    /// Creates a disk with a snapshot and an empty log.
     pub fn new(hard_state: HardState, snapshot: Snapshot) -> Self {
         Disk {
             hard_state,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Takes a write that is not synced yet.
+    /// Adds a write that is not yet synced.
     pub fn write(&mut self, request: PersistRequest) {
         self.unsynced.push_back(request);
     }
 
-    /// Syncs every write up to this number.
+    /// Syncs all writes up to this number, inclusive.
     pub fn sync(&mut self, write: u64) {
         while self
             .unsynced
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Saves a snapshot of the applied state and drops the log before it.
+    /// Stores a newer snapshot and truncates the log it covers.
     pub fn save_snapshot(&mut self, snapshot: Snapshot) {
         if snapshot.meta.last.index <= self.snapshot.meta.last.index {
             return;
@@ -53,7 +53,7 @@
         self.snapshot = snapshot;
     }
 
-    /// The process dies: of the writes not synced, a random number from the first on survive.
+    /// Applies a random prefix of the writes not synced and drops the rest, as a kill may.
     pub fn crash(&mut self, random: &mut Random) {
         let survivors = random.index(self.unsynced.len() + 1);
         let unsynced = std::mem::take(&mut self.unsynced);
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Drops the newest synced entries, which no honest disk does.
+    /// Drops the last synced entries and the vote, as a faulty disk would.
     pub fn lose_synced(&mut self, count: usize) {
         let kept = self.entries.len().saturating_sub(count);
         self.entries.truncate(kept);
         self.hard_state.voted_for = None;
     }
 
-    /// What a process that starts reads.
+    /// Returns the state that a starting process reads.
     pub fn restore(&self) -> (RestoredLog, &[u8]) {
         let restored = RestoredLog {
             hard_state: self.hard_state.clone(),
@@ -79,7 +79,7 @@
         (restored, &self.snapshot.data)
     }
 
-    /// Entries after the snapshot.
+    /// Returns the entries after the snapshot.
     pub fn entries(&self) -> &[LogEntry] {
         &self.entries
     }
--- a/crates/millpass-sim/src/engine.rs
+++ b/crates/millpass-sim/src/engine.rs
@@ -1,6 +1,5 @@
-//! The simulated engine. Unlike a careful engine it enforces nothing but fences and its run: an
-//! order that overcommits its memory is carried out, so that an error of the ledger shows as a
-//! breach instead of a rejected order.
+//! Simulated engine. It checks only fence and incarnation of an order and allows memory to be
+//! overcommitted, so that errors of the scheduler appear as violations instead of rejected orders.
 
 use millpass_checkers::MemoryUse;
 use millpass_proto::{
@@ -10,34 +9,34 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A slot's weights, or one adapter beside them.
+/// The weights of a slot, or one of its adapters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Part {
     /// Slot.
     pub slot: SlotId,
-    /// Adapter; none for the weights.
+    /// Adapter; `None` for the weights.
     pub adapter: Option<AdapterName>,
 }
 
-/// What an order or a completed load makes the engine's surroundings do.
+/// Effect of an engine event, executed by the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEffect {
-    /// It holds memory for a replica now.
+    /// Memory for a replica was allocated.
     Held(SlotId, ModelName),
-    /// It holds nothing of a replica any more.
+    /// All memory of a replica was freed.
     Freed(SlotId),
-    /// Its memory use changed.
+    /// Memory use changed.
     MemoryChanged,
-    /// Load a part; tell [`EngineModel::loaded`] when done.
+    /// Load a part, then call [`EngineModel::loaded`].
     Load {
         /// Part.
         part: Part,
         /// Fence of the order.
         fence: LogPosition,
-        /// Whether the machine has the checkpoint.
+        /// Whether the checkpoint is on the machine.
         cached: bool,
     },
-    /// Nothing uses the part any more: tell [`EngineModel::unloaded`] after the unload time.
+    /// The part is idle: call [`EngineModel::unloaded`] after the unload time.
     Unload(Part),
 }
 
@@ -68,14 +67,14 @@
     running: u32,
 }
 
-/// Switches of the engine's own protections, for tests that show the checkers at work.
+/// Switches of the engine's protections, for tests of the checkers.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineProtections {
-    /// Orders with a stale fence, or for another run, are refused.
+    /// Orders with a stale fence or for another incarnation are refused.
     pub fences: bool,
-    /// An unload waits for running requests and reports the memory as free only when it is.
+    /// An unload waits for running requests, and memory is reported as free only after it is.
     pub frees_after_use: bool,
-    /// Accelerators are reported with the memory that they have.
+    /// The reported accelerator memory is the actual one.
     pub reports_true_memory: bool,
 }
 
@@ -89,10 +88,10 @@
     }
 }
 
-/// Gone slots that are still reported.
-const REPORTED_GONE_SLOTS: usize = 32;
+/// Maximum number of unloaded slots in a report.
+const MAX_REPORTED_UNLOADED_SLOTS: usize = 32;
 
-/// One run of an engine.
+/// State of one engine process.
 pub struct EngineModel {
     backend: BackendName,
     incarnation: Incarnation,
@@ -101,16 +100,16 @@
     protections: EngineProtections,
     role: EngineRole,
     highest_fence: LogPosition,
-    answers: BTreeMap<LogPosition, OrderResponse>,
+    responses: BTreeMap<LogPosition, OrderResponse>,
     slots: BTreeMap<SlotId, SlotState>,
     checkpoints: BTreeSet<String>,
     sequence: u64,
-    /// Orders refused for their fence or run.
+    /// Orders refused for their fence or incarnation.
     pub refused_orders: u64,
 }
 
 impl EngineModel {
-    /// An engine with nothing loaded; `checkpoints` are on its machine already.
+    /// Creates an engine with nothing loaded; `checkpoints` are already on its machine.
     pub fn new(
         backend: BackendName,
         incarnation: Incarnation,
@@ -127,7 +126,7 @@
             protections,
             role: EngineRole::Mixed,
             highest_fence: LogPosition::ZERO,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             slots: BTreeMap::new(),
             checkpoints,
             sequence: 0,
@@ -135,13 +134,13 @@
         }
     }
 
-    /// Checkpoints on the machine, which outlive the process.
+    /// Returns the checkpoints on the machine, which outlive the process.
     pub fn checkpoints(&self) -> &BTreeSet<String> {
         &self.checkpoints
     }
 
-    /// Takes an order.
-    pub fn take_order(&mut self, order: &EngineOrder) -> (OrderResponse, Vec<EngineEffect>) {
+    /// Handles an order and returns its response and effects.
+    pub fn handle_order(&mut self, order: &EngineOrder) -> (OrderResponse, Vec<EngineEffect>) {
         if self.protections.fences {
             if order.incarnation != self.incarnation {
                 self.refused_orders += 1;
@@ -150,8 +149,8 @@
                     Vec::new(),
                 );
             }
-            if let Some(answer) = self.answers.get(&order.fence) {
-                return (answer.clone(), Vec::new());
+            if let Some(response) = self.responses.get(&order.fence) {
+                return (response.clone(), Vec::new());
             }
             if order.fence <= self.highest_fence {
                 self.refused_orders += 1;
@@ -160,16 +159,16 @@
         }
         self.sequence += 1;
         self.highest_fence = self.highest_fence.max(order.fence);
-        let (answer, effects) = match self.carry_out(order) {
+        let (response, effects) = match self.execute(order) {
             Ok(effects) => (OrderResponse::Accepted, effects),
             Err(reason) => (OrderResponse::Rejected(reason), Vec::new()),
         };
-        self.answers.insert(order.fence, answer.clone());
-        self.forget_gone_slots();
-        (answer, effects)
+        self.responses.insert(order.fence, response.clone());
+        self.prune_unloaded_slots();
+        (response, effects)
     }
 
-    fn carry_out(&mut self, order: &EngineOrder) -> Result<Vec<EngineEffect>, String> {
+    fn execute(&mut self, order: &EngineOrder) -> Result<Vec<EngineEffect>, String> {
         let fence = order.fence;
         match &order.action {
             OrderAction::LoadModel(load) => Ok(self.load_model(fence, load)),
@@ -177,12 +176,12 @@
             OrderAction::LoadAdapter(load) => {
                 let slot = self.slots.get_mut(&load.slot);
                 let slot = slot.filter(|slot| slot.weights.holds_memory());
-                let slot = slot.ok_or("slot is not here; load its model first")?;
-                let share = slot.accelerators.len().max(1) as u64;
+                let slot = slot.ok_or("slot is not loaded; load its model first")?;
+                let shards = slot.accelerators.len().max(1) as u64;
                 let part = PartState {
                     fence,
                     phase: EngineSlotPhase::Loading,
-                    bytes_per_accelerator: load.bytes.div_ceil(share),
+                    bytes_per_accelerator: load.bytes.div_ceil(shards),
                     checkpoint: load.checkpoint.clone(),
                 };
                 slot.adapters.insert(load.adapter.clone(), part);
@@ -208,12 +207,12 @@
             slot.weights.fence = fence;
             return Vec::new();
         }
-        let share = load.accelerators.len().max(1) as u64;
+        let shards = load.accelerators.len().max(1) as u64;
         let weights = PartState {
             fence,
             phase: EngineSlotPhase::Loading,
-            bytes_per_accelerator: load.weights_bytes.div_ceil(share)
-                + load.cache_bytes.div_ceil(share),
+            bytes_per_accelerator: load.weights_bytes.div_ceil(shards)
+                + load.cache_bytes.div_ceil(shards),
             checkpoint: load.checkpoint.clone(),
         };
         let slot = SlotState {
@@ -251,7 +250,7 @@
     ) -> Vec<EngineEffect> {
         let part = Part { slot, adapter };
         let Some(state) = self.part_mut(&part) else {
-            self.remember_gone(&part, fence);
+            self.record_unloaded(&part, fence);
             return Vec::new();
         };
         state.fence = fence;
@@ -259,7 +258,7 @@
             EngineSlotPhase::Loading => self.unloaded(&part),
             EngineSlotPhase::Loaded => {
                 state.phase = EngineSlotPhase::Unloading;
-                self.release_if_quiet(&part)
+                self.unload_if_idle(&part)
             }
             EngineSlotPhase::Unloading => Vec::new(),
             EngineSlotPhase::Unloaded | EngineSlotPhase::Failed(_) => {
@@ -269,9 +268,9 @@
         }
     }
 
-    /// Notes that something unknown here is gone, so that the report confirms the unload.
-    fn remember_gone(&mut self, part: &Part, fence: LogPosition) {
-        let gone = PartState {
+    /// Records an unknown part as unloaded, so that the report confirms the unload.
+    fn record_unloaded(&mut self, part: &Part, fence: LogPosition) {
+        let unloaded = PartState {
             fence,
             phase: EngineSlotPhase::Unloaded,
             bytes_per_accelerator: 0,
@@ -281,16 +280,16 @@
             model: ModelName::from(""),
             version: VersionLabel::from(""),
             accelerators: Vec::new(),
-            weights: gone.clone(),
+            weights: unloaded.clone(),
             adapters: BTreeMap::new(),
             running: 0,
         });
         if let Some(adapter) = &part.adapter {
-            slot.adapters.insert(adapter.clone(), gone);
+            slot.adapters.insert(adapter.clone(), unloaded);
         }
     }
 
-    fn release_if_quiet(&self, part: &Part) -> Vec<EngineEffect> {
+    fn unload_if_idle(&self, part: &Part) -> Vec<EngineEffect> {
         let running = self.slots.get(&part.slot).map_or(0, |slot| slot.running);
         if running > 0 && self.protections.frees_after_use {
             return Vec::new();
@@ -298,7 +297,7 @@
         vec![EngineEffect::Unload(part.clone())]
     }
 
-    /// A load is over. Ignored unless it is the outstanding one.
+    /// Handles the end of a load; ignored unless the part is loading with this fence.
     pub fn loaded(&mut self, part: &Part, fence: LogPosition, success: bool) -> Vec<EngineEffect> {
         self.sequence += 1;
         let Some(state) = self.part_mut(part) else {
@@ -316,7 +315,7 @@
         self.end_part(part, EngineSlotPhase::Failed("weight store failed".into()))
     }
 
-    /// The memory of a part is free.
+    /// Handles the end of an unload.
     pub fn unloaded(&mut self, part: &Part) -> Vec<EngineEffect> {
         self.sequence += 1;
         let holds = self
@@ -343,7 +342,7 @@
         vec![EngineEffect::Freed(part.slot), EngineEffect::MemoryChanged]
     }
 
-    /// Whether a request for this slot and adapter may start.
+    /// Whether slot and adapter are loaded.
     pub fn serves(&self, slot: SlotId, adapter: Option<&AdapterName>) -> bool {
         let Some(state) = self.slots.get(&slot) else {
             return false;
@@ -355,7 +354,7 @@
         state.weights.phase == EngineSlotPhase::Loaded && adapter_is_loaded
     }
 
-    /// A request starts on a slot.
+    /// Records the start of a request on a slot.
     pub fn run_started(&mut self, slot: SlotId) {
         if let Some(state) = self.slots.get_mut(&slot) {
             state.running += 1;
@@ -363,7 +362,7 @@
         }
     }
 
-    /// A request ended on a slot.
+    /// Records the end of a request on a slot, and begins unloads that waited for it.
     pub fn run_ended(&mut self, slot: SlotId) -> Vec<EngineEffect> {
         let Some(state) = self.slots.get_mut(&slot) else {
             return Vec::new();
@@ -392,7 +391,7 @@
         waiting.into_iter().map(EngineEffect::Unload).collect()
     }
 
-    /// Memory in use on each accelerator.
+    /// Returns the memory use of each accelerator.
     pub fn memory(&self) -> Vec<MemoryUse> {
         let mut uses: Vec<MemoryUse> = self
             .capacity
@@ -409,17 +408,17 @@
                 .map(|part| part.bytes_per_accelerator)
                 .sum();
             for accelerator in &slot.accelerators {
-                if let Some(one) = uses.get_mut(*accelerator as usize) {
-                    one.used_bytes += held;
+                if let Some(accelerator_use) = uses.get_mut(*accelerator as usize) {
+                    accelerator_use.used_bytes += held;
                 }
             }
         }
         uses
     }
 
-    /// The report of this moment.
+    /// Returns the current report.
     pub fn report(&self) -> EngineReport {
-        let lie = if self.protections.reports_true_memory {
+        let capacity_factor = if self.protections.reports_true_memory {
             1
         } else {
             2
@@ -432,8 +431,15 @@
             role: self.role,
             sequence: self.sequence,
             highest_fence: self.highest_fence,
-            accelerator_bytes: self.capacity.iter().map(|bytes| bytes * lie).collect(),
-            used_bytes: memory.iter().map(|one| one.used_bytes).collect(),
+            accelerator_bytes: self
+                .capacity
+                .iter()
+                .map(|bytes| bytes * capacity_factor)
+                .collect(),
+            used_bytes: memory
+                .iter()
+                .map(|accelerator_use| accelerator_use.used_bytes)
+                .collect(),
             slots: self
                 .slots
                 .iter()
@@ -457,21 +463,21 @@
             .map(|(name, part)| EngineAdapterReport {
                 adapter: name.clone(),
                 fence: part.fence,
-                phase: self.stated_phase(&part.phase),
+                phase: self.reported_phase(&part.phase),
             });
         EngineSlotReport {
             slot,
             model: state.model.clone(),
             version: state.version.clone(),
             fence: state.weights.fence,
-            phase: self.stated_phase(&state.weights.phase),
+            phase: self.reported_phase(&state.weights.phase),
             adapters: adapters.collect(),
             running: state.running,
             waiting: 0,
         }
     }
 
-    fn stated_phase(&self, phase: &EngineSlotPhase) -> EngineSlotPhase {
+    fn reported_phase(&self, phase: &EngineSlotPhase) -> EngineSlotPhase {
         match phase {
             EngineSlotPhase::Unloading if !self.protections.frees_after_use => {
                 EngineSlotPhase::Unloaded
@@ -488,10 +494,12 @@
         }
     }
 
-    fn forget_gone_slots(&mut self) {
-        let gone = |state: &SlotState| !state.weights.holds_memory();
-        while self.slots.values().filter(|state| gone(state)).count() > REPORTED_GONE_SLOTS {
-            let oldest = self.slots.iter().filter(|(_, state)| gone(state));
+    fn prune_unloaded_slots(&mut self) {
+        let unloaded = |state: &SlotState| !state.weights.holds_memory();
+        while self.slots.values().filter(|state| unloaded(state)).count()
+            > MAX_REPORTED_UNLOADED_SLOTS
+        {
+            let oldest = self.slots.iter().filter(|(_, state)| unloaded(state));
             let oldest = oldest.min_by_key(|(_, state)| state.weights.fence);
             if let Some(slot) = oldest.map(|(slot, _)| *slot) {
                 self.slots.remove(&slot);
--- a/crates/millpass-sim/src/engine_host.rs
+++ b/crates/millpass-sim/src/engine_host.rs
@@ -1,10 +1,10 @@
-//! What happens around an engine's model: requests, loads through the weight store, reports.
+//! Host of a simulated engine: requests, loads from the weight store and reports.
 
 use crate::back_ends::Run;
 use crate::engine::{EngineEffect, EngineModel};
 use crate::event::{
-    ANY_RUN, AnswerPart, BackEnd, BackEndRequest, ControlEvent, EngineEvent, OrderReply, ReplyTo,
-    RouterEvent, SimEvent, StoreWaiter,
+    ANY_RUN, AnswerPart, BackEnd, BackEndRequest, ControlEvent, EngineEvent, OrderReply,
+    PendingLoad, ReplyTo, RouterEvent, SimEvent,
 };
 use crate::settings::MILLIS;
 use crate::world::World;
@@ -33,71 +33,78 @@
         let node = &self.engines[engine];
         let for_this_run = run == ANY_RUN || run == node.run;
         if !node.alive || !for_this_run {
-            return self.engine_is_gone(engine, event);
+            return self.fail_undeliverable(engine, event);
         }
         match event {
             EngineEvent::Order(order, reply_to) => self.engine_order(engine, &order, reply_to),
             EngineEvent::Request(request) => self.engine_request(engine, *request),
             EngineEvent::Cancel(reply_to) => self.engine_cancel(engine, reply_to),
-            EngineEvent::Step(reply_to) => self.engine_steps(engine, reply_to),
+            EngineEvent::Step(reply_to) => self.engine_step(engine, reply_to),
             EngineEvent::Loaded(part, fence, success) => {
                 let effects = self.engines[engine].model.loaded(&part, fence, success);
-                self.engine_effects(engine, effects);
+                self.execute_effects(engine, effects);
             }
             EngineEvent::Unloaded(part) => {
                 let effects = self.engines[engine].model.unloaded(&part);
-                self.engine_effects(engine, effects);
+                self.execute_effects(engine, effects);
             }
-            EngineEvent::Poll(router, run) => self.engine_report(engine, router, run),
+            EngineEvent::Poll(router, run) => self.send_engine_report(engine, router, run),
         }
     }
 
-    /// What reaches a machine without a process is refused, once it was sent.
-    fn engine_is_gone(&mut self, engine: usize, event: EngineEvent) {
+    /// Fails requests and orders that reach a machine without a process.
+    fn fail_undeliverable(&mut self, engine: usize, event: EngineEvent) {
         match event {
             EngineEvent::Request(request) => {
                 let reply_to = request.reply_to;
-                self.attempt_ends(
+                self.fail_attempt(
                     BackEnd::Engine(engine),
                     reply_to,
                     AttemptFailure::MayHaveRun,
                 );
             }
-            EngineEvent::Order(_, Some(reply_to)) => self.answer_order(engine, reply_to, None),
+            EngineEvent::Order(_, Some(reply_to)) => {
+                self.send_order_response(engine, reply_to, None)
+            }
             _ => {}
         }
     }
 
     fn engine_order(&mut self, engine: usize, order: &EngineOrder, reply_to: Option<OrderReply>) {
-        let (answer, effects) = self.engines[engine].model.take_order(order);
+        let (response, effects) = self.engines[engine].model.handle_order(order);
         self.statistics.orders += 1;
         self.trace.mark(self.now, order.fence.index);
         let now = self.now;
         self.trace.line(now, || {
             format!(
-                "order backend={} fence={} action={:?} answer={answer:?}",
+                "order backend={} fence={} action={:?} answer={response:?}",
                 order.backend, order.fence, order.action
             )
         });
-        self.engine_effects(engine, effects);
+        self.execute_effects(engine, effects);
         if let Some(reply_to) = reply_to {
-            self.answer_order(engine, reply_to, Some(answer));
+            self.send_order_response(engine, reply_to, Some(response));
         }
     }
 
-    fn answer_order(&mut self, engine: usize, reply_to: OrderReply, answer: Option<OrderResponse>) {
+    fn send_order_response(
+        &mut self,
+        engine: usize,
+        reply_to: OrderReply,
+        response: Option<OrderResponse>,
+    ) {
         let from = self.engines[engine].zone;
         let to = self.control[reply_to.place].zone;
         if let Some(delay) = self.network.delay(&mut self.random, from, to) {
-            let event = ControlEvent::OrderAnswered(reply_to.delivery, answer);
+            let event = ControlEvent::DeliveryEnded(reply_to.delivery, response);
             let at = self.now + delay;
             self.queue
                 .push(at, SimEvent::Control(reply_to.place, reply_to.run, event));
         }
     }
 
-    /// Carries out what the model wants, and keeps its state for late reports.
-    fn engine_effects(&mut self, engine: usize, effects: Vec<EngineEffect>) {
+    /// Executes effects of the engine and records its state for delayed reports.
+    fn execute_effects(&mut self, engine: usize, effects: Vec<EngineEffect>) {
         let (name, incarnation) = {
             let node = &self.engines[engine];
             (node.name.clone(), node.incarnation)
@@ -131,14 +138,14 @@
                     cached,
                 } => {
                     let run = self.engines[engine].run;
-                    let waiter = StoreWaiter {
+                    let pending = PendingLoad {
                         engine,
                         run,
                         part,
                         fence,
                     };
                     self.statistics.loads += 1;
-                    self.begin_load(waiter, cached);
+                    self.begin_load(pending, cached);
                 }
                 EngineEffect::Unload(part) => {
                     let run = self.engines[engine].run;
@@ -148,13 +155,13 @@
             }
         }
         let now = self.now;
-        self.engines[engine].keep_report(now);
+        self.engines[engine].record_report(now);
     }
 
-    fn begin_load(&mut self, waiter: StoreWaiter, cached: bool) {
+    fn begin_load(&mut self, pending: PendingLoad, cached: bool) {
         if cached {
-            let loaded = EngineEvent::Loaded(waiter.part, waiter.fence, true);
-            return self.engine_later(waiter.engine, waiter.run, CACHED_LOAD_MICROS, loaded);
+            let loaded = EngineEvent::Loaded(pending.part, pending.fence, true);
+            return self.engine_later(pending.engine, pending.run, CACHED_LOAD_MICROS, loaded);
         }
         let micros = STORE_LOAD_MICROS + self.random.below(STORE_LOAD_JITTER);
         let factor = if self.slow_store {
@@ -165,16 +172,16 @@
         self.store.set_slow_factor(factor);
         let (load, micros) = self.store.start(micros);
         self.record(Event::StoreLoadStarted { load });
-        let ended = SimEvent::StoreLoadEnded(waiter, load);
+        let ended = SimEvent::StoreLoadEnded(pending, load);
         self.queue.push(self.now + micros, ended);
     }
 
-    /// A load at the weight store ended.
-    pub(crate) fn store_load_ended(&mut self, waiter: StoreWaiter, load: u64) {
+    /// Handles the end of a load from the weight store.
+    pub(crate) fn store_load_ended(&mut self, pending: PendingLoad, load: u64) {
         self.record(Event::StoreLoadEnded { load });
         let success = !self.random.chance(FAILED_LOADS_PERMILLE);
-        let event = EngineEvent::Loaded(waiter.part, waiter.fence, success);
-        self.engine_later(waiter.engine, waiter.run, 0, event);
+        let event = EngineEvent::Loaded(pending.part, pending.fence, success);
+        self.engine_later(pending.engine, pending.run, 0, event);
     }
 
     fn engine_request(&mut self, engine: usize, request: BackEndRequest) {
@@ -182,8 +189,8 @@
         let slot = request.slot.unwrap_or(millpass_proto::SlotId(0));
         if !node.model.serves(slot, request.adapter.as_ref()) {
             let reply_to = request.reply_to;
-            let refused = AttemptFailure::RefusedByBackend;
-            return self.attempt_ends(BackEnd::Engine(engine), reply_to, refused);
+            let failure = AttemptFailure::RefusedByBackend;
+            return self.fail_attempt(BackEnd::Engine(engine), reply_to, failure);
         }
         node.model.run_started(slot);
         let reply_to = request.reply_to;
@@ -194,7 +201,7 @@
         self.engine_later(engine, run, STEP_MICROS, EngineEvent::Step(reply_to));
     }
 
-    fn engine_steps(&mut self, engine: usize, reply_to: ReplyTo) {
+    fn engine_step(&mut self, engine: usize, reply_to: ReplyTo) {
         let node = &mut self.engines[engine];
         let run_number = node.run;
         let Some(run) = node.runs.get_mut(&reply_to) else {
@@ -209,19 +216,19 @@
         };
         let last = part.last;
         if last {
-            self.engine_run_ends(engine, reply_to, RunEnding::Finished);
+            self.end_engine_run(engine, reply_to, RunEnding::Finished);
         } else {
             let step = EngineEvent::Step(reply_to);
             self.engine_later(engine, run_number, STEP_MICROS, step);
         }
-        self.answer_part(BackEnd::Engine(engine), reply_to, part);
+        self.send_answer_part(BackEnd::Engine(engine), reply_to, part);
     }
 
     fn engine_cancel(&mut self, engine: usize, reply_to: ReplyTo) {
-        self.engine_run_ends(engine, reply_to, RunEnding::Cancelled);
+        self.end_engine_run(engine, reply_to, RunEnding::Cancelled);
     }
 
-    fn engine_run_ends(&mut self, engine: usize, reply_to: ReplyTo, ending: RunEnding) {
+    fn end_engine_run(&mut self, engine: usize, reply_to: ReplyTo, ending: RunEnding) {
         let node = &mut self.engines[engine];
         let Some(run) = node.runs.remove(&reply_to) else {
             return;
@@ -230,10 +237,10 @@
         let slot = run.request.slot.unwrap_or(millpass_proto::SlotId(0));
         let effects = node.model.run_ended(slot);
         self.record(event);
-        self.engine_effects(engine, effects);
+        self.execute_effects(engine, effects);
     }
 
-    fn engine_report(&mut self, engine: usize, router: usize, run: u64) {
+    fn send_engine_report(&mut self, engine: usize, router: usize, run: u64) {
         let times = &self.settings.times;
         let lag = if self.stale_reports {
             self.random.below(times.stale_report_lag)
@@ -241,13 +248,13 @@
             times.report_lag
         };
         let node = &self.engines[engine];
-        let report = node.report_of(self.now.saturating_sub(lag));
+        let report = node.report_at(self.now.saturating_sub(lag));
         let observation = BackendObservation::Engine(report);
-        self.observed(node.zone, router, run, observation);
+        self.send_observation(node.zone, router, run, observation);
     }
 
-    /// Sends what was read of a back end to the router that asked.
-    pub(crate) fn observed(
+    /// Sends an observation of a back end to the router that polled it.
+    pub(crate) fn send_observation(
         &mut self,
         zone: usize,
         router: usize,
@@ -263,20 +270,25 @@
         }
     }
 
-    /// Sends part of an answer to the router; over a cut it is lost.
-    pub(crate) fn answer_part(&mut self, backend: BackEnd, reply_to: ReplyTo, part: AnswerPart) {
+    /// Sends a part of an answer to the router; it is lost if the zones are partitioned.
+    pub(crate) fn send_answer_part(
+        &mut self,
+        backend: BackEnd,
+        reply_to: ReplyTo,
+        part: AnswerPart,
+    ) {
         let (from, to) = (self.zone_of(backend), self.routers[reply_to.router].zone);
         if let Some(delay) = self.network.stream_delay(&mut self.random, from, to) {
-            let at = self.answer_in_order(reply_to, delay);
+            let at = self.answer_arrival(reply_to, delay);
             let event = RouterEvent::Answer(reply_to.key, part);
             self.queue
                 .push(at, SimEvent::Router(reply_to.router, reply_to.run, event));
         }
     }
 
-    /// Tells the router that an attempt ended without an answer; over a cut only its own timeout
-    /// tells.
-    pub(crate) fn attempt_ends(
+    /// Notifies the router of a failed attempt. If the zones are partitioned, the router detects the
+    /// failure only by its progress timeout.
+    pub(crate) fn fail_attempt(
         &mut self,
         backend: BackEnd,
         reply_to: ReplyTo,
@@ -284,14 +296,14 @@
     ) {
         let (from, to) = (self.zone_of(backend), self.routers[reply_to.router].zone);
         if let Some(delay) = self.network.stream_delay(&mut self.random, from, to) {
-            let at = self.answer_in_order(reply_to, delay + REFUSED_MICROS);
+            let at = self.answer_arrival(reply_to, delay + REFUSED_MICROS);
             let event = RouterEvent::Failed(reply_to.key, failure);
             self.queue
                 .push(at, SimEvent::Router(reply_to.router, reply_to.run, event));
         }
     }
 
-    /// Ends an engine's process: what runs is cut off, what is loaded is gone.
+    /// Ends an engine's process and interrupts its running requests.
     pub(crate) fn end_engine(&mut self, engine: usize) {
         let node = &mut self.engines[engine];
         node.alive = false;
@@ -305,7 +317,7 @@
                 request: run.request.request,
                 ending: RunEnding::CutOff,
             });
-            self.attempt_ends(
+            self.fail_attempt(
                 BackEnd::Engine(engine),
                 reply_to,
                 AttemptFailure::MayHaveRun,
@@ -313,7 +325,7 @@
         }
     }
 
-    /// Starts an engine's process; `empty` without the checkpoints of the machine before.
+    /// Starts an engine's process; `empty` discards the checkpoints of its machine.
     pub(crate) fn start_engine(&mut self, engine: usize, empty: bool) {
         if self.engines[engine].alive {
             return;
@@ -340,7 +352,7 @@
         node.run += 1;
         node.incarnation = incarnation;
         node.reports.clear();
-        node.keep_report(self.now);
+        node.record_report(self.now);
         let process = self.back_end_name(BackEnd::Engine(engine));
         self.record(Event::Started { process });
     }
--- a/crates/millpass-sim/src/event.rs
+++ b/crates/millpass-sim/src/event.rs
@@ -1,4 +1,4 @@
-//! What the event queue of a run holds.
+//! Events of the simulation queue.
 
 use crate::content::ContentSeed;
 use crate::engine::Part;
@@ -12,8 +12,8 @@
 };
 use millpass_routing::{AttemptFailure, Dispatch, RoutingInput, Target};
 
-/// One event. Events of a process carry the number of its run and are dropped when that run is
-/// over; a frozen process gets them when it wakes.
+/// One event. Events of a process carry the number of its run and are dropped once that run has
+/// ended; a frozen process handles them when it resumes.
 pub enum SimEvent {
     /// For a control member.
     Control(usize, u64, ControlEvent),
@@ -24,25 +24,25 @@
     /// For a web back end.
     Web(usize, u64, WebEvent),
     /// A load at the weight store ended.
-    StoreLoadEnded(StoreWaiter, u64),
+    StoreLoadEnded(PendingLoad, u64),
     /// For the callers.
     Caller(CallerEvent),
     /// For an operator.
     Operator(usize, OperatorEvent),
-    /// A fault, or the end of one.
+    /// A fault begins or ends.
     Fault(Fault),
-    /// Everything is mended.
+    /// All faults end.
     Heal,
-    /// Old orders are delivered again by somebody outside the system.
-    RogueOrder,
-    /// The audit log is read.
+    /// An earlier order is delivered again by a sender outside the system.
+    ReplayOrder,
+    /// The audit log is requested.
     ReadAudit,
-    /// A back end appears on the platform's list as leaving.
+    /// The platform's list shows a back end of this run as leaving.
     ListedLeaving(BackEnd, u64),
-    /// A leaving machine stops.
-    LeavingStops(BackEnd, u64),
+    /// The leave notice of a back end of this run has elapsed.
+    LeaveNoticeElapsed(BackEnd, u64),
     /// The run ends.
-    Over,
+    RunEnd,
 }
 
 /// A back end.
@@ -54,31 +54,31 @@
     Web(usize),
 }
 
-/// What a control member gets.
+/// Event of a control member.
 pub enum ControlEvent {
     /// Time passed.
     Tick,
     /// An input of the core.
     Input(Box<ControlInput>),
-    /// A worker carries out an output of the core.
-    Act(Box<ControlOutput>),
+    /// A worker executes an output of the core.
+    Execute(Box<ControlOutput>),
     /// The disk synced a write.
     DiskSynced(u64),
     /// The disk saved a snapshot.
     SnapshotSaved(Box<Snapshot>),
-    /// A router opened a connection.
+    /// A router of this run opened a connection.
     Opened(ConnectionId, usize, u64),
-    /// A message came on a connection.
+    /// A message was received on a connection.
     FromRouter(ConnectionId, Box<RouterToControl>),
     /// A connection ended.
     Closed(ConnectionId),
-    /// A process that is no member yet asks to join.
-    AskToJoin,
-    /// The answer to a delivery of an order; none when there was none in time.
-    OrderAnswered(u64, Option<OrderResponse>),
+    /// The process requests membership.
+    RequestJoin,
+    /// The response to a delivery of an order; `None` if it failed or timed out.
+    DeliveryEnded(u64, Option<OrderResponse>),
 }
 
-/// What a router gets.
+/// Event of a router.
 pub enum RouterEvent {
     /// Time passed.
     Tick,
@@ -86,27 +86,27 @@
     Input(Box<RoutingInput>),
     /// A worker sends an attempt.
     Send(Box<Dispatch>),
-    /// Watched back ends are read.
+    /// The reports of watched back ends are due.
     Poll,
-    /// The link is opened.
+    /// The link to the control group is to be opened.
     Connect,
-    /// The link is open.
+    /// The link to the member at this place is open.
     Connected(ConnectionId, usize),
     /// The link could not be opened, or ended.
     LinkEnded(ConnectionId),
-    /// A message came on the link.
+    /// A message was received on the link.
     FromControl(ConnectionId, Box<ControlToRouter>),
-    /// A request came.
+    /// A request was received.
     Request(Box<CallerRequest>),
-    /// A caller hung up.
+    /// A caller closed its connection.
     CallerGone(RequestId),
-    /// Part of an answer came.
+    /// A part of an answer was received.
     Answer(AttemptKey, AnswerPart),
     /// An attempt failed.
     Failed(AttemptKey, AttemptFailure),
-    /// An event that came while the process was frozen.
-    Woken(Box<RouterEvent>),
-    /// An attempt made no progress since it was this far.
+    /// An event that arrived while the process was frozen.
+    Deferred(Box<RouterEvent>),
+    /// Progress timeout of an attempt that had received this many parts.
     NoProgress(AttemptKey, u64),
 }
 
@@ -119,18 +119,18 @@
     pub attempt: u32,
 }
 
-/// Where the answer to an attempt goes.
+/// Destination of the answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplyTo {
     /// Router.
     pub router: usize,
-    /// Its run.
+    /// Number of its run.
     pub run: u64,
     /// Attempt.
     pub key: AttemptKey,
 }
 
-/// Part of an answer.
+/// A part of an answer.
 #[derive(Clone, Debug)]
 pub struct AnswerPart {
     /// Tokens.
@@ -144,55 +144,55 @@
 pub struct BackEndRequest {
     /// Caller's request.
     pub request: RequestId,
-    /// Key, when it may not be repeated.
+    /// Claim key; `None` if the request may be repeated.
     pub key: Option<ScopedKey>,
-    /// What the answer is made from.
+    /// Seed of the answer's content.
     pub seed: ContentSeed,
-    /// Length of the whole answer.
+    /// Length of the complete answer, in tokens.
     pub length: u64,
-    /// Position to go on from.
+    /// Position of the first token to send.
     pub resume_from: u64,
     /// Slot, for an engine.
     pub slot: Option<SlotId>,
     /// Adapter, for an engine.
     pub adapter: Option<AdapterName>,
-    /// Where the answer goes.
+    /// Destination of the answer.
     pub reply_to: ReplyTo,
 }
 
-/// Number that stands for whatever run of a process there is when an event arrives.
+/// Run number that matches any run of a process.
 pub const ANY_RUN: u64 = u64::MAX;
 
-/// Where the answer to an order goes.
+/// Destination of the response to an order.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderReply {
     /// Place of the control member.
     pub place: usize,
-    /// Its run.
+    /// Number of its run.
     pub run: u64,
     /// Number of the delivery.
     pub delivery: u64,
 }
 
-/// What an engine gets.
+/// Event of an engine.
 pub enum EngineEvent {
-    /// An order, with where its answer goes.
+    /// An order, with the destination of its response.
     Order(Box<EngineOrder>, Option<OrderReply>),
     /// A request.
     Request(Box<BackEndRequest>),
     /// A request was cancelled.
     Cancel(ReplyTo),
-    /// A running request's next step is done.
+    /// The next step of a running request is done.
     Step(ReplyTo),
-    /// A load is over.
+    /// A load ended; true if it succeeded.
     Loaded(Part, LogPosition, bool),
     /// A part's memory is free.
     Unloaded(Part),
-    /// A router reads the report.
+    /// A router of this run reads the report.
     Poll(usize, u64),
 }
 
-/// What a web back end gets.
+/// Event of a web back end.
 pub enum WebEvent {
     /// A request.
     Request(Box<BackEndRequest>),
@@ -200,16 +200,16 @@
     Cancel(ReplyTo),
     /// A request is done.
     Done(ReplyTo),
-    /// A router reads the report.
+    /// A router of this run reads the report.
     Poll(usize, u64),
 }
 
-/// An engine that waits for the weight store.
+/// A load that waits for the weight store.
 #[derive(Clone, Debug)]
-pub struct StoreWaiter {
+pub struct PendingLoad {
     /// Engine.
     pub engine: usize,
-    /// Its run.
+    /// Number of its run.
     pub run: u64,
     /// Part.
     pub part: Part,
@@ -224,52 +224,52 @@
     pub id: RequestId,
     /// API key.
     pub api_key: String,
-    /// Tenant that the key belongs to.
+    /// Tenant of the API key.
     pub tenant: millpass_proto::TenantName,
-    /// What it asks for.
+    /// Requested model or path.
     pub target: Target,
-    /// Time it may take from when it is sent.
-    pub allowed_micros: u64,
-    /// When it was sent.
+    /// Time from sending to the deadline, in microseconds.
+    pub timeout_micros: u64,
+    /// Time of sending, in microseconds.
     pub sent_at: u64,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Length of the whole answer.
+    /// Length of the complete answer, in tokens.
     pub length: u64,
-    /// Key, when it may not be repeated.
+    /// Claim key; `None` if the request may be repeated.
     pub key: Option<ScopedKey>,
-    /// When the key was born.
-    pub born_unix_millis: u64,
-    /// Resends left after a refusal.
+    /// Creation time of the key, in Unix milliseconds.
+    pub key_created_unix_millis: u64,
+    /// Remaining resends after a failure.
     pub resends: u32,
-    /// Time after which the caller hangs up, if it does.
+    /// Time after which the caller hangs up, in microseconds; `None` if it waits.
     pub hang_up_after: Option<u64>,
 }
 
-/// What the callers get.
+/// Event of the callers.
 pub enum CallerEvent {
-    /// The next request of the open loop.
+    /// The next request of the open loop is due.
     Next,
-    /// A burst for one model.
+    /// A burst of requests for one model.
     Burst(usize),
     /// A request is sent, or sent again.
     Send(Box<CallerRequest>),
-    /// Part of an answer came.
+    /// A part of an answer was received.
     Answer(RequestId, AnswerPart),
-    /// The answer ended otherwise.
+    /// The request ended without a complete answer.
     Ended(RequestId, AnswerOutcome),
     /// The caller hangs up.
     HangUp(RequestId),
 }
 
-/// What an operator gets.
+/// Event of an operator.
 pub enum OperatorEvent {
-    /// It reads an object and changes it.
+    /// Reads an object and then changes it.
     Begin,
-    /// The answer to its call of this number.
-    Answered(u64, Box<AdministrationResponse>),
-    /// It asks, or asks again after a pause.
-    Ask(Box<Pending>),
-    /// No answer to its call of this number.
+    /// The response to the call of this number.
+    Responded(u64, Box<AdministrationResponse>),
+    /// Sends or resends a call.
+    Send(Box<Pending>),
+    /// The call of this number timed out.
     TimedOut(u64),
 }
--- a/crates/millpass-sim/src/faults.rs
+++ b/crates/millpass-sim/src/faults.rs
@@ -1,77 +1,77 @@
-//! Faults that a plan schedules.
+//! Faults of a plan.
 
 use crate::network::Zone;
 
-/// One fault, or the end of one.
+/// A fault, or the end of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A control member dies; its disk stays.
+    /// Kills a control member; its disk is kept.
     KillControl(Member),
-    /// Every control member dies at once; the disks stay.
+    /// Kills all control members at once; their disks are kept.
     KillAllControl,
-    /// Every dead control member starts.
+    /// Starts all dead control members.
     StartAllControl,
-    /// A control member dies and its disk is lost.
+    /// Kills a control member; its disk is lost.
     LoseDisk(Member),
-    /// A dead control member starts: from its disk, or under a new identity when that was lost.
+    /// Starts a dead control member from its disk, or with a new identity if the disk was lost.
     StartControl(Member),
-    /// A control member stops running.
+    /// Suspends a control member.
     FreezeControl(Member),
-    /// The leader stops running at the moment at which it has decided to deliver an order.
+    /// Suspends the leader when it is about to deliver an order.
     FreezeLeaderAtOrder,
-    /// Every frozen control member runs again.
+    /// Resumes all frozen control members.
     WakeControl,
-    /// A control member is stopped in an orderly way.
+    /// Begins a planned stop of a control member.
     DrainControl(Member),
-    /// A router dies.
+    /// Kills a router.
     KillRouter(usize),
-    /// A dead router starts.
+    /// Starts a dead router.
     StartRouter(usize),
-    /// A router stops running.
+    /// Suspends a router.
     FreezeRouter(usize),
-    /// A router stops running at the moment at which it has decided to send an attempt.
+    /// Suspends a router when it is about to send an attempt.
     FreezeRouterAtDispatch(usize),
-    /// A frozen router runs again.
+    /// Resumes a frozen router.
     WakeRouter(usize),
-    /// A router is stopped in an orderly way.
+    /// Begins a planned stop of a router.
     DrainRouter(usize),
-    /// An engine's process dies and starts again.
+    /// Kills an engine's process, which restarts.
     KillEngine(usize),
-    /// The engine that loads next dies in the middle of that load.
+    /// Kills the engine that loads next, soon after the load began.
     KillNextLoadingEngine,
-    /// An engine's machine is taken without warning.
+    /// Reclaims an engine's machine without notice.
     ReclaimEngine(usize),
-    /// A machine comes back empty.
+    /// Starts a dead engine; a reclaimed machine is empty.
     ReturnEngine(usize),
-    /// An engine is leaving, announced on the platform's list.
+    /// Lists an engine as leaving.
     LeaveEngine(usize),
-    /// A web back end's process dies and starts again.
+    /// Kills a web back end's process, which restarts.
     KillWeb(usize),
-    /// A web back end is leaving, announced on the platform's list.
+    /// Lists a web back end as leaving.
     LeaveWeb(usize),
-    /// A web machine comes back.
+    /// Starts a dead web back end.
     ReturnWeb(usize),
-    /// One direction between two zones is cut.
+    /// Blocks messages in one direction between two zones.
     Cut(Zone, Zone),
-    /// One direction between two zones is mended.
+    /// Unblocks messages in one direction between two zones.
     Mend(Zone, Zone),
-    /// Messages are late, lost, doubled and reordered, or no longer.
+    /// Sets whether messages are delayed, lost, duplicated and reordered.
     BadNetwork(bool),
-    /// The weight store is slow, or no longer.
+    /// Sets whether the weight store is slow.
     SlowStore(bool),
-    /// Load reports are late and have gaps, or no longer.
+    /// Sets whether load reports are delayed and lost.
     StaleReports(bool),
 }
 
-/// A control member, by its place or by its part in the group.
+/// Selection of a control member, by place or role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Member {
-    /// At this place.
+    /// The member at this place.
     At(usize),
-    /// Whoever leads at that moment.
+    /// The current leader.
     Leader,
-    /// Some member that lives and does not lead, chosen by this number.
+    /// A running member other than the leader, selected by this number.
     Follower(usize),
-    /// The member that was killed or lost its disk first and has not started since.
+    /// The member that has been dead for the longest time.
     FirstDead,
 }
--- a/crates/millpass-sim/src/injection.rs
+++ b/crates/millpass-sim/src/injection.rs
@@ -1,4 +1,4 @@
-//! Faults and their ends, carried out on the deployment.
+//! Injection of faults into the deployment, and their end.
 
 use crate::event::{BackEnd, ControlEvent, RouterEvent, SimEvent};
 use crate::faults::{Fault, Member};
@@ -8,26 +8,26 @@
 use millpass_control_plane::ControlInput;
 use millpass_proto::BackendState;
 
-/// A back end whose process died starts again after this time.
+/// Time after which a killed back end restarts.
 const RESTART_MICROS: u64 = 400 * MILLIS;
 
 impl World {
-    /// Carries out a fault.
+    /// Injects a fault or ends one.
     pub(crate) fn inject(&mut self, fault: Fault) {
         self.statistics.fault(kind_of(&fault));
         self.record(Event::Disturbed {
             what: format!("{fault:?}"),
         });
         match fault {
-            Fault::KillControl(member) => self.with_member(member, World::kill_control),
+            Fault::KillControl(member) => self.apply_to_member(member, World::kill_control),
             Fault::KillAllControl => self.kill_all_control(),
             Fault::StartAllControl => self.start_all_control(),
-            Fault::LoseDisk(member) => self.with_member(member, World::lose_disk),
-            Fault::StartControl(member) => self.with_member(member, World::start_dead_control),
-            Fault::FreezeControl(member) => self.with_member(member, World::freeze_control),
+            Fault::LoseDisk(member) => self.apply_to_member(member, World::lose_disk),
+            Fault::StartControl(member) => self.apply_to_member(member, World::start_dead_control),
+            Fault::FreezeControl(member) => self.apply_to_member(member, World::freeze_control),
             Fault::FreezeLeaderAtOrder => self.freeze_leader_at_order = true,
             Fault::WakeControl => self.wake_all_control(),
-            Fault::DrainControl(member) => self.with_member(member, World::drain_control),
+            Fault::DrainControl(member) => self.apply_to_member(member, World::drain_control),
             Fault::KillRouter(router) => self.kill_router(router),
             Fault::StartRouter(router) => self.start_router(router),
             Fault::FreezeRouter(router) => self.freeze_router(router),
@@ -45,7 +45,7 @@
             Fault::LeaveWeb(web) => self.leave(BackEnd::Web(web)),
             Fault::ReturnWeb(web) => self.return_back_end(BackEnd::Web(web)),
             Fault::Cut(from, to) => self.network.cut(from, to),
-            Fault::Mend(from, to) => self.network.mend(from, to),
+            Fault::Mend(from, to) => self.network.unblock(from, to),
             Fault::BadNetwork(bad) => self.network.set_bad(bad),
             Fault::SlowStore(slow) => self.slow_store = slow,
             Fault::StaleReports(stale) => self.stale_reports = stale,
@@ -53,17 +53,17 @@
         self.update_reachable();
     }
 
-    /// Mends everything.
+    /// Ends all faults and restarts every process.
     pub(crate) fn heal(&mut self) {
         if self.settings.mechanisms.healing {
-            self.mend_everything();
+            self.end_all_faults();
         }
         self.record(Event::AllHealed);
         self.update_reachable();
     }
 
-    fn mend_everything(&mut self) {
-        self.network.mend_all();
+    fn end_all_faults(&mut self) {
+        self.network.unblock_all();
         self.slow_store = false;
         self.stale_reports = false;
         self.freeze_leader_at_order = false;
@@ -83,12 +83,12 @@
         }
     }
 
-    fn with_member(&mut self, member: Member, action: fn(&mut World, usize)) {
+    fn apply_to_member(&mut self, member: Member, action: fn(&mut World, usize)) {
         let place = match member {
             Member::At(place) => Some(place),
             Member::Leader => self.leader_place(),
             Member::Follower(number) => self.follower_place(number),
-            Member::FirstDead => self.dead_in_order.first().copied(),
+            Member::FirstDead => self.dead_members.first().copied(),
         };
         if let Some(place) = place {
             action(self, place);
@@ -97,8 +97,8 @@
 
     fn leader_place(&self) -> Option<usize> {
         let leader = self.observer.leader()?;
-        let leads = |node: &crate::control_node::ControlNode| node.address.member == leader;
-        self.control.iter().position(leads)
+        let is_leader = |node: &crate::control_node::ControlNode| node.address.member == leader;
+        self.control.iter().position(is_leader)
     }
 
     fn follower_place(&self, number: usize) -> Option<usize> {
@@ -116,7 +116,7 @@
         let process = Self::control_name(place);
         self.record(Event::Killed { process });
         self.end_control(place);
-        self.dead_in_order.push(place);
+        self.dead_members.push(place);
     }
 
     fn kill_all_control(&mut self) {
@@ -138,11 +138,11 @@
     }
 
     fn start_dead_control(&mut self, place: usize) {
-        self.dead_in_order.retain(|dead| *dead != place);
+        self.dead_members.retain(|dead| *dead != place);
         self.start_control(place);
     }
 
-    /// A control member's process stops running.
+    /// Suspends the process of a control member.
     pub(crate) fn freeze_control(&mut self, place: usize) {
         if !self.control[place].runs() {
             return;
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A frozen member runs again and handles late what came meanwhile.
+    /// Resumes a frozen member and schedules the events of its backlog.
     fn wake_control(&mut self, place: usize) {
         self.control[place].frozen = false;
         let process = Self::control_name(place);
@@ -192,7 +192,7 @@
         self.end_router(router);
     }
 
-    /// A router's process stops running.
+    /// Suspends the process of a router.
     pub(crate) fn freeze_router(&mut self, router: usize) {
         if self.routers[router].core.is_none() || self.routers[router].frozen {
             return;
@@ -212,8 +212,8 @@
         self.record(Event::Woken { process });
         let backlog = std::mem::take(&mut self.routers[router].backlog);
         for event in backlog {
-            // Handed over as what it is, so that a request is not recorded as sent twice.
-            self.router_later(router, 0, RouterEvent::Woken(Box::new(event)));
+            // Wrapped, so that a request is not recorded as sent twice.
+            self.router_later(router, 0, RouterEvent::Deferred(Box::new(event)));
         }
         self.router_later(router, 0, RouterEvent::Tick);
         self.router_later(router, 0, RouterEvent::Poll);
@@ -226,11 +226,11 @@
         let process = self.back_end_name(BackEnd::Engine(engine));
         self.record(Event::Killed { process });
         self.end_engine(engine);
-        let back = SimEvent::Fault(Fault::ReturnEngine(engine));
-        self.queue.push(self.now + RESTART_MICROS, back);
+        let restart = SimEvent::Fault(Fault::ReturnEngine(engine));
+        self.queue.push(self.now + RESTART_MICROS, restart);
     }
 
-    /// Kills an engine that has begun to load, when that was asked for.
+    /// Schedules a kill of an engine that began a load, if that fault is armed.
     pub(crate) fn kill_loading_engine_if_armed(&mut self, engine: usize) {
         if !self.kill_next_loading_engine {
             return;
@@ -261,15 +261,15 @@
         let process = self.back_end_name(BackEnd::Web(web));
         self.record(Event::Killed { process });
         self.end_web(web);
-        let back = SimEvent::Fault(Fault::ReturnWeb(web));
-        self.queue.push(self.now + RESTART_MICROS, back);
+        let restart = SimEvent::Fault(Fault::ReturnWeb(web));
+        self.queue.push(self.now + RESTART_MICROS, restart);
     }
 
     fn visible_at(&mut self) -> u64 {
         self.now + self.random.below(self.settings.times.platform_lag)
     }
 
-    /// A dead back end starts again, on its old machine or on a new one of the same name.
+    /// Restarts a back end, on its old machine or on a new one of the same name.
     fn return_back_end(&mut self, backend: BackEnd) {
         if self.is_alive(backend) {
             return;
@@ -292,7 +292,7 @@
         }
     }
 
-    /// A back end is announced as leaving, and stops after its notice.
+    /// Announces a back end as leaving and schedules its stop after the leave notice.
     fn leave(&mut self, backend: BackEnd) {
         if !self.is_alive(backend) {
             return;
@@ -316,12 +316,13 @@
         self.queue
             .push(visible_at, SimEvent::ListedLeaving(backend, run));
         let stop = visible_at + self.settings.times.leave_notice;
-        self.queue.push(stop, SimEvent::LeavingStops(backend, run));
+        self.queue
+            .push(stop, SimEvent::LeaveNoticeElapsed(backend, run));
     }
 
-    /// The list shows a back end as leaving.
+    /// Records that the platform's list shows a back end as leaving.
     pub(crate) fn listed_leaving(&mut self, backend: BackEnd, run: u64) {
-        let (name, incarnation, present) = match backend {
+        let (name, incarnation, current_run) = match backend {
             BackEnd::Engine(engine) => {
                 let node = &self.engines[engine];
                 (node.name.clone(), node.incarnation, node.run)
@@ -331,7 +332,7 @@
                 (node.name.clone(), node.incarnation, node.run)
             }
         };
-        if present == run {
+        if current_run == run {
             self.record(Event::ListedLeaving {
                 backend: name,
                 incarnation,
@@ -339,13 +340,13 @@
         }
     }
 
-    /// The notice of a leaving machine is over.
-    pub(crate) fn leaving_stops(&mut self, backend: BackEnd, run: u64) {
-        let present = match backend {
+    /// Stops a leaving back end after its notice has elapsed.
+    pub(crate) fn leave_notice_elapsed(&mut self, backend: BackEnd, run: u64) {
+        let current_run = match backend {
             BackEnd::Engine(engine) => self.engines[engine].run,
             BackEnd::Web(web) => self.web[web].run,
         };
-        if present != run {
+        if current_run != run {
             return;
         }
         let process = self.back_end_name(backend);
@@ -366,16 +367,16 @@
         };
         let visible_at = self.visible_at();
         self.platform.change(visible_at, &name, None);
-        let back = match backend {
+        let restart = match backend {
             BackEnd::Engine(engine) => Fault::ReturnEngine(engine),
             BackEnd::Web(web) => Fault::ReturnWeb(web),
         };
         self.queue
-            .push(self.now + 4 * SECONDS, SimEvent::Fault(back));
+            .push(self.now + 4 * SECONDS, SimEvent::Fault(restart));
     }
 }
 
-/// Name of a fault's kind; ends of faults are counted apart.
+/// Returns the kind of a fault for the statistics; ends of faults share one kind.
 fn kind_of(fault: &Fault) -> &'static str {
     match fault {
         Fault::KillControl(_) => "kill-control",
--- a/crates/millpass-sim/src/lib.rs
+++ b/crates/millpass-sim/src/lib.rs
@@ -1,10 +1,8 @@
-//! Deterministic simulator: the decision code in virtual time under faults.
+//! Deterministic simulator of a deployment in virtual time, with fault injection.
 //!
-//! One run is one thread, one seed and one queue of events. The cores that the programs run,
-//! [`millpass_control_plane::ControlPlane`] and [`millpass_routing::Routing`], are driven by hosts
-//! that do in virtual time what the real processes do; engines, web back ends, weight store,
-//! platform, callers, operators, disks, clocks and network are simulated. Everything that
-//! happens is written to a history, which [`millpass_checkers`] judges.
+//! A run is single-threaded and determined by its seed. It drives the production cores
+//! [`millpass_control_plane::ControlPlane`] and [`millpass_routing::Routing`]; everything around
+//! them is simulated. [`millpass_checkers`] checks the recorded history.
 
 mod back_ends;
 mod callers;
--- a/crates/millpass-sim/src/main.rs
+++ b/crates/millpass-sim/src/main.rs
@@ -9,7 +9,7 @@
 use std::str::FromStr;
 use std::time::Instant;
 
-/// Broken runs shown in full.
+/// Maximum number of failed runs printed in full.
 const MAXIMUM_SHOWN: usize = 5;
 
 /// Runs the decision code of millpass in virtual time under faults, and checks what must always
@@ -62,12 +62,12 @@
         }
         return Ok(ExitCode::SUCCESS);
     }
-    let chosen: Vec<&'static Scenario> = match options.scenario.as_str() {
+    let scenarios: Vec<&'static Scenario> = match options.scenario.as_str() {
         "all" => SCENARIOS.iter().collect(),
         name => vec![Scenario::named(name).context("no such scenario; --list shows them")?],
     };
     let mut broken = 0;
-    for scenario in chosen {
+    for scenario in scenarios {
         broken += run_one(scenario, &options);
     }
     if broken > 0 {
@@ -77,7 +77,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs a scenario and gives the number of broken runs.
+/// Runs a scenario and returns the number of failed runs.
 fn run_one(scenario: &'static Scenario, options: &Options) -> usize {
     if options.trace {
         return trace_seeds(scenario, options.seeds.0.clone());
@@ -101,7 +101,7 @@
         println!("seed={seed} trace_hash={:016x}", report.trace_hash);
         println!("{:?}", report.statistics);
         print_report(scenario, &report);
-        broken += usize::from(!report.holds());
+        broken += usize::from(!report.passed());
     }
     broken
 }
@@ -135,7 +135,7 @@
     for breach in &report.breaches {
         println!("scenario={} seed={} {breach}", scenario.name, report.seed);
     }
-    if !report.holds() {
+    if !report.passed() {
         println!(
             "see the run: millpass-sim --scenario {} --seeds {} --trace",
             scenario.name, report.seed
--- a/crates/millpass-sim/src/network.rs
+++ b/crates/millpass-sim/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between zones: delay, jitter, cuts in one or both directions, loss and doubling.
+//! The network between zones: delay, jitter, partitions, loss and duplication.
 
 use crate::random::Random;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 const BAD_LATE_PERMILLE: u64 = 100;
 const BAD_LATE_MICROS: u64 = 400_000;
 const RETRANSMISSION_MICROS: u64 = 200_000;
-/// A doubled message's copy may come this much later, from an old retransmission.
+/// Maximum additional delay of a duplicate, as after a retransmission.
 const BAD_COPY_MICROS: u64 = 3_000_000;
 
 /// State of the network.
@@ -22,33 +22,33 @@
 pub struct Network {
     cuts: BTreeSet<(Zone, Zone)>,
     bad: bool,
-    /// Messages lost, doubled and late, for the report of the run.
+    /// Number of messages lost, duplicated or delayed.
     pub disturbed_messages: u64,
 }
 
 impl Network {
-    /// Cuts one direction.
+    /// Blocks messages in one direction.
     pub fn cut(&mut self, from: Zone, to: Zone) {
         self.cuts.insert((from, to));
     }
 
-    /// Mends one direction.
-    pub fn mend(&mut self, from: Zone, to: Zone) {
+    /// Unblocks messages in one direction.
+    pub fn unblock(&mut self, from: Zone, to: Zone) {
         self.cuts.remove(&(from, to));
     }
 
-    /// Mends everything.
-    pub fn mend_all(&mut self) {
+    /// Unblocks all directions and ends the disturbance of messages.
+    pub fn unblock_all(&mut self) {
         self.cuts.clear();
         self.bad = false;
     }
 
-    /// Makes messages late, lost, doubled and reordered, or stops it.
+    /// Sets whether messages are delayed, lost, duplicated and reordered.
     pub fn set_bad(&mut self, bad: bool) {
         self.bad = bad;
     }
 
-    /// Whether it is bad.
+    /// Whether messages are delayed, lost, duplicated and reordered.
     pub fn is_bad(&self) -> bool {
         self.bad
     }
@@ -63,7 +63,7 @@
         self.passes(one, other) && self.passes(other, one)
     }
 
-    /// Delay of a message; none when it is cut off or lost.
+    /// Returns the delay of a message; `None` if it is blocked or lost.
     pub fn delay(&mut self, random: &mut Random, from: Zone, to: Zone) -> Option<u64> {
         if !self.passes(from, to) {
             return None;
@@ -88,7 +88,7 @@
         Some(delay)
     }
 
-    /// Delay of a message on a stream, which sends again what is lost; none when it is cut off.
+    /// Returns the delay of a message on a stream, including retransmissions; `None` if blocked.
     pub fn stream_delay(&mut self, random: &mut Random, from: Zone, to: Zone) -> Option<u64> {
         if !self.passes(from, to) {
             return None;
@@ -97,7 +97,7 @@
         Some(delay.unwrap_or_else(|| RETRANSMISSION_MICROS + random.below(BAD_LATE_MICROS)))
     }
 
-    /// Delays of a message and, on a bad network, of its copy.
+    /// Returns the delays of a message and, on a bad network, of its duplicate.
     pub fn delays(&mut self, random: &mut Random, from: Zone, to: Zone) -> Vec<u64> {
         let mut delays: Vec<u64> = self.delay(random, from, to).into_iter().collect();
         if self.bad && self.passes(from, to) && random.chance(BAD_DOUBLED_PERMILLE) {
--- a/crates/millpass-sim/src/observer.rs
+++ b/crates/millpass-sim/src/observer.rs
@@ -1,9 +1,8 @@
-//! Watches the control group's log from outside: what members treat as committed, and what the
-//! committed commands decide.
+//! Observes the control group's log and records commits and decisions.
 //!
-//! A member that leads states its commit index in each append request. The entries that it then
-//! holds up to that index are what it treats as committed; they must be the same for every leader
-//! that ever was. The observer applies them to a state of its own and records what they decide.
+//! A leader sends its commit index in each append request; the entries in its log up to that index
+//! are committed and must be equal for all leaders. The observer applies them to its own state and
+//! records the resulting decisions.
 
 use crate::content::hash_text;
 use millpass_checkers::Event;
@@ -15,14 +14,14 @@
 use millpass_state::State;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One member's log as written, and how far it was compared.
+/// Log of one member, and the index up to which it was checked.
 #[derive(Default)]
 struct MemberLog {
     entries: BTreeMap<u64, LogEntry>,
-    compared: u64,
+    checked_index: u64,
 }
 
-/// The observer.
+/// Observer of the control group's log.
 pub struct Observer {
     state: State,
     applied: u64,
@@ -34,7 +33,7 @@
 }
 
 impl Observer {
-    /// Starts from the state that every member starts from.
+    /// Creates an observer with the initial state of every member.
     pub fn new(state: State, at: LogPosition, membership: Membership) -> Self {
         Observer {
             state,
@@ -47,57 +46,61 @@
         }
     }
 
-    /// Membership last committed.
+    /// Returns the membership committed last.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The member that last sent append requests in the highest term.
+    /// Returns the member that last sent append requests in the highest term.
     pub fn leader(&self) -> Option<MemberId> {
         self.leader.map(|(member, _)| member)
     }
 
-    /// A member writes to its disk.
-    pub fn wrote(&mut self, member: MemberId, request: &PersistRequest) {
+    /// Records a write of a member to its disk.
+    pub fn record_write(&mut self, member: MemberId, request: &PersistRequest) {
         let log = self.logs.entry(member).or_default();
         if let Some(snapshot) = &request.snapshot {
             log.entries.clear();
-            log.compared = log.compared.max(snapshot.meta.last.index);
+            log.checked_index = log.checked_index.max(snapshot.meta.last.index);
         }
         let Some(first) = request.entries.first() else {
             return;
         };
         let cut = first.position.index;
         log.entries.split_off(&cut);
-        log.compared = log.compared.min(cut - 1);
+        log.checked_index = log.checked_index.min(cut - 1);
         for entry in &request.entries {
             log.entries.insert(entry.position.index, entry.clone());
         }
     }
 
-    /// A member starts from its disk.
-    pub fn restarted(&mut self, member: MemberId, entries: &[LogEntry]) {
+    /// Records the start of a member with the entries on its disk.
+    pub fn record_restart(&mut self, member: MemberId, entries: &[LogEntry]) {
         let by_index = |entry: &LogEntry| (entry.position.index, entry.clone());
         let log = MemberLog {
             entries: entries.iter().map(by_index).collect(),
-            compared: 0,
+            checked_index: 0,
         };
         self.logs.insert(member, log);
     }
 
-    /// A member leads in this term and treats everything up to `commit` as committed. Gives the
-    /// events that follow.
-    pub fn leads(&mut self, member: MemberId, term: u64, commit: u64) -> Vec<Event> {
-        if self.leader.is_none_or(|(_, known)| term >= known) {
+    /// Records that a member leads in this term with this commit index, and returns the resulting
+    /// events.
+    pub fn record_leader(&mut self, member: MemberId, term: u64, commit: u64) -> Vec<Event> {
+        if self.leader.is_none_or(|(_, recorded)| term >= recorded) {
             self.leader = Some((member, term));
         }
         let log = self.logs.entry(member).or_default();
-        if commit <= log.compared {
+        if commit <= log.checked_index {
             return Vec::new();
         }
-        let stretch = log.compared + 1..=commit;
-        let entries: Vec<LogEntry> = log.entries.range(stretch).map(|(_, e)| e.clone()).collect();
-        log.compared = commit;
+        let unchecked = log.checked_index + 1..=commit;
+        let entries: Vec<LogEntry> = log
+            .entries
+            .range(unchecked)
+            .map(|(_, e)| e.clone())
+            .collect();
+        log.checked_index = commit;
         let mut events = Vec::new();
         for entry in entries {
             self.commit(member, &entry, &mut events);
@@ -108,11 +111,11 @@
     fn commit(&mut self, member: MemberId, entry: &LogEntry, events: &mut Vec<Event>) {
         let index = entry.position.index;
         let hash = hash_text(&format!("{:?}", entry.payload));
-        let known = self.committed.get(&index).copied();
-        if known == Some((entry.position, hash)) {
+        let recorded = self.committed.get(&index).copied();
+        if recorded == Some((entry.position, hash)) {
             return;
         }
-        if known.is_none() {
+        if recorded.is_none() {
             self.committed.insert(index, (entry.position, hash));
         }
         events.push(Event::Committed {
@@ -152,12 +155,12 @@
             events.push(Event::ReplicaReleased { slot: *slot });
         }
         for slot in slots.difference(&self.slots) {
-            events.extend(self.decided(*slot));
+            events.extend(self.replica_decided(*slot));
         }
         self.slots = slots;
     }
 
-    fn decided(&self, slot: SlotId) -> Option<Event> {
+    fn replica_decided(&self, slot: SlotId) -> Option<Event> {
         let replica = self.state.replica(slot)?;
         let key = ObjectKey {
             kind: ObjectKind::Model,
--- a/crates/millpass-sim/src/operators.rs
+++ b/crates/millpass-sim/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators that change the catalog at the same time, lose answers and send changes again.
+//! Operators that change the catalog concurrently, lose responses and resend changes.
 
 use crate::catalog;
 use crate::event::{OperatorEvent, SimEvent};
@@ -17,16 +17,16 @@
 const REMOVE_PERMILLE: u64 = 60;
 const AUDIT_RETRY: u64 = 100 * MILLIS;
 
-/// What an operator asks.
+/// A pending call of an operator.
 #[derive(Clone)]
 pub enum Pending {
-    /// To read an object.
+    /// Read of an object.
     Read(ObjectKey),
-    /// To change one.
+    /// Change of an object.
     Change {
-        /// Change; the same in each resend.
+        /// Change, identical in each resend.
         change: ObjectChange,
-        /// How often it was sent.
+        /// Number of times it was sent.
         sends: u32,
     },
 }
@@ -34,14 +34,14 @@
 /// One operator.
 pub struct Operator {
     zone: usize,
-    /// Member asked next.
+    /// Place of the member to call next.
     place: usize,
     pending: Option<(u64, Pending)>,
     changes: u64,
 }
 
 impl Operator {
-    /// An operator in a zone.
+    /// Creates an operator in a zone.
     pub fn new(zone: usize) -> Self {
         Operator {
             zone,
@@ -52,12 +52,12 @@
     }
 }
 
-/// Who made a call of the administration API.
+/// Origin of a call of the administration API.
 #[derive(Clone, Copy, Debug)]
-pub enum Asker {
+pub enum CallOrigin {
     /// An operator.
     Operator(usize),
-    /// The end of the run, which reads the audit log.
+    /// Read of the audit log at the end of the run.
     Audit,
 }
 
@@ -65,10 +65,12 @@
     /// Handles an event of an operator.
     pub(crate) fn operator_event(&mut self, operator: usize, event: OperatorEvent) {
         match event {
-            OperatorEvent::Begin => self.operator_begins(operator),
-            OperatorEvent::Answered(call, answer) => self.operator_gets(operator, call, *answer),
-            OperatorEvent::TimedOut(call) => self.operator_timed_out(operator, call),
-            OperatorEvent::Ask(pending) => self.operator_asks(operator, *pending),
+            OperatorEvent::Begin => self.begin_operation(operator),
+            OperatorEvent::Responded(call, response) => {
+                self.handle_operator_response(operator, call, *response)
+            }
+            OperatorEvent::TimedOut(call) => self.handle_operator_timeout(operator, call),
+            OperatorEvent::Send(pending) => self.send_operator_call(operator, *pending),
         }
     }
 
@@ -77,7 +79,7 @@
         self.queue.push(at, SimEvent::Operator(operator, event));
     }
 
-    fn operator_begins(&mut self, operator: usize) {
+    fn begin_operation(&mut self, operator: usize) {
         if self.now >= self.settings.times.audit {
             return;
         }
@@ -90,11 +92,11 @@
         } else {
             catalog::contested(self.workload.index(self.settings.load.contested_objects))
         };
-        self.operator_asks(operator, Pending::Read(object));
+        self.send_operator_call(operator, Pending::Read(object));
     }
 
-    /// Sends what is pending to the member that is asked next.
-    fn operator_asks(&mut self, operator: usize, pending: Pending) {
+    /// Sends a call to the operator's current member.
+    fn send_operator_call(&mut self, operator: usize, pending: Pending) {
         self.next_call += 1;
         let call = self.next_call;
         let request = match &pending {
@@ -117,7 +119,7 @@
             }
         };
         self.operators[operator].pending = Some((call, pending));
-        self.calls.insert(call, Asker::Operator(operator));
+        self.calls.insert(call, CallOrigin::Operator(operator));
         let timeout = self.settings.times.call_timeout;
         self.operator_later(operator, timeout, OperatorEvent::TimedOut(call));
         let (zone, place) = (
@@ -130,23 +132,23 @@
         }
     }
 
-    /// A member answers a call.
-    pub(crate) fn answer_operator(
+    /// Sends the response of a member to the origin of the call.
+    pub(crate) fn send_administration_response(
         &mut self,
         place: usize,
         call: u64,
-        answer: AdministrationResponse,
+        response: AdministrationResponse,
     ) {
         match self.calls.get(&call) {
-            Some(Asker::Operator(operator)) => {
+            Some(CallOrigin::Operator(operator)) => {
                 let operator = *operator;
                 let (from, to) = (self.control[place].zone, self.operators[operator].zone);
                 if let Some(delay) = self.network.stream_delay(&mut self.random, from, to) {
-                    let event = OperatorEvent::Answered(call, Box::new(answer));
+                    let event = OperatorEvent::Responded(call, Box::new(response));
                     self.operator_later(operator, delay, event);
                 }
             }
-            Some(Asker::Audit) => self.audit_answered(answer),
+            Some(CallOrigin::Audit) => self.handle_audit_response(response),
             None => {}
         }
     }
@@ -159,35 +161,40 @@
         pending.take().map(|(_, pending)| pending)
     }
 
-    fn operator_gets(&mut self, operator: usize, call: u64, answer: AdministrationResponse) {
+    fn handle_operator_response(
+        &mut self,
+        operator: usize,
+        call: u64,
+        response: AdministrationResponse,
+    ) {
         let Some(pending) = self.take_pending(operator, call) else {
             return;
         };
-        match (pending, answer) {
+        match (pending, response) {
             (Pending::Read(object), AdministrationResponse::Object(stored)) => {
                 let version = stored.as_ref().map_or(0, |stored| stored.version);
                 self.record(Event::ReadReturned { call, version });
                 self.change_object(operator, object, version);
             }
             (Pending::Change { change, sends }, AdministrationResponse::Change(outcome)) => {
-                self.change_answered(operator, call, change, sends, outcome);
+                self.handle_change_outcome(operator, call, change, sends, outcome);
             }
             (pending, AdministrationResponse::NotLeader { leader_address }) => {
                 let leader = leader_address.and_then(|address| self.place_of_peer(&address));
-                self.ask_again(operator, pending, leader);
+                self.retry_operation(operator, pending, leader);
             }
-            (pending, _) => self.ask_again(operator, pending, None),
+            (pending, _) => self.retry_operation(operator, pending, None),
         }
     }
 
-    fn operator_timed_out(&mut self, operator: usize, call: u64) {
+    fn handle_operator_timeout(&mut self, operator: usize, call: u64) {
         if let Some(pending) = self.take_pending(operator, call) {
-            self.ask_again(operator, pending, None);
+            self.retry_operation(operator, pending, None);
         }
     }
 
-    /// Asks the leader, if known, or the next member. A change keeps its identity.
-    fn ask_again(&mut self, operator: usize, pending: Pending, leader: Option<usize>) {
+    /// Retries at the leader, if known, or at the next member. A change keeps its change id.
+    fn retry_operation(&mut self, operator: usize, pending: Pending, leader: Option<usize>) {
         let members = self.control.len();
         let next = (self.operators[operator].place + 1) % members;
         self.operators[operator].place = leader.unwrap_or(next);
@@ -197,13 +204,13 @@
                 sends: sends + 1,
             },
             Pending::Read(object) if self.now < self.settings.times.audit => Pending::Read(object),
-            _ => return self.operator_rests(operator),
+            _ => return self.pause_operator(operator),
         };
-        let event = OperatorEvent::Ask(Box::new(pending));
+        let event = OperatorEvent::Send(Box::new(pending));
         self.operator_later(operator, RETRY_PAUSE, event);
     }
 
-    fn operator_rests(&mut self, operator: usize) {
+    fn pause_operator(&mut self, operator: usize) {
         let pause = 1 + self.workload.below(self.settings.load.operator_pause);
         self.operator_later(operator, pause, OperatorEvent::Begin);
     }
@@ -212,7 +219,7 @@
         let removal = object.name.starts_with("removed-");
         let deletes = version > 0 && (removal || self.workload.chance(DELETE_PERMILLE));
         if removal && version == 0 {
-            return self.operator_rests(operator);
+            return self.pause_operator(operator);
         }
         let tenant = TenantName(object.name.clone());
         let weight = 1 + self.workload.below(9) as u32;
@@ -226,10 +233,10 @@
             at_unix_millis: 0,
             spec: (!deletes).then(|| catalog::tenant_spec(&tenant, weight)),
         };
-        self.operator_asks(operator, Pending::Change { change, sends: 1 });
+        self.send_operator_call(operator, Pending::Change { change, sends: 1 });
     }
 
-    fn change_answered(
+    fn handle_change_outcome(
         &mut self,
         operator: usize,
         call: u64,
@@ -237,12 +244,12 @@
         sends: u32,
         outcome: ObjectChangeOutcome,
     ) {
-        // An answer that came is thrown away, as if it had been lost on the way.
+        // Drops the response, as if the network had lost it.
         let lost = self
             .workload
             .chance(self.settings.load.resent_changes_permille);
         if lost && sends < MAXIMUM_SENDS {
-            return self.ask_again(operator, Pending::Change { change, sends }, None);
+            return self.retry_operation(operator, Pending::Change { change, sends }, None);
         }
         if matches!(outcome, ObjectChangeOutcome::Accepted(_)) {
             self.statistics.accepted_changes += 1;
@@ -252,27 +259,27 @@
             }
         }
         self.record(Event::ChangeReturned { call, outcome });
-        self.operator_rests(operator);
+        self.pause_operator(operator);
     }
 
-    /// Asks whoever leads for the audit log, until it is answered.
+    /// Requests the audit log from one member after another until one responds.
     pub(crate) fn read_audit(&mut self) {
-        if self.audit_is_read || self.now + AUDIT_RETRY >= self.settings.times.over {
+        if self.audit_is_read || self.now + AUDIT_RETRY >= self.settings.times.run_end {
             return;
         }
         self.queue.push(self.now + AUDIT_RETRY, SimEvent::ReadAudit);
         self.next_call += 1;
         let call = self.next_call;
         self.record(Event::FinalAuditCalled);
-        self.calls.insert(call, Asker::Audit);
+        self.calls.insert(call, CallOrigin::Audit);
         let place = self.next_audit_place % self.control.len();
         self.next_audit_place += 1;
         let request = AdministrationRequest::Audit(ConfigurationRevision(0));
         self.administration_call(place, MILLIS, call, request);
     }
 
-    fn audit_answered(&mut self, answer: AdministrationResponse) {
-        let AdministrationResponse::Audit(records) = answer else {
+    fn handle_audit_response(&mut self, response: AdministrationResponse) {
+        let AdministrationResponse::Audit(records) = response else {
             return;
         };
         if std::mem::replace(&mut self.audit_is_read, true) {
