--- a/crates/millpass-sim/src/plans.rs
+++ b/crates/millpass-sim/src/plans.rs
@@ -1,4 +1,4 @@
-//! Fault plans of the scenarios: when what breaks and when it is mended, drawn from a seed.
+//! Random fault plans: times and targets of faults, drawn from a seed.
 
 use crate::faults::{Fault, Member};
 use crate::random::Random;
@@ -7,9 +7,9 @@
 /// Faults with their times.
 pub type Plan = Vec<(u64, Fault)>;
 
-/// Draws plans within the time for faults.
+/// Draws the faults of a plan.
 pub struct Planner<'a> {
-    /// Random numbers of the plan.
+    /// Random stream of the plan.
     pub random: &'a mut Random,
     /// Settings of the run, which a plan may change.
     pub settings: &'a mut Settings,
@@ -18,8 +18,8 @@
 }
 
 impl Planner<'_> {
-    /// A time at which something breaks.
-    fn some_time(&mut self) -> u64 {
+    /// Returns a random time for the start of a fault.
+    fn random_time(&mut self) -> u64 {
         let times = &self.settings.times;
         self.random
             .between(times.faults_from, times.healed - 2 * SECONDS)
@@ -29,7 +29,7 @@
         self.plan.push((at, fault));
     }
 
-    fn some_member(&mut self) -> Member {
+    fn random_member(&mut self) -> Member {
         if self.random.chance(500) {
             Member::Leader
         } else {
@@ -37,87 +37,87 @@
         }
     }
 
-    fn some_router(&mut self) -> usize {
+    fn random_router(&mut self) -> usize {
         self.random.index(self.settings.sizes.routers)
     }
 
-    fn some_engine(&mut self) -> usize {
+    fn random_engine(&mut self) -> usize {
         self.random.index(self.settings.sizes.engines)
     }
 
-    fn some_web(&mut self) -> usize {
+    fn random_web(&mut self) -> usize {
         self.random.index(self.settings.sizes.web)
     }
 
-    /// A member dies and starts again.
+    /// Kills a member and restarts it.
     pub fn kill_control(&mut self) {
-        let at = self.some_time();
-        let member = self.some_member();
+        let at = self.random_time();
+        let member = self.random_member();
         self.add(at, Fault::KillControl(member));
         let down = self.random.between(50 * MILLIS, 3 * SECONDS);
         self.add(at + down, Fault::StartControl(Member::FirstDead));
     }
 
-    /// Every member dies at once, as when the power fails, and starts again.
+    /// Kills all members at once and restarts them.
     pub fn kill_all_control(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         self.add(at, Fault::KillAllControl);
         let down = self.random.between(50 * MILLIS, 3 * SECONDS);
         self.add(at + down, Fault::StartAllControl);
     }
 
-    /// The engine that loads next dies.
+    /// Kills the engine that loads next.
     pub fn kill_loading_engine(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         self.add(at, Fault::KillNextLoadingEngine);
     }
 
-    /// Some engine dies.
+    /// Kills an engine.
     pub fn kill_engine(&mut self) {
-        let (at, engine) = (self.some_time(), self.some_engine());
+        let (at, engine) = (self.random_time(), self.random_engine());
         self.add(at, Fault::KillEngine(engine));
     }
 
-    /// Some web back end dies.
+    /// Kills a web back end.
     pub fn kill_web(&mut self) {
-        let (at, web) = (self.some_time(), self.some_web());
+        let (at, web) = (self.random_time(), self.random_web());
         self.add(at, Fault::KillWeb(web));
     }
 
-    /// A router dies and starts again.
+    /// Kills a router and restarts it.
     pub fn kill_router(&mut self) {
-        let (at, router) = (self.some_time(), self.some_router());
+        let (at, router) = (self.random_time(), self.random_router());
         self.add(at, Fault::KillRouter(router));
         let down = self.random.between(100 * MILLIS, 3 * SECONDS);
         self.add(at + down, Fault::StartRouter(router));
     }
 
-    /// A member loses its disk and comes back under a new identity.
+    /// Kills a member with its disk, and restarts it with a new identity.
     pub fn lose_disk(&mut self) {
-        let at = self.some_time();
-        let member = self.some_member();
+        let at = self.random_time();
+        let member = self.random_member();
         self.add(at, Fault::LoseDisk(member));
         let down = self.random.between(100 * MILLIS, SECONDS);
         self.add(at + down, Fault::StartControl(Member::FirstDead));
     }
 
-    /// A member loses its disk, and a second one does right after the first is repaired.
+    /// Kills a member with its disk, and a second one during or soon after the repair of the first.
     pub fn lose_second_disk(&mut self) {
         let from = self.settings.times.faults_from;
         let at = from + self.random.below(SECONDS);
-        let member = self.some_member();
+        let member = self.random_member();
         self.add(at, Fault::LoseDisk(member));
         self.add(at + 300 * MILLIS, Fault::StartControl(Member::FirstDead));
         let second = at + self.random.between(500 * MILLIS, 5 * SECONDS);
-        let member = self.some_member();
+        let member = self.random_member();
         self.add(second, Fault::LoseDisk(member));
         let down = self.random.between(100 * MILLIS, 2 * SECONDS);
         self.add(second + down, Fault::StartControl(Member::FirstDead));
     }
 
-    /// One zone is cut off from all others.
+    /// Partitions one zone from all others.
     pub fn cut_zone(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         let length = self.random.between(500 * MILLIS, 6 * SECONDS);
         let zones = self.settings.sizes.zones;
         let zone = self.random.index(zones);
@@ -133,9 +133,9 @@
         }
     }
 
-    /// Messages pass in one direction only between two zones, or out of one zone.
+    /// Blocks one direction between a zone and one or all others.
     pub fn cut_one_way(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         let length = self.random.between(500 * MILLIS, 5 * SECONDS);
         let zones = self.settings.sizes.zones;
         let zone = self.random.index(zones);
@@ -159,9 +159,9 @@
         }
     }
 
-    /// The leader freezes, at any moment or when it has decided to deliver an order.
+    /// Freezes the leader, at a random time or when it is about to deliver an order.
     pub fn freeze_leader(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         let fault = if self.random.chance(500) {
             Fault::FreezeControl(Member::Leader)
         } else {
@@ -172,9 +172,9 @@
         self.add(at + length, Fault::WakeControl);
     }
 
-    /// A router freezes, at any moment or when it has decided to send an attempt.
+    /// Freezes a router, at a random time or when it is about to send an attempt.
     pub fn freeze_router(&mut self) {
-        let (at, router) = (self.some_time(), self.some_router());
+        let (at, router) = (self.random_time(), self.random_router());
         let fault = if self.random.chance(500) {
             Fault::FreezeRouter(router)
         } else {
@@ -185,73 +185,73 @@
         self.add(at + length, Fault::WakeRouter(router));
     }
 
-    /// The weight store is slow for a while.
+    /// Slows down the weight store.
     pub fn slow_store(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         let length = self.random.between(SECONDS, 6 * SECONDS);
         self.add(at, Fault::SlowStore(true));
         self.add(at + length, Fault::SlowStore(false));
     }
 
-    /// A machine is taken without warning and comes back empty.
+    /// Reclaims an engine's machine without notice, and returns it empty.
     pub fn reclaim_machine(&mut self) {
-        let (at, engine) = (self.some_time(), self.some_engine());
+        let (at, engine) = (self.random_time(), self.random_engine());
         self.add(at, Fault::ReclaimEngine(engine));
         let away = self.random.between(200 * MILLIS, 6 * SECONDS);
         self.add(at + away, Fault::ReturnEngine(engine));
     }
 
-    /// Messages are late, lost, doubled and reordered for a while.
+    /// Delays, drops, duplicates and reorders messages.
     pub fn bad_network(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         let length = self.random.between(SECONDS, 6 * SECONDS);
         self.add(at, Fault::BadNetwork(true));
         self.add(at + length, Fault::BadNetwork(false));
     }
 
-    /// Reports are late and have gaps for a while.
+    /// Delays load reports and drops some.
     pub fn stale_reports(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         let length = self.random.between(SECONDS, 7 * SECONDS);
         self.add(at, Fault::StaleReports(true));
         self.add(at + length, Fault::StaleReports(false));
     }
 
-    /// A member is stopped in an orderly way, and started again.
+    /// Drains a member and restarts it.
     pub fn stop_control(&mut self) {
-        let at = self.some_time();
-        let member = self.some_member();
+        let at = self.random_time();
+        let member = self.random_member();
         self.add(at, Fault::DrainControl(member));
         let down = self.random.between(SECONDS, 4 * SECONDS);
         self.add(at + down, Fault::StartControl(Member::FirstDead));
     }
 
-    /// A router is stopped in an orderly way, and started again.
+    /// Drains a router and restarts it.
     pub fn stop_router(&mut self) {
-        let (at, router) = (self.some_time(), self.some_router());
+        let (at, router) = (self.random_time(), self.random_router());
         self.add(at, Fault::DrainRouter(router));
         let down = self.random.between(SECONDS, 6 * SECONDS);
         self.add(at + down, Fault::StartRouter(router));
     }
 
-    /// An engine or web back end is announced as leaving.
+    /// Announces an engine or web back end as leaving.
     pub fn leave(&mut self) {
-        let at = self.some_time();
+        let at = self.random_time();
         let fault = if self.random.chance(650) {
-            Fault::LeaveEngine(self.some_engine())
+            Fault::LeaveEngine(self.random_engine())
         } else {
-            Fault::LeaveWeb(self.some_web())
+            Fault::LeaveWeb(self.random_web())
         };
         self.add(at, fault);
     }
 
-    /// A member and a router are down while hundreds of changes pass.
+    /// Stops a member and a router while operators submit hundreds of changes.
     pub fn restart_after_changes(&mut self) {
         let times = self.settings.times.clone();
         let at = times.faults_from;
-        let member = self.some_member();
+        let member = self.random_member();
         self.add(at, Fault::KillControl(member));
-        let router = self.some_router();
+        let router = self.random_router();
         self.add(at, Fault::KillRouter(router));
         let back = times.healed - self.random.between(SECONDS, 2 * SECONDS);
         self.add(back, Fault::StartControl(Member::FirstDead));
--- a/crates/millpass-sim/src/platform.rs
+++ b/crates/millpass-sim/src/platform.rs
@@ -1,24 +1,24 @@
-//! The platform's list of machines, which shows each change some time after it happened.
+//! The platform's list of machines, which shows changes with a delay.
 
 use millpass_proto::{BackendName, BackendState, PlatformList, PlatformMachine};
 
-/// One change of the list.
+/// A change of the list.
 struct Change {
     visible_at: u64,
     backend: BackendName,
-    /// The machine as it is from then on; none when it is gone.
+    /// New state of the machine; `None` if it was removed.
     machine: Option<PlatformMachine>,
 }
 
-/// The list with its history.
+/// The list, with all its changes.
 #[derive(Default)]
 pub struct Platform {
     changes: Vec<Change>,
 }
 
 impl Platform {
-    /// Records a change; it becomes visible no earlier than the ones before it. Gives the time at
-    /// which it does.
+    /// Records a change and returns the time at which it becomes visible, which is not earlier than
+    /// that of previous changes.
     pub fn change(
         &mut self,
         visible_at: u64,
@@ -35,7 +35,7 @@
         visible_at
     }
 
-    /// The list as read at a time.
+    /// Returns the list as visible at a time.
     pub fn read(&self, now: u64) -> PlatformList {
         let mut machines: Vec<PlatformMachine> = Vec::new();
         let mut sequence = 0;
@@ -52,14 +52,14 @@
         PlatformList { sequence, machines }
     }
 
-    /// The machine as last recorded, visible or not.
+    /// Returns the last recorded state of a machine, visible or not.
     pub fn latest(&self, backend: &BackendName) -> Option<&PlatformMachine> {
         let of_backend = |change: &&Change| change.backend == *backend;
         let last = self.changes.iter().rev().find(of_backend)?;
         last.machine.as_ref()
     }
 
-    /// Whether the machine is listed as leaving, visible or not yet.
+    /// Whether the last recorded state of the machine is leaving, visible or not.
     pub fn is_leaving(&self, backend: &BackendName) -> bool {
         self.latest(backend)
             .is_some_and(|machine| machine.state == BackendState::Leaving)
--- a/crates/millpass-sim/src/queue.rs
+++ b/crates/millpass-sim/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of coming events, in order of time; equal times keep the order of scheduling.
+//! Event queue ordered by time; events of equal time keep the order of scheduling.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -24,13 +24,13 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// Reversed, since the heap gives its greatest first.
+    /// Reversed, since [`BinaryHeap`] is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// Coming events.
+/// Queue of scheduled events.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
     next_number: u64,
@@ -53,7 +53,7 @@
         self.heap.push(Scheduled { at, number, event });
     }
 
-    /// Takes the next event with its time.
+    /// Removes and returns the next event with its time.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         self.heap.pop().map(|next| (next.at, next.event))
     }
--- a/crates/millpass-sim/src/random.rs
+++ b/crates/millpass-sim/src/random.rs
@@ -1,5 +1,4 @@
-//! Random numbers of a run: seeded streams, one for each part, so that a change in one part does
-//! not shift the others.
+//! Seeded random streams, one per component, so that a change in one does not shift the others.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,34 +7,34 @@
 pub struct Random(ChaCha8Rng);
 
 impl Random {
-    /// The stream of this number under this seed.
+    /// Creates the stream with this number.
     pub fn new(seed: u64, stream: u64) -> Self {
         let mut generator = ChaCha8Rng::seed_from_u64(seed);
         generator.set_stream(stream);
         Random(generator)
     }
 
-    /// Any number.
+    /// Returns a random number.
     pub fn number(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// A number below `bound`; 0 when the bound is 0.
+    /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.number().checked_rem(bound).unwrap_or(0)
     }
 
-    /// A number from `low` to `high`, both included.
+    /// Returns a number from `low` to `high`, both inclusive.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.below(high.saturating_sub(low) + 1)
     }
 
-    /// An index into a list of this length.
+    /// Returns an index into a list of this length.
     pub fn index(&mut self, length: usize) -> usize {
         self.below(length as u64) as usize
     }
 
-    /// True this many times of a thousand.
+    /// Returns true with this probability, in permille.
     pub fn chance(&mut self, permille: u64) -> bool {
         self.below(1_000) < permille
     }
--- a/crates/millpass-sim/src/reachability.rs
+++ b/crates/millpass-sim/src/reachability.rs
@@ -1,14 +1,14 @@
-//! Which routers can exchange messages with a majority of the control group.
+//! Reachability between routers and a majority of the control group.
 //!
-//! Stated only where it is certain: a router counts as reachable when no cut or bad network
-//! touches it or the members that it needs; partial cuts make every router count as unreachable.
+//! Conservative: while messages are disturbed or a partition is partial, every router counts as
+//! unreachable.
 
 use crate::world::World;
 use millpass_checkers::Event;
 use millpass_proto::MemberAddress;
 
 impl World {
-    /// Records each router whose reachability changed.
+    /// Records changes of the reachability of routers.
     pub(crate) fn update_reachable(&mut self) {
         for router in 0..self.routers.len() {
             let reachable = self.is_reachable(router);
@@ -33,12 +33,12 @@
         }
         let membership = self.observer.membership();
         let outgoing = &membership.outgoing_voters;
-        self.majority_answers(router, &membership.voters)
-            && (outgoing.is_empty() || self.majority_answers(router, outgoing))
+        self.reaches_majority(router, &membership.voters)
+            && (outgoing.is_empty() || self.reaches_majority(router, outgoing))
     }
 
-    /// Whether any two zones that are cut off from one another are so in both directions, with no
-    /// third zone that reaches both.
+    /// Whether every block between two zones applies to both directions, and no third zone connects
+    /// them.
     fn cuts_isolate_whole_zones(&self) -> bool {
         let zones = self.zones();
         for one in &zones {
@@ -59,7 +59,7 @@
         true
     }
 
-    fn majority_answers(&self, router: usize, voters: &[MemberAddress]) -> bool {
+    fn reaches_majority(&self, router: usize, voters: &[MemberAddress]) -> bool {
         let zone = self.routers[router].zone;
         let answers = |voter: &&MemberAddress| {
             self.control.iter().any(|node| {
--- a/crates/millpass-sim/src/router_attempts.rs
+++ b/crates/millpass-sim/src/router_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that a router's host sends to back ends, and what comes of them.
+//! Attempts that a router sends to back ends, with their answers and failures.
 
 use crate::content::{ContentSeed, to_bytes};
 use crate::event::{
@@ -15,7 +15,7 @@
 const STATUS_OK: u32 = 200;
 
 impl World {
-    /// Sends an attempt, unless it is too late for that.
+    /// Sends an attempt, unless its send deadline has passed.
     pub(crate) fn send_attempt(&mut self, router: usize, dispatch: Dispatch) {
         let request = dispatch.request;
         let key = AttemptKey {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// No byte left: the core is told after the time that it takes to find out.
+    /// Reports an attempt as not sent after the time it takes to detect that.
     fn not_sent(&mut self, router: usize, key: AttemptKey, delay: u64) {
         let failed = RouterEvent::Failed(key, AttemptFailure::NotSent);
         self.router_later(router, delay, failed);
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Part of an answer came.
-    pub(crate) fn take_answer(&mut self, router: usize, key: AttemptKey, part: AnswerPart) {
-        if self.settings.mechanisms.drops_old_attempts && !self.is_present(router, key) {
+    /// Handles a part of an answer.
+    pub(crate) fn handle_answer_part(&mut self, router: usize, key: AttemptKey, part: AnswerPart) {
+        if self.settings.mechanisms.drops_stale_attempts && !self.is_current_attempt(router, key) {
             return;
         }
         let Some(served) = self.routers[router].requests.get_mut(&key.request) else {
@@ -121,29 +121,29 @@
         }
         let progress = served.attempt.map_or(0, |attempt| attempt.progress);
         let last = part.last;
-        served.passed += part.tokens.len() as u64;
+        served.delivered += part.tokens.len() as u64;
         let (caller, stream) = (served.caller.id, served.caller.stream);
         if stream {
-            self.pass_on(caller, part);
+            self.forward_answer(caller, part);
         } else {
-            served.kept.extend(part.tokens);
+            served.buffered.extend(part.tokens);
         }
         if first {
             let number = RequestNumber(key.request);
             self.router_step(router, RoutingInput::FirstByte(number));
         }
         if last {
-            return self.answer_is_whole(router, key);
+            return self.complete_answer(router, key);
         }
         let timeout = self.settings.times.attempt_timeout;
         self.router_later(router, timeout, RouterEvent::NoProgress(key, progress));
     }
 
-    fn answer_is_whole(&mut self, router: usize, key: AttemptKey) {
+    fn complete_answer(&mut self, router: usize, key: AttemptKey) {
         let Some(served) = self.routers[router].requests.get(&key.request) else {
             return;
         };
-        let tokens = served.kept.clone();
+        let tokens = served.buffered.clone();
         let record = served.attempt.is_some_and(|attempt| attempt.record);
         let answer = record.then(|| RecordedAnswer {
             status: STATUS_OK,
@@ -153,42 +153,42 @@
         if served.caller.stream {
             self.routers[router].requests.remove(&key.request);
         } else {
-            self.answer_whole(router, key.request, tokens);
+            self.complete_request(router, key.request, tokens);
         }
         let request = RequestNumber(key.request);
         self.router_step(router, RoutingInput::Completed { request, answer });
     }
 
-    /// An attempt failed.
+    /// Handles a failed attempt.
     pub(crate) fn attempt_failed(
         &mut self,
         router: usize,
         key: AttemptKey,
         failure: AttemptFailure,
     ) {
-        if !self.is_present(router, key) {
+        if !self.is_current_attempt(router, key) {
             return;
         }
         let Some(served) = self.routers[router].requests.get_mut(&key.request) else {
             return;
         };
         served.attempt = None;
-        let to_caller = if served.caller.stream {
-            served.passed
+        let sent_to_caller = if served.caller.stream {
+            served.delivered
         } else {
             0
         };
         if !served.caller.stream {
-            served.kept.clear();
-            served.passed = 0;
+            served.buffered.clear();
+            served.delivered = 0;
         }
         let failure = match failure {
-            AttemptFailure::MayHaveRun if !self.settings.mechanisms.honest_failures => {
+            AttemptFailure::MayHaveRun if !self.settings.mechanisms.accurate_failures => {
                 AttemptFailure::NotSent
             }
-            AttemptFailure::MayHaveRun if to_caller > 0 => {
-                AttemptFailure::BrokenOff { tokens: to_caller }
-            }
+            AttemptFailure::MayHaveRun if sent_to_caller > 0 => AttemptFailure::BrokenOff {
+                tokens: sent_to_caller,
+            },
             other => other,
         };
         self.statistics.failed_attempts += 1;
@@ -196,18 +196,19 @@
         self.router_step(router, RoutingInput::Failed { request, failure });
     }
 
-    /// An attempt that made no progress for too long is given up.
+    /// Cancels an attempt that made no progress within its timeout.
     pub(crate) fn no_progress(&mut self, router: usize, key: AttemptKey, progress: u64) {
         let served = self.routers[router].requests.get(&key.request);
         let attempt = served.and_then(|served| served.attempt);
-        let stuck = attempt.is_some_and(|one| one.key == key && one.progress == progress);
-        if stuck {
+        let stalled =
+            attempt.is_some_and(|attempt| attempt.key == key && attempt.progress == progress);
+        if stalled {
             self.cancel_at_back_end(router, key);
             self.attempt_failed(router, key, AttemptFailure::MayHaveRun);
         }
     }
 
-    /// Cancels the attempt of a request that goes on, if any.
+    /// Cancels the current attempt of a request, if any.
     pub(crate) fn cancel_attempt(&mut self, router: usize, request: u64) {
         let Some(served) = self.routers[router].requests.get_mut(&request) else {
             return;
--- a/crates/millpass-sim/src/router_claims.rs
+++ b/crates/millpass-sim/src/router_claims.rs
@@ -1,4 +1,4 @@
-//! Claims of requests that may not be repeated, on their way to the control group and back.
+//! Claims of requests that may not be repeated, sent to the control group.
 
 use crate::event::RouterEvent;
 use crate::world::World;
@@ -42,7 +42,7 @@
         let attempt = claim.attempt;
         self.record_claim(router, attempt, key, ClaimOperation::Begin);
         if !self.settings.mechanisms.claims {
-            return self.claim_answered(router, attempt, ClaimDecision::Granted);
+            return self.handle_claim_decision(router, attempt, ClaimDecision::Granted);
         }
         self.send_to_leader(router, RouterToControl::Claim(ClaimRequest { claim }));
     }
@@ -63,8 +63,13 @@
         self.send_to_leader(router, RouterToControl::FinishClaim(finish));
     }
 
-    /// A decision on a claim came.
-    pub(crate) fn claim_answered(&mut self, router: usize, attempt: u64, decision: ClaimDecision) {
+    /// Handles the decision on a claim.
+    pub(crate) fn handle_claim_decision(
+        &mut self,
+        router: usize,
+        attempt: u64,
+        decision: ClaimDecision,
+    ) {
         if let Some(key) = self.routers[router].claims.get(&attempt).cloned() {
             let attempt_id = self.attempt_id(router, attempt);
             self.record(Event::ClaimReturned {
@@ -73,12 +78,12 @@
                 decision: decision.clone(),
             });
         }
-        // The input is queued, so that the core is not entered twice.
+        // Queued, since this may be called while outputs of the core are executed.
         let input = RoutingInput::ClaimDecided { attempt, decision };
         self.router_later(router, 0, RouterEvent::Input(Box::new(input)));
     }
 
-    /// The end of a claim is committed.
+    /// Handles the confirmation that the end of a claim is committed.
     pub(crate) fn claim_finished(&mut self, router: usize, attempt: u64) {
         if let Some(key) = self.routers[router].claims.get(&attempt).cloned() {
             let attempt = self.attempt_id(router, attempt);
--- a/crates/millpass-sim/src/router_host.rs
+++ b/crates/millpass-sim/src/router_host.rs
@@ -1,11 +1,11 @@
-//! What the process around a router's core does, in virtual time.
+//! Host of a router's core in virtual time.
 
 use crate::content::from_bytes;
 use crate::event::{
     AnswerPart, AttemptKey, CallerEvent, CallerRequest, EngineEvent, RouterEvent, SimEvent,
     WebEvent,
 };
-use crate::router_node::Served;
+use crate::router_node::ActiveRequest;
 use crate::world::World;
 use millpass_checkers::{AnswerOutcome, Event, ProcessName, RequestId, StatedExecution};
 use millpass_proto::{BackendKind, Duration, RouterReport, RouterToControl};
@@ -13,18 +13,18 @@
     Arrival, Executed, IdempotencyKey, Refusal, RequestNumber, RoutingInput, RoutingOutput,
 };
 
-/// Time between a router and its callers, one way.
+/// One-way latency between a router and its callers.
 pub const CALLER_MICROS: u64 = 1_000;
 const HANDOFF_MICROS: u64 = 200;
 const POLL_TIMEOUT_MICROS: u64 = 300_000;
 
 impl World {
-    /// Name of a router's process.
+    /// Returns the name of a router's process.
     pub(crate) fn router_name(&self, router: usize) -> ProcessName {
         ProcessName(self.routers[router].name.0.clone())
     }
 
-    /// Schedules an event for a router's present run.
+    /// Schedules an event for the current run of a router.
     pub(crate) fn router_later(&mut self, router: usize, delay: u64, event: RouterEvent) {
         let run = self.routers[router].run;
         let at = self.now + delay;
@@ -35,7 +35,7 @@
     pub(crate) fn router_event(&mut self, router: usize, run: u64, event: RouterEvent) {
         let node = &mut self.routers[router];
         if node.run != run || node.core.is_none() {
-            return self.router_is_gone(event);
+            return self.handle_undeliverable(event);
         }
         if let RouterEvent::Request(request) = &event {
             let request = (**request).clone();
@@ -50,28 +50,28 @@
         }
     }
 
-    /// A request that reaches no process is refused by the machine, and its caller tries another.
-    /// One that the ended process had not read yet is lost with its connection.
-    fn router_is_gone(&mut self, event: RouterEvent) {
+    /// Handles an event of an ended process. The caller of a request that reached no process retries
+    /// at another router; a request that the process had not read yet loses its connection.
+    fn handle_undeliverable(&mut self, event: RouterEvent) {
         match event {
             RouterEvent::Request(request) => {
                 let at = self.now + CALLER_MICROS;
-                let again = CallerEvent::Send(request);
-                self.queue.push(at, SimEvent::Caller(again));
+                let resend = CallerEvent::Send(request);
+                self.queue.push(at, SimEvent::Caller(resend));
             }
-            RouterEvent::Woken(event) => self.lose_unread(*event),
+            RouterEvent::Deferred(event) => self.drop_unread(*event),
             _ => {}
         }
     }
 
-    pub(crate) fn lose_unread(&mut self, event: RouterEvent) {
+    pub(crate) fn drop_unread(&mut self, event: RouterEvent) {
         match event {
             RouterEvent::Request(request) => {
-                let lost = CallerEvent::Ended(request.id, AnswerOutcome::ConnectionLost);
+                let ended = CallerEvent::Ended(request.id, AnswerOutcome::ConnectionLost);
                 self.queue
-                    .push(self.now + CALLER_MICROS, SimEvent::Caller(lost));
+                    .push(self.now + CALLER_MICROS, SimEvent::Caller(ended));
             }
-            RouterEvent::Woken(event) => self.lose_unread(*event),
+            RouterEvent::Deferred(event) => self.drop_unread(*event),
             _ => {}
         }
     }
@@ -91,18 +91,18 @@
             RouterEvent::Connected(connection, place) => self.connected(router, connection, place),
             RouterEvent::LinkEnded(connection) => self.link_ended(router, connection),
             RouterEvent::FromControl(connection, message) => {
-                self.take_control_message(router, connection, *message);
+                self.handle_control_message(router, connection, *message);
             }
-            RouterEvent::Request(request) => self.take_request(router, *request),
+            RouterEvent::Request(request) => self.handle_request(router, *request),
             RouterEvent::CallerGone(request) => self.caller_gone(router, request),
-            RouterEvent::Answer(key, part) => self.take_answer(router, key, part),
+            RouterEvent::Answer(key, part) => self.handle_answer_part(router, key, part),
             RouterEvent::Failed(key, failure) => self.attempt_failed(router, key, failure),
-            RouterEvent::Woken(event) => self.router_handle(router, *event),
+            RouterEvent::Deferred(event) => self.router_handle(router, *event),
             RouterEvent::NoProgress(key, progress) => self.no_progress(router, key, progress),
         }
     }
 
-    /// Gives an input to the core and carries out what it wants.
+    /// Passes an input to the core and executes its outputs.
     pub(crate) fn router_step(&mut self, router: usize, input: RoutingInput) {
         let now = self.now;
         let node = &mut self.routers[router];
@@ -129,7 +129,7 @@
             RoutingOutput::Refuse(request, refusal) => self.refuse(router, request, refusal),
             RoutingOutput::Replay(request, answer) => {
                 let tokens = from_bytes(&answer.body);
-                self.answer_whole(router, request.0, tokens);
+                self.complete_request(router, request.0, tokens);
             }
             RoutingOutput::Cancel(request) => self.cancel_attempt(router, request.0),
             RoutingOutput::BreakOff(request, refusal) => {
@@ -160,13 +160,13 @@
             request: request.id,
             tenant: request.tenant.clone(),
             router: name,
-            deadline_micros: request.sent_at + request.allowed_micros,
+            deadline_micros: request.sent_at + request.timeout_micros,
             expected: seed.digest(request.length),
             key: request.key.clone(),
         });
     }
 
-    fn take_request(&mut self, router: usize, request: CallerRequest) {
+    fn handle_request(&mut self, router: usize, request: CallerRequest) {
         let now = self.now;
         let node = &mut self.routers[router];
         let number = node.next_request;
@@ -176,25 +176,25 @@
             request: RequestNumber(number),
             api_key: request.api_key.clone(),
             target: request.target.clone(),
-            deadline: node.clock.local(now) + Duration::from_micros(request.allowed_micros),
+            deadline: node.clock.local(now) + Duration::from_micros(request.timeout_micros),
             idempotency: request.key.as_ref().map(|key| IdempotencyKey {
                 key: key.key.clone(),
-                created_unix_millis: request.born_unix_millis,
+                created_unix_millis: request.key_created_unix_millis,
                 digest: format!("digest-of-{}", key.key),
             }),
         };
-        let served = Served {
+        let served = ActiveRequest {
             caller: request,
             attempt: None,
-            passed: 0,
-            kept: Vec::new(),
+            delivered: 0,
+            buffered: Vec::new(),
         };
         node.requests.insert(number, served);
         self.router_step(router, RoutingInput::Arrived(arrival));
     }
 
     fn caller_gone(&mut self, router: usize, request: RequestId) {
-        let Some(number) = self.routers[router].served_as(request) else {
+        let Some(number) = self.routers[router].request_number(request) else {
             return;
         };
         self.router_step(router, RoutingInput::CallerGone(RequestNumber(number)));
@@ -216,7 +216,7 @@
         self.end_request(router, request.0, outcome);
     }
 
-    /// Gives a request its final outcome, other than a whole answer.
+    /// Ends a request with an outcome other than a complete answer.
     pub(crate) fn end_request(&mut self, router: usize, request: u64, outcome: AnswerOutcome) {
         self.cancel_attempt(router, request);
         if let Some(served) = self.routers[router].requests.remove(&request) {
@@ -226,16 +226,16 @@
         }
     }
 
-    /// Gives a request its whole answer.
-    pub(crate) fn answer_whole(&mut self, router: usize, request: u64, tokens: Vec<u64>) {
+    /// Ends a request with its complete answer.
+    pub(crate) fn complete_request(&mut self, router: usize, request: u64, tokens: Vec<u64>) {
         if let Some(served) = self.routers[router].requests.remove(&request) {
             let part = AnswerPart { tokens, last: true };
-            self.pass_on(served.caller.id, part);
+            self.forward_answer(served.caller.id, part);
         }
     }
 
-    /// Sends part of an answer to its caller.
-    pub(crate) fn pass_on(&mut self, request: RequestId, part: AnswerPart) {
+    /// Sends a part of an answer to its caller.
+    pub(crate) fn forward_answer(&mut self, request: RequestId, part: AnswerPart) {
         let answer = CallerEvent::Answer(request, part);
         self.queue
             .push(self.now + CALLER_MICROS, SimEvent::Caller(answer));
@@ -293,8 +293,8 @@
         }
     }
 
-    /// Whether the attempt is the one that goes on.
-    pub(crate) fn is_present(&self, router: usize, key: AttemptKey) -> bool {
+    /// Whether the attempt is the current one of its request.
+    pub(crate) fn is_current_attempt(&self, router: usize, key: AttemptKey) -> bool {
         let served = self.routers[router].requests.get(&key.request);
         let attempt = served.and_then(|served| served.attempt);
         attempt.is_some_and(|attempt| attempt.key == key)
--- a/crates/millpass-sim/src/router_link.rs
+++ b/crates/millpass-sim/src/router_link.rs
@@ -1,4 +1,4 @@
-//! A router's link to the control group: opened to one member after the other until one leads.
+//! A router's link to the control group; it tries one member after another until one leads.
 
 use crate::event::{ControlEvent, RouterEvent, SimEvent};
 use crate::router_node::Link;
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The link is open.
+    /// Handles the opening of the link.
     pub(crate) fn connected(&mut self, router: usize, connection: ConnectionId, place: usize) {
         if self.routers[router].link != Link::Opening(connection) {
             return;
@@ -48,12 +48,12 @@
         self.routers[router].link = Link::Up {
             connection,
             place,
-            heard_at: self.now,
+            last_message_at: self.now,
         };
         self.router_step(router, RoutingInput::LinkUp);
     }
 
-    /// The link ended.
+    /// Handles the end of the link and schedules the next connection attempt.
     pub(crate) fn link_ended(&mut self, router: usize, connection: ConnectionId) {
         let was_up = match self.routers[router].link {
             Link::Down => return,
@@ -68,23 +68,23 @@
         self.router_later(router, RECONNECT_MICROS / 2, RouterEvent::Connect);
     }
 
-    /// Gives up a link that is silent for too long.
+    /// Closes a link without messages for longer than the link timeout.
     pub(crate) fn check_link(&mut self, router: usize) {
         let Link::Up {
             connection,
-            heard_at,
+            last_message_at,
             ..
         } = self.routers[router].link
         else {
             return;
         };
-        if self.now - heard_at > self.settings.times.link_timeout {
+        if self.now - last_message_at > self.settings.times.link_timeout {
             self.close_link(router);
             self.link_ended(router, connection);
         }
     }
 
-    /// Closes the router's end; the other end learns of it if messages pass.
+    /// Closes the link. The member is notified, or detects it by the link timeout if partitioned.
     pub(crate) fn close_link(&mut self, router: usize) {
         let Link::Up {
             connection, place, ..
@@ -98,7 +98,7 @@
         } else {
             self.settings.times.link_timeout
         };
-        let at = self.in_order((connection, false), delay);
+        let at = self.stream_arrival((connection, false), delay);
         let run = self.control[place].run;
         let closed = ControlEvent::Closed(connection);
         self.queue.push(at, SimEvent::Control(place, run, closed));
@@ -115,15 +115,15 @@
         let (from, to) = (self.routers[router].zone, self.control[place].zone);
         match self.network.stream_delay(&mut self.random, from, to) {
             Some(delay) => {
-                let at = self.in_order((connection, false), delay);
+                let at = self.stream_arrival((connection, false), delay);
                 self.send_to_control(place, at, connection, message);
             }
             None => self.break_link(place, connection),
         }
     }
 
-    /// A message came on the link.
-    pub(crate) fn take_control_message(
+    /// Handles a message received on the link.
+    pub(crate) fn handle_control_message(
         &mut self,
         router: usize,
         connection: ConnectionId,
@@ -132,9 +132,9 @@
         match &mut self.routers[router].link {
             Link::Up {
                 connection: up,
-                heard_at,
+                last_message_at,
                 ..
-            } if *up == connection => *heard_at = self.now,
+            } if *up == connection => *last_message_at = self.now,
             _ => return,
         }
         match message {
@@ -144,21 +144,28 @@
             ControlToRouter::ChangesAvailable => {
                 self.router_step(router, RoutingInput::ChangesAvailable)
             }
-            // For gateways only.
+            // Sent to gateways only.
             ControlToRouter::Gateway(_)
             | ControlToRouter::Credit(_)
             | ControlToRouter::Crashes(_)
             | ControlToRouter::Permits(_)
             | ControlToRouter::Limits(_) => {}
-            ControlToRouter::Claim(answer) => {
-                self.claim_answered(router, answer.attempt, answer.decision);
+            ControlToRouter::Claim(response) => {
+                self.handle_claim_decision(router, response.attempt, response.decision);
             }
             ControlToRouter::ClaimFinished(attempt) => self.claim_finished(router, attempt),
-            ControlToRouter::NotLeader(not_leader) => self.follow(router, connection, &not_leader),
+            ControlToRouter::NotLeader(not_leader) => {
+                self.reconnect_to_leader(router, connection, &not_leader)
+            }
         }
     }
 
-    fn follow(&mut self, router: usize, connection: ConnectionId, not_leader: &NotLeader) {
+    fn reconnect_to_leader(
+        &mut self,
+        router: usize,
+        connection: ConnectionId,
+        not_leader: &NotLeader,
+    ) {
         let leader = not_leader.leader_address.as_deref();
         if let Some(place) = leader.and_then(|address| self.place_of_peer(address)) {
             self.routers[router].next_member = place;
--- a/crates/millpass-sim/src/router_node.rs
+++ b/crates/millpass-sim/src/router_node.rs
@@ -1,4 +1,4 @@
-//! A simulated router: the decision core with its clock, link and requests.
+//! A simulated router: its core, clock, link and requests.
 
 use crate::clock::NodeClock;
 use crate::event::{AttemptKey, BackEnd, CallerRequest, RouterEvent};
@@ -11,7 +11,7 @@
 /// State of the link to the control group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// None; the next attempt is scheduled.
+    /// Closed; the next connection attempt is scheduled.
     Down,
     /// Being opened.
     Opening(ConnectionId),
@@ -21,39 +21,39 @@
         connection: ConnectionId,
         /// Place of the member at the other end.
         place: usize,
-        /// When the last message came.
-        heard_at: u64,
+        /// Time of the last received message.
+        last_message_at: u64,
     },
 }
 
-/// A request that a router serves.
-pub struct Served {
-    /// As the caller sent it.
+/// A request in progress at a router.
+pub struct ActiveRequest {
+    /// Request as sent by the caller.
     pub caller: CallerRequest,
-    /// Present attempt, once there is one.
+    /// Current attempt; `None` before the first and between attempts.
     pub attempt: Option<RunningAttempt>,
-    /// Tokens passed on to the caller, or kept for it.
-    pub passed: u64,
-    /// Tokens of an answer that is not streamed.
-    pub kept: Vec<u64>,
+    /// Number of tokens forwarded to the caller or buffered.
+    pub delivered: u64,
+    /// Buffered tokens of an answer that is not streamed.
+    pub buffered: Vec<u64>,
 }
 
-/// An attempt that goes on.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningAttempt {
     /// Attempt.
     pub key: AttemptKey,
     /// Back end.
     pub backend: BackEnd,
-    /// Whether the first byte of its answer came.
+    /// Whether the first part of its answer was received.
     pub answered: bool,
-    /// Parts of the answer that came.
+    /// Number of received parts of the answer.
     pub progress: u64,
-    /// Whether its answer is to be recorded.
+    /// Whether its answer is recorded with the claim.
     pub record: bool,
 }
 
-/// One router machine with the process on it.
+/// A router machine and its process.
 pub struct RouterNode {
     /// Name.
     pub name: RouterName,
@@ -61,38 +61,38 @@
     pub zone: Zone,
     /// Clock.
     pub clock: NodeClock,
-    /// Core; none while no process runs.
+    /// Core; `None` while no process runs.
     pub core: Option<Routing>,
     /// Number of the process's run.
     pub run: u64,
-    /// Number drawn by the run.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Whether it stopped running without ending.
+    /// Whether the process is suspended.
     pub frozen: bool,
-    /// Events that came while it was frozen.
+    /// Events that arrived while it was frozen.
     pub backlog: Vec<RouterEvent>,
-    /// Whether it was told to stop.
+    /// Whether a planned stop began.
     pub draining: bool,
-    /// Whether it is to freeze when it next decides to send an attempt.
+    /// Whether it freezes before it sends the next attempt.
     pub freeze_at_dispatch: bool,
     /// Link to the control group.
     pub link: Link,
-    /// Member to try next, when no leader is known.
+    /// Place of the member to connect to next.
     pub next_member: usize,
-    /// Requests it serves.
-    pub requests: BTreeMap<u64, Served>,
+    /// Requests in progress, by number.
+    pub requests: BTreeMap<u64, ActiveRequest>,
     /// Number of the next request.
     pub next_request: u64,
-    /// Back ends it watches.
+    /// Watched back ends.
     pub watched: Vec<WatchedBackend>,
-    /// Revision last stated as applied.
+    /// Revision last reported as applied.
     pub applied: Option<u64>,
     /// Keys of claims by attempt, for the history.
     pub claims: BTreeMap<u64, millpass_checkers::ScopedKey>,
 }
 
 impl RouterNode {
-    /// A machine without a process.
+    /// Creates a machine without a process.
     pub fn new(name: RouterName, zone: Zone, clock: NodeClock) -> Self {
         RouterNode {
             name,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Starts a process with nothing known.
+    /// Starts a process with empty state.
     pub fn start(&mut self, at_micros: u64, incarnation: Incarnation) {
         self.run += 1;
         self.incarnation = incarnation;
@@ -132,13 +132,13 @@
         self.claims.clear();
     }
 
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub fn listens(&self) -> bool {
         self.core.is_some() && !self.draining
     }
 
-    /// The request and the number under which a caller's request is served.
-    pub fn served_as(&self, request: millpass_checkers::RequestId) -> Option<u64> {
+    /// Returns the number of a caller's request in progress.
+    pub fn request_number(&self, request: millpass_checkers::RequestId) -> Option<u64> {
         let mut served = self.requests.iter();
         served
             .find(|(_, served)| served.caller.id == request)
--- a/crates/millpass-sim/src/router_process.rs
+++ b/crates/millpass-sim/src/router_process.rs
@@ -6,7 +6,7 @@
 use millpass_routing::RoutingInput;
 
 impl World {
-    /// An orderly stop begins.
+    /// Begins a planned stop.
     pub(crate) fn drain_router(&mut self, router: usize) {
         if self.routers[router].core.is_none() || self.routers[router].frozen {
             return;
@@ -26,7 +26,7 @@
         self.end_router(router);
     }
 
-    /// Ends a router's process; callers in flight see their connections end.
+    /// Ends a router's process; callers of requests in flight lose their connections.
     pub(crate) fn end_router(&mut self, router: usize) {
         let numbers: Vec<u64> = self.routers[router].requests.keys().copied().collect();
         for number in numbers {
@@ -34,7 +34,7 @@
         }
         let backlog = std::mem::take(&mut self.routers[router].backlog);
         for event in backlog {
-            self.lose_unread(event);
+            self.drop_unread(event);
         }
         self.close_link(router);
         let node = &mut self.routers[router];
--- a/crates/millpass-sim/src/run.rs
+++ b/crates/millpass-sim/src/run.rs
@@ -10,25 +10,25 @@
 use std::ops::Range;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// What a run came to.
+/// Result of a run.
 pub struct RunReport {
     /// Seed.
     pub seed: u64,
-    /// Breaches of what must always hold.
+    /// Violated invariants.
     pub breaches: Vec<Breach>,
-    /// Why the run itself failed: a panic of a core, or of the simulator.
+    /// Panic or error of a core or of the simulator; `None` if the run completed.
     pub failure: Option<String>,
-    /// Hash of everything that happened.
+    /// Hash of the trace.
     pub trace_hash: u64,
-    /// Counts.
+    /// Event counts.
     pub statistics: Statistics,
-    /// Lines of the trace, when kept.
+    /// Lines of the trace; empty unless they were requested.
     pub lines: Vec<String>,
 }
 
 impl RunReport {
-    /// Whether everything held.
-    pub fn holds(&self) -> bool {
+    /// Whether the run completed without a violation.
+    pub fn passed(&self) -> bool {
         self.breaches.is_empty() && self.failure.is_none()
     }
 }
@@ -38,7 +38,7 @@
     run_with(scenario, seed, keep_lines, Settings::default())
 }
 
-/// Runs a scenario under a seed with other settings than the usual.
+/// Runs a scenario under a seed with custom settings.
 pub fn run_with(
     scenario: &Scenario,
     seed: u64,
@@ -49,7 +49,7 @@
     run_plan(settings, plan, seed, keep_lines)
 }
 
-/// Runs a plan of one's own.
+/// Runs a custom fault plan.
 pub fn run_plan(
     settings: Settings,
     plan: Vec<(u64, Fault)>,
@@ -103,23 +103,23 @@
     format!("panic: {}", text.unwrap_or_default())
 }
 
-/// What many runs came to.
+/// Result of many runs.
 #[derive(Default)]
 pub struct Summary {
-    /// Runs.
+    /// Number of runs.
     pub runs: u64,
-    /// Counts over all of them.
+    /// Event counts of all runs.
     pub statistics: Statistics,
-    /// The runs in which something did not hold, by seed.
+    /// Failed runs, by seed.
     pub broken: Vec<RunReport>,
 }
 
-/// Runs a scenario under each seed, over some threads.
+/// Runs a scenario under each seed on several threads.
 pub fn run_seeds(scenario: &'static Scenario, seeds: Range<u64>, threads: usize) -> Summary {
     run_seeds_with(scenario, seeds, threads, &Settings::default())
 }
 
-/// Runs a scenario under each seed, over some threads, with other settings than the usual.
+/// Runs a scenario under each seed on several threads, with custom settings.
 pub fn run_seeds_with(
     scenario: &'static Scenario,
     seeds: Range<u64>,
@@ -150,7 +150,7 @@
         for report in report_receiver {
             summary.runs += 1;
             summary.statistics.add(&report.statistics);
-            if !report.holds() {
+            if !report.passed() {
                 summary.broken.push(report);
             }
         }
--- a/crates/millpass-sim/src/scenario.rs
+++ b/crates/millpass-sim/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios by name.
+//! Named scenarios.
 
 use crate::plans::{Plan, Planner};
 use crate::random::Random;
@@ -10,19 +10,19 @@
 pub struct Scenario {
     /// Name.
     pub name: &'static str,
-    /// What it provokes.
+    /// Short description.
     pub summary: &'static str,
-    /// Changes settings and draws the plan.
+    /// Adjusts the settings and draws the plan.
     prepare: fn(&mut Planner),
 }
 
 impl Scenario {
-    /// The scenario of this name.
+    /// Returns the scenario with this name.
     pub fn named(name: &str) -> Option<&'static Scenario> {
         SCENARIOS.iter().find(|scenario| scenario.name == name)
     }
 
-    /// Settings and plan of a seed.
+    /// Adjusts the settings and returns the plan for a seed.
     pub fn prepare(&self, seed: u64, settings: &mut Settings) -> Plan {
         let mut random = Random::new(seed, PLAN_STREAM);
         let mut planner = Planner {
@@ -35,8 +35,8 @@
     }
 }
 
-/// Draws something as often as chance has it.
-fn some(planner: &mut Planner, most: u64, draw: fn(&mut Planner)) {
+/// Draws a fault between once and `most` times.
+fn repeat_random(planner: &mut Planner, most: u64, draw: fn(&mut Planner)) {
     for _ in 0..planner.random.between(1, most) {
         draw(planner);
     }
@@ -51,7 +51,7 @@
     planner.settings.sizes.models = 12;
     planner.settings.sizes.engines = 4;
     planner.settings.times.unload = planner.random.between(80 * MILLIS, 1_500 * MILLIS);
-    planner.settings.mechanisms.rogue_orders = true;
+    planner.settings.mechanisms.replayed_orders = true;
 }
 
 fn adapter_pressure(planner: &mut Planner) {
@@ -60,7 +60,7 @@
     planner.settings.sizes.adapter_bytes = 14_000;
     planner.settings.load.request_interval = 20 * MILLIS;
     planner.settings.times.unload = planner.random.between(80 * MILLIS, 800 * MILLIS);
-    planner.settings.mechanisms.rogue_orders = true;
+    planner.settings.mechanisms.replayed_orders = true;
 }
 
 fn four_zones(planner: &mut Planner) {
@@ -83,7 +83,7 @@
     combine(planner, 3, 7);
 }
 
-/// Combines so many kinds of faults, some of them twice.
+/// Draws between `least` and `most` kinds of faults, some of them twice.
 fn combine(planner: &mut Planner, least: u64, most: u64) {
     const DRAWS: &[fn(&mut Planner)] = &[
         |planner| planner.kill_control(),
@@ -119,7 +119,7 @@
         let draw = planner.random.index(DRAWS.len());
         let twice = planner.random.chance(300);
         for _ in 0..=u64::from(twice) {
-            // More lost disks than a minority at a time is beyond what is promised.
+            // Concurrent loss of several disks is not tolerated by the control group.
             const LOSE_DISK: usize = 5;
             if draw == LOSE_DISK {
                 disks_lost += 1;
@@ -145,74 +145,74 @@
     },
     Scenario {
         name: "kill-control",
-        summary: "control members die, the leader too, and start again",
-        prepare: |planner| some(planner, 3, |planner| planner.kill_control()),
+        summary: "control members, also the leader, are killed and restarted",
+        prepare: |planner| repeat_random(planner, 3, |planner| planner.kill_control()),
     },
     Scenario {
         name: "kill-all-control",
-        summary: "every control member dies at once and starts again",
+        summary: "all control members are killed at once and restarted",
         prepare: |planner| {
             planner.settings.load.operators = 4;
             planner.settings.load.operator_pause = 300 * MILLIS;
             planner.settings.load.contested_objects = 8;
-            some(planner, 2, |planner| planner.kill_all_control());
+            repeat_random(planner, 2, |planner| planner.kill_all_control());
         },
     },
     Scenario {
         name: "memory-pressure",
-        summary: "more models than fit, slow unloads, old orders again, engines that die",
+        summary: "more models than fit, slow unloads, replayed orders, killed engines",
         prepare: |planner| {
             bursts(planner);
             memory_pressure(planner);
-            some(planner, 2, |planner| planner.kill_loading_engine());
-            some(planner, 2, |planner| planner.reclaim_machine());
+            repeat_random(planner, 2, |planner| planner.kill_loading_engine());
+            repeat_random(planner, 2, |planner| planner.reclaim_machine());
         },
     },
     Scenario {
         name: "kill-engine-mid-load",
-        summary: "engines die in the middle of a load, and while they serve",
+        summary: "engines are killed while they load and while they serve",
         prepare: |planner| {
             bursts(planner);
-            some(planner, 3, |planner| planner.kill_loading_engine());
-            some(planner, 2, |planner| planner.kill_engine());
+            repeat_random(planner, 3, |planner| planner.kill_loading_engine());
+            repeat_random(planner, 2, |planner| planner.kill_engine());
             planner.kill_web();
         },
     },
     Scenario {
         name: "kill-router",
-        summary: "routers die and start again",
-        prepare: |planner| some(planner, 3, |planner| planner.kill_router()),
+        summary: "routers are killed and restarted",
+        prepare: |planner| repeat_random(planner, 3, |planner| planner.kill_router()),
     },
     Scenario {
         name: "lost-disk",
-        summary: "a control member loses its disk and comes back under a new identity",
+        summary: "a control member loses its disk and restarts with a new identity",
         prepare: |planner| planner.lose_disk(),
     },
     Scenario {
         name: "second-loss-after-repair",
-        summary: "a second disk is lost right after, or during, the repair of the first",
+        summary: "a second disk is lost during or soon after the repair of the first",
         prepare: |planner| planner.lose_second_disk(),
     },
     Scenario {
         name: "zone-cut",
-        summary: "a zone is cut off and comes back",
-        prepare: |planner| some(planner, 2, |planner| planner.cut_zone()),
+        summary: "a zone is partitioned from the others",
+        prepare: |planner| repeat_random(planner, 2, |planner| planner.cut_zone()),
     },
     Scenario {
         name: "one-way-cut",
-        summary: "messages pass in one direction only",
-        prepare: |planner| some(planner, 2, |planner| planner.cut_one_way()),
+        summary: "messages between zones pass in one direction only",
+        prepare: |planner| repeat_random(planner, 2, |planner| planner.cut_one_way()),
     },
     Scenario {
         name: "frozen-leader",
-        summary: "the leader freezes, also between a decision and its order, and wakes late",
-        prepare: |planner| some(planner, 2, |planner| planner.freeze_leader()),
+        summary: "the leader freezes, also between a decision and the delivery of its order",
+        prepare: |planner| repeat_random(planner, 2, |planner| planner.freeze_leader()),
     },
     Scenario {
         name: "frozen-router",
-        summary: "routers freeze, also between a decision and its attempt, and wake late",
+        summary: "routers freeze, also between a decision and the sending of its attempt",
         prepare: |planner| {
-            some(planner, 3, |planner| planner.freeze_router());
+            repeat_random(planner, 3, |planner| planner.freeze_router());
             planner.leave();
         },
     },
@@ -221,46 +221,46 @@
         summary: "the weight store slows down under bursts",
         prepare: |planner| {
             bursts(planner);
-            some(planner, 2, |planner| planner.slow_store());
+            repeat_random(planner, 2, |planner| planner.slow_store());
         },
     },
     Scenario {
         name: "machine-reclaimed",
-        summary: "machines are taken without warning and come back empty",
-        prepare: |planner| some(planner, 4, |planner| planner.reclaim_machine()),
+        summary: "machines are reclaimed without notice and return empty",
+        prepare: |planner| repeat_random(planner, 4, |planner| planner.reclaim_machine()),
     },
     Scenario {
         name: "bad-network",
-        summary: "messages are late, lost, doubled and reordered",
-        prepare: |planner| some(planner, 2, |planner| planner.bad_network()),
+        summary: "messages are delayed, lost, duplicated and reordered",
+        prepare: |planner| repeat_random(planner, 2, |planner| planner.bad_network()),
     },
     Scenario {
         name: "stale-reports",
-        summary: "load reports are late and have gaps, under bursts",
+        summary: "load reports are delayed and lost, under bursts",
         prepare: |planner| {
             bursts(planner);
-            some(planner, 2, |planner| planner.stale_reports());
+            repeat_random(planner, 2, |planner| planner.stale_reports());
         },
     },
     Scenario {
         name: "racing-operators",
-        summary: "operators race with equal versions",
+        summary: "operators change the same objects concurrently",
         prepare: racing,
     },
     Scenario {
         name: "resent-changes",
-        summary: "operators lose answers and send changes again, while leaders die",
+        summary: "operators lose responses and resend changes, while control members are killed",
         prepare: |planner| {
             planner.settings.load.operators = 4;
             planner.settings.load.operator_pause = 600 * MILLIS;
             planner.settings.load.contested_objects = 6;
             planner.settings.load.resent_changes_permille = 500;
-            some(planner, 2, |planner| planner.kill_control());
+            repeat_random(planner, 2, |planner| planner.kill_control());
         },
     },
     Scenario {
         name: "restart-after-changes",
-        summary: "a member and a router start again after hundreds of changes",
+        summary: "a member and a router restart after hundreds of changes",
         prepare: |planner| {
             planner.settings.load.operators = 8;
             planner.settings.load.operator_pause = 120 * MILLIS;
@@ -270,18 +270,18 @@
     },
     Scenario {
         name: "planned-stops",
-        summary: "control members, routers and back ends are stopped in an orderly way",
+        summary: "control members, routers and back ends are drained",
         prepare: |planner| {
-            some(planner, 2, |planner| planner.stop_control());
-            some(planner, 2, |planner| planner.stop_router());
+            repeat_random(planner, 2, |planner| planner.stop_control());
+            repeat_random(planner, 2, |planner| planner.stop_router());
             planner.leave();
         },
     },
     Scenario {
         name: "leaving-back-end",
-        summary: "back ends leave while leaders die and routers freeze",
+        summary: "back ends leave during other faults",
         prepare: |planner| {
-            some(planner, 3, |planner| planner.leave());
+            repeat_random(planner, 3, |planner| planner.leave());
             match planner.random.below(4) {
                 0 => planner.kill_control(),
                 1 => planner.freeze_router(),
@@ -292,26 +292,26 @@
     },
     Scenario {
         name: "adapter-pressure",
-        summary: "more adapters than fit beside their model, slow unloads, old orders again, kills",
+        summary: "more adapters than fit beside their model, slow unloads, replayed orders, kills",
         prepare: |planner| {
             adapter_pressure(planner);
-            some(planner, 2, |planner| planner.kill_control());
-            some(planner, 2, |planner| planner.reclaim_machine());
+            repeat_random(planner, 2, |planner| planner.kill_control());
+            repeat_random(planner, 2, |planner| planner.reclaim_machine());
         },
     },
     Scenario {
         name: "four-zones",
-        summary: "everything, in four zones instead of three",
+        summary: "a random combination of faults, in four zones instead of three",
         prepare: four_zones,
     },
     Scenario {
         name: "storm",
-        summary: "everything, with more than twice as many faults",
+        summary: "a random combination of more than twice as many faults",
         prepare: |planner| combine(planner, 8, 16),
     },
     Scenario {
         name: "everything",
-        summary: "a random combination of all of these, some striking twice",
+        summary: "a random combination of faults, some of them twice",
         prepare: everything,
     },
 ];
--- a/crates/millpass-sim/src/settings.rs
+++ b/crates/millpass-sim/src/settings.rs
@@ -1,11 +1,11 @@
-//! Sizes and times of a simulated deployment, and the switches of its protecting mechanisms.
+//! Sizes and times of a simulated deployment, and switches of its protection mechanisms.
 
 use crate::engine::EngineProtections;
 use millpass_checkers::Limits;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 pub const MILLIS: u64 = 1_000;
-/// Microseconds of a second.
+/// Microseconds per second.
 pub const SECONDS: u64 = 1_000_000;
 
 /// Sizes of the deployment.
@@ -21,15 +21,15 @@
     pub engines: usize,
     /// Web back ends, spread over the zones.
     pub web: usize,
-    /// Accelerators of an engine.
+    /// Accelerators per engine.
     pub accelerators: usize,
-    /// Bytes of an accelerator.
+    /// Memory of an accelerator, in bytes.
     pub accelerator_bytes: u64,
     /// Models.
     pub models: usize,
-    /// Adapters of the one model that has any.
+    /// Adapters of the model that has any.
     pub adapters: usize,
-    /// Bytes of an adapter.
+    /// Size of an adapter, in bytes.
     pub adapter_bytes: u64,
 }
 
@@ -53,33 +53,33 @@
 /// Times of the run, in microseconds.
 #[derive(Clone, Debug)]
 pub struct Times {
-    /// First fault.
+    /// Earliest time of a fault.
     pub faults_from: u64,
-    /// Everything is mended.
+    /// All faults end.
     pub healed: u64,
-    /// The audit log is read.
+    /// The audit log is requested.
     pub audit: u64,
     /// The run ends.
-    pub over: u64,
-    /// Time between two ticks of a decision core.
+    pub run_end: u64,
+    /// Interval between ticks of a core.
     pub tick: u64,
-    /// Time between two reads of a watched back end.
+    /// Interval between reads of a watched back end.
     pub poll: u64,
-    /// Time after which a silent link to the control group is given up.
+    /// Time without a message after which a router closes its link to the control group.
     pub link_timeout: u64,
-    /// Time without progress after which an attempt is given up.
+    /// Time without progress after which an attempt fails.
     pub attempt_timeout: u64,
-    /// Time after which an unanswered order, operator's call or read counts as unanswered.
+    /// Time after which an order or an operator's call without a response times out.
     pub call_timeout: u64,
-    /// Lag of the platform's list, at most.
+    /// Maximum lag of the platform's list.
     pub platform_lag: u64,
     /// Lag of load reports.
     pub report_lag: u64,
-    /// Lag of load reports in a stale phase.
+    /// Maximum lag of load reports while they are stale.
     pub stale_report_lag: u64,
-    /// Time that an engine takes to free a part's memory.
+    /// Time an engine takes to free the memory of a part.
     pub unload: u64,
-    /// Time between a back end's leaving and its stop.
+    /// Time between the listing of a back end as leaving and its stop.
     pub leave_notice: u64,
 }
 
@@ -89,7 +89,7 @@
             faults_from: 2 * SECONDS,
             healed: 10 * SECONDS,
             audit: 18 * SECONDS,
-            over: 20 * SECONDS,
+            run_end: 20 * SECONDS,
             tick: 10 * MILLIS,
             poll: 200 * MILLIS,
             link_timeout: SECONDS,
@@ -104,22 +104,22 @@
     }
 }
 
-/// How much is asked.
+/// Load of callers and operators.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Time between two requests, on average.
+    /// Average time between two requests, in microseconds.
     pub request_interval: u64,
-    /// Bursts for one model at all routers at once.
+    /// Number of bursts, each for one model at all routers.
     pub bursts: usize,
-    /// Requests of a burst.
+    /// Requests per burst.
     pub burst_requests: usize,
-    /// Operators that change the catalog at the same time.
+    /// Operators that change the catalog concurrently.
     pub operators: usize,
-    /// Longest pause of an operator.
+    /// Maximum pause of an operator, in microseconds.
     pub operator_pause: u64,
-    /// Objects that operators change.
+    /// Objects that all operators change.
     pub contested_objects: usize,
-    /// Changes whose answer an operator pretends to have lost, of a thousand.
+    /// Permille of changes whose response is dropped, so that the operator resends them.
     pub resent_changes_permille: u64,
 }
 
@@ -137,35 +137,35 @@
     }
 }
 
-/// Protecting mechanisms that the harness can switch off, one at a time, to see that the
-/// checkers report what the mechanism prevents.
+/// Protection mechanisms that tests disable one at a time, to verify that the checkers report the
+/// violations they prevent.
 #[derive(Clone, Copy, Debug)]
 pub struct Mechanisms {
-    /// The engines' own.
+    /// Mechanisms of the engines.
     pub engine: EngineProtections,
-    /// Synced writes survive a kill.
+    /// Synced writes survive a kill of the process.
     pub synced_writes: bool,
-    /// The router's host checks the time right before it sends an attempt.
+    /// Routers check the send deadline immediately before they send an attempt.
     pub send_before: bool,
-    /// Leases that the leader gives are taken as they are; off, they never end.
-    pub leases_end: bool,
-    /// The router's host asks the control group for claims; off, it grants each itself.
+    /// Leases granted to routers expire.
+    pub leases_expire: bool,
+    /// Routers request claims from the control group; if off, every claim is granted locally.
     pub claims: bool,
-    /// The router's host tells truly whether a byte may have left.
-    pub honest_failures: bool,
-    /// The router's host drops what comes of an attempt that is over.
-    pub drops_old_attempts: bool,
-    /// Routers are told what changed in the catalog.
+    /// Routers report a failed attempt as not sent only if no byte was sent.
+    pub accurate_failures: bool,
+    /// Routers drop answers of attempts that have ended.
+    pub drops_stale_attempts: bool,
+    /// Routers receive catalog changes.
     pub catalog_changes: bool,
-    /// The router's host carries out refusals.
+    /// Routers send refusals to callers.
     pub refusals: bool,
-    /// Routers and back ends finish what is in flight before a planned stop.
+    /// Routers finish requests in flight before a planned stop.
     pub drains: bool,
-    /// The scheduler asks for a permit before each load from the weight store.
+    /// The scheduler observes the limits of the weight store.
     pub store_permits: bool,
-    /// Old orders are delivered again from time to time by a sender outside the system.
-    pub rogue_orders: bool,
-    /// What is broken is mended when the run says so.
+    /// Earlier orders are periodically delivered again by a sender outside the system.
+    pub replayed_orders: bool,
+    /// All faults end at the time for it.
     pub healing: bool,
 }
 
@@ -175,30 +175,30 @@
             engine: EngineProtections::default(),
             synced_writes: true,
             send_before: true,
-            leases_end: true,
+            leases_expire: true,
             claims: true,
-            honest_failures: true,
-            drops_old_attempts: true,
+            accurate_failures: true,
+            drops_stale_attempts: true,
             catalog_changes: true,
             refusals: true,
             drains: true,
             store_permits: true,
-            rogue_orders: false,
+            replayed_orders: false,
             healing: true,
         }
     }
 }
 
-/// Limits of the weight store, which the scheduler's permits keep.
+/// Limits of the weight store, enforced by the scheduler's permits.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Loads that start in a second.
+    /// Maximum loads started per second.
     pub loads_per_second: u32,
-    /// Loads that run at once.
+    /// Maximum concurrent loads.
     pub concurrent_loads: u32,
 }
 
-/// Everything that shapes a run beside its seed and fault plan.
+/// Settings of a run besides its seed and fault plan.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Sizes.
@@ -211,7 +211,7 @@
     pub mechanisms: Mechanisms,
     /// Limits of the weight store.
     pub store: StoreLimits,
-    /// Bounds that the checkers hold the run to.
+    /// Bounds enforced by the checkers.
     pub limits: Limits,
 }
 
@@ -223,7 +223,7 @@
         };
         let limits = Limits {
             recovery_micros: 8 * SECONDS,
-            // A permit may be used a moment late, the next one in time: one load more in a second.
+            // A permit used slightly late may fall within one second of the next ones.
             store_loads_per_second: store.loads_per_second as usize + 1,
             store_concurrent_loads: store.concurrent_loads as usize,
             maximum_operations: 200,
--- a/crates/millpass-sim/src/statistics.rs
+++ b/crates/millpass-sim/src/statistics.rs
@@ -1,21 +1,21 @@
-//! Counts of a run.
+//! Event counts of a run.
 
 use std::collections::BTreeMap;
 
-/// What happened how often.
+/// Event counts of one or more runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
-    /// Events of the queue.
+    /// Processed events.
     pub events: u64,
     /// Requests that reached a router.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub whole_answers: u64,
-    /// Refusals and broken-off answers by reason.
+    /// Refusals and interrupted answers, by reason.
     pub refusals: BTreeMap<String, u64>,
     /// Attempts sent to back ends.
     pub attempts: u64,
-    /// Attempts that were too late to send.
+    /// Attempts not sent because their send deadline had passed.
     pub attempts_not_sent: u64,
     /// Attempts that failed.
     pub failed_attempts: u64,
@@ -23,11 +23,11 @@
     pub orders: u64,
     /// Loads that engines began.
     pub loads: u64,
-    /// Changes that operators were told are accepted.
+    /// Changes whose acceptance operators received.
     pub accepted_changes: u64,
-    /// Faults injected, by kind.
+    /// Injected faults, by kind.
     pub faults: BTreeMap<&'static str, u64>,
-    /// Messages that a bad network lost, doubled or delayed.
+    /// Messages lost, duplicated or delayed by the network.
     pub disturbed_messages: u64,
 }
 
@@ -42,7 +42,7 @@
         *self.faults.entry(kind).or_insert(0) += 1;
     }
 
-    /// Faults of all kinds.
+    /// Returns the number of faults of all kinds.
     pub fn all_faults(&self) -> u64 {
         self.faults.values().sum()
     }
--- a/crates/millpass-sim/src/store.rs
+++ b/crates/millpass-sim/src/store.rs
@@ -1,7 +1,7 @@
-//! The weight store: it starts every load at once, so that its limits are kept by the scheduler's
-//! permits or not at all, and it has slow phases.
+//! The weight store. It starts every load immediately, so that only the scheduler's permits
+//! enforce its limits, and it has slow phases.
 
-/// The store.
+/// State of the weight store.
 pub struct Store {
     slow_factor: u64,
     next_number: u64,
@@ -17,12 +17,12 @@
 }
 
 impl Store {
-    /// Makes loads that start from now on this many times as long.
+    /// Sets the factor by which the duration of new loads is multiplied.
     pub fn set_slow_factor(&mut self, factor: u64) {
         self.slow_factor = factor;
     }
 
-    /// Starts a load that takes this long at full speed; gives its number and its duration.
+    /// Starts a load of this duration at full speed; returns its number and actual duration.
     pub fn start(&mut self, micros: u64) -> (u64, u64) {
         let number = self.next_number;
         self.next_number += 1;
--- a/crates/millpass-sim/src/trace.rs
+++ b/crates/millpass-sim/src/trace.rs
@@ -1,8 +1,8 @@
-//! The trace of a run: a running hash of everything that happened, and readable lines on demand.
+//! Trace of a run: a hash of all events, and optionally readable lines.
 
 use crate::content::{hash_text, mix};
 
-/// Most lines kept; the first go first.
+/// Maximum number of lines kept; the oldest are dropped first.
 const MAXIMUM_LINES: usize = 400_000;
 
 /// Trace of one run.
@@ -12,7 +12,7 @@
 }
 
 impl Trace {
-    /// A trace that keeps lines, or only the hash.
+    /// Creates a trace that keeps lines, or only the hash.
     pub fn new(keep_lines: bool) -> Self {
         Trace {
             hash: 0,
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Mixes an occurrence into the hash.
+    /// Mixes an event into the hash.
     pub fn mark(&mut self, at: u64, what: u64) {
         self.hash = mix(self.hash ^ mix(at) ^ what.rotate_left(17));
     }
 
-    /// Mixes a text into the hash, and keeps it as a line.
+    /// Adds a line, if lines are kept. Does not change the hash.
     pub fn line(&mut self, at: u64, text: impl FnOnce() -> String) {
         if self.lines.is_none() {
             return;
@@ -44,12 +44,12 @@
         self.mark(at, hash_text(text));
     }
 
-    /// Hash of all so far.
+    /// Returns the hash of all events so far.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Lines kept.
+    /// Returns the kept lines.
     pub fn lines(&self) -> impl Iterator<Item = &String> {
         self.lines.iter().flatten()
     }
--- a/crates/millpass-sim/src/web_host.rs
+++ b/crates/millpass-sim/src/web_host.rs
@@ -1,4 +1,4 @@
-//! What a web back end does: it answers each request after a short time.
+//! Host of a web back end, which answers each request after a short service time.
 
 use crate::back_ends::Run;
 use crate::event::{ANY_RUN, AnswerPart, BackEnd, BackEndRequest, ReplyTo, SimEvent, WebEvent};
@@ -25,15 +25,15 @@
         if !node.alive || !for_this_run {
             if let WebEvent::Request(request) = event {
                 let backend = BackEnd::Web(web);
-                self.attempt_ends(backend, request.reply_to, AttemptFailure::MayHaveRun);
+                self.fail_attempt(backend, request.reply_to, AttemptFailure::MayHaveRun);
             }
             return;
         }
         match event {
             WebEvent::Request(request) => self.web_request(web, *request),
-            WebEvent::Cancel(reply_to) => self.web_run_ends(web, reply_to, RunEnding::Cancelled),
+            WebEvent::Cancel(reply_to) => self.end_web_run(web, reply_to, RunEnding::Cancelled),
             WebEvent::Done(reply_to) => self.web_done(web, reply_to),
-            WebEvent::Poll(router, run) => self.web_report(web, router, run),
+            WebEvent::Poll(router, run) => self.send_web_report(web, router, run),
         }
     }
 
@@ -57,11 +57,11 @@
             tokens: run.request.seed.tokens(from, to),
             last: true,
         };
-        self.web_run_ends(web, reply_to, RunEnding::Finished);
-        self.answer_part(BackEnd::Web(web), reply_to, part);
+        self.end_web_run(web, reply_to, RunEnding::Finished);
+        self.send_answer_part(BackEnd::Web(web), reply_to, part);
     }
 
-    fn web_run_ends(&mut self, web: usize, reply_to: ReplyTo, ending: RunEnding) {
+    fn end_web_run(&mut self, web: usize, reply_to: ReplyTo, ending: RunEnding) {
         let node = &mut self.web[web];
         let Some(run) = node.runs.remove(&reply_to) else {
             return;
@@ -70,7 +70,7 @@
         self.record(event);
     }
 
-    fn web_report(&mut self, web: usize, router: usize, run: u64) {
+    fn send_web_report(&mut self, web: usize, router: usize, run: u64) {
         let node = &mut self.web[web];
         node.sequence += 1;
         let report = WebReport {
@@ -81,22 +81,22 @@
             running: node.runs.len() as u32,
         };
         let zone = node.zone;
-        self.observed(zone, router, run, BackendObservation::Web(report));
+        self.send_observation(zone, router, run, BackendObservation::Web(report));
     }
 
-    /// Ends a web process: what runs is cut off.
+    /// Ends a web back end's process and interrupts its running requests.
     pub(crate) fn end_web(&mut self, web: usize) {
         let node = &mut self.web[web];
         node.alive = false;
         node.run += 1;
         let replies: Vec<ReplyTo> = node.runs.keys().copied().collect();
         for reply_to in replies {
-            self.web_run_ends(web, reply_to, RunEnding::CutOff);
-            self.attempt_ends(BackEnd::Web(web), reply_to, AttemptFailure::MayHaveRun);
+            self.end_web_run(web, reply_to, RunEnding::CutOff);
+            self.fail_attempt(BackEnd::Web(web), reply_to, AttemptFailure::MayHaveRun);
         }
     }
 
-    /// Starts a web process.
+    /// Starts a web back end's process.
     pub(crate) fn start_web(&mut self, web: usize) {
         if self.web[web].alive {
             return;
--- a/crates/millpass-sim/src/world.rs
+++ b/crates/millpass-sim/src/world.rs
@@ -10,7 +10,7 @@
 use crate::faults::Fault;
 use crate::network::{Network, Zone};
 use crate::observer::Observer;
-use crate::operators::{Asker, Operator};
+use crate::operators::{CallOrigin, Operator};
 use crate::platform::Platform;
 use crate::queue::EventQueue;
 use crate::random::Random;
@@ -49,7 +49,7 @@
     pub(crate) platform: Platform,
     pub(crate) callers: Callers,
     pub(crate) operators: Vec<Operator>,
-    pub(crate) calls: BTreeMap<u64, Asker>,
+    pub(crate) calls: BTreeMap<u64, CallOrigin>,
     pub(crate) next_call: u64,
     pub(crate) next_connection: u64,
     pub(crate) next_delivery: u64,
@@ -57,26 +57,26 @@
     pub(crate) audit_is_read: bool,
     pub(crate) observer: Observer,
     pub(crate) initial_revision: u64,
-    pub(crate) old_orders: Vec<EngineOrder>,
+    pub(crate) recent_orders: Vec<EngineOrder>,
     pub(crate) freeze_leader_at_order: bool,
     pub(crate) kill_next_loading_engine: bool,
     pub(crate) slow_store: bool,
     pub(crate) stale_reports: bool,
-    pub(crate) dead_in_order: Vec<usize>,
+    pub(crate) dead_members: Vec<usize>,
     pub(crate) reachable: Vec<Option<bool>>,
     pub(crate) stream_times: BTreeMap<(ConnectionId, bool), u64>,
     pub(crate) answer_times: BTreeMap<ReplyTo, u64>,
-    /// What happened.
+    /// Recorded history.
     pub history: History,
-    /// Hash and lines of the run.
+    /// Trace hash and lines.
     pub trace: Trace,
-    /// Counts of the run.
+    /// Event counts.
     pub statistics: Statistics,
-    /// Why the simulator itself failed, if it did.
+    /// Failure of the simulator itself; `None` unless one occurred.
     pub failure: Option<String>,
 }
 
-/// A disk that holds nothing.
+/// Returns a disk with an empty log and no members.
 pub fn empty_disk() -> Disk {
     let membership = Membership {
         voters: Vec::new(),
@@ -97,7 +97,7 @@
 }
 
 impl World {
-    /// A deployment in which every process is about to start.
+    /// Creates a deployment without running processes.
     pub fn new(settings: Settings, seed: u64, keep_lines: bool) -> anyhow::Result<Self> {
         let mut clocks = Random::new(seed, CLOCK_STREAM);
         let sizes = settings.sizes.clone();
@@ -163,12 +163,12 @@
             audit_is_read: false,
             initial_revision: state.configuration_revision().0,
             observer: Observer::new(state, at, membership),
-            old_orders: Vec::new(),
+            recent_orders: Vec::new(),
             freeze_leader_at_order: false,
             kill_next_loading_engine: false,
             slow_store: false,
             stale_reports: false,
-            dead_in_order: Vec::new(),
+            dead_members: Vec::new(),
             stream_times: BTreeMap::new(),
             answer_times: BTreeMap::new(),
             history: History::default(),
@@ -197,7 +197,7 @@
         self.record(Event::ChangeReturned { call, outcome });
     }
 
-    /// Runs from the start to the end under a fault plan.
+    /// Starts every process and runs to the end under a fault plan.
     pub fn run(&mut self, plan: Vec<(u64, Fault)>) {
         self.start_everything();
         for (at, fault) in plan {
@@ -206,7 +206,7 @@
         self.schedule_run();
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
-            if matches!(event, SimEvent::Over) || self.failure.is_some() {
+            if matches!(event, SimEvent::RunEnd) || self.failure.is_some() {
                 break;
             }
             self.handle(event);
@@ -240,7 +240,7 @@
         let times = self.settings.times.clone();
         self.queue.push(times.healed, SimEvent::Heal);
         self.queue.push(times.audit, SimEvent::ReadAudit);
-        self.queue.push(times.over, SimEvent::Over);
+        self.queue.push(times.run_end, SimEvent::RunEnd);
         self.queue
             .push(SECONDS, SimEvent::Caller(CallerEvent::Next));
         let span = times.healed - SECONDS;
@@ -255,8 +255,8 @@
             self.queue
                 .push(at, SimEvent::Operator(operator, OperatorEvent::Begin));
         }
-        if self.settings.mechanisms.rogue_orders {
-            self.queue.push(3 * SECONDS, SimEvent::RogueOrder);
+        if self.settings.mechanisms.replayed_orders {
+            self.queue.push(3 * SECONDS, SimEvent::ReplayOrder);
         }
     }
 
@@ -268,16 +268,16 @@
             SimEvent::Router(router, run, event) => self.router_event(router, run, event),
             SimEvent::Engine(engine, run, event) => self.engine_event(engine, run, event),
             SimEvent::Web(web, run, event) => self.web_event(web, run, event),
-            SimEvent::StoreLoadEnded(waiter, load) => self.store_load_ended(waiter, load),
+            SimEvent::StoreLoadEnded(pending, load) => self.store_load_ended(pending, load),
             SimEvent::Caller(event) => self.caller_event(event),
             SimEvent::Operator(operator, event) => self.operator_event(operator, event),
             SimEvent::Fault(fault) => self.inject(fault),
             SimEvent::Heal => self.heal(),
-            SimEvent::RogueOrder => self.rogue_order(),
+            SimEvent::ReplayOrder => self.replay_order(),
             SimEvent::ReadAudit => self.read_audit(),
             SimEvent::ListedLeaving(backend, run) => self.listed_leaving(backend, run),
-            SimEvent::LeavingStops(backend, run) => self.leaving_stops(backend, run),
-            SimEvent::Over => {}
+            SimEvent::LeaveNoticeElapsed(backend, run) => self.leave_notice_elapsed(backend, run),
+            SimEvent::RunEnd => {}
         }
     }
 
@@ -289,14 +289,14 @@
         self.history.push(self.now, event);
     }
 
-    /// Records several.
+    /// Records several events of the history.
     pub(crate) fn record_all(&mut self, events: Vec<Event>) {
         for event in events {
             self.record(event);
         }
     }
 
-    /// Keeps an event of a core as a line of the trace.
+    /// Adds an event of a core to the lines of the trace.
     pub(crate) fn trace_event(
         &mut self,
         kind: &str,
@@ -313,43 +313,43 @@
         });
     }
 
-    /// Stops the run for a failure of the simulator itself.
+    /// Ends the run with a failure of the simulator itself; the first reason is kept.
     pub(crate) fn fail(&mut self, reason: String) {
         self.failure.get_or_insert(reason);
     }
 
-    /// A number for a new run of a process.
+    /// Draws the incarnation of a new process.
     pub(crate) fn new_incarnation(&mut self) -> Incarnation {
         Incarnation(self.random.number() | 1)
     }
 
-    /// Arrival time of a message on a stream, no earlier than the one before it.
-    pub(crate) fn in_order(&mut self, stream: (ConnectionId, bool), delay: u64) -> u64 {
+    /// Returns the arrival time of a message on a stream, not earlier than the previous one.
+    pub(crate) fn stream_arrival(&mut self, stream: (ConnectionId, bool), delay: u64) -> u64 {
         let last = self.stream_times.entry(stream).or_insert(0);
         *last = (*last).max(self.now + delay);
         *last
     }
 
-    /// Arrival time of part of an answer, no earlier than the part before it.
-    pub(crate) fn answer_in_order(&mut self, reply_to: ReplyTo, delay: u64) -> u64 {
+    /// Returns the arrival time of a part of an answer, not earlier than the previous part.
+    pub(crate) fn answer_arrival(&mut self, reply_to: ReplyTo, delay: u64) -> u64 {
         let last = self.answer_times.entry(reply_to).or_insert(0);
         *last = (*last).max(self.now + delay);
         *last
     }
 
-    /// Engine that listens at an address.
+    /// Returns the engine with this address.
     pub(crate) fn engine_at(&self, address: &str) -> Option<usize> {
         self.engines
             .iter()
             .position(|node| node.address() == address)
     }
 
-    /// Web back end that listens at an address.
+    /// Returns the web back end with this address.
     pub(crate) fn web_at(&self, address: &str) -> Option<usize> {
         self.web.iter().position(|node| node.address() == address)
     }
 
-    /// Back end that listens at an address.
+    /// Returns the back end with this address.
     pub(crate) fn back_end_at(&self, address: &str) -> Option<BackEnd> {
         let engine = self.engine_at(address).map(BackEnd::Engine);
         engine.or_else(|| self.web_at(address).map(BackEnd::Web))
@@ -385,27 +385,27 @@
         }
     }
 
-    /// Old orders reach their engines once more, from somebody outside the system.
-    fn rogue_order(&mut self) {
+    /// Delivers a random earlier order to its engine again, as a sender outside the system would.
+    fn replay_order(&mut self) {
         const INTERVAL: u64 = 200 * MILLIS;
-        if self.now + INTERVAL < self.settings.times.over {
-            self.queue.push(self.now + INTERVAL, SimEvent::RogueOrder);
+        if self.now + INTERVAL < self.settings.times.run_end {
+            self.queue.push(self.now + INTERVAL, SimEvent::ReplayOrder);
         }
         let Some(order) = self
-            .old_orders
-            .get(self.workload.index(self.old_orders.len()))
+            .recent_orders
+            .get(self.workload.index(self.recent_orders.len()))
             .cloned()
         else {
             return;
         };
-        let named = |node: &EngineNode| node.name == order.backend;
-        if let Some(engine) = self.engines.iter().position(named) {
+        let has_name = |node: &EngineNode| node.name == order.backend;
+        if let Some(engine) = self.engines.iter().position(has_name) {
             let event = crate::event::EngineEvent::Order(Box::new(order), None);
             self.engine_later(engine, crate::event::ANY_RUN, MILLIS, event);
         }
     }
 
-    /// Zones without the members, routers or links that a router needs are unreachable.
+    /// Returns all zones.
     pub(crate) fn zones(&self) -> BTreeSet<Zone> {
         (0..self.settings.sizes.zones).collect()
     }
@@ -423,11 +423,11 @@
         SimEvent::Operator(operator, _) => (8, *operator as u64),
         SimEvent::Fault(_) => (9, 0),
         SimEvent::Heal => (10, 0),
-        SimEvent::RogueOrder => (11, 0),
+        SimEvent::ReplayOrder => (11, 0),
         SimEvent::ReadAudit => (12, 0),
         SimEvent::ListedLeaving(backend, _) => (13, backend.number()),
-        SimEvent::LeavingStops(backend, _) => (14, backend.number()),
-        SimEvent::Over => (15, 0),
+        SimEvent::LeaveNoticeElapsed(backend, _) => (14, backend.number()),
+        SimEvent::RunEnd => (15, 0),
     };
     kind << 32 | index
 }
--- a/crates/millpass-sim/tests/mechanisms.rs
+++ b/crates/millpass-sim/tests/mechanisms.rs
@@ -1,5 +1,5 @@
-//! Each checker reports the breach that its mechanism prevents: with the mechanism switched off it
-//! reports in some seed, and with everything on, over the same plan and seeds, nothing is reported.
+//! Verifies each checker: with a mechanism disabled it reports a violation for some seed, and with
+//! all mechanisms enabled nothing is reported for the same plan and seeds.
 
 use millpass_sim::faults::Fault;
 use millpass_sim::run::{RunReport, run_plan, run_seeds_with};
@@ -10,16 +10,16 @@
 
 const THREADS: usize = 3;
 const SEEDS: Range<u64> = 0..3;
-/// Where a breach needs a coincidence.
+/// Seeds for violations that occur only in some runs.
 const MORE_SEEDS: Range<u64> = 0..8;
 
-/// What a mechanism's absence is tried with.
+/// Faults, seeds and settings of a test case.
 struct Trial {
-    /// Scenario, or a plan of its own.
+    /// Scenario, or a custom plan.
     faults: Faults,
     /// Seeds.
     seeds: Range<u64>,
-    /// Settings of both the red and the green runs.
+    /// Settings of the runs with and without the mechanism.
     settings: fn(&mut Settings),
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Answers of given-up attempts come late.
+/// Answers of cancelled attempts arrive late.
 fn late_answers() -> Trial {
     Trial {
         settings: |settings| settings.times.attempt_timeout = 120 * MILLIS,
@@ -44,7 +44,7 @@
     }
 }
 
-/// All web back ends leave, and routers freeze between a decision and its attempt.
+/// All web back ends leave, and routers freeze before they send an attempt.
 fn frozen_at_dispatch() -> Trial {
     let plan = || {
         let leaving = (0..3).map(|web| (2_500 * MILLIS, Fault::LeaveWeb(web)));
@@ -59,7 +59,7 @@
     }
 }
 
-/// A zone is cut off for eleven seconds.
+/// A zone is partitioned for eleven seconds.
 fn long_cut() -> Trial {
     let plan = || {
         let cut = [(0, 1), (1, 0), (0, 2), (2, 0)];
@@ -72,12 +72,12 @@
         settings: |settings| {
             settings.times.healed = 14 * SECONDS;
             settings.times.audit = 22 * SECONDS;
-            settings.times.over = 24 * SECONDS;
+            settings.times.run_end = 24 * SECONDS;
         },
     }
 }
 
-/// All control members die, and start when everything is mended.
+/// All control members are killed, and start when all faults end.
 fn control_gone() -> Trial {
     Trial {
         faults: Faults::Plan(|| vec![(5 * SECONDS, Fault::KillAllControl)]),
@@ -91,11 +91,11 @@
         Trial { seeds, ..self }
     }
 
-    /// The broken runs with these mechanisms switched off.
-    fn broken(&self, switch_off: fn(&mut Mechanisms)) -> Vec<RunReport> {
+    /// Returns the failed runs with these mechanisms disabled.
+    fn broken(&self, disable: fn(&mut Mechanisms)) -> Vec<RunReport> {
         let mut settings = Settings::default();
         (self.settings)(&mut settings);
-        switch_off(&mut settings.mechanisms);
+        disable(&mut settings.mechanisms);
         match self.faults {
             Faults::Scenario(name) => {
                 let scenario = Scenario::named(name).expect("scenario exists");
@@ -104,7 +104,7 @@
             Faults::Plan(plan) => {
                 let run = |seed| run_plan(settings.clone(), plan(), seed, false);
                 let reports = self.seeds.clone().map(run);
-                reports.filter(|report| !report.holds()).collect()
+                reports.filter(|report| !report.passed()).collect()
             }
         }
     }
@@ -115,7 +115,7 @@
     breaches.any(|breach| breach.checker == checker)
 }
 
-fn described(runs: &[RunReport]) -> Vec<String> {
+fn descriptions(runs: &[RunReport]) -> Vec<String> {
     let lines = runs.iter().flat_map(|run| {
         let breaches = run.breaches.iter().map(ToString::to_string);
         let failure = run.failure.clone();
@@ -132,8 +132,8 @@
 #[case::freed_too_early("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.frees_after_use = false)]
 #[case::ledger_of_wrong_size("memory", scenario("cold-burst"), |m: &mut Mechanisms| m.engine.reports_true_memory = false)]
 #[case::never_refused("answers", scenario("calm"), |m: &mut Mechanisms| m.refusals = false)]
-#[case::late_parts_passed_on("integrity", late_answers(), |m: &mut Mechanisms| m.drops_old_attempts = false)]
-#[case::false_not_run("refusals", scenario("machine-reclaimed").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.honest_failures = false)]
+#[case::late_parts_passed_on("integrity", late_answers(), |m: &mut Mechanisms| m.drops_stale_attempts = false)]
+#[case::false_not_run("refusals", scenario("machine-reclaimed").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.accurate_failures = false)]
 #[case::no_claims("once", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
 #[case::no_claims_in_order("claims-linearizable", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
 #[case::no_check_before_sending("leaving", frozen_at_dispatch(), |m: &mut Mechanisms| m.send_before = false)]
@@ -141,22 +141,26 @@
 #[case::changes_lost("configuration", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
 #[case::changes_not_told("configuration", scenario("racing-operators"), |m: &mut Mechanisms| m.catalog_changes = false)]
 #[case::changes_out_of_order("configuration-linearizable", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
-#[case::leases_without_end("enforcement", long_cut().seeds(0..80), |m: &mut Mechanisms| m.leases_end = false)]
+#[case::leases_without_end("enforcement", long_cut().seeds(0..80), |m: &mut Mechanisms| m.leases_expire = false)]
 #[case::no_permits("store", scenario("memory-pressure"), |m: &mut Mechanisms| m.store_permits = false)]
 #[case::never_mended("liveness", control_gone(), |m: &mut Mechanisms| m.healing = false)]
-fn checker_reports_what_its_mechanism_prevents(
+fn checker_reports_violation_without_mechanism(
     #[case] checker: &str,
     #[case] trial: Trial,
-    #[case] switch_off: fn(&mut Mechanisms),
+    #[case] disable: fn(&mut Mechanisms),
 ) {
-    let red = trial.broken(switch_off);
-    assert!(reports(&red, checker), "{:?}", described(&red));
-    let green = trial.broken(|_| {});
-    assert_eq!(described(&green), Vec::<String>::new());
+    let without_mechanism = trial.broken(disable);
+    assert!(
+        reports(&without_mechanism, checker),
+        "{:?}",
+        descriptions(&without_mechanism)
+    );
+    let with_mechanism = trial.broken(|_| {});
+    assert_eq!(descriptions(&with_mechanism), Vec::<String>::new());
 }
 
 #[test]
-fn every_checker_has_a_case_above() {
+fn every_checker_has_a_case() {
     let source = include_str!("mechanisms.rs");
     for (name, _) in millpass_checkers::CHECKERS {
         let case = format!("(\"{name}\", ");
--- a/crates/millpass-sim/tests/scenarios.rs
+++ b/crates/millpass-sim/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario holds over fixed seeds, and a seed gives the same run each time.
+//! Runs every scenario over fixed seeds and verifies that runs are deterministic.
 
 use millpass_sim::run::{run_scenario, run_seeds};
 use millpass_sim::scenario::{SCENARIOS, Scenario};
@@ -7,10 +7,9 @@
 
 const THREADS: usize = 3;
 const SEEDS: u64 = 5;
-/// The scenario that combines all others gets more.
-const SEEDS_OF_EVERYTHING: u64 = 40;
+const COMBINED_SCENARIO_SEEDS: u64 = 40;
 
-fn broken_runs(scenario: &'static Scenario, seeds: u64) -> Vec<String> {
+fn failed_runs(scenario: &'static Scenario, seeds: u64) -> Vec<String> {
     let summary = run_seeds(scenario, 0..seeds, THREADS);
     assert_eq!(summary.runs, seeds);
     let lines = summary.broken.iter().map(|report| {
@@ -22,30 +21,30 @@
 }
 
 #[test]
-fn every_scenario_holds() {
+fn every_scenario_passes() {
     for scenario in SCENARIOS {
-        assert_eq!(broken_runs(scenario, SEEDS), Vec::<String>::new());
+        assert_eq!(failed_runs(scenario, SEEDS), Vec::<String>::new());
     }
 }
 
 #[test]
-fn everything_together_holds() {
+fn combined_scenario_passes() {
     let everything = Scenario::named("everything").expect("scenario exists");
-    let broken = broken_runs(everything, SEEDS_OF_EVERYTHING);
+    let broken = failed_runs(everything, COMBINED_SCENARIO_SEEDS);
     assert_eq!(broken, Vec::<String>::new());
 }
 
-/// Seeds that once broke a promise; each with its cause.
+/// Regression seeds: loads must not be sent to the weight store above its rate limit.
 #[rstest]
-// Loads decided over time waited for orders before them, and left together: above the store's rate.
+// Loads queued behind other orders must not be sent in one burst.
 #[case("everything", 1055)]
 #[case("everything", 1721)]
 #[case("everything", 1913)]
 #[case("everything", 2274)]
-// The first mend of that let whole windows of loads leave at once, two within one second.
+// Loads of two rate windows must not be sent within one second.
 #[case("everything", 1227)]
 #[case("storm", 1845)]
-fn a_seed_that_once_broke_holds(#[case] name: &str, #[case] seed: u64) {
+fn regression_seed_passes(#[case] name: &str, #[case] seed: u64) {
     let scenario = Scenario::named(name).expect("scenario exists");
     let report = run_scenario(scenario, seed, false);
     let breaches: Vec<String> = report.breaches.iter().map(ToString::to_string).collect();
@@ -55,7 +54,7 @@
 #[rstest]
 #[case("everything", 7)]
 #[case("bad-network", 3)]
-fn same_seed_is_the_same_run(#[case] name: &str, #[case] seed: u64) {
+fn same_seed_gives_the_same_run(#[case] name: &str, #[case] seed: u64) {
     let scenario = Scenario::named(name).expect("scenario exists");
     let first = run_scenario(scenario, seed, true);
     let second = run_scenario(scenario, seed, true);
@@ -67,7 +66,7 @@
 }
 
 #[test]
-fn scenarios_have_names_of_their_own() {
+fn scenario_names_are_unique() {
     let names: BTreeSet<&str> = SCENARIOS.iter().map(|scenario| scenario.name).collect();
     assert_eq!(names.len(), SCENARIOS.len());
 }
