--- a/crates/millpass-checkers/src/agreement.rs
+++ b/crates/millpass-checkers/src/agreement.rs
@@ -1,4 +1,4 @@
-//! The committed log never differs between members, nor over time.
+//! Checks that the committed log is the same on all members and never changes.
 
 use crate::{Breach, Event, History, Limits};
 use millpass_proto::LogPosition;
@@ -7,8 +7,7 @@
 /// Name of the checker.
 pub const NAME: &str = "agreement";
 
-/// Reports two members, or one at two times, that treat different entries as committed at one
-/// index.
+/// Reports different entries committed at the same index, by two members or by one over time.
 pub fn check(history: &History, _limits: &Limits) -> Vec<Breach> {
     let mut committed: BTreeMap<u64, (LogPosition, u64)> = BTreeMap::new();
     let mut breaches = Vec::new();
--- a/crates/millpass-checkers/src/answers.rs
+++ b/crates/millpass-checkers/src/answers.rs
@@ -12,7 +12,7 @@
 pub const NAME: &str = "answers";
 
 /// A router that resumes for less than this may not read the requests queued during the freeze.
-const MIN_AWAKE_MICROS: u64 = 1_000;
+const MINIMUM_AWAKE_MICROS: u64 = 1_000;
 
 struct SentRequest {
     at: u64,
@@ -81,7 +81,7 @@
     limits: &Limits,
 ) -> Option<String> {
     let grace = limits.answer_grace_micros;
-    let read_at = times.woken_after(&sent.router, sent.at, sent.at, MIN_AWAKE_MICROS);
+    let read_at = times.woken_after(&sent.router, sent.at, sent.at, MINIMUM_AWAKE_MICROS);
     let allowed = sent.deadline - sent.at;
     let deadline = read_at.map_or(sent.deadline, |read_at| read_at.saturating_add(allowed));
     let resumed_at =
--- a/crates/millpass-checkers/src/event.rs
+++ b/crates/millpass-checkers/src/event.rs
@@ -28,7 +28,7 @@
 /// Whether the refused request ran, as stated by the refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatedExecution {
-    /// It did not run and will not.
+    /// It did not run and will not run.
     No,
     /// It may have run.
     Unknown,
--- a/crates/millpass-sim/src/back_ends.rs
+++ b/crates/millpass-sim/src/back_ends.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Maximum number of recorded reports, from which delayed ones are served.
-pub const MAX_RECORDED_REPORTS: usize = 200;
+pub const MAXIMUM_RECORDED_REPORTS: usize = 200;
 
 /// A running request at a back end.
 pub struct Run {
@@ -114,7 +114,7 @@
 
     /// Records the current report.
     pub fn record_report(&mut self, now: u64) {
-        if self.reports.len() == MAX_RECORDED_REPORTS {
+        if self.reports.len() == MAXIMUM_RECORDED_REPORTS {
             self.reports.pop_front();
         }
         self.reports.push_back((now, self.model.report()));
--- a/crates/millpass-sim/src/callers.rs
+++ b/crates/millpass-sim/src/callers.rs
@@ -23,7 +23,7 @@
 const DUPLICATE_PERMILLE: u64 = 300;
 const REMOVED_TENANT_PERMILLE: u64 = 120;
 const HANG_UP_MICROS: u64 = 400 * MILLIS;
-const MAX_RESENDS: u32 = 3;
+const MAXIMUM_RESENDS: u32 = 3;
 const RESEND_PAUSE: u64 = 500 * MILLIS;
 const LONGEST_ANSWER: u64 = 48;
 const BURST_SPREAD: u64 = 30 * MILLIS;
@@ -47,7 +47,7 @@
 
 impl Callers {
     /// Records the router that accepted a request.
-    pub fn accepted_by(&mut self, request: RequestId, router: usize) {
+    pub fn record_accepted(&mut self, request: RequestId, router: usize) {
         if let Some(sent) = self.sent.remove(&request) {
             let in_flight = InFlight {
                 request: sent,
@@ -59,12 +59,12 @@
         }
     }
 
-    fn number(&mut self) -> RequestId {
+    fn next_request_id(&mut self) -> RequestId {
         self.next_request += 1;
         RequestId(self.next_request)
     }
 
-    fn key(&mut self, tenant: &TenantName) -> ScopedKey {
+    fn new_key(&mut self, tenant: &TenantName) -> ScopedKey {
         self.next_key += 1;
         ScopedKey {
             tenant: tenant.clone(),
@@ -101,7 +101,7 @@
     fn send_with_duplicate(&mut self, request: CallerRequest) {
         if request.key.is_some() && self.workload.chance(DUPLICATE_PERMILLE) {
             let copy = CallerRequest {
-                id: self.callers.number(),
+                id: self.callers.next_request_id(),
                 ..request.clone()
             };
             self.send_request(copy);
@@ -164,11 +164,11 @@
         } else {
             catalog::tenant(random.index(catalog::TENANTS))
         };
-        let key = keyed.then(|| self.callers.key(&tenant));
+        let key = keyed.then(|| self.callers.new_key(&tenant));
         let web = matches!(target, Target::Web { .. });
         let hangs_up = !keyed && random.chance(HANG_UP_PERMILLE);
         CallerRequest {
-            id: self.callers.number(),
+            id: self.callers.next_request_id(),
             api_key: catalog::api_key(&tenant),
             tenant,
             target,
@@ -182,7 +182,7 @@
             },
             key,
             key_created_unix_millis: START_UNIX_MILLIS + self.now / MILLIS,
-            resends: if keyed { MAX_RESENDS } else { 0 },
+            resends: if keyed { MAXIMUM_RESENDS } else { 0 },
             hang_up_after: hangs_up.then(|| random.between(1, HANG_UP_MICROS)),
         }
     }
@@ -235,7 +235,7 @@
             return;
         }
         let resend = CallerRequest {
-            id: self.callers.number(),
+            id: self.callers.next_request_id(),
             resends: request.resends - 1,
             ..request
         };
--- a/crates/millpass-sim/src/control_node.rs
+++ b/crates/millpass-sim/src/control_node.rs
@@ -76,18 +76,18 @@
     Ok(State::decode(data)?)
 }
 
-/// Returns the identity of the member at a place; `losses` distinguishes replaced disks.
-pub fn member_id(place: usize, losses: u64) -> MemberId {
-    MemberId(place as u64 + 1 + 100 * losses)
+/// Returns the identity of a member; `losses` distinguishes replaced disks.
+pub fn member_id(member_index: usize, losses: u64) -> MemberId {
+    MemberId(member_index as u64 + 1 + 100 * losses)
 }
 
-/// Returns the addresses of the member at a place.
-pub fn member_address(place: usize, zone: Zone, member: MemberId) -> MemberAddress {
+/// Returns the addresses of a member.
+pub fn member_address(member_index: usize, zone: Zone, member: MemberId) -> MemberAddress {
     MemberAddress {
         member,
         zone: zone_name(zone),
-        peer_address: format!("10.0.{zone}.{place}:7000"),
-        administration_address: format!("10.0.{zone}.{place}:7001"),
+        peer_address: format!("10.0.{zone}.{member_index}:7000"),
+        administration_address: format!("10.0.{zone}.{member_index}:7001"),
     }
 }
 
--- a/crates/millpass-sim/src/control_process.rs
+++ b/crates/millpass-sim/src/control_process.rs
@@ -11,17 +11,17 @@
 
 impl World {
     /// Requests membership from every other member, until the process is a member.
-    pub(crate) fn request_join(&mut self, place: usize) {
-        let address = self.control[place].address.clone();
+    pub(crate) fn request_join(&mut self, member_index: usize) {
+        let address = self.control[member_index].address.clone();
         let voters = &self.observer.membership().voters;
         if voters.iter().any(|voter| voter.member == address.member) {
-            self.control[place].joining = false;
+            self.control[member_index].joining = false;
             return;
         }
-        self.control_later(place, JOIN_INTERVAL, ControlEvent::RequestJoin);
+        self.control_later(member_index, JOIN_INTERVAL, ControlEvent::RequestJoin);
         for target in 0..self.control.len() {
-            let (from, to) = (self.control[place].zone, self.control[target].zone);
-            if target == place {
+            let (from, to) = (self.control[member_index].zone, self.control[target].zone);
+            if target == member_index {
                 continue;
             }
             if let Some(delay) = self.network.delay(&mut self.random, from, to) {
@@ -32,21 +32,24 @@
     }
 
     /// Handles the end of a drained process.
-    pub(crate) fn control_stopped(&mut self, place: usize) {
-        let process = Self::control_name(place);
+    pub(crate) fn control_stopped(&mut self, member_index: usize) {
+        let process = Self::control_name(member_index);
         self.record(Event::Stopped { process });
-        self.end_control(place);
-        self.dead_members.push(place);
+        self.end_control(member_index);
+        self.dead_members.push(member_index);
     }
 
-    /// Ends the process at a place; writes that are not synced may be lost.
-    pub(crate) fn end_control(&mut self, place: usize) {
-        let connections: Vec<ConnectionId> =
-            self.control[place].connections.keys().copied().collect();
+    /// Ends the process of a member; writes that are not synced may be lost.
+    pub(crate) fn end_control(&mut self, member_index: usize) {
+        let connections: Vec<ConnectionId> = self.control[member_index]
+            .connections
+            .keys()
+            .copied()
+            .collect();
         for connection in connections {
-            self.end_link_at_router(place, connection);
+            self.end_link_at_router(member_index, connection);
         }
-        let node = &mut self.control[place];
+        let node = &mut self.control[member_index];
         node.run += 1;
         node.core = None;
         node.frozen = false;
@@ -57,12 +60,12 @@
             const LOST_ENTRIES: usize = 12;
             node.disk.lose_synced(LOST_ENTRIES);
         }
-        self.disk_busy_until[place] = self.now;
+        self.disk_busy_until[member_index] = self.now;
     }
 
     /// Schedules the end of a connection at its router.
-    fn end_link_at_router(&mut self, place: usize, connection: ConnectionId) {
-        let node = &self.control[place];
+    fn end_link_at_router(&mut self, member_index: usize, connection: ConnectionId) {
+        let node = &self.control[member_index];
         let Some(&(router, run)) = node.connections.get(&connection) else {
             return;
         };
@@ -77,35 +80,35 @@
             .push(self.now + delay, SimEvent::Router(router, run, event));
     }
 
-    /// Starts the process at a place.
-    pub(crate) fn start_control(&mut self, place: usize) {
-        if self.control[place].core.is_some() {
+    /// Starts the process of a member.
+    pub(crate) fn start_control(&mut self, member_index: usize) {
+        if self.control[member_index].core.is_some() {
             return;
         }
-        if self.control[place].disk_lost {
-            self.assign_new_identity(place);
+        if self.control[member_index].disk_lost {
+            self.assign_new_identity(member_index);
         }
         let seed = self.random.number();
         let now = self.now;
         let store = self.scheduler_store_limits();
-        let node = &mut self.control[place];
+        let node = &mut self.control[member_index];
         node.run += 1;
         if let Err(error) = node.start(now, seed, store) {
             self.fail(format!(
-                "control-{place} failed to start from its disk: {error}"
+                "control-{member_index} failed to start from its disk: {error}"
             ));
             return;
         }
         let member = node.address.member;
         let entries = node.disk.entries().to_vec();
         self.observer.record_restart(member, &entries);
-        let joining = self.control[place].joining;
+        let joining = self.control[member_index].joining;
         self.record(Event::Started {
-            process: Self::control_name(place),
+            process: Self::control_name(member_index),
         });
-        self.control_later(place, self.settings.times.tick, ControlEvent::Tick);
+        self.control_later(member_index, self.settings.times.tick, ControlEvent::Tick);
         if joining {
-            self.control_later(place, MILLIS, ControlEvent::RequestJoin);
+            self.control_later(member_index, MILLIS, ControlEvent::RequestJoin);
         }
     }
 
@@ -121,11 +124,11 @@
         }
     }
 
-    fn assign_new_identity(&mut self, place: usize) {
+    fn assign_new_identity(&mut self, member_index: usize) {
         self.disk_losses += 1;
         let losses = self.disk_losses;
-        let node = &mut self.control[place];
-        node.address.member = member_id(place, losses);
+        let node = &mut self.control[member_index];
+        node.address.member = member_id(member_index, losses);
         node.disk = crate::world::empty_disk();
         node.disk_lost = false;
         node.joining = true;
--- a/crates/millpass-sim/src/engine.rs
+++ b/crates/millpass-sim/src/engine.rs
@@ -89,7 +89,7 @@
 }
 
 /// Maximum number of unloaded slots in a report.
-const MAX_REPORTED_UNLOADED_SLOTS: usize = 32;
+const MAXIMUM_REPORTED_UNLOADED_SLOTS: usize = 32;
 
 /// State of one engine process.
 pub struct EngineModel {
@@ -497,7 +497,7 @@
     fn prune_unloaded_slots(&mut self) {
         let unloaded = |state: &SlotState| !state.weights.holds_memory();
         while self.slots.values().filter(|state| unloaded(state)).count()
-            > MAX_REPORTED_UNLOADED_SLOTS
+            > MAXIMUM_REPORTED_UNLOADED_SLOTS
         {
             let oldest = self.slots.iter().filter(|(_, state)| unloaded(state));
             let oldest = oldest.min_by_key(|(_, state)| state.weights.fence);
--- a/crates/millpass-sim/src/engine_host.rs
+++ b/crates/millpass-sim/src/engine_host.rs
@@ -94,12 +94,14 @@
         response: Option<OrderResponse>,
     ) {
         let from = self.engines[engine].zone;
-        let to = self.control[reply_to.place].zone;
+        let to = self.control[reply_to.member_index].zone;
         if let Some(delay) = self.network.delay(&mut self.random, from, to) {
             let event = ControlEvent::DeliveryEnded(reply_to.delivery, response);
             let at = self.now + delay;
-            self.queue
-                .push(at, SimEvent::Control(reply_to.place, reply_to.run, event));
+            self.queue.push(
+                at,
+                SimEvent::Control(reply_to.member_index, reply_to.run, event),
+            );
         }
     }
 
--- a/crates/millpass-sim/src/event.rs
+++ b/crates/millpass-sim/src/event.rs
@@ -23,7 +23,7 @@
     Engine(usize, u64, EngineEvent),
     /// For a web back end.
     Web(usize, u64, WebEvent),
-    /// A load at the weight store ended.
+    /// A load from the weight store ended.
     StoreLoadEnded(PendingLoad, u64),
     /// For the callers.
     Caller(CallerEvent),
@@ -56,7 +56,7 @@
 
 /// Event of a control member.
 pub enum ControlEvent {
-    /// Time passed.
+    /// A tick of the core is due.
     Tick,
     /// An input of the core.
     Input(Box<ControlInput>),
@@ -80,7 +80,7 @@
 
 /// Event of a router.
 pub enum RouterEvent {
-    /// Time passed.
+    /// A tick of the core is due.
     Tick,
     /// An input of the core.
     Input(Box<RoutingInput>),
@@ -90,7 +90,7 @@
     Poll,
     /// The link to the control group is to be opened.
     Connect,
-    /// The link to the member at this place is open.
+    /// The link to the member with this index is open.
     Connected(ConnectionId, usize),
     /// The link could not be opened, or ended.
     LinkEnded(ConnectionId),
@@ -166,8 +166,8 @@
 /// Destination of the response to an order.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderReply {
-    /// Place of the control member.
-    pub place: usize,
+    /// Index of the control member.
+    pub member_index: usize,
     /// Number of its run.
     pub run: u64,
     /// Number of the delivery.
@@ -186,7 +186,7 @@
     Step(ReplyTo),
     /// A load ended; true if it succeeded.
     Loaded(Part, LogPosition, bool),
-    /// A part's memory is free.
+    /// The unload time of a part has elapsed.
     Unloaded(Part),
     /// A router of this run reads the report.
     Poll(usize, u64),
@@ -198,7 +198,7 @@
     Request(Box<BackEndRequest>),
     /// A request was cancelled.
     Cancel(ReplyTo),
-    /// A request is done.
+    /// The service time of a request has elapsed.
     Done(ReplyTo),
     /// A router of this run reads the report.
     Poll(usize, u64),
@@ -217,7 +217,7 @@
     pub fence: LogPosition,
 }
 
-/// A request as its caller sends it.
+/// A request as sent by its caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
     /// Request.
@@ -252,7 +252,7 @@
     Next,
     /// A burst of requests for one model.
     Burst(usize),
-    /// A request is sent, or sent again.
+    /// A request is sent or resent.
     Send(Box<CallerRequest>),
     /// A part of an answer was received.
     Answer(RequestId, AnswerPart),
--- a/crates/millpass-sim/src/faults.rs
+++ b/crates/millpass-sim/src/faults.rs
@@ -63,10 +63,10 @@
     StaleReports(bool),
 }
 
-/// Selection of a control member, by place or role.
+/// Selection of a control member, by index or role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Member {
-    /// The member at this place.
+    /// The member with this index.
     At(usize),
     /// The current leader.
     Leader,
--- a/crates/millpass-sim/src/injection.rs
+++ b/crates/millpass-sim/src/injection.rs
@@ -84,103 +84,105 @@
     }
 
     fn apply_to_member(&mut self, member: Member, action: fn(&mut World, usize)) {
-        let place = match member {
-            Member::At(place) => Some(place),
-            Member::Leader => self.leader_place(),
-            Member::Follower(number) => self.follower_place(number),
+        let member_index = match member {
+            Member::At(member_index) => Some(member_index),
+            Member::Leader => self.leader_index(),
+            Member::Follower(number) => self.follower_index(number),
             Member::FirstDead => self.dead_members.first().copied(),
         };
-        if let Some(place) = place {
-            action(self, place);
+        if let Some(member_index) = member_index {
+            action(self, member_index);
         }
     }
 
-    fn leader_place(&self) -> Option<usize> {
+    fn leader_index(&self) -> Option<usize> {
         let leader = self.observer.leader()?;
         let is_leader = |node: &crate::control_node::ControlNode| node.address.member == leader;
         self.control.iter().position(is_leader)
     }
 
-    fn follower_place(&self, number: usize) -> Option<usize> {
-        let leader = self.leader_place();
+    fn follower_index(&self, number: usize) -> Option<usize> {
+        let leader = self.leader_index();
         let followers: Vec<usize> = (0..self.control.len())
-            .filter(|place| self.control[*place].runs() && Some(*place) != leader)
+            .filter(|member_index| {
+                self.control[*member_index].runs() && Some(*member_index) != leader
+            })
             .collect();
         followers.get(number % followers.len().max(1)).copied()
     }
 
-    fn kill_control(&mut self, place: usize) {
-        if self.control[place].core.is_none() {
+    fn kill_control(&mut self, member_index: usize) {
+        if self.control[member_index].core.is_none() {
             return;
         }
-        let process = Self::control_name(place);
+        let process = Self::control_name(member_index);
         self.record(Event::Killed { process });
-        self.end_control(place);
-        self.dead_members.push(place);
+        self.end_control(member_index);
+        self.dead_members.push(member_index);
     }
 
     fn kill_all_control(&mut self) {
-        for place in 0..self.control.len() {
-            self.kill_control(place);
+        for member_index in 0..self.control.len() {
+            self.kill_control(member_index);
         }
     }
 
     fn start_all_control(&mut self) {
-        for place in 0..self.control.len() {
-            self.start_dead_control(place);
+        for member_index in 0..self.control.len() {
+            self.start_dead_control(member_index);
         }
     }
 
-    fn lose_disk(&mut self, place: usize) {
-        self.kill_control(place);
-        self.control[place].disk = crate::world::empty_disk();
-        self.control[place].disk_lost = true;
+    fn lose_disk(&mut self, member_index: usize) {
+        self.kill_control(member_index);
+        self.control[member_index].disk = crate::world::empty_disk();
+        self.control[member_index].disk_lost = true;
     }
 
-    fn start_dead_control(&mut self, place: usize) {
-        self.dead_members.retain(|dead| *dead != place);
-        self.start_control(place);
+    fn start_dead_control(&mut self, member_index: usize) {
+        self.dead_members.retain(|dead| *dead != member_index);
+        self.start_control(member_index);
     }
 
     /// Suspends the process of a control member.
-    pub(crate) fn freeze_control(&mut self, place: usize) {
-        if !self.control[place].runs() {
+    pub(crate) fn freeze_control(&mut self, member_index: usize) {
+        if !self.control[member_index].runs() {
             return;
         }
-        self.control[place].frozen = true;
-        let process = Self::control_name(place);
+        self.control[member_index].frozen = true;
+        let process = Self::control_name(member_index);
         self.record(Event::Frozen { process });
         self.update_reachable();
     }
 
     fn wake_all_control(&mut self) {
-        for place in 0..self.control.len() {
-            if self.control[place].frozen {
-                self.wake_control(place);
+        for member_index in 0..self.control.len() {
+            if self.control[member_index].frozen {
+                self.wake_control(member_index);
             }
         }
     }
 
     /// Resumes a frozen member and schedules the events of its backlog.
-    fn wake_control(&mut self, place: usize) {
-        self.control[place].frozen = false;
-        let process = Self::control_name(place);
+    fn wake_control(&mut self, member_index: usize) {
+        self.control[member_index].frozen = false;
+        let process = Self::control_name(member_index);
         self.record(Event::Woken { process });
-        let backlog = std::mem::take(&mut self.control[place].backlog);
+        let backlog = std::mem::take(&mut self.control[member_index].backlog);
         for event in backlog {
-            self.control_later(place, 0, event);
+            self.control_later(member_index, 0, event);
         }
-        self.control_later(place, 0, ControlEvent::Tick);
+        self.control_later(member_index, 0, ControlEvent::Tick);
     }
 
-    fn drain_control(&mut self, place: usize) {
-        if !self.control[place].runs() {
+    fn drain_control(&mut self, member_index: usize) {
+        if !self.control[member_index].runs() {
             return;
         }
-        let process = Self::control_name(place);
+        let process = Self::control_name(member_index);
         self.record(Event::StopPlanned { process });
-        self.control[place].draining = true;
-        self.control_step(place, ControlInput::Drain);
+        self.control[member_index].draining = true;
+        self.control_step(member_index, ControlInput::Drain);
     }
 
     fn kill_router(&mut self, router: usize) {
--- a/crates/millpass-sim/src/main.rs
+++ b/crates/millpass-sim/src/main.rs
@@ -12,8 +12,8 @@
 /// Maximum number of failed runs printed in full.
 const MAXIMUM_SHOWN: usize = 5;
 
-/// Runs the decision code of millpass in virtual time under faults, and checks what must always
-/// hold. The same scenario and seed give the same run.
+/// Runs the control plane and routing cores of millpass in virtual time under faults, and checks
+/// invariants. The same scenario and seed give the same run.
 #[derive(Bpaf, Debug)]
 #[bpaf(options)]
 struct Options {
@@ -48,7 +48,7 @@
             }
         };
         if first >= end {
-            bail!("no seed lies in {text}; write the smaller number first");
+            bail!("seed range {text} is empty; write the smaller number first");
         }
         Ok(Seeds(first..end))
     }
@@ -64,14 +64,16 @@
     }
     let scenarios: Vec<&'static Scenario> = match options.scenario.as_str() {
         "all" => SCENARIOS.iter().collect(),
-        name => vec![Scenario::named(name).context("no such scenario; --list shows them")?],
+        name => vec![
+            Scenario::named(name).context("unknown scenario; use --list to list all scenarios")?,
+        ],
     };
     let mut broken = 0;
     for scenario in scenarios {
         broken += run_one(scenario, &options);
     }
     if broken > 0 {
-        println!("{broken} runs broke what must always hold");
+        println!("{broken} runs failed");
         return Ok(ExitCode::FAILURE);
     }
     Ok(ExitCode::SUCCESS)
@@ -137,7 +139,7 @@
     }
     if !report.passed() {
         println!(
-            "see the run: millpass-sim --scenario {} --seeds {} --trace",
+            "to print its trace, run: millpass-sim --scenario {} --seeds {} --trace",
             scenario.name, report.seed
         );
     }
--- a/crates/millpass-sim/src/operators.rs
+++ b/crates/millpass-sim/src/operators.rs
@@ -34,8 +34,8 @@
 /// One operator.
 pub struct Operator {
     zone: usize,
-    /// Place of the member to call next.
-    place: usize,
+    /// Index of the member to call next.
+    member_index: usize,
     pending: Option<(u64, Pending)>,
     changes: u64,
 }
@@ -45,7 +45,7 @@
     pub fn new(zone: usize) -> Self {
         Operator {
             zone,
-            place: zone,
+            member_index: zone,
             pending: None,
             changes: 0,
         }
@@ -122,27 +122,30 @@
         self.calls.insert(call, CallOrigin::Operator(operator));
         let timeout = self.settings.times.call_timeout;
         self.operator_later(operator, timeout, OperatorEvent::TimedOut(call));
-        let (zone, place) = (
+        let (zone, member_index) = (
             self.operators[operator].zone,
-            self.operators[operator].place,
+            self.operators[operator].member_index,
         );
-        let to = self.control[place].zone;
+        let to = self.control[member_index].zone;
         if let Some(delay) = self.network.stream_delay(&mut self.random, zone, to) {
-            self.administration_call(place, delay, call, request);
+            self.administration_call(member_index, delay, call, request);
         }
     }
 
     /// Sends the response of a member to the origin of the call.
     pub(crate) fn send_administration_response(
         &mut self,
-        place: usize,
+        member_index: usize,
         call: u64,
         response: AdministrationResponse,
     ) {
         match self.calls.get(&call) {
             Some(CallOrigin::Operator(operator)) => {
                 let operator = *operator;
-                let (from, to) = (self.control[place].zone, self.operators[operator].zone);
+                let (from, to) = (
+                    self.control[member_index].zone,
+                    self.operators[operator].zone,
+                );
                 if let Some(delay) = self.network.stream_delay(&mut self.random, from, to) {
                     let event = OperatorEvent::Responded(call, Box::new(response));
                     self.operator_later(operator, delay, event);
@@ -180,7 +183,7 @@
                 self.handle_change_outcome(operator, call, change, sends, outcome);
             }
             (pending, AdministrationResponse::NotLeader { leader_address }) => {
-                let leader = leader_address.and_then(|address| self.place_of_peer(&address));
+                let leader = leader_address.and_then(|address| self.member_index_at(&address));
                 self.retry_operation(operator, pending, leader);
             }
             (pending, _) => self.retry_operation(operator, pending, None),
@@ -196,8 +199,8 @@
     /// Retries at the leader, if known, or at the next member. A change keeps its change id.
     fn retry_operation(&mut self, operator: usize, pending: Pending, leader: Option<usize>) {
         let members = self.control.len();
-        let next = (self.operators[operator].place + 1) % members;
-        self.operators[operator].place = leader.unwrap_or(next);
+        let next = (self.operators[operator].member_index + 1) % members;
+        self.operators[operator].member_index = leader.unwrap_or(next);
         let pending = match pending {
             Pending::Change { change, sends } if sends < MAXIMUM_SENDS => Pending::Change {
                 change,
@@ -272,10 +275,10 @@
         let call = self.next_call;
         self.record(Event::FinalAuditCalled);
         self.calls.insert(call, CallOrigin::Audit);
-        let place = self.next_audit_place % self.control.len();
-        self.next_audit_place += 1;
+        let member_index = self.next_audit_member % self.control.len();
+        self.next_audit_member += 1;
         let request = AdministrationRequest::Audit(ConfigurationRevision(0));
-        self.administration_call(place, MILLIS, call, request);
+        self.administration_call(member_index, MILLIS, call, request);
     }
 
     fn handle_audit_response(&mut self, response: AdministrationResponse) {
--- a/crates/millpass-sim/src/plans.rs
+++ b/crates/millpass-sim/src/plans.rs
@@ -11,7 +11,7 @@
 pub struct Planner<'a> {
     /// Random stream of the plan.
     pub random: &'a mut Random,
-    /// Settings of the run, which a plan may change.
+    /// Settings of the run, which a scenario may change.
     pub settings: &'a mut Settings,
     /// Plan so far.
     pub plan: Plan,
--- a/crates/millpass-sim/src/router_attempts.rs
+++ b/crates/millpass-sim/src/router_attempts.rs
@@ -60,8 +60,8 @@
     }
 
     fn begin_attempt(&mut self, router: usize, key: AttemptKey, backend: BackEnd, record: bool) {
-        if let Some(served) = self.routers[router].requests.get_mut(&key.request) {
-            served.attempt = Some(RunningAttempt {
+        if let Some(active) = self.routers[router].requests.get_mut(&key.request) {
+            active.attempt = Some(RunningAttempt {
                 key,
                 backend,
                 answered: false,
@@ -110,23 +110,23 @@
         if self.settings.mechanisms.drops_stale_attempts && !self.is_current_attempt(router, key) {
             return;
         }
-        let Some(served) = self.routers[router].requests.get_mut(&key.request) else {
+        let Some(active) = self.routers[router].requests.get_mut(&key.request) else {
             return;
         };
         let mut first = false;
-        if let Some(attempt) = &mut served.attempt {
+        if let Some(attempt) = &mut active.attempt {
             first = !attempt.answered;
             attempt.answered = true;
             attempt.progress += 1;
         }
-        let progress = served.attempt.map_or(0, |attempt| attempt.progress);
+        let progress = active.attempt.map_or(0, |attempt| attempt.progress);
         let last = part.last;
-        served.delivered += part.tokens.len() as u64;
-        let (caller, stream) = (served.caller.id, served.caller.stream);
+        active.delivered += part.tokens.len() as u64;
+        let (caller, stream) = (active.caller.id, active.caller.stream);
         if stream {
             self.forward_answer(caller, part);
         } else {
-            served.buffered.extend(part.tokens);
+            active.buffered.extend(part.tokens);
         }
         if first {
             let number = RequestNumber(key.request);
@@ -140,17 +140,17 @@
     }
 
     fn complete_answer(&mut self, router: usize, key: AttemptKey) {
-        let Some(served) = self.routers[router].requests.get(&key.request) else {
+        let Some(active) = self.routers[router].requests.get(&key.request) else {
             return;
         };
-        let tokens = served.buffered.clone();
-        let record = served.attempt.is_some_and(|attempt| attempt.record);
+        let tokens = active.buffered.clone();
+        let record = active.attempt.is_some_and(|attempt| attempt.record);
         let answer = record.then(|| RecordedAnswer {
             status: STATUS_OK,
             content_type: "application/octet-stream".to_owned(),
             body: to_bytes(&tokens).into(),
         });
-        if served.caller.stream {
+        if active.caller.stream {
             self.routers[router].requests.remove(&key.request);
         } else {
             self.complete_request(router, key.request, tokens);
@@ -169,18 +169,18 @@
         if !self.is_current_attempt(router, key) {
             return;
         }
-        let Some(served) = self.routers[router].requests.get_mut(&key.request) else {
+        let Some(active) = self.routers[router].requests.get_mut(&key.request) else {
             return;
         };
-        served.attempt = None;
-        let sent_to_caller = if served.caller.stream {
-            served.delivered
+        active.attempt = None;
+        let sent_to_caller = if active.caller.stream {
+            active.delivered
         } else {
             0
         };
-        if !served.caller.stream {
-            served.buffered.clear();
-            served.delivered = 0;
+        if !active.caller.stream {
+            active.buffered.clear();
+            active.delivered = 0;
         }
         let failure = match failure {
             AttemptFailure::MayHaveRun if !self.settings.mechanisms.accurate_failures => {
@@ -198,8 +198,8 @@
 
     /// Cancels an attempt that made no progress within its timeout.
     pub(crate) fn no_progress(&mut self, router: usize, key: AttemptKey, progress: u64) {
-        let served = self.routers[router].requests.get(&key.request);
-        let attempt = served.and_then(|served| served.attempt);
+        let active = self.routers[router].requests.get(&key.request);
+        let attempt = active.and_then(|active| active.attempt);
         let stalled =
             attempt.is_some_and(|attempt| attempt.key == key && attempt.progress == progress);
         if stalled {
@@ -210,20 +210,20 @@
 
     /// Cancels the current attempt of a request, if any.
     pub(crate) fn cancel_attempt(&mut self, router: usize, request: u64) {
-        let Some(served) = self.routers[router].requests.get_mut(&request) else {
+        let Some(active) = self.routers[router].requests.get_mut(&request) else {
             return;
         };
-        if let Some(attempt) = served.attempt {
+        if let Some(attempt) = active.attempt {
             self.cancel_at_back_end(router, attempt.key);
         }
-        if let Some(served) = self.routers[router].requests.get_mut(&request) {
-            served.attempt = None;
+        if let Some(active) = self.routers[router].requests.get_mut(&request) {
+            active.attempt = None;
         }
     }
 
     fn cancel_at_back_end(&mut self, router: usize, key: AttemptKey) {
-        let served = self.routers[router].requests.get(&key.request);
-        let Some(attempt) = served.and_then(|served| served.attempt) else {
+        let active = self.routers[router].requests.get(&key.request);
+        let Some(attempt) = active.and_then(|active| active.attempt) else {
             return;
         };
         let reply_to = ReplyTo {
--- a/crates/millpass-sim/src/router_host.rs
+++ b/crates/millpass-sim/src/router_host.rs
@@ -88,7 +88,9 @@
             RouterEvent::Send(dispatch) => self.send_attempt(router, *dispatch),
             RouterEvent::Poll => self.poll_back_ends(router),
             RouterEvent::Connect => self.connect(router),
-            RouterEvent::Connected(connection, place) => self.connected(router, connection, place),
+            RouterEvent::Connected(connection, member_index) => {
+                self.connected(router, connection, member_index)
+            }
             RouterEvent::LinkEnded(connection) => self.link_ended(router, connection),
             RouterEvent::FromControl(connection, message) => {
                 self.handle_control_message(router, connection, *message);
@@ -155,7 +157,7 @@
         let seed = crate::content::ContentSeed::of(request.id, request.key.as_ref());
         self.statistics.requests += 1;
         let name = self.router_name(router);
-        self.callers.accepted_by(request.id, router);
+        self.callers.record_accepted(request.id, router);
         self.record(Event::RequestSent {
             request: request.id,
             tenant: request.tenant.clone(),
@@ -183,13 +185,13 @@
                 digest: format!("digest-of-{}", key.key),
             }),
         };
-        let served = ActiveRequest {
+        let active = ActiveRequest {
             caller: request,
             attempt: None,
             delivered: 0,
             buffered: Vec::new(),
         };
-        node.requests.insert(number, served);
+        node.requests.insert(number, active);
         self.router_step(router, RoutingInput::Arrived(arrival));
     }
 
@@ -219,8 +221,8 @@
     /// Ends a request with an outcome other than a complete answer.
     pub(crate) fn end_request(&mut self, router: usize, request: u64, outcome: AnswerOutcome) {
         self.cancel_attempt(router, request);
-        if let Some(served) = self.routers[router].requests.remove(&request) {
-            let ended = CallerEvent::Ended(served.caller.id, outcome);
+        if let Some(active) = self.routers[router].requests.remove(&request) {
+            let ended = CallerEvent::Ended(active.caller.id, outcome);
             self.queue
                 .push(self.now + CALLER_MICROS, SimEvent::Caller(ended));
         }
@@ -228,9 +230,9 @@
 
     /// Ends a request with its complete answer.
     pub(crate) fn complete_request(&mut self, router: usize, request: u64, tokens: Vec<u64>) {
-        if let Some(served) = self.routers[router].requests.remove(&request) {
+        if let Some(active) = self.routers[router].requests.remove(&request) {
             let part = AnswerPart { tokens, last: true };
-            self.forward_answer(served.caller.id, part);
+            self.forward_answer(active.caller.id, part);
         }
     }
 
@@ -295,8 +297,8 @@
 
     /// Whether the attempt is the current one of its request.
     pub(crate) fn is_current_attempt(&self, router: usize, key: AttemptKey) -> bool {
-        let served = self.routers[router].requests.get(&key.request);
-        let attempt = served.and_then(|served| served.attempt);
+        let active = self.routers[router].requests.get(&key.request);
+        let attempt = active.and_then(|active| active.attempt);
         attempt.is_some_and(|attempt| attempt.key == key)
     }
 }
--- a/crates/millpass-sim/src/router_link.rs
+++ b/crates/millpass-sim/src/router_link.rs
@@ -18,19 +18,19 @@
         }
         self.next_connection += 1;
         let connection = ConnectionId(self.next_connection);
-        let place = self.routers[router].next_member % self.control.len();
-        self.routers[router].next_member = place + 1;
+        let member_index = self.routers[router].next_member % self.control.len();
+        self.routers[router].next_member = member_index + 1;
         self.routers[router].link = Link::Opening(connection);
-        let (from, to) = (self.routers[router].zone, self.control[place].zone);
+        let (from, to) = (self.routers[router].zone, self.control[member_index].zone);
         let both = self.network.passes_both(from, to);
-        let listens = self.control[place].runs();
+        let listens = self.control[member_index].runs();
         let delay = self.network.delay(&mut self.random, from, to);
         match delay {
             Some(delay) if both && listens => {
                 let run = self.routers[router].run;
                 let opened = ControlEvent::Opened(connection, router, run);
-                self.control_later(place, delay, opened);
-                let connected = RouterEvent::Connected(connection, place);
+                self.control_later(member_index, delay, opened);
+                let connected = RouterEvent::Connected(connection, member_index);
                 self.router_later(router, 2 * delay, connected);
             }
             _ => {
@@ -41,13 +41,18 @@
     }
 
     /// Handles the opening of the link.
-    pub(crate) fn connected(&mut self, router: usize, connection: ConnectionId, place: usize) {
+    pub(crate) fn connected(
+        &mut self,
+        router: usize,
+        connection: ConnectionId,
+        member_index: usize,
+    ) {
         if self.routers[router].link != Link::Opening(connection) {
             return;
         }
         self.routers[router].link = Link::Up {
             connection,
-            place,
+            member_index,
             last_message_at: self.now,
         };
         self.router_step(router, RoutingInput::LinkUp);
@@ -87,38 +92,43 @@
     /// Closes the link. The member is notified, or detects it by the link timeout if partitioned.
     pub(crate) fn close_link(&mut self, router: usize) {
         let Link::Up {
-            connection, place, ..
+            connection,
+            member_index,
+            ..
         } = self.routers[router].link
         else {
             return;
         };
-        let (from, to) = (self.routers[router].zone, self.control[place].zone);
+        let (from, to) = (self.routers[router].zone, self.control[member_index].zone);
         let delay = if self.network.passes(from, to) {
             2 * MILLIS
         } else {
             self.settings.times.link_timeout
         };
         let at = self.stream_arrival((connection, false), delay);
-        let run = self.control[place].run;
+        let run = self.control[member_index].run;
         let closed = ControlEvent::Closed(connection);
-        self.queue.push(at, SimEvent::Control(place, run, closed));
+        self.queue
+            .push(at, SimEvent::Control(member_index, run, closed));
     }
 
     /// Sends a message on the link, if it is up.
     pub(crate) fn send_to_leader(&mut self, router: usize, message: RouterToControl) {
         let Link::Up {
-            connection, place, ..
+            connection,
+            member_index,
+            ..
         } = self.routers[router].link
         else {
             return;
         };
-        let (from, to) = (self.routers[router].zone, self.control[place].zone);
+        let (from, to) = (self.routers[router].zone, self.control[member_index].zone);
         match self.network.stream_delay(&mut self.random, from, to) {
             Some(delay) => {
                 let at = self.stream_arrival((connection, false), delay);
-                self.send_to_control(place, at, connection, message);
+                self.send_to_control(member_index, at, connection, message);
             }
-            None => self.break_link(place, connection),
+            None => self.break_link(member_index, connection),
         }
     }
 
@@ -167,8 +177,8 @@
         not_leader: &NotLeader,
     ) {
         let leader = not_leader.leader_address.as_deref();
-        if let Some(place) = leader.and_then(|address| self.place_of_peer(address)) {
-            self.routers[router].next_member = place;
+        if let Some(member_index) = leader.and_then(|address| self.member_index_at(address)) {
+            self.routers[router].next_member = member_index;
         }
         self.close_link(router);
         self.link_ended(router, connection);
--- a/crates/millpass-sim/src/router_node.rs
+++ b/crates/millpass-sim/src/router_node.rs
@@ -19,8 +19,8 @@
     Up {
         /// Connection.
         connection: ConnectionId,
-        /// Place of the member at the other end.
-        place: usize,
+        /// Index of the connected member.
+        member_index: usize,
         /// Time of the last received message.
         last_message_at: u64,
     },
@@ -77,7 +77,7 @@
     pub freeze_at_dispatch: bool,
     /// Link to the control group.
     pub link: Link,
-    /// Place of the member to connect to next.
+    /// Index of the member to connect to next.
     pub next_member: usize,
     /// Requests in progress, by number.
     pub requests: BTreeMap<u64, ActiveRequest>,
@@ -139,9 +139,9 @@
 
     /// Returns the number of a caller's request in progress.
     pub fn request_number(&self, request: millpass_checkers::RequestId) -> Option<u64> {
-        let mut served = self.requests.iter();
-        served
-            .find(|(_, served)| served.caller.id == request)
+        let mut active = self.requests.iter();
+        active
+            .find(|(_, active)| active.caller.id == request)
             .map(|(number, _)| *number)
     }
 
--- a/crates/millpass-sim/src/run.rs
+++ b/crates/millpass-sim/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario under a seed, and many runs over threads.
+//! Runs of a scenario under one seed, or under many seeds on several threads.
 
 use crate::faults::Fault;
 use crate::scenario::Scenario;
@@ -129,7 +129,7 @@
     let (seed_sender, seed_receiver) = channel::unbounded();
     let (report_sender, report_receiver) = channel::bounded(threads.max(1));
     for seed in seeds {
-        // The receiver lives until the end of this function.
+        // Cannot fail: the receiver lives until the end of this function.
         let _ = seed_sender.send(seed);
     }
     drop(seed_sender);
--- a/crates/millpass-sim/src/statistics.rs
+++ b/crates/millpass-sim/src/statistics.rs
@@ -21,7 +21,7 @@
     pub failed_attempts: u64,
     /// Orders that reached an engine.
     pub orders: u64,
-    /// Loads that engines began.
+    /// Loads begun by engines.
     pub loads: u64,
     /// Changes whose acceptance operators received.
     pub accepted_changes: u64,
--- a/crates/millpass-sim/src/world.rs
+++ b/crates/millpass-sim/src/world.rs
@@ -53,7 +53,7 @@
     pub(crate) next_call: u64,
     pub(crate) next_connection: u64,
     pub(crate) next_delivery: u64,
-    pub(crate) next_audit_place: usize,
+    pub(crate) next_audit_member: usize,
     pub(crate) audit_is_read: bool,
     pub(crate) observer: Observer,
     pub(crate) initial_revision: u64,
@@ -103,17 +103,22 @@
         let sizes = settings.sizes.clone();
         let initial = catalog::initial_state(&sizes)?;
         let (state, at) = (initial.state, initial.at);
-        let voters = (0..sizes.members)
-            .map(|place| member_address(place, place % sizes.zones, member_id(place, 0)));
+        let voters = (0..sizes.members).map(|member_index| {
+            member_address(
+                member_index,
+                member_index % sizes.zones,
+                member_id(member_index, 0),
+            )
+        });
         let membership = Membership {
             voters: voters.collect(),
             outgoing_voters: Vec::new(),
             learners: Vec::new(),
         };
         let data = state.encode();
-        let control = (0..sizes.members).map(|place| ControlNode {
-            address: membership.voters[place].clone(),
-            zone: place % sizes.zones,
+        let control = (0..sizes.members).map(|member_index| ControlNode {
+            address: membership.voters[member_index].clone(),
+            zone: member_index % sizes.zones,
             clock: NodeClock::new(&mut clocks),
             disk: disk_with(at, membership.clone(), data.clone()),
             core: None,
@@ -159,7 +164,7 @@
             next_call: 0,
             next_connection: 0,
             next_delivery: 0,
-            next_audit_place: 0,
+            next_audit_member: 0,
             audit_is_read: false,
             initial_revision: state.configuration_revision().0,
             observer: Observer::new(state, at, membership),
@@ -227,8 +232,8 @@
             let name = machine.backend.clone();
             self.platform.change(0, &name, Some(machine));
         }
-        for place in 0..self.control.len() {
-            self.start_control(place);
+        for member_index in 0..self.control.len() {
+            self.start_control(member_index);
         }
         for router in 0..self.routers.len() {
             self.start_router(router);
@@ -264,7 +269,9 @@
         self.statistics.events += 1;
         self.trace.mark(self.now, event_number(&event));
         match event {
-            SimEvent::Control(place, run, event) => self.control_event(place, run, event),
+            SimEvent::Control(member_index, run, event) => {
+                self.control_event(member_index, run, event)
+            }
             SimEvent::Router(router, run, event) => self.router_event(router, run, event),
             SimEvent::Engine(engine, run, event) => self.engine_event(engine, run, event),
             SimEvent::Web(web, run, event) => self.web_event(web, run, event),
@@ -355,13 +362,13 @@
         engine.or_else(|| self.web_at(address).map(BackEnd::Web))
     }
 
-    /// Zone of the back end at an address.
+    /// Returns the zone of the back end with this address.
     pub(crate) fn zone_of_back_end(&self, address: &str) -> Option<Zone> {
         self.back_end_at(address)
             .map(|backend| self.zone_of(backend))
     }
 
-    /// Zone of a back end.
+    /// Returns the zone of a back end.
     pub(crate) fn zone_of(&self, backend: BackEnd) -> Zone {
         match backend {
             BackEnd::Engine(engine) => self.engines[engine].zone,
@@ -377,7 +384,7 @@
         }
     }
 
-    /// Name of a back end's process.
+    /// Returns the name of a back end's process.
     pub(crate) fn back_end_name(&self, backend: BackEnd) -> ProcessName {
         match backend {
             BackEnd::Engine(engine) => ProcessName(self.engines[engine].name.0.clone()),
@@ -411,10 +418,10 @@
     }
 }
 
-/// Number of an event for the trace hash.
+/// Returns a number for the kind and target of an event, for the trace hash.
 fn event_number(event: &SimEvent) -> u64 {
     let (kind, index) = match event {
-        SimEvent::Control(place, _, _) => (1, *place as u64),
+        SimEvent::Control(member_index, _, _) => (1, *member_index as u64),
         SimEvent::Router(router, _, _) => (2, *router as u64),
         SimEvent::Engine(engine, _, _) => (3, *engine as u64),
         SimEvent::Web(web, _, _) => (4, *web as u64),
--- a/crates/millpass-sim/tests/mechanisms.rs
+++ b/crates/millpass-sim/tests/mechanisms.rs
@@ -14,7 +14,7 @@
 const MORE_SEEDS: Range<u64> = 0..8;
 
 /// Faults, seeds and settings of a test case.
-struct Trial {
+struct Case {
     /// Scenario, or a custom plan.
     faults: Faults,
     /// Seeds.
@@ -28,8 +28,8 @@
     Plan(fn() -> Vec<(u64, Fault)>),
 }
 
-fn scenario(name: &'static str) -> Trial {
-    Trial {
+fn scenario(name: &'static str) -> Case {
+    Case {
         faults: Faults::Scenario(name),
         seeds: SEEDS,
         settings: |_| {},
@@ -37,22 +37,22 @@
 }
 
 /// Answers of cancelled attempts arrive late.
-fn late_answers() -> Trial {
-    Trial {
+fn late_answers() -> Case {
+    Case {
         settings: |settings| settings.times.attempt_timeout = 120 * MILLIS,
         ..scenario("bad-network")
     }
 }
 
 /// All web back ends leave, and routers freeze before they send an attempt.
-fn frozen_at_dispatch() -> Trial {
+fn frozen_at_dispatch() -> Case {
     let plan = || {
         let leaving = (0..3).map(|web| (2_500 * MILLIS, Fault::LeaveWeb(web)));
         let freezing = (0..4).map(|r| (2_500 * MILLIS, Fault::FreezeRouterAtDispatch(r)));
         let waking = (0..4).map(|router| (9 * SECONDS, Fault::WakeRouter(router)));
         leaving.chain(freezing).chain(waking).collect()
     };
-    Trial {
+    Case {
         faults: Faults::Plan(plan),
         seeds: SEEDS,
         settings: |_| {},
@@ -60,13 +60,13 @@
 }
 
 /// A zone is partitioned for eleven seconds.
-fn long_cut() -> Trial {
+fn long_partition() -> Case {
     let plan = || {
         let cut = [(0, 1), (1, 0), (0, 2), (2, 0)];
         let cuts = cut.map(|(from, to)| (3 * SECONDS, Fault::Cut(from, to)));
         cuts.into()
     };
-    Trial {
+    Case {
         faults: Faults::Plan(plan),
         seeds: MORE_SEEDS,
         settings: |settings| {
@@ -78,17 +78,17 @@
 }
 
 /// All control members are killed, and start when all faults end.
-fn control_gone() -> Trial {
-    Trial {
+fn all_control_killed() -> Case {
+    Case {
         faults: Faults::Plan(|| vec![(5 * SECONDS, Fault::KillAllControl)]),
         seeds: SEEDS,
         settings: |_| {},
     }
 }
 
-impl Trial {
-    fn seeds(self, seeds: Range<u64>) -> Trial {
-        Trial { seeds, ..self }
+impl Case {
+    fn seeds(self, seeds: Range<u64>) -> Case {
+        Case { seeds, ..self }
     }
 
     /// Returns the failed runs with these mechanisms disabled.
@@ -128,34 +128,34 @@
 
 #[rstest]
 #[case::log_entries_lost("agreement", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
-#[case::stale_orders_taken("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.fences = false)]
-#[case::freed_too_early("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.frees_after_use = false)]
-#[case::ledger_of_wrong_size("memory", scenario("cold-burst"), |m: &mut Mechanisms| m.engine.reports_true_memory = false)]
+#[case::stale_orders_executed("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.fences = false)]
+#[case::memory_reported_free_too_early("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.frees_after_use = false)]
+#[case::wrong_memory_reported("memory", scenario("cold-burst"), |m: &mut Mechanisms| m.engine.reports_true_memory = false)]
 #[case::never_refused("answers", scenario("calm"), |m: &mut Mechanisms| m.refusals = false)]
-#[case::late_parts_passed_on("integrity", late_answers(), |m: &mut Mechanisms| m.drops_stale_attempts = false)]
-#[case::false_not_run("refusals", scenario("machine-reclaimed").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.accurate_failures = false)]
+#[case::late_answer_parts_forwarded("integrity", late_answers(), |m: &mut Mechanisms| m.drops_stale_attempts = false)]
+#[case::wrongly_reported_as_not_sent("refusals", scenario("machine-reclaimed").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.accurate_failures = false)]
 #[case::no_claims("once", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
-#[case::no_claims_in_order("claims-linearizable", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
-#[case::no_check_before_sending("leaving", frozen_at_dispatch(), |m: &mut Mechanisms| m.send_before = false)]
+#[case::no_claims_linearizable("claims-linearizable", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
+#[case::no_send_deadline("leaving", frozen_at_dispatch(), |m: &mut Mechanisms| m.send_before = false)]
 #[case::no_drain("drain", scenario("planned-stops").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.drains = false)]
 #[case::changes_lost("configuration", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
-#[case::changes_not_told("configuration", scenario("racing-operators"), |m: &mut Mechanisms| m.catalog_changes = false)]
-#[case::changes_out_of_order("configuration-linearizable", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
-#[case::leases_without_end("enforcement", long_cut().seeds(0..80), |m: &mut Mechanisms| m.leases_expire = false)]
+#[case::changes_not_sent("configuration", scenario("racing-operators"), |m: &mut Mechanisms| m.catalog_changes = false)]
+#[case::changes_not_linearizable("configuration-linearizable", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
+#[case::leases_never_expire("enforcement", long_partition().seeds(0..80), |m: &mut Mechanisms| m.leases_expire = false)]
 #[case::no_permits("store", scenario("memory-pressure"), |m: &mut Mechanisms| m.store_permits = false)]
-#[case::never_mended("liveness", control_gone(), |m: &mut Mechanisms| m.healing = false)]
+#[case::faults_never_end("liveness", all_control_killed(), |m: &mut Mechanisms| m.healing = false)]
 fn checker_reports_violation_without_mechanism(
     #[case] checker: &str,
-    #[case] trial: Trial,
+    #[case] case: Case,
     #[case] disable: fn(&mut Mechanisms),
 ) {
-    let without_mechanism = trial.broken(disable);
+    let without_mechanism = case.broken(disable);
     assert!(
         reports(&without_mechanism, checker),
         "{:?}",
         descriptions(&without_mechanism)
     );
-    let with_mechanism = trial.broken(|_| {});
+    let with_mechanism = case.broken(|_| {});
     assert_eq!(descriptions(&with_mechanism), Vec::<String>::new());
 }
 
@@ -166,7 +166,7 @@
         let case = format!("(\"{name}\", ");
         assert!(
             source.contains(&case),
-            "no case switches off what {name} guards"
+            "no case disables the mechanism that {name} checks"
         );
     }
 }
