--- a/crates/millpass-control-plane/src/deployment.rs
+++ b/crates/millpass-control-plane/src/deployment.rs
@@ -99,7 +99,7 @@
         }
         let latest = self.fleet.as_ref();
         let latest = latest.and_then(|fleet| fleet.latest_incarnation(&instance));
-        let recorded = || self.state.latest_noted_run(&instance).cloned();
+        let recorded = || self.state.latest_recorded_run(&instance).cloned();
         latest.or_else(recorded).unwrap_or(instance)
     }
 
@@ -225,8 +225,8 @@
             .as_mut()
             .filter(|fleet| !fleet.has_started_leading())
         {
-            let recorded = self.state.noted_instances().cloned();
-            let quarantined = self.state.held_requests().cloned();
+            let recorded = self.state.recorded_instances().cloned();
+            let quarantined = self.state.quarantined_requests().cloned();
             let state = &self.state;
             fleet.apply_departures(&|instance| state.departed(instance));
             fleet.start_leading(now, recorded, quarantined, &self.instructions);
--- a/crates/millpass-control/src/disk.rs
+++ b/crates/millpass-control/src/disk.rs
@@ -1,5 +1,5 @@
-//! The disk thread: batches the core's writes under one sync, and reports each as persisted only after
-//! the sync. A failed write ends the member, as the content of the disk is then unknown.
+//! The disk thread: batches the core's writes under one sync, and reports each as persisted only
+//! after the sync. A failed write ends the member, as the content of the disk is then unknown.
 
 use crate::disk_watch::{DiskWatch, SpaceWatch};
 use crate::inputs::Inputs;
@@ -87,7 +87,7 @@
         for note in self.storage.take_notes() {
             log::warn!("event=disk_repaired {note}");
         }
-        if self.storage.wants_snapshot() && self.snapshot_requests.is_due() {
+        if self.storage.is_snapshot_due() && self.snapshot_requests.is_due() {
             self.inputs.request_snapshot();
         }
         self.space
--- a/crates/millpass-control/tests/slow_gateway.rs
+++ b/crates/millpass-control/tests/slow_gateway.rs
@@ -1,5 +1,5 @@
-//! Guards against stale configuration: a gateway that stops reading must later receive the newest update, not a queue of
-//! older ones.
+//! Guards against stale configuration: a gateway that stops reading must later receive the newest
+//! update, not a queue of older ones.
 
 mod common;
 
@@ -15,9 +15,11 @@
 
 /// Number of versions applied while the gateway does not read.
 const VERSIONS: u64 = 20;
-/// Services per document. They differ between versions, so that each document of 400 kB is sent in full.
+/// Services per document. They differ between versions, so that each document of 400 kB is sent in
+/// full.
 const SERVICES: u64 = 4_000;
-/// Maximum number of documents received: buffered in the socket, being written, waiting, and the newest.
+/// Maximum number of documents received: buffered in the socket, being written, waiting, and the
+/// newest.
 const MAXIMUM_DOCUMENTS: usize = 4;
 
 /// Puts documents on request of the test.
@@ -31,9 +33,9 @@
             document: document(version),
             source: Default::default(),
         }));
-        let answer = calls.call(put);
-        let done = matches!(answer, AdministrationResponse::Done);
-        self.0.lock().expect("answers").push(answer);
+        let response = calls.call(put);
+        let done = matches!(response, AdministrationResponse::Done);
+        self.0.lock().expect("responses").push(response);
         let status = if done { 200 } else { 503 };
         let status = http::StatusCode::from_u16(status).expect("a status");
         Some(Response::text(status, ""))
@@ -82,9 +84,9 @@
     let folder = tempfile::tempdir().expect("folder");
     let mut settings = ControlProcessSettings::single(folder.path());
     settings.fleet = Some(FleetSettings::default());
-    let answers = Arc::new(Mutex::new(Vec::new()));
+    let responses = Arc::new(Mutex::new(Vec::new()));
     let extensions = Extensions {
-        api: Some(Arc::new(Calls(answers.clone()))),
+        api: Some(Arc::new(Calls(responses.clone()))),
         engines: None,
     };
     let handle = start_extended(settings, extensions).expect("start");
@@ -103,7 +105,7 @@
     }
     let mut documents = Vec::new();
     while documents.last() != Some(&VERSIONS) {
-        match read_frame(&mut stream).expect("the connection goes on") {
+        match read_frame(&mut stream).expect("the connection stays open") {
             ControlToRouter::Gateway(update) => {
                 documents.extend(update.document.map(|document| document.version));
             }
--- a/crates/millpass-gateway/src/process.rs
+++ b/crates/millpass-gateway/src/process.rs
@@ -11,7 +11,7 @@
 use async_executor::Executor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use millpass_telemetry::{Heartbeat, SuspensionWatch, event_line};
+use millpass_telemetry::{Heartbeat, SuspensionDetector, event_line};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -87,7 +87,8 @@
         self.heartbeat.clone()
     }
 
-    /// Serves on this thread until `stop` completes, then drains requests in flight within the grace period.
+    /// Serves on this thread until `stop` completes, then drains requests in flight within the
+    /// grace period.
     pub fn run(self, stop: impl Future<Output = ()>) {
         let shared = self.shared;
         let executor = shared.executor;
@@ -117,21 +118,21 @@
 }
 
 async fn sweep(shared: Arc<Shared>, heartbeat: Heartbeat) {
-    let mut suspensions = SuspensionWatch::default();
+    let mut suspensions = SuspensionDetector::default();
     loop {
         heartbeat.beat();
         Timer::after(SWEEP_INTERVAL).await;
         shared.pool.sweep();
-        if let Some(time) = suspensions.look() {
+        if let Some(time) = suspensions.check() {
             let millis = time.as_millis();
             log::warn!("event=machine_suspended suspended_ms={millis}");
         }
     }
 }
 
-/// Drains the gateway. At once it reports not ready and closes each connection after its response. After
-/// `drain_accept` it accepts no new connections and closes idle ones. Returns when no connection is left
-/// or `drain_grace` has elapsed.
+/// Drains the gateway. At once it reports not ready and closes each connection after its response.
+/// After `drain_accept` it accepts no new connections and closes idle ones. Returns when no
+/// connection is left or `drain_grace` has elapsed.
 async fn drain(shared: &Shared) {
     shared.draining.store(true, Ordering::Release);
     let started = shared.now();
--- a/crates/millpass-state/src/document.rs
+++ b/crates/millpass-state/src/document.rs
@@ -1,23 +1,23 @@
-//! What a deployment document must satisfy to be put in force.
+//! Validation of deployment documents.
 
 use millpass_proto::{DeploymentDocument, RouteSpec, ServiceName, TenantAccess};
 use std::collections::{BTreeSet, HashMap};
 
-/// Most units a second, or at once, that a quota may state: sums over days stay far below what a counter holds.
+/// Maximum quota in units per second, or in units for bursts and costs. Keeps sums over days within 64 bits.
 const MAXIMUM_UNITS: u64 = 1_000_000_000_000;
 
-/// Why a document is refused whole; what stood before stays in force.
+/// Why a document is rejected; the previous document stays active.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidDocument {
-    /// Version 0 stands for none.
-    #[error("version 0 is reserved; write a version from 1")]
-    NoVersion,
-    /// Two services have one name.
+    /// Version 0 means no document.
+    #[error("version 0 is reserved; use a version of 1 or higher")]
+    ZeroVersion,
+    /// Two services have the same name.
     #[error("service {0} stands twice; give each service one entry")]
-    ServiceTwice(String),
-    /// A route names a service that is not there.
+    DuplicateService(String),
+    /// A route references an unknown service.
     #[error(
-        "route {route} names service {service}, which the document lacks; add it or correct the name"
+        "route {route} names service {service}, which is not in the document; add the service or correct the name"
     )]
     UnknownService {
         /// Route.
@@ -25,24 +25,24 @@
         /// Service.
         service: String,
     },
-    /// Two routes share host and prefix.
-    #[error("route {route} has the host and prefix of another route; change one of them")]
-    SamePlace {
+    /// Two routes have the same host and path prefix.
+    #[error("route {route} has the same host and path prefix as another route; change one of them")]
+    DuplicateRoute {
         /// Route.
         route: String,
     },
-    /// No target of a route has a weight.
+    /// All targets of a route have weight 0.
     #[error("route {route}: the weights add up to 0; give a service a weight above 0")]
-    NoWeight {
+    ZeroWeight {
         /// Route.
         route: String,
     },
     /// A tenant has no name.
-    #[error("a tenant has no name; name each tenant")]
-    TenantNameless,
-    /// Two tenants have one name.
+    #[error("a tenant has no name; give each tenant a name")]
+    UnnamedTenant,
+    /// Two tenants have the same name.
     #[error("tenant {0} stands twice; give each tenant one entry")]
-    TenantTwice(String),
+    DuplicateTenant(String),
     /// Two tenants share a key.
     #[error("tenants {first} and {second} share a key; give each its own")]
     SharedKey {
@@ -51,39 +51,39 @@
         /// The other.
         second: String,
     },
-    /// A quota's figure is beyond reason.
+    /// A quota exceeds the maximum.
     #[error(
-        "tenant {tenant}: the quota states {units} units; write {MAXIMUM_UNITS} at most, or 0 for none"
+        "tenant {tenant}: quota of {units} units is too large; use at most {MAXIMUM_UNITS}, or 0 for none"
     )]
-    AbsurdQuota {
+    QuotaTooLarge {
         /// Tenant.
         tenant: String,
-        /// Units stated.
+        /// Configured units.
         units: u64,
     },
-    /// A route's time-out is 0.
+    /// The timeout of a route is 0.
     #[error("route {route}: the time-out is 0; write milliseconds above 0")]
-    NoTimeout {
+    ZeroTimeout {
         /// Route.
         route: String,
     },
 }
 
-/// Checks a document as a whole.
+/// Validates a document.
 pub fn check_document(document: &DeploymentDocument) -> Result<(), InvalidDocument> {
     if document.version == 0 {
-        return Err(InvalidDocument::NoVersion);
+        return Err(InvalidDocument::ZeroVersion);
     }
     let mut services = BTreeSet::new();
     for service in &document.services {
         if !services.insert(&service.name) {
-            return Err(InvalidDocument::ServiceTwice(service.name.0.clone()));
+            return Err(InvalidDocument::DuplicateService(service.name.0.clone()));
         }
     }
-    let mut places = BTreeSet::new();
+    let mut host_prefixes = BTreeSet::new();
     for route in &document.routes {
-        if !places.insert((&route.host, &route.path_prefix)) {
-            return Err(InvalidDocument::SamePlace {
+        if !host_prefixes.insert((&route.host, &route.path_prefix)) {
+            return Err(InvalidDocument::DuplicateRoute {
                 route: route.name.clone(),
             });
         }
@@ -98,10 +98,10 @@
     for tenant in tenants {
         let name = || tenant.name.0.clone();
         if tenant.name.0.is_empty() {
-            return Err(InvalidDocument::TenantNameless);
+            return Err(InvalidDocument::UnnamedTenant);
         }
         if !names.insert(&tenant.name) {
-            return Err(InvalidDocument::TenantTwice(name()));
+            return Err(InvalidDocument::DuplicateTenant(name()));
         }
         for key in &tenant.key_hashes {
             let owner = owners.insert(key, tenant);
@@ -118,7 +118,7 @@
             tenant.plain_cost,
         ] {
             if units > MAXIMUM_UNITS {
-                return Err(InvalidDocument::AbsurdQuota {
+                return Err(InvalidDocument::QuotaTooLarge {
                     tenant: name(),
                     units,
                 });
@@ -144,10 +144,10 @@
         });
     }
     if route.targets.iter().all(|target| target.weight == 0) {
-        return Err(InvalidDocument::NoWeight { route: name() });
+        return Err(InvalidDocument::ZeroWeight { route: name() });
     }
     if route.timeout_millis == 0 {
-        return Err(InvalidDocument::NoTimeout { route: name() });
+        return Err(InvalidDocument::ZeroTimeout { route: name() });
     }
     Ok(())
 }
--- a/crates/millpass-state/src/encoding.rs
+++ b/crates/millpass-state/src/encoding.rs
@@ -1,29 +1,29 @@
 //! Snapshot encoding of the whole state.
 
 use crate::State;
-use crate::held_requests::HeldRequests;
+use crate::quarantine::QuarantinedRequests;
 use millpass_proto::codec;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Format of the encoding; grows when the layout changes. What is new stands behind what was there.
+/// Version of the encoding; incremented when the layout changes. New fields are appended.
 const SNAPSHOT_FORMAT: u32 = 4;
-/// The format without the log indexes of what binds gateways; read, no longer written.
-const FORMAT_WITHOUT_BINDING_INDEX: u32 = 3;
-/// The format without requests that are held back; read, no longer written.
-const FORMAT_WITHOUT_HELD_REQUESTS: u32 = 2;
+/// Format without required and departure indexes; only decoded.
+const FORMAT_WITHOUT_REQUIRED_INDEX: u32 = 3;
+/// Format without quarantined requests; only decoded.
+const FORMAT_WITHOUT_QUARANTINE: u32 = 2;
 
-/// Why an encoded state could not be read.
+/// Error of decoding a snapshot, with the reason.
 #[derive(Debug, thiserror::Error)]
-#[error("snapshot does not decode: {0}; restore the member from another one")]
+#[error("cannot decode the snapshot: {0}; restore the member from another snapshot")]
 pub struct StateError(pub String);
 
 #[derive(Serialize)]
 struct SnapshotOut<'a> {
     format: u32,
     state: &'a State,
-    held_requests: &'a HeldRequests,
-    binding_index: u64,
+    quarantined_requests: &'a QuarantinedRequests,
+    required_index: u64,
     departure_indexes: &'a VecDeque<u64>,
 }
 
@@ -31,67 +31,65 @@
 struct SnapshotIn {
     format: u32,
     state: State,
-    held_requests: HeldRequests,
-    binding_index: u64,
+    quarantined_requests: QuarantinedRequests,
+    required_index: u64,
     departure_indexes: VecDeque<u64>,
 }
 
-/// A snapshot of [`FORMAT_WITHOUT_BINDING_INDEX`].
+/// A snapshot of [`FORMAT_WITHOUT_REQUIRED_INDEX`].
 #[derive(Deserialize)]
-struct SnapshotWithoutBindingIndex {
+struct SnapshotWithoutRequiredIndex {
     format: u32,
     state: State,
-    held_requests: HeldRequests,
+    quarantined_requests: QuarantinedRequests,
 }
 
-/// A snapshot of [`FORMAT_WITHOUT_HELD_REQUESTS`].
+/// A snapshot of [`FORMAT_WITHOUT_QUARANTINE`].
 #[derive(Deserialize)]
-struct SnapshotWithoutHeldRequests {
+struct SnapshotWithoutQuarantine {
     format: u32,
     state: State,
 }
 
 impl State {
-    /// Encodes the state for a snapshot. Equal states give equal bytes.
+    /// Encodes the state for a snapshot. Equal states have equal encodings.
     pub fn encode(&self) -> Vec<u8> {
         let snapshot = SnapshotOut {
             format: SNAPSHOT_FORMAT,
             state: self,
-            held_requests: &self.held_requests,
-            binding_index: self.binding_index,
+            quarantined_requests: &self.quarantined_requests,
+            required_index: self.required_index,
             departure_indexes: self.deployment.departure_indexes(),
         };
-        // Encoding into memory fails for no value of these types.
+        // Encoding these types into memory cannot fail.
         codec::encode(&snapshot).unwrap_or_default()
     }
 
-    /// Reads what [`State::encode`] gave, or an earlier release's.
+    /// Decodes the output of [`State::encode`], of this or an earlier release.
     pub fn decode(bytes: &[u8]) -> Result<State, StateError> {
         if let Ok(snapshot) = codec::decode::<SnapshotIn>(bytes)
             && snapshot.format == SNAPSHOT_FORMAT
         {
             let state = State {
-                held_requests: snapshot.held_requests,
-                binding_index: snapshot.binding_index,
+                quarantined_requests: snapshot.quarantined_requests,
+                required_index: snapshot.required_index,
                 ..snapshot.state
             };
             return Ok(state.with_departure_indexes(snapshot.departure_indexes));
         }
-        if let Ok(snapshot) = codec::decode::<SnapshotWithoutBindingIndex>(bytes)
-            && snapshot.format == FORMAT_WITHOUT_BINDING_INDEX
+        if let Ok(snapshot) = codec::decode::<SnapshotWithoutRequiredIndex>(bytes)
+            && snapshot.format == FORMAT_WITHOUT_REQUIRED_INDEX
         {
             let state = State {
-                held_requests: snapshot.held_requests,
+                quarantined_requests: snapshot.quarantined_requests,
                 ..snapshot.state
             };
             return Ok(state.with_departure_indexes(VecDeque::new()));
         }
-        let snapshot = codec::decode::<SnapshotWithoutHeldRequests>(bytes)
+        let snapshot = codec::decode::<SnapshotWithoutQuarantine>(bytes)
             .map_err(|error| StateError(error.to_string()))?;
         match snapshot.format {
-            FORMAT_WITHOUT_HELD_REQUESTS => {
-                Ok(snapshot.state.with_departure_indexes(VecDeque::new()))
-            }
+            FORMAT_WITHOUT_QUARANTINE => Ok(snapshot.state.with_departure_indexes(VecDeque::new())),
             other => Err(StateError(format!("format {other}"))),
         }
     }
--- a/crates/millpass-state/src/validation.rs
+++ b/crates/millpass-state/src/validation.rs
@@ -1,4 +1,4 @@
-//! What a catalog object must satisfy before it is accepted.
+//! Validation of catalog objects.
 
 use crate::catalog::Catalog;
 use millpass_proto::{
@@ -6,70 +6,70 @@
     ObjectSpec, OperatorSpec, PolicySpec, TenantSpec, VersionSpec,
 };
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAXIMUM_NAME_BYTES: usize = 253;
-/// Largest encoded object, in bytes.
+/// Maximum size of an encoded object, in bytes.
 pub const MAXIMUM_SPEC_BYTES: usize = 64 * 1024;
-/// Most accelerators one replica may span.
+/// Maximum accelerators per replica.
 pub const MAXIMUM_ACCELERATORS_PER_REPLICA: u32 = 64;
-/// Most replicas of one model.
+/// Maximum replicas per model.
 pub const MAXIMUM_REPLICAS_PER_MODEL: u32 = 65_536;
-/// Largest memory size of one object, in bytes; keeps every sum within 64 bits.
+/// Maximum memory size of one object, in bytes. Keeps all sums within 64 bits.
 pub const MAXIMUM_OBJECT_BYTES: u64 = 1 << 50;
 
-/// Why an object is rejected: reason and remedy.
+/// Why a catalog change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
-    /// A name is empty, too long, or has characters that do not belong.
+pub enum InvalidObject {
+    /// A name is empty, too long, or contains invalid characters.
     #[error(
-        "{0} must have 1 to {MAXIMUM_NAME_BYTES} printable characters and no space at its ends"
+        "{0} must have 1 to {MAXIMUM_NAME_BYTES} printable characters and no leading or trailing spaces"
     )]
     Name(&'static str),
-    /// `@` separates model and label.
+    /// A name contains `@`, which separates model and label.
     #[error("{0} must not contain `@`; choose another name")]
-    At(&'static str),
-    /// The content is of another kind than the key.
-    #[error("content is of another kind than the key; submit content of the key's kind")]
-    Kind,
+    ContainsAtSign(&'static str),
+    /// The kinds of content and key differ.
+    #[error("content and key have different kinds; submit content of the key's kind")]
+    KindMismatch,
     /// The name of a version is not `model@label`.
-    #[error("name of a version must be `{0}`, as its content says")]
+    #[error("name of a version must be `{0}` to match its content")]
     VersionName(String),
     /// A number is out of range.
     #[error("{field} must be {range}")]
     Range {
         /// Field.
         field: &'static str,
-        /// What it must be.
+        /// Allowed values.
         range: &'static str,
     },
     /// The object is too large.
-    #[error("object is larger than {MAXIMUM_SPEC_BYTES} bytes; split it")]
+    #[error("object is larger than {MAXIMUM_SPEC_BYTES} bytes; reduce or split it")]
     TooLarge,
-    /// The model that it belongs to is missing.
+    /// The model that the object belongs to does not exist.
     #[error("model `{0}` does not exist; create it first")]
-    ModelMissing(ModelName),
+    UnknownModel(ModelName),
     /// The model still has versions or adapters.
     #[error("model still has `{0}`; delete its versions and adapters first")]
     ModelInUse(String),
-    /// An adapter cannot move to another model.
+    /// The model of an adapter cannot be changed.
     #[error("adapter belongs to model `{0}`; create a new adapter for the other model")]
-    AdapterMoves(ModelName),
-    /// Another group has the path prefix.
-    #[error("path prefix is taken by group `{0}`; choose another")]
-    PathTaken(String),
+    AdapterModelChanged(ModelName),
+    /// The path prefix belongs to another group.
+    #[error("path prefix is already used by group `{0}`; choose another")]
+    PathPrefixTaken(String),
     /// The catalog is full.
-    #[error("catalog holds its maximum of objects; delete some first")]
+    #[error("catalog is full; delete objects first")]
     CatalogFull,
-    /// The change id was used before.
-    #[error("change id was used for another change; choose a new one")]
+    /// The change id was used for another change.
+    #[error("change id was already used for another change; choose a new one")]
     ChangeIdUsed,
-    /// There is nothing to delete.
+    /// The object to delete does not exist.
     #[error("object does not exist; there is nothing to delete")]
     NothingToDelete,
 }
 
-/// Checks a change against the catalog, apart from its version.
-pub(crate) fn check_change(catalog: &Catalog, change: &ObjectChange) -> Result<(), Invalid> {
+/// Validates a change against the catalog, except for its version.
+pub(crate) fn check_change(catalog: &Catalog, change: &ObjectChange) -> Result<(), InvalidObject> {
     check_name("change id", &change.change_id.0)?;
     check_name("object name", &change.key.name)?;
     match &change.spec {
@@ -78,13 +78,13 @@
     }
 }
 
-fn check_spec(catalog: &Catalog, key: &ObjectKey, spec: &ObjectSpec) -> Result<(), Invalid> {
+fn check_spec(catalog: &Catalog, key: &ObjectKey, spec: &ObjectSpec) -> Result<(), InvalidObject> {
     if kind_of(spec) != key.kind {
-        return Err(Invalid::Kind);
+        return Err(InvalidObject::KindMismatch);
     }
     let encoded = millpass_proto::codec::encode(spec);
     if encoded.map_or(usize::MAX, |bytes| bytes.len()) > MAXIMUM_SPEC_BYTES {
-        return Err(Invalid::TooLarge);
+        return Err(InvalidObject::TooLarge);
     }
     match spec {
         ObjectSpec::Tenant(tenant) => check_tenant(tenant),
@@ -110,30 +110,30 @@
     }
 }
 
-fn check_name(what: &'static str, name: &str) -> Result<(), Invalid> {
+fn check_name(what: &'static str, name: &str) -> Result<(), InvalidObject> {
     let printable = name.trim() == name && !name.chars().any(char::is_control);
     if name.is_empty() || name.len() > MAXIMUM_NAME_BYTES || !printable {
-        return Err(Invalid::Name(what));
+        return Err(InvalidObject::Name(what));
     }
     Ok(())
 }
 
-fn check_part(what: &'static str, name: &str) -> Result<(), Invalid> {
+fn check_name_part(what: &'static str, name: &str) -> Result<(), InvalidObject> {
     check_name(what, name)?;
     if name.contains('@') {
-        return Err(Invalid::At(what));
+        return Err(InvalidObject::ContainsAtSign(what));
     }
     Ok(())
 }
 
-fn check_range(field: &'static str, range: &'static str, holds: bool) -> Result<(), Invalid> {
+fn check_range(field: &'static str, range: &'static str, holds: bool) -> Result<(), InvalidObject> {
     if !holds {
-        return Err(Invalid::Range { field, range });
+        return Err(InvalidObject::Range { field, range });
     }
     Ok(())
 }
 
-fn check_tenant(tenant: &TenantSpec) -> Result<(), Invalid> {
+fn check_tenant(tenant: &TenantSpec) -> Result<(), InvalidObject> {
     check_range("share_weight", "1 or more", tenant.share_weight >= 1)?;
     for hash in &tenant.api_key_hashes {
         check_name("API key hash", hash)?;
@@ -141,9 +141,9 @@
     Ok(())
 }
 
-fn check_model(key: &ObjectKey, model: &ModelSpec) -> Result<(), Invalid> {
-    check_part("model name", &key.name)?;
-    check_part("current_version", &model.current_version.0)?;
+fn check_model(key: &ObjectKey, model: &ModelSpec) -> Result<(), InvalidObject> {
+    check_name_part("model name", &key.name)?;
+    check_name_part("current_version", &model.current_version.0)?;
     let accelerators = model.accelerators_per_replica;
     let in_range = (1..=MAXIMUM_ACCELERATORS_PER_REPLICA).contains(&accelerators);
     check_range("accelerators_per_replica", "1 to 64", in_range)?;
@@ -155,11 +155,15 @@
     check_range("concurrency_per_replica", "1 or more", in_range)
 }
 
-fn check_version(catalog: &Catalog, key: &ObjectKey, version: &VersionSpec) -> Result<(), Invalid> {
-    check_part("label", &version.label.0)?;
+fn check_version(
+    catalog: &Catalog,
+    key: &ObjectKey,
+    version: &VersionSpec,
+) -> Result<(), InvalidObject> {
+    check_name_part("label", &version.label.0)?;
     let name = version_name(&version.model, &version.label.0);
     if key.name != name {
-        return Err(Invalid::VersionName(name));
+        return Err(InvalidObject::VersionName(name));
     }
     check_name("checkpoint", &version.checkpoint)?;
     let weights_fit = (1..=MAXIMUM_OBJECT_BYTES).contains(&version.weights_bytes);
@@ -169,14 +173,18 @@
     check_model_exists(catalog, &version.model)
 }
 
-fn check_adapter(catalog: &Catalog, key: &ObjectKey, adapter: &AdapterSpec) -> Result<(), Invalid> {
+fn check_adapter(
+    catalog: &Catalog,
+    key: &ObjectKey,
+    adapter: &AdapterSpec,
+) -> Result<(), InvalidObject> {
     check_name("checkpoint", &adapter.checkpoint)?;
     let fits = (1..=MAXIMUM_OBJECT_BYTES).contains(&adapter.bytes);
     check_range("bytes", "1 to 2^50", fits)?;
     check_model_exists(catalog, &adapter.model)?;
     match catalog.spec(key) {
         Some(ObjectSpec::Adapter(old)) if old.model != adapter.model => {
-            Err(Invalid::AdapterMoves(old.model.clone()))
+            Err(InvalidObject::AdapterModelChanged(old.model.clone()))
         }
         _ => Ok(()),
     }
@@ -186,7 +194,7 @@
     catalog: &Catalog,
     key: &ObjectKey,
     group: &BackendGroupSpec,
-) -> Result<(), Invalid> {
+) -> Result<(), InvalidObject> {
     let starts = group.path_prefix.starts_with('/');
     check_range("path_prefix", "a path that starts with `/`", starts)?;
     let mut paths = group.non_repeatable_paths.iter();
@@ -201,43 +209,43 @@
             continue;
         };
         if other.key != *key && spec.path_prefix == group.path_prefix {
-            return Err(Invalid::PathTaken(other.key.name.clone()));
+            return Err(InvalidObject::PathPrefixTaken(other.key.name.clone()));
         }
     }
     Ok(())
 }
 
-/// The programs are compiled and their examples run by whoever proposes the change.
-fn check_policy(policy: &PolicySpec) -> Result<(), Invalid> {
+/// The proposer compiles the programs and runs their examples.
+fn check_policy(policy: &PolicySpec) -> Result<(), InvalidObject> {
     let stated = !policy.allow.trim().is_empty();
     check_range("allow", "an expression, such as `true`", stated)
 }
 
-fn check_operator(operator: &OperatorSpec) -> Result<(), Invalid> {
+fn check_operator(operator: &OperatorSpec) -> Result<(), InvalidObject> {
     check_name("key_hash", &operator.key_hash)
 }
 
-fn check_deletion(catalog: &Catalog, key: &ObjectKey) -> Result<(), Invalid> {
+fn check_deletion(catalog: &Catalog, key: &ObjectKey) -> Result<(), InvalidObject> {
     if catalog.object(key).is_none() {
-        return Err(Invalid::NothingToDelete);
+        return Err(InvalidObject::NothingToDelete);
     }
     if key.kind != ObjectKind::Model {
         return Ok(());
     }
-    match catalog.dependant_of(&ModelName(key.name.clone())) {
-        Some(dependant) => Err(Invalid::ModelInUse(dependant)),
+    match catalog.dependent_of(&ModelName(key.name.clone())) {
+        Some(dependent) => Err(InvalidObject::ModelInUse(dependent)),
         None => Ok(()),
     }
 }
 
-fn check_model_exists(catalog: &Catalog, model: &ModelName) -> Result<(), Invalid> {
+fn check_model_exists(catalog: &Catalog, model: &ModelName) -> Result<(), InvalidObject> {
     if catalog.model(model).is_none() {
-        return Err(Invalid::ModelMissing(model.clone()));
+        return Err(InvalidObject::UnknownModel(model.clone()));
     }
     Ok(())
 }
 
-/// Object name of a version: `model@label`.
+/// Returns the object name of a version: `model@label`.
 pub fn version_name(model: &ModelName, label: &str) -> String {
     format!("{model}@{label}")
 }
