--- a/crates/millpass-sim/src/injection.rs
+++ b/crates/millpass-sim/src/injection.rs
@@ -1,4 +1,4 @@
-//! Faults and their ends, carried out on the deployment.
+//! Injection of faults into the deployment, and their end.
 
 use crate::event::{BackEnd, ControlEvent, RouterEvent, SimEvent};
 use crate::faults::{Fault, Member};
@@ -8,26 +8,26 @@
 use millpass_control_plane::ControlInput;
 use millpass_proto::BackendState;
 
-/// A back end whose process died starts again after this time.
+/// Time after which a killed back end restarts.
 const RESTART_MICROS: u64 = 400 * MILLIS;
 
 impl World {
-    /// Carries out a fault.
+    /// Injects a fault or ends one.
     pub(crate) fn inject(&mut self, fault: Fault) {
         self.statistics.fault(kind_of(&fault));
         self.record(Event::Disturbed {
             what: format!("{fault:?}"),
         });
         match fault {
-            Fault::KillControl(member) => self.with_member(member, World::kill_control),
+            Fault::KillControl(member) => self.apply_to_member(member, World::kill_control),
             Fault::KillAllControl => self.kill_all_control(),
             Fault::StartAllControl => self.start_all_control(),
-            Fault::LoseDisk(member) => self.with_member(member, World::lose_disk),
-            Fault::StartControl(member) => self.with_member(member, World::start_dead_control),
-            Fault::FreezeControl(member) => self.with_member(member, World::freeze_control),
+            Fault::LoseDisk(member) => self.apply_to_member(member, World::lose_disk),
+            Fault::StartControl(member) => self.apply_to_member(member, World::start_dead_control),
+            Fault::FreezeControl(member) => self.apply_to_member(member, World::freeze_control),
             Fault::FreezeLeaderAtOrder => self.freeze_leader_at_order = true,
             Fault::WakeControl => self.wake_all_control(),
-            Fault::DrainControl(member) => self.with_member(member, World::drain_control),
+            Fault::DrainControl(member) => self.apply_to_member(member, World::drain_control),
             Fault::KillRouter(router) => self.kill_router(router),
             Fault::StartRouter(router) => self.start_router(router),
             Fault::FreezeRouter(router) => self.freeze_router(router),
@@ -45,7 +45,7 @@
             Fault::LeaveWeb(web) => self.leave(BackEnd::Web(web)),
             Fault::ReturnWeb(web) => self.return_back_end(BackEnd::Web(web)),
             Fault::Cut(from, to) => self.network.cut(from, to),
-            Fault::Mend(from, to) => self.network.mend(from, to),
+            Fault::Mend(from, to) => self.network.unblock(from, to),
             Fault::BadNetwork(bad) => self.network.set_bad(bad),
             Fault::SlowStore(slow) => self.slow_store = slow,
             Fault::StaleReports(stale) => self.stale_reports = stale,
@@ -53,17 +53,17 @@
         self.update_reachable();
     }
 
-    /// Mends everything.
+    /// Ends all faults and restarts every process.
     pub(crate) fn heal(&mut self) {
         if self.settings.mechanisms.healing {
-            self.mend_everything();
+            self.end_all_faults();
         }
         self.record(Event::AllHealed);
         self.update_reachable();
     }
 
-    fn mend_everything(&mut self) {
-        self.network.mend_all();
+    fn end_all_faults(&mut self) {
+        self.network.unblock_all();
         self.slow_store = false;
         self.stale_reports = false;
         self.freeze_leader_at_order = false;
@@ -83,104 +83,106 @@
         }
     }
 
-    fn with_member(&mut self, member: Member, action: fn(&mut World, usize)) {
-        let place = match member {
-            Member::At(place) => Some(place),
-            Member::Leader => self.leader_place(),
-            Member::Follower(number) => self.follower_place(number),
-            Member::FirstDead => self.dead_in_order.first().copied(),
+    fn apply_to_member(&mut self, member: Member, action: fn(&mut World, usize)) {
+        let member_index = match member {
+            Member::At(member_index) => Some(member_index),
+            Member::Leader => self.leader_index(),
+            Member::Follower(number) => self.follower_index(number),
+            Member::FirstDead => self.dead_members.first().copied(),
         };
-        if let Some(place) = place {
-            action(self, place);
+        if let Some(member_index) = member_index {
+            action(self, member_index);
         }
     }
 
-    fn leader_place(&self) -> Option<usize> {
+    fn leader_index(&self) -> Option<usize> {
         let leader = self.observer.leader()?;
-        let leads = |node: &crate::control_node::ControlNode| node.address.member == leader;
-        self.control.iter().position(leads)
+        let is_leader = |node: &crate::control_node::ControlNode| node.address.member == leader;
+        self.control.iter().position(is_leader)
     }
 
-    fn follower_place(&self, number: usize) -> Option<usize> {
-        let leader = self.leader_place();
+    fn follower_index(&self, number: usize) -> Option<usize> {
+        let leader = self.leader_index();
         let followers: Vec<usize> = (0..self.control.len())
-            .filter(|place| self.control[*place].runs() && Some(*place) != leader)
+            .filter(|member_index| {
+                self.control[*member_index].runs() && Some(*member_index) != leader
+            })
             .collect();
         followers.get(number % followers.len().max(1)).copied()
     }
 
-    fn kill_control(&mut self, place: usize) {
-        if self.control[place].core.is_none() {
+    fn kill_control(&mut self, member_index: usize) {
+        if self.control[member_index].core.is_none() {
             return;
         }
-        let process = Self::control_name(place);
+        let process = Self::control_name(member_index);
         self.record(Event::Killed { process });
-        self.end_control(place);
-        self.dead_in_order.push(place);
+        self.end_control(member_index);
+        self.dead_members.push(member_index);
     }
 
     fn kill_all_control(&mut self) {
-        for place in 0..self.control.len() {
-            self.kill_control(place);
+        for member_index in 0..self.control.len() {
+            self.kill_control(member_index);
         }
     }
 
     fn start_all_control(&mut self) {
-        for place in 0..self.control.len() {
-            self.start_dead_control(place);
+        for member_index in 0..self.control.len() {
+            self.start_dead_control(member_index);
         }
     }
 
-    fn lose_disk(&mut self, place: usize) {
-        self.kill_control(place);
-        self.control[place].disk = crate::world::empty_disk();
-        self.control[place].disk_lost = true;
+    fn lose_disk(&mut self, member_index: usize) {
+        self.kill_control(member_index);
+        self.control[member_index].disk = crate::world::empty_disk();
+        self.control[member_index].disk_lost = true;
     }
 
-    fn start_dead_control(&mut self, place: usize) {
-        self.dead_in_order.retain(|dead| *dead != place);
-        self.start_control(place);
+    fn start_dead_control(&mut self, member_index: usize) {
+        self.dead_members.retain(|dead| *dead != member_index);
+        self.start_control(member_index);
     }
 
-    /// A control member's process stops running.
-    pub(crate) fn freeze_control(&mut self, place: usize) {
-        if !self.control[place].runs() {
+    /// Suspends the process of a control member.
+    pub(crate) fn freeze_control(&mut self, member_index: usize) {
+        if !self.control[member_index].runs() {
             return;
         }
-        self.control[place].frozen = true;
-        let process = Self::control_name(place);
+        self.control[member_index].frozen = true;
+        let process = Self::control_name(member_index);
         self.record(Event::Frozen { process });
         self.update_reachable();
     }
 
     fn wake_all_control(&mut self) {
-        for place in 0..self.control.len() {
-            if self.control[place].frozen {
-                self.wake_control(place);
+        for member_index in 0..self.control.len() {
+            if self.control[member_index].frozen {
+                self.wake_control(member_index);
             }
         }
     }
 
-    /// A frozen member runs again and handles late what came meanwhile.
-    fn wake_control(&mut self, place: usize) {
-        self.control[place].frozen = false;
-        let process = Self::control_name(place);
+    /// Resumes a frozen member and schedules the events of its backlog.
+    fn wake_control(&mut self, member_index: usize) {
+        self.control[member_index].frozen = false;
+        let process = Self::control_name(member_index);
         self.record(Event::Woken { process });
-        let backlog = std::mem::take(&mut self.control[place].backlog);
+        let backlog = std::mem::take(&mut self.control[member_index].backlog);
         for event in backlog {
-            self.control_later(place, 0, event);
+            self.control_later(member_index, 0, event);
         }
-        self.control_later(place, 0, ControlEvent::Tick);
+        self.control_later(member_index, 0, ControlEvent::Tick);
     }
 
-    fn drain_control(&mut self, place: usize) {
-        if !self.control[place].runs() {
+    fn drain_control(&mut self, member_index: usize) {
+        if !self.control[member_index].runs() {
             return;
         }
-        let process = Self::control_name(place);
+        let process = Self::control_name(member_index);
         self.record(Event::StopPlanned { process });
-        self.control[place].draining = true;
-        self.control_step(place, ControlInput::Drain);
+        self.control[member_index].draining = true;
+        self.control_step(member_index, ControlInput::Drain);
     }
 
     fn kill_router(&mut self, router: usize) {
@@ -192,7 +194,7 @@
         self.end_router(router);
     }
 
-    /// A router's process stops running.
+    /// Suspends the process of a router.
     pub(crate) fn freeze_router(&mut self, router: usize) {
         if self.routers[router].core.is_none() || self.routers[router].frozen {
             return;
@@ -212,8 +214,8 @@
         self.record(Event::Woken { process });
         let backlog = std::mem::take(&mut self.routers[router].backlog);
         for event in backlog {
-            // Handed over as what it is, so that a request is not recorded as sent twice.
-            self.router_later(router, 0, RouterEvent::Woken(Box::new(event)));
+            // Wrapped, so that a request is not recorded as sent twice.
+            self.router_later(router, 0, RouterEvent::Deferred(Box::new(event)));
         }
         self.router_later(router, 0, RouterEvent::Tick);
         self.router_later(router, 0, RouterEvent::Poll);
@@ -226,11 +228,11 @@
         let process = self.back_end_name(BackEnd::Engine(engine));
         self.record(Event::Killed { process });
         self.end_engine(engine);
-        let back = SimEvent::Fault(Fault::ReturnEngine(engine));
-        self.queue.push(self.now + RESTART_MICROS, back);
+        let restart = SimEvent::Fault(Fault::ReturnEngine(engine));
+        self.queue.push(self.now + RESTART_MICROS, restart);
     }
 
-    /// Kills an engine that has begun to load, when that was asked for.
+    /// Schedules a kill of an engine that began a load, if that fault is armed.
     pub(crate) fn kill_loading_engine_if_armed(&mut self, engine: usize) {
         if !self.kill_next_loading_engine {
             return;
@@ -261,15 +263,15 @@
         let process = self.back_end_name(BackEnd::Web(web));
         self.record(Event::Killed { process });
         self.end_web(web);
-        let back = SimEvent::Fault(Fault::ReturnWeb(web));
-        self.queue.push(self.now + RESTART_MICROS, back);
+        let restart = SimEvent::Fault(Fault::ReturnWeb(web));
+        self.queue.push(self.now + RESTART_MICROS, restart);
     }
 
     fn visible_at(&mut self) -> u64 {
         self.now + self.random.below(self.settings.times.platform_lag)
     }
 
-    /// A dead back end starts again, on its old machine or on a new one of the same name.
+    /// Restarts a back end, on its old machine or on a new one of the same name.
     fn return_back_end(&mut self, backend: BackEnd) {
         if self.is_alive(backend) {
             return;
@@ -292,7 +294,7 @@
         }
     }
 
-    /// A back end is announced as leaving, and stops after its notice.
+    /// Announces a back end as leaving and schedules its stop after the leave notice.
     fn leave(&mut self, backend: BackEnd) {
         if !self.is_alive(backend) {
             return;
@@ -316,12 +318,13 @@
         self.queue
             .push(visible_at, SimEvent::ListedLeaving(backend, run));
         let stop = visible_at + self.settings.times.leave_notice;
-        self.queue.push(stop, SimEvent::LeavingStops(backend, run));
+        self.queue
+            .push(stop, SimEvent::LeaveNoticeElapsed(backend, run));
     }
 
-    /// The list shows a back end as leaving.
+    /// Records that the platform's list shows a back end as leaving.
     pub(crate) fn listed_leaving(&mut self, backend: BackEnd, run: u64) {
-        let (name, incarnation, present) = match backend {
+        let (name, incarnation, current_run) = match backend {
             BackEnd::Engine(engine) => {
                 let node = &self.engines[engine];
                 (node.name.clone(), node.incarnation, node.run)
@@ -331,7 +334,7 @@
                 (node.name.clone(), node.incarnation, node.run)
             }
         };
-        if present == run {
+        if current_run == run {
             self.record(Event::ListedLeaving {
                 backend: name,
                 incarnation,
@@ -339,13 +342,13 @@
         }
     }
 
-    /// The notice of a leaving machine is over.
-    pub(crate) fn leaving_stops(&mut self, backend: BackEnd, run: u64) {
-        let present = match backend {
+    /// Stops a leaving back end after its notice has elapsed.
+    pub(crate) fn leave_notice_elapsed(&mut self, backend: BackEnd, run: u64) {
+        let current_run = match backend {
             BackEnd::Engine(engine) => self.engines[engine].run,
             BackEnd::Web(web) => self.web[web].run,
         };
-        if present != run {
+        if current_run != run {
             return;
         }
         let process = self.back_end_name(backend);
@@ -366,16 +369,16 @@
         };
         let visible_at = self.visible_at();
         self.platform.change(visible_at, &name, None);
-        let back = match backend {
+        let restart = match backend {
             BackEnd::Engine(engine) => Fault::ReturnEngine(engine),
             BackEnd::Web(web) => Fault::ReturnWeb(web),
         };
         self.queue
-            .push(self.now + 4 * SECONDS, SimEvent::Fault(back));
+            .push(self.now + 4 * SECONDS, SimEvent::Fault(restart));
     }
 }
 
-/// Name of a fault's kind; ends of faults are counted apart.
+/// Returns the kind of a fault for the statistics; ends of faults share one kind.
 fn kind_of(fault: &Fault) -> &'static str {
     match fault {
         Fault::KillControl(_) => "kill-control",
--- a/crates/millpass-sim/src/world.rs
+++ b/crates/millpass-sim/src/world.rs
@@ -10,7 +10,7 @@
 use crate::faults::Fault;
 use crate::network::{Network, Zone};
 use crate::observer::Observer;
-use crate::operators::{Asker, Operator};
+use crate::operators::{CallOrigin, Operator};
 use crate::platform::Platform;
 use crate::queue::EventQueue;
 use crate::random::Random;
@@ -49,34 +49,34 @@
     pub(crate) platform: Platform,
     pub(crate) callers: Callers,
     pub(crate) operators: Vec<Operator>,
-    pub(crate) calls: BTreeMap<u64, Asker>,
+    pub(crate) calls: BTreeMap<u64, CallOrigin>,
     pub(crate) next_call: u64,
     pub(crate) next_connection: u64,
     pub(crate) next_delivery: u64,
-    pub(crate) next_audit_place: usize,
+    pub(crate) next_audit_member: usize,
     pub(crate) audit_is_read: bool,
     pub(crate) observer: Observer,
     pub(crate) initial_revision: u64,
-    pub(crate) old_orders: Vec<EngineOrder>,
+    pub(crate) recent_orders: Vec<EngineOrder>,
     pub(crate) freeze_leader_at_order: bool,
     pub(crate) kill_next_loading_engine: bool,
     pub(crate) slow_store: bool,
     pub(crate) stale_reports: bool,
-    pub(crate) dead_in_order: Vec<usize>,
+    pub(crate) dead_members: Vec<usize>,
     pub(crate) reachable: Vec<Option<bool>>,
     pub(crate) stream_times: BTreeMap<(ConnectionId, bool), u64>,
     pub(crate) answer_times: BTreeMap<ReplyTo, u64>,
-    /// What happened.
+    /// Recorded history.
     pub history: History,
-    /// Hash and lines of the run.
+    /// Trace hash and lines.
     pub trace: Trace,
-    /// Counts of the run.
+    /// Event counts.
     pub statistics: Statistics,
-    /// Why the simulator itself failed, if it did.
+    /// Failure of the simulator itself; `None` unless one occurred.
     pub failure: Option<String>,
 }
 
-/// A disk that holds nothing.
+/// Returns a disk with an empty log and no members.
 pub fn empty_disk() -> Disk {
     let membership = Membership {
         voters: Vec::new(),
@@ -97,23 +97,28 @@
 }
 
 impl World {
-    /// A deployment in which every process is about to start.
+    /// Creates a deployment without running processes.
     pub fn new(settings: Settings, seed: u64, keep_lines: bool) -> anyhow::Result<Self> {
         let mut clocks = Random::new(seed, CLOCK_STREAM);
         let sizes = settings.sizes.clone();
         let initial = catalog::initial_state(&sizes)?;
         let (state, at) = (initial.state, initial.at);
-        let voters = (0..sizes.members)
-            .map(|place| member_address(place, place % sizes.zones, member_id(place, 0)));
+        let voters = (0..sizes.members).map(|member_index| {
+            member_address(
+                member_index,
+                member_index % sizes.zones,
+                member_id(member_index, 0),
+            )
+        });
         let membership = Membership {
             voters: voters.collect(),
             outgoing_voters: Vec::new(),
             learners: Vec::new(),
         };
         let data = state.encode();
-        let control = (0..sizes.members).map(|place| ControlNode {
-            address: membership.voters[place].clone(),
-            zone: place % sizes.zones,
+        let control = (0..sizes.members).map(|member_index| ControlNode {
+            address: membership.voters[member_index].clone(),
+            zone: member_index % sizes.zones,
             clock: NodeClock::new(&mut clocks),
             disk: disk_with(at, membership.clone(), data.clone()),
             core: None,
@@ -159,16 +164,16 @@
             next_call: 0,
             next_connection: 0,
             next_delivery: 0,
-            next_audit_place: 0,
+            next_audit_member: 0,
             audit_is_read: false,
             initial_revision: state.configuration_revision().0,
             observer: Observer::new(state, at, membership),
-            old_orders: Vec::new(),
+            recent_orders: Vec::new(),
             freeze_leader_at_order: false,
             kill_next_loading_engine: false,
             slow_store: false,
             stale_reports: false,
-            dead_in_order: Vec::new(),
+            dead_members: Vec::new(),
             stream_times: BTreeMap::new(),
             answer_times: BTreeMap::new(),
             history: History::default(),
@@ -197,7 +202,7 @@
         self.record(Event::ChangeReturned { call, outcome });
     }
 
-    /// Runs from the start to the end under a fault plan.
+    /// Starts every process and runs to the end under a fault plan.
     pub fn run(&mut self, plan: Vec<(u64, Fault)>) {
         self.start_everything();
         for (at, fault) in plan {
@@ -206,7 +211,7 @@
         self.schedule_run();
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
-            if matches!(event, SimEvent::Over) || self.failure.is_some() {
+            if matches!(event, SimEvent::RunEnd) || self.failure.is_some() {
                 break;
             }
             self.handle(event);
@@ -227,8 +232,8 @@
             let name = machine.backend.clone();
             self.platform.change(0, &name, Some(machine));
         }
-        for place in 0..self.control.len() {
-            self.start_control(place);
+        for member_index in 0..self.control.len() {
+            self.start_control(member_index);
         }
         for router in 0..self.routers.len() {
             self.start_router(router);
@@ -240,7 +245,7 @@
         let times = self.settings.times.clone();
         self.queue.push(times.healed, SimEvent::Heal);
         self.queue.push(times.audit, SimEvent::ReadAudit);
-        self.queue.push(times.over, SimEvent::Over);
+        self.queue.push(times.run_end, SimEvent::RunEnd);
         self.queue
             .push(SECONDS, SimEvent::Caller(CallerEvent::Next));
         let span = times.healed - SECONDS;
@@ -255,8 +260,8 @@
             self.queue
                 .push(at, SimEvent::Operator(operator, OperatorEvent::Begin));
         }
-        if self.settings.mechanisms.rogue_orders {
-            self.queue.push(3 * SECONDS, SimEvent::RogueOrder);
+        if self.settings.mechanisms.replayed_orders {
+            self.queue.push(3 * SECONDS, SimEvent::ReplayOrder);
         }
     }
 
@@ -264,20 +269,22 @@
         self.statistics.events += 1;
         self.trace.mark(self.now, event_number(&event));
         match event {
-            SimEvent::Control(place, run, event) => self.control_event(place, run, event),
+            SimEvent::Control(member_index, run, event) => {
+                self.control_event(member_index, run, event)
+            }
             SimEvent::Router(router, run, event) => self.router_event(router, run, event),
             SimEvent::Engine(engine, run, event) => self.engine_event(engine, run, event),
             SimEvent::Web(web, run, event) => self.web_event(web, run, event),
-            SimEvent::StoreLoadEnded(waiter, load) => self.store_load_ended(waiter, load),
+            SimEvent::StoreLoadEnded(pending, load) => self.store_load_ended(pending, load),
             SimEvent::Caller(event) => self.caller_event(event),
             SimEvent::Operator(operator, event) => self.operator_event(operator, event),
             SimEvent::Fault(fault) => self.inject(fault),
             SimEvent::Heal => self.heal(),
-            SimEvent::RogueOrder => self.rogue_order(),
+            SimEvent::ReplayOrder => self.replay_order(),
             SimEvent::ReadAudit => self.read_audit(),
             SimEvent::ListedLeaving(backend, run) => self.listed_leaving(backend, run),
-            SimEvent::LeavingStops(backend, run) => self.leaving_stops(backend, run),
-            SimEvent::Over => {}
+            SimEvent::LeaveNoticeElapsed(backend, run) => self.leave_notice_elapsed(backend, run),
+            SimEvent::RunEnd => {}
         }
     }
 
@@ -289,14 +296,14 @@
         self.history.push(self.now, event);
     }
 
-    /// Records several.
+    /// Records several events of the history.
     pub(crate) fn record_all(&mut self, events: Vec<Event>) {
         for event in events {
             self.record(event);
         }
     }
 
-    /// Keeps an event of a core as a line of the trace.
+    /// Adds an event of a core to the lines of the trace.
     pub(crate) fn trace_event(
         &mut self,
         kind: &str,
@@ -313,55 +320,55 @@
         });
     }
 
-    /// Stops the run for a failure of the simulator itself.
+    /// Ends the run with a failure of the simulator itself; the first reason is kept.
     pub(crate) fn fail(&mut self, reason: String) {
         self.failure.get_or_insert(reason);
     }
 
-    /// A number for a new run of a process.
+    /// Draws the incarnation of a new process.
     pub(crate) fn new_incarnation(&mut self) -> Incarnation {
         Incarnation(self.random.number() | 1)
     }
 
-    /// Arrival time of a message on a stream, no earlier than the one before it.
-    pub(crate) fn in_order(&mut self, stream: (ConnectionId, bool), delay: u64) -> u64 {
+    /// Returns the arrival time of a message on a stream, not earlier than the previous one.
+    pub(crate) fn stream_arrival(&mut self, stream: (ConnectionId, bool), delay: u64) -> u64 {
         let last = self.stream_times.entry(stream).or_insert(0);
         *last = (*last).max(self.now + delay);
         *last
     }
 
-    /// Arrival time of part of an answer, no earlier than the part before it.
-    pub(crate) fn answer_in_order(&mut self, reply_to: ReplyTo, delay: u64) -> u64 {
+    /// Returns the arrival time of a part of an answer, not earlier than the previous part.
+    pub(crate) fn answer_arrival(&mut self, reply_to: ReplyTo, delay: u64) -> u64 {
         let last = self.answer_times.entry(reply_to).or_insert(0);
         *last = (*last).max(self.now + delay);
         *last
     }
 
-    /// Engine that listens at an address.
+    /// Returns the engine with this address.
     pub(crate) fn engine_at(&self, address: &str) -> Option<usize> {
         self.engines
             .iter()
             .position(|node| node.address() == address)
     }
 
-    /// Web back end that listens at an address.
+    /// Returns the web back end with this address.
     pub(crate) fn web_at(&self, address: &str) -> Option<usize> {
         self.web.iter().position(|node| node.address() == address)
     }
 
-    /// Back end that listens at an address.
+    /// Returns the back end with this address.
     pub(crate) fn back_end_at(&self, address: &str) -> Option<BackEnd> {
         let engine = self.engine_at(address).map(BackEnd::Engine);
         engine.or_else(|| self.web_at(address).map(BackEnd::Web))
     }
 
-    /// Zone of the back end at an address.
+    /// Returns the zone of the back end with this address.
     pub(crate) fn zone_of_back_end(&self, address: &str) -> Option<Zone> {
         self.back_end_at(address)
             .map(|backend| self.zone_of(backend))
     }
 
-    /// Zone of a back end.
+    /// Returns the zone of a back end.
     pub(crate) fn zone_of(&self, backend: BackEnd) -> Zone {
         match backend {
             BackEnd::Engine(engine) => self.engines[engine].zone,
@@ -377,7 +384,7 @@
         }
     }
 
-    /// Name of a back end's process.
+    /// Returns the name of a back end's process.
     pub(crate) fn back_end_name(&self, backend: BackEnd) -> ProcessName {
         match backend {
             BackEnd::Engine(engine) => ProcessName(self.engines[engine].name.0.clone()),
@@ -385,36 +392,36 @@
         }
     }
 
-    /// Old orders reach their engines once more, from somebody outside the system.
-    fn rogue_order(&mut self) {
+    /// Delivers a random earlier order to its engine again, as a sender outside the system would.
+    fn replay_order(&mut self) {
         const INTERVAL: u64 = 200 * MILLIS;
-        if self.now + INTERVAL < self.settings.times.over {
-            self.queue.push(self.now + INTERVAL, SimEvent::RogueOrder);
+        if self.now + INTERVAL < self.settings.times.run_end {
+            self.queue.push(self.now + INTERVAL, SimEvent::ReplayOrder);
         }
         let Some(order) = self
-            .old_orders
-            .get(self.workload.index(self.old_orders.len()))
+            .recent_orders
+            .get(self.workload.index(self.recent_orders.len()))
             .cloned()
         else {
             return;
         };
-        let named = |node: &EngineNode| node.name == order.backend;
-        if let Some(engine) = self.engines.iter().position(named) {
+        let has_name = |node: &EngineNode| node.name == order.backend;
+        if let Some(engine) = self.engines.iter().position(has_name) {
             let event = crate::event::EngineEvent::Order(Box::new(order), None);
             self.engine_later(engine, crate::event::ANY_RUN, MILLIS, event);
         }
     }
 
-    /// Zones without the members, routers or links that a router needs are unreachable.
+    /// Returns all zones.
     pub(crate) fn zones(&self) -> BTreeSet<Zone> {
         (0..self.settings.sizes.zones).collect()
     }
 }
 
-/// Number of an event for the trace hash.
+/// Returns a number for the kind and target of an event, for the trace hash.
 fn event_number(event: &SimEvent) -> u64 {
     let (kind, index) = match event {
-        SimEvent::Control(place, _, _) => (1, *place as u64),
+        SimEvent::Control(member_index, _, _) => (1, *member_index as u64),
         SimEvent::Router(router, _, _) => (2, *router as u64),
         SimEvent::Engine(engine, _, _) => (3, *engine as u64),
         SimEvent::Web(web, _, _) => (4, *web as u64),
@@ -423,11 +430,11 @@
         SimEvent::Operator(operator, _) => (8, *operator as u64),
         SimEvent::Fault(_) => (9, 0),
         SimEvent::Heal => (10, 0),
-        SimEvent::RogueOrder => (11, 0),
+        SimEvent::ReplayOrder => (11, 0),
         SimEvent::ReadAudit => (12, 0),
         SimEvent::ListedLeaving(backend, _) => (13, backend.number()),
-        SimEvent::LeavingStops(backend, _) => (14, backend.number()),
-        SimEvent::Over => (15, 0),
+        SimEvent::LeaveNoticeElapsed(backend, _) => (14, backend.number()),
+        SimEvent::RunEnd => (15, 0),
     };
     kind << 32 | index
 }
