--- a/crates/millpass-router/tests/drain.rs
+++ b/crates/millpass-router/tests/drain.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_drain_cuts_what_outlasts_its_grace_and_says_how_many() {
+fn drain_aborts_streams_after_the_grace_period_and_counts_them() {
     let (engine, _kept) = start_endless_engine();
     let control = Control::start();
     control.add_replica(1, engine.address());
--- a/crates/millpass-router/tests/failures.rs
+++ b/crates/millpass-router/tests/failures.rs
@@ -104,7 +104,7 @@
 #[rstest]
 #[case::once(1)]
 #[case::twice(2)]
-fn a_broken_stream_goes_on_with_no_token_lost_or_twice(#[case] interruptions: usize) {
+fn interrupted_stream_resumes_without_lost_or_repeated_tokens(#[case] interruptions: usize) {
     let engine = start_interrupting_engine(interruptions, 2, 8);
     let control = Control::start();
     control.add_replica(1, engine.address());
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn an_engine_that_ends_without_done_is_not_passed_off_as_whole() {
+fn stream_without_done_is_not_reported_as_complete() {
     let engine = Engine::start(|request, responder| {
         let mut body = open_stream(responder);
         if resume_from(request) == 0 {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_claimed_request_whose_engine_dies_is_never_run_again() {
+fn claimed_request_is_not_rerun_after_its_engine_failed() {
     let (failing, received) = start_failing_engine();
     let control = Control::start();
     control.add_replica(1, failing);
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn without_an_answer_to_its_claim_a_request_is_refused_as_not_run() {
+fn request_without_a_claim_response_is_refused_as_not_run() {
     let engine = Engine::start(|_, responder| respond_buffered(responder, "x"));
     let control = Control::start();
     control.add_replica(1, engine.address());
--- a/crates/millpass-scheduler/tests/placement.rs
+++ b/crates/millpass-scheduler/tests/placement.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_burst_at_many_routers_gives_exactly_one_load() {
+fn burst_at_many_routers_causes_exactly_one_load() {
     let mut harness = harness(open_settings());
     let mut commands = Vec::new();
     for round in 0..20 {
