--- a/crates/millpass-consensus/src/backoff.rs
+++ b/crates/millpass-consensus/src/backoff.rs
@@ -1,8 +1,9 @@
 //! Exponential backoff of election timeouts.
 //!
-//! Responses of an overloaded voter may take longer than the election timeout. A candidate that retried at a fixed
-//! interval would abandon each candidacy before its votes arrive and disrupt those of others. Each failed candidacy
-//! therefore doubles the next wait, up to a limit, until a leader is in contact or a quorum acknowledges this leader.
+//! Responses of an overloaded voter may take longer than the election timeout. A candidate that
+//! retried at a fixed interval would abandon each candidacy before its votes arrive and disrupt
+//! those of others. Each failed candidacy therefore doubles the next wait, up to a limit, until a
+//! leader is in contact or a quorum acknowledges this leader.
 
 use millpass_proto::Duration;
 
@@ -20,8 +21,8 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Counts repeated pre-vote failures once: they raise no term and disrupt no other candidacy, and a longer wait
-    /// would delay the election after a partition heals.
+    /// Counts repeated pre-vote failures once: they raise no term and disrupt no other candidacy,
+    /// and a longer wait would delay the election after a partition heals.
     pub(crate) fn pre_vote_failed(&mut self) {
         self.failures = self.failures.max(1);
     }
--- a/crates/millpass-consensus/src/disk_stall.rs
+++ b/crates/millpass-consensus/src/disk_stall.rs
@@ -1,14 +1,14 @@
 //! Transfers leadership away from a leader whose disk stalls.
 //!
-//! A leader acknowledges only what its own disk has synced, while its heartbeats need no disk and suppress elections:
-//! without a transfer, no change would be acknowledged until the stall ends. If all disks stall, nothing beyond the
-//! leader's own log is committed and no transfer happens.
+//! A leader acknowledges only what its own disk has synced, while its heartbeats need no disk and
+//! suppress elections: without a transfer, no change would be acknowledged until the stall ends. If
+//! all disks stall, nothing beyond the leader's own log is committed and no transfer happens.
 
 use crate::{Consensus, RoleState};
 use millpass_proto::{MemberId, Timestamp};
 
-/// Minimum leadership duration before a transfer, as a multiple of the stall limit. Bounds how often alternating stalls
-/// can change the leader.
+/// Minimum leadership duration before a transfer, as a multiple of the stall limit. Bounds how
+/// often alternating stalls can change the leader.
 const MINIMUM_TENURE_FACTOR: u32 = 2;
 
 /// Running time at which the disk last completed a write or was idle.
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Transfers leadership once the disk has stalled for the limit while a majority has synced more than this member.
+    /// Transfers leadership once the disk has stalled for the limit while a majority has synced
+    /// more than this member.
     pub(crate) fn tick_stalled_disk(&mut self) {
         let limit = self.settings.stalled_disk_limit;
         let RoleState::Leader(leader) = &self.role else {
--- a/crates/millpass-consensus/src/election.rs
+++ b/crates/millpass-consensus/src/election.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Records a vote of the current term. A quorum of votes elects this member even after the candidacy timed out,
-    /// as long as the term has not changed and has no leader.
+    /// Records a vote of the current term. A quorum of votes elects this member even after the
+    /// candidacy timed out, as long as the term has not changed and has no leader.
     fn record_vote(&mut self, from: MemberId) {
         let Some(votes) = &mut self.votes else {
             return;
@@ -147,8 +147,9 @@
         }
     }
 
-    /// Responds to a pre-vote request. A granted pre-vote carries the candidate's term, a refused one this member's,
-    /// so that a stale candidate catches up. Pre-votes are not binding and not persisted.
+    /// Responds to a pre-vote request. A granted pre-vote carries the candidate's term, a refused
+    /// one this member's, so that a stale candidate catches up. Pre-votes are not binding and not
+    /// persisted.
     fn respond_to_pre_vote(&mut self, from: MemberId, term: u64, request: &VoteRequest) {
         let granted = !self.must_refuse_votes()
             && term > self.hard_state.term
@@ -158,8 +159,9 @@
         self.send_in_term(from, Requirement::Nothing, response_term, response);
     }
 
-    /// Responds to a vote request. While a leader may hold a lease based on this member's promise, requests are
-    /// ignored, because their term would depose the leader; leadership transfers are exempt.
+    /// Responds to a vote request. While a leader may hold a lease based on this member's promise,
+    /// requests are ignored, because their term would depose the leader; leadership transfers are
+    /// exempt.
     fn respond_to_vote(&mut self, from: MemberId, term: u64, request: &VoteRequest) {
         if self.must_refuse_votes() && !request.leadership_transfer {
             return;
--- a/crates/millpass-consensus/src/follower.rs
+++ b/crates/millpass-consensus/src/follower.rs
@@ -47,7 +47,8 @@
         self.send(from, Requirement::HardState, message);
     }
 
-    /// Campaigns immediately at the leader's request. The leader waives the vote promise, so no pre-vote is needed.
+    /// Campaigns immediately at the leader's request. The leader waives the vote promise, so no
+    /// pre-vote is needed.
     fn receive_timeout_now(&mut self, from: MemberId, term: u64) {
         let from_leader =
             term == self.hard_state.term && self.leader.is_none_or(|leader| leader == from);
--- a/crates/millpass-consensus/src/interface.rs
+++ b/crates/millpass-consensus/src/interface.rs
@@ -19,8 +19,8 @@
     /// Duration of the leader lease from the sending time of an acknowledged request. Must be shorter
     /// than `election_timeout` by more than the clock drift in that time.
     pub lease_length: Duration,
-    /// Running time without a completed write, while a majority has synced more than this member, after which a
-    /// leader transfers leadership.
+    /// Running time without a completed write, while a majority has synced more than this member,
+    /// after which a leader transfers leadership.
     pub stalled_disk_limit: Duration,
     /// Maximum entries per append request.
     pub maximum_append_entries: usize,
--- a/crates/millpass-consensus/src/leader.rs
+++ b/crates/millpass-consensus/src/leader.rs
@@ -10,8 +10,9 @@
 };
 use std::collections::BTreeMap;
 
-/// Grace period of a new leader for late responses, as a multiple of the duration of its election. A commit takes a
-/// slow voter two delays (message and disk sync), and the grace period allows for two commits.
+/// Grace period of a new leader for late responses, as a multiple of the duration of its election.
+/// A commit takes a slow voter two delays (message and disk sync), and the grace period allows for
+/// two commits.
 const GRACE_ELECTION_FACTOR: u32 = 4;
 /// Maximum grace period in election timeouts; equals the longest election backoff.
 const MAXIMUM_GRACE_TIMEOUTS: u32 = 16;
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Advances the commit index to what a quorum has synced. Only entries of the current term count directly; they
-    /// commit all earlier ones.
+    /// Advances the commit index to what a quorum has synced. Only entries of the current term
+    /// count directly; they commit all earlier ones.
     pub(crate) fn advance_commit(&mut self) {
         let RoleState::Leader(leader) = &self.role else {
             return;
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Steps down after this leader was removed: sends the commit index to all members, and `TimeoutNow` to the most
-    /// advanced voter.
+    /// Steps down after this leader was removed: sends the commit index to all members, and
+    /// `TimeoutNow` to the most advanced voter.
     fn step_down_after_removal(&mut self) {
         let RoleState::Leader(leader) = &self.role else {
             return;
--- a/crates/millpass-consensus/src/leadership_transfer.rs
+++ b/crates/millpass-consensus/src/leadership_transfer.rs
@@ -34,8 +34,8 @@
         self.offer_leadership_if_caught_up(target);
     }
 
-    /// Sends `TimeoutNow` to the target once it has the whole log. The lease is then forfeited for the rest of the
-    /// term, because the message may be delivered at any later time.
+    /// Sends `TimeoutNow` to the target once it has the whole log. The lease is then forfeited for
+    /// the rest of the term, because the message may be delivered at any later time.
     pub(crate) fn offer_leadership_if_caught_up(&mut self, member: MemberId) {
         let last = self.log.last().index;
         let RoleState::Leader(leader) = &mut self.role else {
@@ -54,8 +54,8 @@
         self.send(member, Requirement::Nothing, PeerMessage::TimeoutNow);
     }
 
-    /// Aborts a transfer after its deadline. Once `TimeoutNow` was sent, this member cannot hold the lease again in
-    /// this term and steps down.
+    /// Aborts a transfer after its deadline. Once `TimeoutNow` was sent, this member cannot hold
+    /// the lease again in this term and steps down.
     pub(crate) fn tick_transfer(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
--- a/crates/millpass-consensus/src/lease.rs
+++ b/crates/millpass-consensus/src/lease.rs
@@ -65,8 +65,8 @@
         quorum_value(self.log.membership(), contact).flatten()
     }
 
-    /// Returns whether this member must refuse votes and pre-votes, because of its promise or because it leads with
-    /// a quorum.
+    /// Returns whether this member must refuse votes and pre-votes, because of its promise or
+    /// because it leads with a quorum.
     pub(crate) fn must_refuse_votes(&self) -> bool {
         let promise = self.settings.election_timeout;
         if self.now < self.started_at + promise {
@@ -85,7 +85,8 @@
         has_recent_contact || may_have_unread_messages
     }
 
-    /// Returns whether a leader must step down: it has lost its quorum and its grace period for late responses is over.
+    /// Returns whether a leader must step down: it has lost its quorum and its grace period for
+    /// late responses is over.
     pub(crate) fn should_step_down(&self) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
--- a/crates/millpass-consensus/src/lib.rs
+++ b/crates/millpass-consensus/src/lib.rs
@@ -72,8 +72,8 @@
     /// Highest index emitted to the host for applying, or covered by a restored snapshot.
     emitted: u64,
     role: RoleState,
-    /// Votes for this member in its current term. Kept while it collects pre-votes for the next term, so that a
-    /// late vote still counts; cleared on election.
+    /// Votes for this member in its current term. Kept while it collects pre-votes for the next
+    /// term, so that a late vote still counts; cleared on election.
     votes: Option<Votes>,
     backoff: Backoff,
     leader: Option<MemberId>,
@@ -171,8 +171,8 @@
         self.log.membership().contains(self.settings.member)
     }
 
-    /// Returns the index of the last log entry that gateways must apply, committed or not; 0 if none is known.
-    /// Entries covered by a snapshot are recorded in the applied state.
+    /// Returns the index of the last log entry that gateways must apply, committed or not; 0 if
+    /// none is known. Entries covered by a snapshot are recorded in the applied state.
     pub fn required_index(&self) -> u64 {
         self.log.required_index()
     }
@@ -207,8 +207,8 @@
         leader.members.iter().map(describe).collect()
     }
 
-    /// Emits committed entries that are synced locally. While a received snapshot is being written, no entry counts
-    /// as synced.
+    /// Emits committed entries that are synced locally. While a received snapshot is being written,
+    /// no entry counts as synced.
     fn emit_committed(&mut self) {
         let target = self.commit.min(self.writes.durable_index());
         if target <= self.emitted {
--- a/crates/millpass-consensus/src/log.rs
+++ b/crates/millpass-consensus/src/log.rs
@@ -147,8 +147,8 @@
         self.latest_membership().index
     }
 
-    /// Returns the index of the last entry that gateways must apply, committed or not; 0 if none is known. Entries
-    /// covered by a snapshot are recorded in the applied state.
+    /// Returns the index of the last entry that gateways must apply, committed or not; 0 if none is
+    /// known. Entries covered by a snapshot are recorded in the applied state.
     pub(crate) fn required_index(&self) -> u64 {
         self.required.last().copied().unwrap_or(0)
     }
--- a/crates/millpass-consensus/src/persistence.rs
+++ b/crates/millpass-consensus/src/persistence.rs
@@ -107,8 +107,8 @@
         self.entries_changed_from = Some(earliest);
     }
 
-    /// Records that the log was truncated before `first`. Later entries in pending writes no longer count as
-    /// durable, even if the same entry is appended again.
+    /// Records that the log was truncated before `first`. Later entries in pending writes no longer
+    /// count as durable, even if the same entry is appended again.
     pub(crate) fn log_truncated(&mut self, first: u64) {
         let kept = first.saturating_sub(1);
         self.durable_index = self.durable_index.min(kept);
@@ -183,8 +183,8 @@
         ready
     }
 
-    /// Records that a write, and thus every earlier one, is synced. Messages deferred for it are sent in this step,
-    /// unless the term has changed since.
+    /// Records that a write, and thus every earlier one, is synced. Messages deferred for it are
+    /// sent in this step, unless the term has changed since.
     pub(crate) fn complete(&mut self, number: u64, term: u64) -> Completion {
         let mut completion = Completion::default();
         if number > self.last_number {
--- a/crates/millpass-consensus/src/running_time.rs
+++ b/crates/millpass-consensus/src/running_time.rs
@@ -1,8 +1,9 @@
 //! Clock of the time during which this member was scheduled.
 //!
-//! A member that gets no CPU time leaves messages unread in its queues, which must not look like lost contact.
-//! Contact timeouts are therefore measured in running time, which does not advance during pauses and is never
-//! ahead of the wall clock. The lease and the vote promise use the wall clock.
+//! A member that gets no CPU time leaves messages unread in its queues, which must not look like
+//! lost contact. Contact timeouts are therefore measured in running time, which does not advance
+//! during pauses and is never ahead of the host's clock. The lease and the vote promise use the
+//! host's clock.
 
 use millpass_proto::{Duration, Timestamp};
 
@@ -18,8 +19,8 @@
 }
 
 impl RunningTime {
-    /// Creates a clock that counts at most half a heartbeat interval per step, so that one pause hides at most one
-    /// heartbeat.
+    /// Creates a clock that counts at most half a heartbeat interval per step (but at least
+    /// [`MINIMUM_STEP_LIMIT`]), so that one pause hides at most one heartbeat.
     pub(crate) fn new(heartbeat_interval: Duration) -> Self {
         RunningTime {
             now: Timestamp::default(),
--- a/crates/millpass-consensus/tests/overload.rs
+++ b/crates/millpass-consensus/tests/overload.rs
@@ -1,7 +1,7 @@
 //! Elections and leases of members that do not get enough CPU time.
 //!
-//! Guards against groups without a leader because a slow but required voter responds later than the election timeout,
-//! and against leaders deposed during short pauses of their process.
+//! Guards against groups without a leader because a slow but required voter responds later than the
+//! election timeout, and against leaders deposed during short pauses of their process.
 
 mod harness;
 
@@ -48,7 +48,8 @@
     assert!(late.is_empty(), "no leader in time with seeds {late:?}");
 }
 
-/// All processes pause at once, as on machines that share a CPU, so that heartbeats and responses stay unread.
+/// All processes pause at once, as on machines that share a CPU, so that heartbeats and responses
+/// stay unread.
 #[test]
 fn a_simultaneous_pause_of_all_members_keeps_the_leader() {
     let mut deposed = Vec::new();
@@ -71,7 +72,8 @@
     assert!(deposed.is_empty(), "(seed, elections): {deposed:?}");
 }
 
-/// Each process alternates between a few milliseconds of running and pauses of up to half an election timeout.
+/// Each process alternates between a few milliseconds of running and pauses of up to half an
+/// election timeout.
 #[test]
 fn short_pauses_of_members_keep_the_leader() {
     let mut deposed = Vec::new();
--- a/crates/millpass-state/src/deployment.rs
+++ b/crates/millpass-state/src/deployment.rs
@@ -21,8 +21,8 @@
     departed: BTreeMap<InstanceId, bool>,
     /// Departed instances, oldest first.
     order: VecDeque<InstanceId>,
-    /// Log indexes of the departures, in the same order. Encoded after the rest of the state, so that older snapshots
-    /// can be decoded.
+    /// Log indexes of the departures, in the same order. Encoded after the rest of the state, so
+    /// that older snapshots can be decoded.
     #[serde(skip)]
     departed_at: VecDeque<u64>,
     /// Instances as last recorded by a leader.
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Returns `None` if an incarnation of an instance has not departed, else whether it has ended. An incarnation with
-    /// a newer one on record has ended.
+    /// Returns `None` if an incarnation of an instance has not departed, else whether it has ended.
+    /// An incarnation with a newer one on record has ended.
     pub(crate) fn departed(&self, instance: &InstanceId) -> Option<bool> {
         let departed = self.departed.get(instance).copied();
         match departed {
@@ -132,8 +132,8 @@
         &self.departed_at
     }
 
-    /// Restores the log indexes of the departures from a snapshot. Missing ones are set to the maximum, so that these
-    /// departures are sent on every request.
+    /// Restores the log indexes of the departures from a snapshot. Missing ones are set to the
+    /// maximum, so that these departures are sent on every request.
     pub(crate) fn restore_departure_indexes(&mut self, mut indexes: VecDeque<u64>) {
         indexes.resize(self.order.len(), u64::MAX);
         self.departed_at = indexes;
--- a/crates/millpass-state/src/document.rs
+++ b/crates/millpass-state/src/document.rs
@@ -3,7 +3,8 @@
 use millpass_proto::{DeploymentDocument, RouteSpec, ServiceName, TenantAccess};
 use std::collections::{BTreeSet, HashMap};
 
-/// Maximum quota in units per second, or in units for bursts and costs. Keeps sums over days within 64 bits.
+/// Maximum quota in units per second, or in units for bursts and costs. Keeps sums over days within
+/// 64 bits.
 const MAXIMUM_UNITS: u64 = 1_000_000_000_000;
 
 /// Why a document is rejected; the previous document stays active.
@@ -53,7 +54,7 @@
     },
     /// A quota exceeds the maximum.
     #[error(
-        "tenant {tenant}: quota of {units} units is too large; use at most {MAXIMUM_UNITS}, or 0 for none"
+        "tenant {tenant}: quota of {units} units is too large; write {MAXIMUM_UNITS} at most, or 0 for none"
     )]
     QuotaTooLarge {
         /// Tenant.
--- a/crates/millpass-state/src/lib.rs
+++ b/crates/millpass-state/src/lib.rs
@@ -269,8 +269,8 @@
         record.map_or_else(Vec::new, |record| record.ledger.free().to_vec())
     }
 
-    /// Returns the log index of the last applied command that gateways must apply; 0 for none, or if restored from a
-    /// snapshot of an earlier release.
+    /// Returns the log index of the last applied command that gateways must apply; 0 for none, or
+    /// if restored from a snapshot of an earlier release.
     pub fn required_index(&self) -> u64 {
         self.required_index
     }
--- a/crates/millpass-storage/src/data_folder.rs
+++ b/crates/millpass-storage/src/data_folder.rs
@@ -19,8 +19,8 @@
         self.files.exists(&self.path).at(&self.path)
     }
 
-    /// Creates the folder and its missing parents and syncs their directory entries, so that a power loss cannot remove
-    /// a folder that holds an identity.
+    /// Creates the folder and its missing parents and syncs their directory entries, so that a
+    /// power loss cannot remove a folder that holds an identity.
     pub(crate) fn create(&self) -> Result<(), StorageError> {
         let is_missing = |folder: &&Path| {
             let named = !folder.as_os_str().is_empty();
@@ -67,8 +67,8 @@
         self.files.read(path).at(path)
     }
 
-    /// Writes a file atomically: writes and syncs a temporary file, renames it and syncs the folder. On failure the
-    /// temporary file is removed to free its space.
+    /// Writes a file atomically: writes and syncs a temporary file, renames it and syncs the
+    /// folder. On failure the temporary file is removed to free its space.
     pub(crate) fn write_atomic(&self, path: &Path, parts: &[&[u8]]) -> Result<(), StorageError> {
         let temporary = files::temporary_path(path);
         let written = self
--- a/crates/millpass-storage/src/file_system.rs
+++ b/crates/millpass-storage/src/file_system.rs
@@ -41,8 +41,8 @@
         Ok(disk.f_bavail.saturating_mul(disk.f_frsize))
     }
 
-    /// Opens or creates a lock file and locks it until the returned file is dropped. Returns `None` if another process
-    /// holds the lock.
+    /// Opens or creates a lock file and locks it until the returned file is dropped. Returns `None`
+    /// if another process holds the lock.
     fn lock(&self, path: &Path) -> io::Result<Option<File>> {
         let file = File::options()
             .create(true)
--- a/crates/millpass-storage/src/opening.rs
+++ b/crates/millpass-storage/src/opening.rs
@@ -90,8 +90,8 @@
     Ok((storage, restored))
 }
 
-/// Checks for free space by writing, syncing and removing a file of `bytes` bytes. If it cannot be removed, a note is
-/// returned and the next start removes it.
+/// Checks for free space by writing, syncing and removing a file of `bytes` bytes. If it cannot be
+/// removed, a note is returned and the next start removes it.
 fn probe_free_space(folder: &DataFolder, bytes: u64) -> Result<Option<RecoveryNote>, StorageError> {
     let path = files::temporary_path(&folder.path.join(SPACE_PROBE_NAME));
     let zeros = vec![0; bytes as usize];
--- a/crates/millpass-storage/src/options.rs
+++ b/crates/millpass-storage/src/options.rs
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 
 const MEGABYTE: u64 = 1_000_000;
-/// Space for votes, some changes and a small snapshot. Prevents restart loops on a full disk, where a member would start
-/// and then fail at one of its first writes.
+/// Space for votes, some changes and a small snapshot. Prevents restart loops on a full disk, where
+/// a member would start and then fail at one of its first writes.
 const MINIMUM_FREE_BYTES: u64 = 256 * 1024;
 /// Maximum segments: one covered by the snapshot in progress and two successors.
 const MAXIMUM_SEGMENTS: u64 = 3;
-/// Maximum copies of the state in addition to the segments: the newest snapshot, the one being written, and a final
-/// write as large as the state.
+/// Maximum copies of the state in addition to the segments: the newest snapshot, the one being
+/// written, and a final write as large as the state.
 const MAXIMUM_STATE_COPIES: u64 = 3;
 
 /// Storage options.
--- a/crates/millpass-storage/src/segment.rs
+++ b/crates/millpass-storage/src/segment.rs
@@ -28,8 +28,8 @@
 }
 
 impl ActiveSegment {
-    /// Opens the newest segment for appending after its last complete record. Syncs it, because a killed process may
-    /// have left an unsynced write that the member is about to acknowledge.
+    /// Opens the newest segment for appending after its last complete record. Syncs it, because a
+    /// killed process may have left an unsynced write that the member is about to acknowledge.
     pub(crate) fn open(
         folder: &DataFolder,
         path: PathBuf,
@@ -50,9 +50,10 @@
         self.length
     }
 
-    /// Appends and syncs bytes. On failure they are truncated, so that the next start does not acknowledge data that the
-    /// file system still shows but failed to write. If the sync or truncation fails, the segment accepts no more
-    /// writes, since the state of the disk is unknown.
+    /// Appends and syncs bytes. On failure they are truncated, so that the next start does not
+    /// acknowledge data that the file system still shows but failed to write. If the sync or
+    /// truncation fails, the segment accepts no more writes, since the state of the disk is
+    /// unknown.
     pub(crate) fn append_synced(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         if self.poisoned {
             return Err(StorageError::Poisoned {
--- a/crates/millpass-storage/src/storage.rs
+++ b/crates/millpass-storage/src/storage.rs
@@ -82,8 +82,8 @@
         Storage::open_with(folder, StorageOptions::default())
     }
 
-    /// Opens an initialized folder. Fails if the disk has too little free space, after removing incomplete files and
-    /// files covered by a snapshot.
+    /// Opens an initialized folder. Fails if the disk has too little free space, after removing
+    /// incomplete files and files covered by a snapshot.
     pub fn open_with(
         folder: &Path,
         options: StorageOptions,
@@ -225,7 +225,8 @@
         Ok(())
     }
 
-    /// Removes files covered by the newest snapshot. Failures are recorded; the next snapshot or start retries.
+    /// Removes files covered by the newest snapshot. Failures are recorded; the next snapshot or
+    /// start retries.
     fn remove_obsolete_files(&mut self) {
         let removals = self.remove_covered_files();
         let is_kept = |note: &RecoveryNote| matches!(note, RecoveryNote::FileKept { .. });
--- a/crates/millpass-storage/tests/bounds.rs
+++ b/crates/millpass-storage/tests/bounds.rs
@@ -71,7 +71,8 @@
     Storage::open_with(&folder, with_disk(required)).expect("large enough");
 }
 
-/// A process is killed between writing a snapshot and removing the covered files, and the disk is full at the restart.
+/// A process is killed between writing a snapshot and removing the covered files, and the disk is
+/// full at the restart.
 #[test]
 fn opening_removes_covered_files_before_it_checks_for_free_space() {
     let (_root, folder) = new_folder();
--- a/crates/millpass-storage/tests/faults.rs
+++ b/crates/millpass-storage/tests/faults.rs
@@ -1,10 +1,11 @@
-//! Random failures of file system calls, once or until the disk recovers. Writes may be partial, and failed renames or
-//! removals may have taken effect.
+//! Random failures of file system calls, once or until the disk recovers. Writes may be partial,
+//! and failed renames or removals may have taken effect.
 //!
-//! Checks that successful writes persist, that the folder opens once the disk has recovered, and that its size stays
-//! within the limit.
+//! Checks that successful writes persist, that the folder opens once the disk has recovered, and
+//! that its size stays within the limit.
 //!
-//! Manual run with more seeds: `MILLPASS_FAULT_SEEDS=0..20000 cargo test --release -p millpass-storage --test faults`.
+//! Manual run with more seeds:
+//! `MILLPASS_FAULT_SEEDS=0..20000 cargo test --release -p millpass-storage --test faults`
 
 mod common;
 
@@ -25,7 +26,8 @@
 const WRITES: u32 = 40;
 /// Maximum attempts to open a folder while its disk fails.
 const MAXIMUM_STARTS: u32 = 4;
-/// Maximum successful calls before a failure. A write takes 2 calls, a snapshot about 6, opening at minimum 10.
+/// Maximum successful calls before a failure. A write takes 2 calls, a snapshot about 6, opening at
+/// least 10.
 const MAXIMUM_CALLS_BEFORE_FAILURE: u64 = 12;
 /// Size of an entry body.
 const BODY_BYTES: usize = 120;
