--- a/crates/millpass-load/src/answer.rs
+++ b/crates/millpass-load/src/answer.rs
@@ -1,25 +1,25 @@
-//! Checks that an answer is whole and that it is the caller's own.
+//! Checks that a response is complete and belongs to the request.
 
 use millpass_standin::content::page;
 use serde::{Deserialize, Serialize};
 
-/// Verdict on the text of an answer.
+/// Result of checking a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnswerVerdict {
-    /// Every token, once, in order, and the explicit end.
+    /// Every token once and in order, with the explicit end.
     Whole,
-    /// A correct start of the own answer that lacks its end.
+    /// A correct prefix of the response without its end.
     Truncated,
-    /// A token appears more often than it should, or again after its place.
+    /// A token is repeated or out of order.
     Duplicated,
     /// Text that does not belong to this request.
     Foreign,
 }
 
-/// Compares the text received with the tokens expected.
+/// Compares the received text with the expected tokens.
 ///
-/// `ended` says whether the explicit end was seen (`[DONE]` of a stream, or a whole body).
+/// `ended` states whether the explicit end was received (`[DONE]` or a complete body).
 pub fn check_tokens(expected: &[String], received: &str, ended: bool) -> AnswerVerdict {
     let whole: String = expected.concat();
     if received == whole {
@@ -32,13 +32,13 @@
     if whole.starts_with(received) {
         return AnswerVerdict::Truncated;
     }
-    if is_made_of(expected, received) {
+    if consists_of_tokens(expected, received) {
         return AnswerVerdict::Duplicated;
     }
     AnswerVerdict::Foreign
 }
 
-/// Tokens of `expected` that a correct start of the answer holds.
+/// Returns the number of leading `expected` tokens that `received` starts with.
 pub fn tokens_received(expected: &[String], received: &str) -> usize {
     let mut rest = received;
     for (count, token) in expected.iter().enumerate() {
@@ -50,13 +50,16 @@
     expected.len()
 }
 
-/// Whether the text is made of own tokens only, in whatever order and number.
-fn is_made_of(expected: &[String], received: &str) -> bool {
+/// Returns whether the text consists of expected tokens only, in any order and number.
+fn consists_of_tokens(expected: &[String], received: &str) -> bool {
     let mut rest = received;
     let mut position = 0;
     while !rest.is_empty() {
-        let in_order = expected.get(position).filter(|token| starts(rest, token));
-        let found = in_order.or_else(|| expected.iter().find(|token| starts(rest, token)));
+        let in_order = expected
+            .get(position)
+            .filter(|token| starts_with_token(rest, token));
+        let found =
+            in_order.or_else(|| expected.iter().find(|token| starts_with_token(rest, token)));
         let Some(token) = found else {
             return false;
         };
@@ -67,11 +70,11 @@
     true
 }
 
-fn starts(text: &str, token: &str) -> bool {
+fn starts_with_token(text: &str, token: &str) -> bool {
     !token.is_empty() && text.starts_with(token)
 }
 
-/// Whether a page is the whole page of the path asked for.
+/// Checks the body of a page against the requested path.
 pub fn check_page(path: &str, body: &[u8]) -> AnswerVerdict {
     let whole = page(path);
     if body == whole.as_bytes() {
@@ -90,7 +93,8 @@
     runs: u64,
 }
 
-/// Whether the answer of a request that may not be repeated is for this key, and of its first run.
+/// Checks that the response to a non-idempotent request has this path and key, and that the
+/// request was executed once.
 pub fn check_run(path: &str, key: &str, body: &[u8]) -> AnswerVerdict {
     let Ok(run) = serde_json::from_slice::<RunBody>(body) else {
         return AnswerVerdict::Truncated;
--- a/crates/millpass-load/src/arrivals.rs
+++ b/crates/millpass-load/src/arrivals.rs
@@ -1,14 +1,14 @@
-//! Arrival times and popularity: the random parts of a schedule.
+//! Random arrival times and weighted choices.
 
 use crate::workload::RateShape;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Lowest share of the steady rate outside a peak.
+/// Rate outside a peak, as a multiple of the steady rate.
 const PEAK_FLOOR: f64 = 1.0;
 
 impl RateShape {
-    /// Rate at a time as a multiple of the steady rate.
+    /// Returns the rate at a time as a multiple of the steady rate.
     pub fn factor(&self, seconds: f64) -> f64 {
         match *self {
             RateShape::Constant => 1.0,
@@ -16,8 +16,8 @@
                 period_seconds,
                 swing,
             } => {
-                let turn = seconds / period_seconds * std::f64::consts::TAU;
-                1.0 - swing * turn.cos()
+                let angle = seconds / period_seconds * std::f64::consts::TAU;
+                1.0 - swing * angle.cos()
             }
             RateShape::Peak {
                 at_seconds,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// An upper bound of [`RateShape::factor`].
+    /// Returns an upper bound of [`RateShape::factor`].
     pub fn largest_factor(&self) -> f64 {
         match *self {
             RateShape::Constant => 1.0,
@@ -41,9 +41,8 @@
     }
 }
 
-/// Times of a Poisson process whose rate follows a shape, in microseconds, ascending.
-///
-/// Candidates come at the largest rate and are thinned to the rate at their time.
+/// Returns the ascending arrival times, in microseconds, of a Poisson process whose rate follows
+/// `shape`. Samples by thinning.
 pub fn poisson_times(
     random: &mut ChaCha8Rng,
     duration_seconds: f64,
@@ -63,26 +62,26 @@
         if seconds >= duration_seconds {
             return times;
         }
-        let kept: f64 = random.random();
-        if kept * largest <= shape.factor(seconds) {
+        let acceptance: f64 = random.random();
+        if acceptance * largest <= shape.factor(seconds) {
             times.push(seconds_to_micros(seconds));
         }
     }
 }
 
-/// Seconds as whole microseconds.
+/// Converts seconds to whole microseconds; negative values become 0.
 pub fn seconds_to_micros(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1_000_000.0) as u64
 }
 
-/// Choice among weighted items by their running sums.
+/// Random choice among weighted items.
 #[derive(Clone, Debug)]
 pub struct WeightedChoice {
     sums: Vec<f64>,
 }
 
 impl WeightedChoice {
-    /// A choice by these weights; none if no weight is above zero.
+    /// Creates a choice with these weights; `None` if no weight is positive.
     pub fn new(weights: impl IntoIterator<Item = f64>) -> Option<Self> {
         let mut sum = 0.0;
         let sums: Vec<f64> = weights
@@ -95,12 +94,12 @@
         (sum > 0.0).then_some(WeightedChoice { sums })
     }
 
-    /// A choice among `count` items by Zipf's law, item 0 the most likely.
+    /// Creates a choice among `count` items with a Zipf distribution; item 0 is the most likely.
     pub fn zipf(count: usize, exponent: f64) -> Option<Self> {
         Self::new((1..=count).map(|rank| (rank as f64).powf(-exponent)))
     }
 
-    /// Draws one item.
+    /// Draws the index of an item.
     pub fn draw(&self, random: &mut ChaCha8Rng) -> usize {
         let total = self.sums.last().copied().unwrap_or(0.0);
         let uniform: f64 = random.random();
--- a/crates/millpass-load/src/caller.rs
+++ b/crates/millpass-load/src/caller.rs
@@ -1,4 +1,4 @@
-//! One request over HTTP, and what came of it.
+//! Sends one request over HTTP and checks the response.
 
 use crate::answer::{AnswerVerdict, check_page, check_run, check_tokens, tokens_received};
 use crate::expected::expected_tokens;
@@ -13,44 +13,40 @@
 use std::io::{BufReader, Read};
 use std::time::{Duration, Instant};
 
-/// Most bytes of an answer that are read.
-const MAXIMUM_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
-/// Role of the one message of a chat.
+/// Longer bodies are truncated.
+const MAXIMUM_BODY_BYTES: u64 = 16 * 1024 * 1024;
 const CHAT_ROLE: &str = "user";
-/// Time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Idle connections kept to one router.
 const IDLE_CONNECTIONS_PER_ROUTER: usize = 256;
-/// Idle connections kept in all.
 const IDLE_CONNECTIONS: usize = 1_024;
 
-/// What a caller knows besides the planned request.
+/// Parameters of a call besides the planned request.
 #[derive(Clone, Copy, Debug)]
 pub struct CallContext<'a> {
     /// Base address of the router, `IP:port`.
     pub router: &'a str,
     /// API key.
     pub api_key: &'a str,
-    /// Identity of the request, unique in the run.
+    /// Request ID, unique in the run.
     pub request_id: &'a str,
     /// Idempotency key.
     pub key: Option<&'a str>,
     /// Time left until the deadline.
     pub time_left: Duration,
-    /// Time past the deadline at which the caller stops listening and notes "no answer".
+    /// Time after the deadline until the caller records [`Outcome::NoAnswer`].
     pub grace: Duration,
 }
 
-/// What came of one request.
+/// Result of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallResult {
     /// Outcome.
     pub outcome: Outcome,
-    /// When the first token or byte came.
+    /// Arrival of the first token or byte.
     pub first: Option<Instant>,
-    /// Longest pause between two tokens.
+    /// Longest interval between two tokens.
     pub longest_pause: Duration,
-    /// Tokens received of the own answer.
+    /// Correct tokens received.
     pub tokens: u32,
 }
 
@@ -65,7 +61,7 @@
     }
 }
 
-/// Makes the HTTP client that all callers share.
+/// Creates the HTTP client shared by all callers.
 pub fn client() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -100,7 +96,7 @@
     content: &'a str,
 }
 
-/// The `model` field of a request: the model, or the model with an adapter.
+/// Returns the `model` field of a request: `MODEL` or `MODEL:ADAPTER`.
 pub fn model_field(model: &ModelName, adapter: Option<&AdapterName>) -> String {
     match adapter {
         Some(adapter) => format!("{model}:{adapter}"),
@@ -108,12 +104,12 @@
     }
 }
 
-/// Sends one request and judges what comes back.
+/// Sends one request and checks the response.
 pub fn call(agent: &ureq::Agent, planned: &PlannedRequest, context: &CallContext) -> CallResult {
     let sent = send(agent, planned, context);
     let response = match sent {
         Ok(response) => response,
-        Err(error) => return CallResult::of(failure(&error)),
+        Err(error) => return CallResult::of(error_outcome(&error)),
     };
     let status = response.status().as_u16();
     if status >= 300 {
@@ -121,14 +117,14 @@
     }
     match &planned.target {
         Target::Tokens { streamed: true, .. } => read_stream(response, planned),
-        Target::Tokens { .. } => read_whole(response, planned),
+        Target::Tokens { .. } => read_completion(response, planned),
         Target::WebRead { .. } | Target::WebWrite { .. } => {
             read_web(response, planned, context.key.unwrap_or_default())
         }
     }
 }
 
-fn failure(error: &ureq::Error) -> Outcome {
+fn error_outcome(error: &ureq::Error) -> Outcome {
     match error {
         ureq::Error::Timeout(ureq::Timeout::Connect) => Outcome::TransportError {
             reason: "connect timed out".to_owned(),
@@ -262,7 +258,7 @@
     header(response, wire::REPLAYED_HEADER).is_some()
 }
 
-fn expected_of(planned: &PlannedRequest) -> Vec<String> {
+fn expected_response(planned: &PlannedRequest) -> Vec<String> {
     match &planned.target {
         Target::Tokens {
             model,
@@ -291,7 +287,7 @@
     let mut reading = StreamReading::default();
     let ended = loop {
         match next_event(&mut reader) {
-            Ok(Some(StreamEvent::Text(text))) => reading.take_text(&text),
+            Ok(Some(StreamEvent::Text(text))) => reading.append_text(&text),
             Ok(Some(StreamEvent::Empty)) => {}
             Ok(Some(StreamEvent::End)) => break true,
             Ok(Some(StreamEvent::Error(code, executed))) => {
@@ -300,11 +296,11 @@
             Ok(None) | Err(_) => break false,
         }
     };
-    let expected = expected_of(planned);
+    let expected = expected_response(planned);
     let tokens = tokens_received(&expected, &reading.text);
     let verdict = check_tokens(&expected, &reading.text, ended);
     let outcome = match reading.error {
-        // A stated error is an honest end, unless the text before it is not the caller's own.
+        // An error event ends a stream validly unless the text before it is wrong.
         Some((code, executed)) if verdict == AnswerVerdict::Truncated => Outcome::Refused {
             status,
             code,
@@ -335,7 +331,7 @@
 }
 
 impl StreamReading {
-    fn take_text(&mut self, text: &str) {
+    fn append_text(&mut self, text: &str) {
         let now = Instant::now();
         if let Some(last) = self.last {
             self.longest_pause = self.longest_pause.max(now - last);
@@ -347,52 +343,49 @@
 }
 
 #[derive(Deserialize)]
-struct WholeAnswer {
-    choices: Vec<WholeChoice>,
+struct CompletionResponse {
+    choices: Vec<ResponseChoice>,
 }
 
 #[derive(Deserialize)]
-struct WholeChoice {
+struct ResponseChoice {
     text: Option<String>,
-    message: Option<WholeMessage>,
+    message: Option<ResponseMessage>,
 }
 
 #[derive(Deserialize)]
-struct WholeMessage {
+struct ResponseMessage {
     content: String,
 }
 
-/// Text of a whole answer; none if the body is not one.
-fn whole_text(body: &[u8]) -> Option<String> {
-    let answer: WholeAnswer = serde_json::from_slice(body).ok()?;
+/// Returns the text of a completion; `None` if the body is not a valid response.
+fn response_text(body: &[u8]) -> Option<String> {
+    let answer: CompletionResponse = serde_json::from_slice(body).ok()?;
     let choice = answer.choices.into_iter().next()?;
     let from_message = choice.message.map(|message| message.content);
     choice.text.or(from_message)
 }
 
-/// Reads a body to its end; none if it breaks off.
+/// Reads a body; the flag is false if reading failed before the end.
 fn read_body(response: HttpResponse) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
-    let mut reader = response
-        .into_body()
-        .into_reader()
-        .take(MAXIMUM_ANSWER_BYTES);
-    let whole = reader.read_to_end(&mut body).is_ok();
-    (body, whole)
+    let mut reader = response.into_body().into_reader().take(MAXIMUM_BODY_BYTES);
+    let complete = reader.read_to_end(&mut body).is_ok();
+    (body, complete)
 }
 
-fn read_whole(response: HttpResponse, planned: &PlannedRequest) -> CallResult {
+fn read_completion(response: HttpResponse, planned: &PlannedRequest) -> CallResult {
     let status = response.status().as_u16();
     let replayed = is_replayed(&response);
-    let (body, read) = read_body(response);
-    let expected = expected_of(planned);
-    let text = whole_text(&body);
+    let (body, complete) = read_body(response);
+    let expected = expected_response(planned);
+    let text = response_text(&body);
     let (verdict, tokens) = match &text {
         Some(text) => (
-            check_tokens(&expected, text, read),
+            check_tokens(&expected, text, complete),
             tokens_received(&expected, text),
         ),
-        None if read => (AnswerVerdict::Foreign, 0),
+        None if complete => (AnswerVerdict::Foreign, 0),
         None => (AnswerVerdict::Truncated, 0),
     };
     CallResult {
@@ -401,7 +394,7 @@
             verdict,
             replayed,
         },
-        // An answer given at once has no time of its first token.
+        // A response that is not streamed has no time to first token.
         first: None,
         longest_pause: Duration::ZERO,
         tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
@@ -412,9 +405,9 @@
     let status = response.status().as_u16();
     let replayed = is_replayed(&response);
     let first = Some(Instant::now());
-    let (body, read) = read_body(response);
+    let (body, complete) = read_body(response);
     let verdict = match &planned.target {
-        _ if !read => AnswerVerdict::Truncated,
+        _ if !complete => AnswerVerdict::Truncated,
         Target::WebWrite { path, .. } => check_run(path, key, &body),
         Target::WebRead { path, .. } => check_page(path, &body),
         Target::Tokens { .. } => AnswerVerdict::Foreign,
--- a/crates/millpass-load/src/expected.rs
+++ b/crates/millpass-load/src/expected.rs
@@ -1,9 +1,9 @@
-//! What the answer of a request must be.
+//! Expected response of a request.
 
 use millpass_proto::{AdapterName, ModelName, VersionLabel};
 use millpass_standin::content::Answer;
 
-/// Tokens of the answer, in order.
+/// Returns the tokens of the expected response, in order.
 pub fn expected_tokens(
     model: &ModelName,
     version: &VersionLabel,
--- a/crates/millpass-load/src/history.rs
+++ b/crates/millpass-load/src/history.rs
@@ -1,4 +1,4 @@
-//! The history: what was asked and what came of it, one JSON line a request, in a bounded file.
+//! Request history: one JSON line per request, in a file of bounded size.
 
 use crate::answer::AnswerVerdict;
 use crate::refusal::{Executed, RefusalFault};
@@ -8,49 +8,49 @@
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
-/// How a request ended for its caller.
+/// Outcome of a request as seen by its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Outcome {
-    /// An answer; the verdict says whether it is whole and own.
+    /// A response; the verdict states whether it is complete and belongs to the request.
     Answered {
         /// HTTP status.
         status: u16,
-        /// Verdict.
+        /// Result of checking the response.
         verdict: AnswerVerdict,
-        /// The answer was recorded earlier for the same key.
+        /// The response was replayed from an earlier request with the same key.
         replayed: bool,
     },
-    /// A refusal that says all it must.
+    /// A refusal with all required fields.
     Refused {
-        /// HTTP status; 200 for an error told inside a stream.
+        /// HTTP status; 200 for an error reported inside a stream.
         status: u16,
         /// Code.
         code: String,
-        /// Whether the request ran.
+        /// Whether the request was executed.
         executed: Executed,
-        /// When to come back, in seconds.
+        /// Retry-After, in seconds.
         retry_after_seconds: Option<u64>,
     },
-    /// A refusal that lacks something.
+    /// A refusal with missing or contradictory fields.
     FaultyRefusal {
         /// HTTP status.
         status: u16,
-        /// What is wrong.
+        /// Fault found.
         fault: RefusalFault,
     },
-    /// The connection could not be made, or broke without an answer.
+    /// The connection could not be opened, or was closed before a response.
     TransportError {
         /// Cause.
         reason: String,
     },
-    /// No answer by the deadline and the grace after it.
+    /// No response within the deadline and the grace period.
     NoAnswer,
-    /// The bounded pool of callers was full for so long that the request was never sent.
+    /// The deadline passed while the request waited for a free caller thread.
     NotSent,
 }
 
-/// One request in the history. Times are microseconds from the start of the run.
+/// One request in the history. Times are in microseconds from the start of the run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryRecord {
     /// Number in the schedule.
@@ -59,40 +59,40 @@
     pub tenant: TenantName,
     /// Idempotency key.
     pub key: Option<String>,
-    /// What was asked for.
+    /// Label of the requested target.
     pub target: String,
     /// Index of the router.
     pub router: usize,
     /// Urgency.
     pub urgency: Urgency,
-    /// Part of a burst of cold models.
+    /// Whether the request belongs to a burst for cold models.
     pub burst: bool,
-    /// Text only this request holds (repeats share it).
+    /// Text unique to this request; a repeat has the same one.
     pub nonce: String,
-    /// When it was due.
+    /// Due time.
     pub due_micros: u64,
-    /// When it was sent.
+    /// Send time.
     pub sent_micros: u64,
-    /// When the first token or byte came.
+    /// Arrival of the first token or byte.
     pub first_micros: Option<u64>,
-    /// When it ended.
+    /// End time.
     pub ended_micros: u64,
     /// Deadline.
     pub deadline_micros: u64,
     /// Outcome.
     pub outcome: Outcome,
-    /// Tokens received of the own answer.
+    /// Correct tokens received.
     pub tokens: u32,
-    /// Tokens asked for.
+    /// Tokens requested.
     pub tokens_asked: u32,
-    /// Longest pause between two tokens.
+    /// Longest interval between two tokens.
     pub longest_pause_micros: u64,
-    /// Whether the model was cold for this request, as the answer or the wait tells.
+    /// Whether the time to first token exceeded the cold-start threshold.
     pub cold: bool,
 }
 
 impl HistoryRecord {
-    /// Whether the caller got the whole of its own answer.
+    /// Returns whether the caller received its complete response.
     pub fn is_whole(&self) -> bool {
         matches!(
             self.outcome,
@@ -103,7 +103,7 @@
         )
     }
 
-    /// Whether the request ended by its deadline, with this grace for the way back.
+    /// Returns whether the request ended within its deadline plus `grace_micros`.
     pub fn is_in_time(&self, grace_micros: u64) -> bool {
         self.ended_micros <= self.deadline_micros + grace_micros
     }
@@ -118,7 +118,7 @@
 }
 
 impl HistoryWriter {
-    /// Creates the file; records beyond `maximum_bytes` are counted and not written.
+    /// Creates the file. Records beyond `maximum_bytes` are counted but not written.
     pub fn create(path: &Path, maximum_bytes: u64) -> io::Result<Self> {
         Ok(HistoryWriter {
             file: BufWriter::new(File::create(path)?),
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Writes one record.
+    /// Writes one record, or counts it as skipped if it does not fit.
     pub fn write(&mut self, record: &HistoryRecord) -> io::Result<()> {
         let mut line = serde_json::to_vec(record).map_err(io::Error::other)?;
         line.push(b'\n');
@@ -142,14 +142,14 @@
         Ok(())
     }
 
-    /// Ends the file; gives the records that did not fit.
+    /// Flushes the file; returns the number of records that did not fit.
     pub fn finish(mut self) -> io::Result<u64> {
         self.file.flush()?;
         Ok(self.skipped)
     }
 }
 
-/// Reads a history back. A line that does not parse is an error: histories are evidence.
+/// Reads a history. Any line that does not parse is an error.
 pub fn read_history(path: &Path) -> io::Result<Vec<HistoryRecord>> {
     let text = std::fs::read_to_string(path)?;
     let parse = |line: &str| serde_json::from_str(line).map_err(io::Error::other);
--- a/crates/millpass-load/src/lib.rs
+++ b/crates/millpass-load/src/lib.rs
@@ -1,13 +1,12 @@
-//! Open-loop callers: a schedule made up front from a seed, carried out by a bounded pool of
-//! threads, with each answer checked, each request recorded, and latency counted from the time at
-//! which the request was due, so that a slow system cannot slow the measurement down.
+//! Open-loop load generator. Latency is measured from the time a request is due, which avoids
+//! coordinated omission.
 //!
-//! * [`workload`]: what a trace looks like, as data, with the named traces.
-//! * [`schedule`]: from a workload, a population and a seed to a list of planned requests.
-//! * [`caller`]: one request over HTTP; [`answer`] and [`refusal`] check what comes back.
-//! * [`runner`]: the bounded pool that carries a schedule out.
-//! * [`history`]: one JSON line a request, in a file of bounded size.
-//! * [`summary`]: histograms and counts.
+//! * [`workload`]: trace parameters and the named traces.
+//! * [`schedule`]: generates planned requests from a workload, a population and a seed.
+//! * [`caller`]: sends one request over HTTP; [`answer`] and [`refusal`] check the response.
+//! * [`runner`]: executes a schedule on a bounded thread pool.
+//! * [`history`]: records requests as JSON lines in a file of bounded size.
+//! * [`summary`]: latency histograms and counters.
 
 pub mod answer;
 pub mod arrivals;
--- a/crates/millpass-load/src/population.rs
+++ b/crates/millpass-load/src/population.rs
@@ -1,4 +1,4 @@
-//! Who asks, and what there is to ask for.
+//! Tenants, models and web groups that a schedule draws from.
 
 use millpass_proto::{AdapterName, GroupName, ModelName, TenantName, VersionLabel};
 use serde::{Deserialize, Serialize};
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantIdentity {
-    /// Name, for the history.
+    /// Name recorded in the history.
     pub name: TenantName,
-    /// API key in clear; made for the run and worth nothing outside it.
+    /// API key in plain text, valid only for the run.
     pub api_key: String,
 }
 
@@ -19,9 +19,9 @@
 pub struct ModelChoice {
     /// Model.
     pub model: ModelName,
-    /// Version in force; answers are checked against it.
+    /// Current version; responses are checked against it.
     pub version: VersionLabel,
-    /// Adapters of it; may be empty.
+    /// Adapters of the model; may be empty.
     pub adapters: Vec<AdapterName>,
 }
 
@@ -33,26 +33,26 @@
     pub group: GroupName,
     /// Path prefix of pages to read.
     pub read_path: String,
-    /// Path prefix of requests that may not be repeated.
+    /// Path prefix of non-idempotent requests.
     pub write_path: String,
 }
 
-/// Everything that a schedule draws from.
+/// Population that a schedule draws from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Population {
-    /// Tenants; requests are spread over them unevenly, the first asking most.
+    /// Tenants, the most active first.
     pub tenants: Vec<TenantIdentity>,
     /// Models, the most popular first.
     pub models: Vec<ModelChoice>,
     /// Web groups; may be empty.
     pub web: Vec<WebChoice>,
-    /// Routers that callers may reach.
+    /// Number of routers.
     pub routers: usize,
 }
 
 impl Population {
-    /// A population of numbered names, for trials and tests.
+    /// Returns a population with numbered names.
     pub fn numbered(tenants: usize, models: usize, routers: usize) -> Self {
         let tenants = (0..tenants)
             .map(|number| TenantIdentity {
--- a/crates/millpass-load/src/refusal.rs
+++ b/crates/millpass-load/src/refusal.rs
@@ -1,21 +1,21 @@
-//! Refusals: each must say why, whether the request ran, and when to come back.
+//! Checks that a refusal states its code, whether the request was executed, and Retry-After.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a refused request ran.
+/// Whether a refused request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Executed {
-    /// It ran.
+    /// Executed.
     Yes,
-    /// It truly did not run.
+    /// Not executed.
     No,
-    /// It may have run.
+    /// Possibly executed.
     Unknown,
 }
 
 impl Executed {
-    /// Reads the word used in headers and bodies.
+    /// Parses the value used in headers and bodies.
     pub fn parse(text: &str) -> Option<Self> {
         match text.trim() {
             "yes" => Some(Executed::Yes),
@@ -26,33 +26,37 @@
     }
 }
 
-/// What a refusal said.
+/// A complete refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// HTTP status.
     pub status: u16,
     /// Code in the JSON body.
     pub code: String,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub executed: Executed,
-    /// When to come back, in seconds.
+    /// Retry-After, in seconds.
     pub retry_after_seconds: Option<u64>,
 }
 
-/// What is wrong with a refusal.
+/// Fault of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum RefusalFault {
     /// The body is not the JSON error object of the caller API.
-    #[error("the body is not {{\"error\":{{\"code\":...}}}}; look at what answered")]
+    #[error("the body is not {{\"error\":{{\"code\":...}}}}; check which server responded")]
     NoCode,
-    /// Neither header nor body says whether the request ran.
-    #[error("neither header nor body says whether the request ran; the refusal must state it")]
+    /// Neither header nor body states whether the request was executed.
+    #[error(
+        "neither header nor body states whether the request was executed; set it in one of them"
+    )]
     NoExecuted,
     /// Header and body contradict each other.
-    #[error("header and body differ on whether the request ran; they must agree")]
+    #[error(
+        "header and body differ on whether the request was executed; send the same value in both"
+    )]
     ExecutedDiffers,
-    /// A refusal for lack of capacity does not say when to come back.
-    #[error("status {0} without Retry-After; the refusal must say when to come back")]
+    /// A 429 or 503 refusal has no Retry-After header.
+    #[error("status {0} without Retry-After; add the header to the refusal")]
     NoRetryAfter(u16),
 }
 
@@ -67,10 +71,10 @@
     executed: Option<String>,
 }
 
-/// Statuses that tell the caller to come back, and so must say when.
-const COME_BACK_STATUSES: [u16; 2] = [429, 503];
+/// Statuses that require a Retry-After header.
+const RETRY_AFTER_STATUSES: [u16; 2] = [429, 503];
 
-/// Reads a refusal and checks that it says all that it must.
+/// Parses a refusal and checks that all required fields are present.
 pub fn check_refusal(
     status: u16,
     executed_header: Option<&str>,
@@ -88,7 +92,7 @@
         (None, None) => return Err(RefusalFault::NoExecuted),
     };
     let retry_after_seconds = retry_after_header.and_then(|text| text.trim().parse().ok());
-    if COME_BACK_STATUSES.contains(&status) && retry_after_seconds.is_none() {
+    if RETRY_AFTER_STATUSES.contains(&status) && retry_after_seconds.is_none() {
         return Err(RefusalFault::NoRetryAfter(status));
     }
     Ok(Refusal {
--- a/crates/millpass-load/src/runner.rs
+++ b/crates/millpass-load/src/runner.rs
@@ -1,4 +1,4 @@
-//! Carries a schedule out: one thread watches the clock, a bounded pool of threads calls.
+//! Executes a schedule: one thread dispatches requests when due to a bounded pool of callers.
 
 use crate::caller::{CallContext, CallResult, call, client};
 use crate::history::{HistoryRecord, HistoryWriter, Outcome};
@@ -11,27 +11,26 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Stack of one caller thread.
 const CALLER_STACK_BYTES: usize = 256 * 1024;
-/// Longest nap of the clock thread, so that a stop is seen soon.
-const LONGEST_NAP: Duration = Duration::from_millis(50);
-/// Records on their way to the history file.
-const RECORD_QUEUE: usize = 4_096;
+/// Bounds the delay until the dispatching thread checks the stop flag.
+const MAXIMUM_SLEEP: Duration = Duration::from_millis(50);
+/// Capacity of the queue to the history writer.
+const RECORD_QUEUE_CAPACITY: usize = 4_096;
 
-/// How a schedule is carried out.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
     /// Addresses of the routers, `IP:port`, in the order of the schedule's indices.
     pub routers: Vec<String>,
-    /// Most requests at once; one more waits for a thread and, past its deadline, is not sent.
+    /// Number of caller threads; a request that finds none free before its deadline is not sent.
     pub callers: usize,
-    /// Time past the deadline at which a caller stops listening.
+    /// Time after the deadline until a caller stops waiting for a response.
     pub grace: Duration,
-    /// A model request waiting longer than this for its first token counts as cold.
+    /// Time to first token above which a model request counts as cold.
     pub cold_after: Duration,
-    /// History file.
+    /// History file; `None` writes no history.
     pub history: Option<PathBuf>,
-    /// Bound of the history file.
+    /// Maximum size of the history file.
     pub maximum_history_bytes: u64,
 }
 
@@ -48,40 +47,44 @@
     }
 }
 
-/// Why a run could not start or end.
+/// Error of [`run`].
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Fewer addresses than the schedule has routers.
-    #[error("the schedule names router {needed} and {given} addresses are given; give all")]
+    /// The schedule uses more routers than there are addresses.
+    #[error(
+        "the schedule uses router index {needed}, but only {given} addresses are configured; add the missing addresses"
+    )]
     TooFewRouters {
-        /// Index named.
+        /// Router index used by the schedule.
         needed: usize,
-        /// Addresses given.
+        /// Number of configured addresses.
         given: usize,
     },
     /// A tenant index outside the population.
-    #[error("the schedule names tenant {0}, which the population lacks; use the same population")]
+    #[error(
+        "the schedule uses tenant index {0}, which is not in the population; use the population it was generated from"
+    )]
     UnknownTenant(usize),
     /// The history cannot be written.
-    #[error("cannot write the history: {0}; give a folder that can be written")]
+    #[error("cannot write the history: {0}; choose a writable folder")]
     History(std::io::Error),
     /// A thread cannot be started.
     #[error("cannot start a caller thread: {0}; lower the number of callers")]
     Thread(std::io::Error),
 }
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct RunResult {
     /// Counts and quantiles.
     pub summary: Summary,
-    /// Every record, in order of ending.
+    /// Records in order of completion.
     pub records: Vec<HistoryRecord>,
     /// Records that did not fit into the history file.
     pub skipped_records: u64,
 }
 
-/// Carries out a schedule. Setting `stop` ends it early: what is not yet due is left out.
+/// Executes a schedule. Setting `stop` ends the run early; requests not yet due are dropped.
 pub fn run(
     schedule: &Schedule,
     population: &Population,
@@ -98,19 +101,19 @@
     };
     let run = Run::new(population, settings);
     thread::scope(|scope| {
-        let (work, work_taken) = bounded::<&PlannedRequest>(schedule.requests.len().max(1));
-        let (records, records_taken) = bounded::<HistoryRecord>(RECORD_QUEUE);
+        let (work, work_receiver) = bounded::<&PlannedRequest>(schedule.requests.len().max(1));
+        let (records, record_receiver) = bounded::<HistoryRecord>(RECORD_QUEUE_CAPACITY);
         for number in 0..settings.callers.min(schedule.requests.len()).max(1) {
-            let (work_taken, records, run) = (work_taken.clone(), records.clone(), &run);
+            let (work_receiver, records, run) = (work_receiver.clone(), records.clone(), &run);
             thread::Builder::new()
                 .name(format!("caller-{number}"))
                 .stack_size(CALLER_STACK_BYTES)
-                .spawn_scoped(scope, move || run.carry_out(&work_taken, &records))
+                .spawn_scoped(scope, move || run.run_caller(&work_receiver, &records))
                 .map_err(RunError::Thread)?;
         }
-        drop((work_taken, records));
-        let collector = scope.spawn(move || collect(&records_taken, history));
-        run.keep_time(schedule, work, stop);
+        drop((work_receiver, records));
+        let collector = scope.spawn(move || collect(&record_receiver, history));
+        run.dispatch_when_due(schedule, work, stop);
         collector.join().expect("the collector does not panic")
     })
 }
@@ -139,13 +142,13 @@
     mut history: Option<HistoryWriter>,
 ) -> Result<RunResult, RunError> {
     let mut collector = SummaryCollector::default();
-    let mut kept = Vec::new();
+    let mut collected = Vec::new();
     for record in records {
         collector.add(&record);
         if let Some(writer) = &mut history {
             writer.write(&record).map_err(RunError::History)?;
         }
-        kept.push(record);
+        collected.push(record);
     }
     let skipped_records = match history {
         Some(writer) => writer.finish().map_err(RunError::History)?,
@@ -153,7 +156,7 @@
     };
     Ok(RunResult {
         summary: collector.finish(),
-        records: kept,
+        records: collected,
         skipped_records,
     })
 }
@@ -179,8 +182,8 @@
         }
     }
 
-    /// Hands each request over when it is due, whatever became of earlier ones.
-    fn keep_time<'s>(
+    /// Dispatches each request when it is due, regardless of the progress of earlier ones.
+    fn dispatch_when_due<'s>(
         &self,
         schedule: &'s Schedule,
         work: Sender<&'s PlannedRequest>,
@@ -192,7 +195,7 @@
                 if stop.load(Ordering::Relaxed) {
                     return;
                 }
-                thread::sleep(wait.min(LONGEST_NAP));
+                thread::sleep(wait.min(MAXIMUM_SLEEP));
             }
             if work.send(planned).is_err() {
                 return;
@@ -200,16 +203,16 @@
         }
     }
 
-    fn carry_out(&self, work: &Receiver<&PlannedRequest>, records: &Sender<HistoryRecord>) {
+    fn run_caller(&self, work: &Receiver<&PlannedRequest>, records: &Sender<HistoryRecord>) {
         for planned in work {
-            let record = self.one(planned);
+            let record = self.execute(planned);
             if records.send(record).is_err() {
                 return;
             }
         }
     }
 
-    fn one(&self, planned: &PlannedRequest) -> HistoryRecord {
+    fn execute(&self, planned: &PlannedRequest) -> HistoryRecord {
         let tenant = &self.population.tenants[planned.tenant];
         let key = match &planned.target {
             Target::WebWrite { key, .. } => Some(key.render(self.start_unix_millis)),
@@ -282,7 +285,7 @@
     }
 }
 
-/// Identity of a request: its nonce and its number, since a deliberate repeat shares the nonce.
+/// Returns the request ID: nonce and sequence number, since a repeat has the same nonce.
 pub fn request_id(planned: &PlannedRequest) -> String {
     format!("{}.{}", planned.nonce, planned.request)
 }
--- a/crates/millpass-load/src/schedule.rs
+++ b/crates/millpass-load/src/schedule.rs
@@ -1,4 +1,4 @@
-//! From a workload, a population and a seed to a list of planned requests.
+//! Generates planned requests from a workload, a population and a seed.
 
 use crate::arrivals::{WeightedChoice, poisson_times, seconds_to_micros};
 use crate::identity::{PlannedKey, nonce};
@@ -10,43 +10,43 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// Longest pause between a non-repeatable request and its deliberate repeat, in microseconds.
-const LONGEST_REPEAT_PAUSE_MICROS: u64 = 2_000_000;
+/// Longest delay between a non-idempotent request and its repeat.
+const MAXIMUM_REPEAT_DELAY_MICROS: u64 = 2_000_000;
 /// Most requests of one schedule.
 pub const MAXIMUM_REQUESTS: usize = 1_000_000;
-/// Different openings of prompts.
-const PROMPT_OPENINGS: u32 = 8;
-/// Pages of one web group that callers read.
+/// Number of distinct prompt prefixes.
+const PROMPT_PREFIXES: u32 = 8;
+/// Number of pages read per web group.
 const WEB_PAGES: u64 = 40;
 
-/// What a planned request asks for.
+/// Target of a planned request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
     /// Tokens of a model.
     Tokens {
         /// Model.
         model: ModelName,
-        /// Version whose answer is expected.
+        /// Version that the response is checked against.
         version: VersionLabel,
         /// Adapter.
         adapter: Option<AdapterName>,
-        /// Chat instead of plain completion.
+        /// Whether to use the chat API instead of completions.
         chat: bool,
-        /// Whether the answer is streamed.
+        /// Whether the response is streamed.
         streamed: bool,
-        /// Prompt; holds the request's nonce.
+        /// Prompt; contains the nonce.
         prompt: String,
-        /// Tokens asked for.
+        /// Tokens requested.
         tokens: u32,
     },
     /// A page.
     WebRead {
         /// Group.
         group: GroupName,
-        /// Path; holds the nonce.
+        /// Path; contains the nonce.
         path: String,
     },
-    /// A request that may not be repeated.
+    /// A non-idempotent web request.
     WebWrite {
         /// Group.
         group: GroupName,
@@ -60,7 +60,7 @@
 }
 
 impl Target {
-    /// Short name for tables and histories.
+    /// Returns the label used in tables and histories.
     pub fn label(&self) -> String {
         match self {
             Target::Tokens { model, adapter, .. } => match adapter {
@@ -76,9 +76,9 @@
 /// One planned request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedRequest {
-    /// Number in order of due time, from 0.
+    /// Sequence number in order of due time, from 0.
     pub request: u64,
-    /// When it is due, in microseconds from the start of the run.
+    /// Due time, in microseconds from the start of the run.
     pub due_micros: u64,
     /// Index of the tenant.
     pub tenant: usize,
@@ -86,13 +86,13 @@
     pub router: usize,
     /// Urgency.
     pub urgency: Urgency,
-    /// Time from due to deadline, in milliseconds.
+    /// Deadline, in milliseconds from the due time.
     pub deadline_millis: u64,
-    /// Part of a burst of cold models.
+    /// Whether the request belongs to a burst for cold models.
     pub burst: bool,
-    /// Text only this request holds; a deliberate repeat shares it.
+    /// Text unique to this request; a repeat has the same one.
     pub nonce: String,
-    /// What it asks for.
+    /// Target.
     pub target: Target,
 }
 
@@ -101,19 +101,19 @@
 pub struct Schedule {
     /// Name of the workload.
     pub workload: String,
-    /// Seed it was made from.
+    /// Seed.
     pub seed: u64,
     /// Requests.
     pub requests: Vec<PlannedRequest>,
 }
 
-/// Why no schedule could be made.
+/// Error of [`Schedule::generate`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScheduleError {
     /// The population has no tenants, models or routers.
     #[error("the population has no {0}; add at least one")]
     Empty(&'static str),
-    /// Weights that leave nothing to choose.
+    /// All weights of a choice are zero.
     #[error("all weights of {0} are zero; set at least one above zero")]
     NoWeight(&'static str),
     /// Too many requests.
@@ -122,7 +122,7 @@
 }
 
 impl Schedule {
-    /// Makes a schedule; the same arguments make the same schedule.
+    /// Generates a schedule; deterministic for equal arguments.
     pub fn generate(
         workload: &Workload,
         population: &Population,
@@ -151,7 +151,7 @@
     tenants: WeightedChoice,
     kinds: WeightedChoice,
     urgencies: WeightedChoice,
-    drawn: u64,
+    next_number: u64,
     requests: Vec<PlannedRequest>,
 }
 
@@ -189,7 +189,7 @@
             tenants,
             kinds,
             urgencies,
-            drawn: 0,
+            next_number: 0,
             requests: Vec::new(),
         })
     }
@@ -259,14 +259,17 @@
         self.push(due, router, urgency, burst_model.is_some(), target);
     }
 
-    /// A prompt that starts like others, so that prefix caches have work, and ends on its nonce.
+    /// Returns a prompt with a shared prefix, to exercise prefix caches, that ends with the nonce.
     fn prompt(&mut self) -> String {
-        let opening = self.random.random_range(0..PROMPT_OPENINGS);
+        let prefix = self.random.random_range(0..PROMPT_PREFIXES);
         let mut words = Vec::new();
         for position in 1..self.workload.prompt_words {
-            words.push(format!("w{opening}-{position}"));
+            words.push(format!("w{prefix}-{position}"));
         }
-        words.push(format!("{NONCE_MARK}{}", nonce(self.seed, self.drawn)));
+        words.push(format!(
+            "{NONCE_MARK}{}",
+            nonce(self.seed, self.next_number)
+        ));
         words.join(" ")
     }
 
@@ -274,7 +277,7 @@
         let index = self.random.random_range(0..self.population.web.len());
         let web = &self.population.web[index];
         let page = self.random.random_range(0..WEB_PAGES);
-        let nonce = nonce(self.seed, self.drawn);
+        let nonce = nonce(self.seed, self.next_number);
         let target = Target::WebRead {
             group: web.group.clone(),
             path: format!("{}/{page}/{nonce}", web.read_path),
@@ -285,7 +288,7 @@
     fn web_write(&mut self, due: u64, router: usize) {
         let index = self.random.random_range(0..self.population.web.len());
         let web = &self.population.web[index];
-        let nonce = nonce(self.seed, self.drawn);
+        let nonce = nonce(self.seed, self.next_number);
         let amount: u16 = self.random.random();
         let target = Target::WebWrite {
             group: web.group.clone(),
@@ -302,9 +305,9 @@
         }
     }
 
-    /// Repeats the last request with the same tenant, key and body, later and perhaps elsewhere.
+    /// Repeats the last request with the same tenant, key and body, later and at a random router.
     fn repeat_last(&mut self) {
-        let pause = self.random.random_range(1..LONGEST_REPEAT_PAUSE_MICROS);
+        let pause = self.random.random_range(1..MAXIMUM_REPEAT_DELAY_MICROS);
         let router = self.random.random_range(0..self.population.routers);
         let Some(last) = self.requests.last().cloned() else {
             return;
@@ -314,7 +317,7 @@
             router,
             ..last
         });
-        self.drawn += 1;
+        self.next_number += 1;
     }
 
     fn push(&mut self, due: u64, router: usize, urgency: Urgency, burst: bool, target: Target) {
@@ -324,7 +327,7 @@
             Urgency::Normal => deadlines.normal_millis,
             Urgency::Batch => deadlines.batch_millis,
         };
-        let nonce = nonce(self.seed, self.drawn);
+        let nonce = nonce(self.seed, self.next_number);
         self.requests.push(PlannedRequest {
             request: 0,
             due_micros: due,
@@ -336,7 +339,7 @@
             nonce,
             target,
         });
-        self.drawn += 1;
+        self.next_number += 1;
     }
 
     fn finish(mut self) -> Result<Vec<PlannedRequest>, ScheduleError> {
--- a/crates/millpass-load/src/stream.rs
+++ b/crates/millpass-load/src/stream.rs
@@ -1,11 +1,11 @@
-//! Reads a streamed answer: server-sent events with one JSON chunk each, and a last `[DONE]`.
+//! Parses a streamed response: server-sent events with JSON chunks, terminated by `[DONE]`.
 
 use crate::refusal::Executed;
 use crate::wire::STREAM_END;
 use serde::Deserialize;
 use std::io::{self, BufRead};
 
-/// Most bytes of one line; longer ones end the reading.
+/// Longer lines are cut here and fail to parse.
 const MAXIMUM_LINE_BYTES: u64 = 1024 * 1024;
 
 /// One event of a stream.
@@ -13,11 +13,11 @@
 pub enum StreamEvent {
     /// Text of one or more tokens.
     Text(String),
-    /// A chunk without text, such as the one that gives the finish reason.
+    /// A chunk without text, such as one with the finish reason.
     Empty,
-    /// An error told inside the stream: code, and whether the request ran.
+    /// An error reported inside the stream: code, and whether the request was executed.
     Error(String, Option<Executed>),
-    /// The explicit end.
+    /// End of the stream.
     End,
 }
 
@@ -45,7 +45,7 @@
     executed: Option<String>,
 }
 
-/// Reads the next event; none at the end of the bytes.
+/// Reads the next event; `None` at end of input.
 pub fn next_event(reader: &mut impl BufRead) -> io::Result<Option<StreamEvent>> {
     loop {
         let mut line = String::new();
--- a/crates/millpass-load/src/summary.rs
+++ b/crates/millpass-load/src/summary.rs
@@ -7,27 +7,26 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Longest time a histogram holds, in microseconds; longer ones count as this.
+/// Upper bound of a histogram, in microseconds; longer times saturate.
 const LONGEST_MICROS: u64 = 3_600_000_000;
-/// Significant digits kept.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Grace after the deadline for the way back and for a busy caller, in microseconds.
+/// Grace period after the deadline for network and caller delays, in microseconds.
 pub const DEADLINE_GRACE_MICROS: u64 = 500_000;
 
-/// Quantiles of one measure, in milliseconds.
+/// Quantiles of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Values counted.
+    /// Number of values.
     pub count: u64,
-    /// Half are at most this.
+    /// Median.
     pub p50_millis: f64,
-    /// 90 of 100.
+    /// 90th percentile.
     pub p90_millis: f64,
-    /// 99 of 100.
+    /// 99th percentile.
     pub p99_millis: f64,
-    /// 999 of 1000.
+    /// 99.9th percentile.
     pub p999_millis: f64,
-    /// Largest.
+    /// Maximum.
     pub max_millis: f64,
 }
 
@@ -46,12 +45,12 @@
 }
 
 impl TimeHistogram {
-    /// Counts one time.
+    /// Records a time in microseconds.
     pub fn record(&mut self, micros: u64) {
         self.histogram.saturating_record(micros);
     }
 
-    /// Quantiles so far.
+    /// Returns the quantiles of the recorded times.
     pub fn quantiles(&self) -> Quantiles {
         let at = |quantile: f64| self.histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         Quantiles {
@@ -70,52 +69,52 @@
 pub struct Summary {
     /// Requests planned.
     pub requests: u64,
-    /// Whole, own answers.
+    /// Complete, correct responses.
     pub whole: u64,
-    /// Of these, recorded answers given again for the same key.
+    /// Of these, responses replayed for the same key.
     pub replayed: u64,
-    /// Answers that lack their end, with the end falsely stated or not stated.
+    /// Responses without their end.
     pub truncated: u64,
-    /// Answers with doubled tokens.
+    /// Responses with repeated tokens.
     pub duplicated: u64,
-    /// Answers of another request.
+    /// Responses with text of another request.
     pub foreign: u64,
     /// Refusals by status and code.
     pub refusals: BTreeMap<String, u64>,
-    /// Refusals by what they say of execution.
+    /// Refusals by stated execution.
     pub refusals_by_executed: BTreeMap<String, u64>,
-    /// Refusals that lack something, by fault.
+    /// Faulty refusals by status and fault.
     pub faulty_refusals: BTreeMap<String, u64>,
-    /// Broken connections.
+    /// Failed connections.
     pub transport_errors: u64,
-    /// Requests without any answer.
+    /// Requests without a response.
     pub no_answer: u64,
-    /// Requests the caller itself could not send for lack of threads.
+    /// Requests not sent because no caller thread was free before the deadline.
     pub not_sent: u64,
-    /// Ended later than the deadline and the grace.
+    /// Requests that ended after the deadline and the grace period.
     pub late: u64,
     /// Time to first token of cold model requests.
     pub first_token_cold: Quantiles,
     /// Time to first token of warm model requests.
     pub first_token_warm: Quantiles,
-    /// Longest pause between tokens, a request each.
+    /// Longest interval between tokens, one value per request.
     pub token_pause: Quantiles,
-    /// Total time of whole model answers.
+    /// Total time of complete model responses.
     pub total_model: Quantiles,
-    /// Total time of whole web answers.
+    /// Total time of complete web responses.
     pub total_web: Quantiles,
     /// Time until a refusal.
     pub refusal_time: Quantiles,
-    /// Delay of the caller itself in sending.
+    /// Delay between due time and send time.
     pub send_delay: Quantiles,
-    /// Whole answers by tenant, for fairness.
+    /// Complete responses by tenant.
     pub whole_by_tenant: BTreeMap<String, u64>,
     /// Requests by tenant.
     pub requests_by_tenant: BTreeMap<String, u64>,
 }
 
 impl Summary {
-    /// Sums up records.
+    /// Summarizes records.
     pub fn of<'a>(records: impl IntoIterator<Item = &'a HistoryRecord>) -> Self {
         let mut collector = SummaryCollector::default();
         for record in records {
@@ -124,18 +123,18 @@
         collector.finish()
     }
 
-    /// All refusals that say what they must.
+    /// Returns the number of complete refusals.
     pub fn refused(&self) -> u64 {
         self.refusals.values().sum()
     }
 
-    /// Refusals that lack something.
+    /// Returns the number of faulty refusals.
     pub fn faulty(&self) -> u64 {
         self.faulty_refusals.values().sum()
     }
 
-    /// Breaches that a caller can see by itself. A lost connection is not one: its request may
-    /// have met a killed router.
+    /// Returns the number of violations visible to a caller. Connection failures are excluded,
+    /// since a fault test may kill routers.
     pub fn breaches(&self) -> u64 {
         self.truncated + self.duplicated + self.foreign + self.faulty() + self.no_answer + self.late
     }
@@ -155,11 +154,11 @@
 }
 
 impl SummaryCollector {
-    /// Counts one record.
+    /// Adds a record.
     pub fn add(&mut self, record: &HistoryRecord) {
         let tenant = record.tenant.to_string();
-        let asked = self.summary.requests_by_tenant.entry(tenant.clone());
-        *asked.or_default() += 1;
+        let requests = self.summary.requests_by_tenant.entry(tenant.clone());
+        *requests.or_default() += 1;
         self.summary.requests += 1;
         if matches!(record.outcome, Outcome::NotSent) {
             self.summary.not_sent += 1;
@@ -181,7 +180,7 @@
         match &record.outcome {
             Outcome::Answered {
                 verdict, replayed, ..
-            } => self.count_answer(record, *verdict, *replayed, total),
+            } => self.count_response(record, *verdict, *replayed, total),
             Outcome::Refused {
                 status,
                 code,
@@ -190,8 +189,8 @@
             } => {
                 self.refusal_time.record(total);
                 *entry(&mut self.summary.refusals, format!("{status} {code}")) += 1;
-                let word = format!("{executed:?}").to_lowercase();
-                *entry(&mut self.summary.refusals_by_executed, word) += 1;
+                let execution = format!("{executed:?}").to_lowercase();
+                *entry(&mut self.summary.refusals_by_executed, execution) += 1;
             }
             Outcome::FaultyRefusal { status, fault } => {
                 let name = format!("{status} {fault:?}");
@@ -203,7 +202,7 @@
         }
     }
 
-    fn count_answer(
+    fn count_response(
         &mut self,
         record: &HistoryRecord,
         verdict: AnswerVerdict,
@@ -239,7 +238,7 @@
         }
     }
 
-    /// The summary.
+    /// Returns the summary.
     pub fn finish(mut self) -> Summary {
         self.summary.first_token_cold = self.first_token_cold.quantiles();
         self.summary.first_token_warm = self.first_token_warm.quantiles();
--- a/crates/millpass-load/src/workload.rs
+++ b/crates/millpass-load/src/workload.rs
@@ -1,4 +1,4 @@
-//! What a trace looks like, as data; and the named traces.
+//! Trace parameters and the named traces.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,16 +6,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum RateShape {
-    /// The same rate all along.
+    /// Constant rate.
     Constant,
     /// A sine around the mean rate, starting at its lowest point.
     Diurnal {
-        /// Length of one day of the trace, in seconds.
+        /// Period, in seconds.
         period_seconds: f64,
-        /// Swing around the mean, 0 (none) to 1 (down to nothing).
+        /// Amplitude relative to the mean, 0 to 1.
         swing: f64,
     },
-    /// A quiet start, one peak, and a quiet end.
+    /// The steady rate with one triangular peak.
     Peak {
         /// Middle of the peak, in seconds from the start.
         at_seconds: f64,
@@ -26,13 +26,13 @@
     },
 }
 
-/// Requests for models that nobody asked for before, at all routers at once.
+/// Simultaneous requests at all routers for models that are not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When, in seconds from the start.
+    /// Start time, in seconds from the start of the trace.
     pub at_seconds: f64,
-    /// How many models, taken from the unpopular end.
+    /// Number of models; the least popular ones are used.
     pub models: usize,
     /// Requests for each of them at each router.
     pub requests_per_router: usize,
@@ -40,7 +40,7 @@
     pub spread_seconds: f64,
 }
 
-/// Relative weights of kinds of requests; they need not add up to anything.
+/// Relative weights of request kinds; need not sum to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindMix {
@@ -48,9 +48,9 @@
     pub completion: f64,
     /// Chat completions.
     pub chat: f64,
-    /// Web pages read.
+    /// Web page reads.
     pub web_read: f64,
-    /// Web requests that may not be repeated.
+    /// Non-idempotent web requests.
     pub web_write: f64,
 }
 
@@ -58,11 +58,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UrgencyMix {
-    /// Somebody waits.
+    /// Weight of interactive requests.
     pub interactive: f64,
-    /// Ordinary.
+    /// Weight of normal requests.
     pub normal: f64,
-    /// Can wait.
+    /// Weight of batch requests.
     pub batch: f64,
 }
 
@@ -78,7 +78,7 @@
     pub batch_millis: u64,
 }
 
-/// A trace, as data.
+/// Parameters of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
@@ -86,19 +86,19 @@
     pub name: String,
     /// Length in seconds.
     pub duration_seconds: f64,
-    /// Mean steady arrivals a second, over all routers.
+    /// Mean steady arrival rate over all routers.
     pub requests_per_second: f64,
     /// Change of the steady rate over the trace.
     pub shape: RateShape,
-    /// Bursts of cold models.
+    /// Bursts of requests for cold models.
     pub bursts: Vec<Burst>,
     /// Exponent of the Zipf law of model popularity; 0 is uniform.
     pub model_exponent: f64,
     /// Exponent of the Zipf law of tenants' activity.
     pub tenant_exponent: f64,
-    /// Kinds.
+    /// Weights of request kinds.
     pub kinds: KindMix,
-    /// Urgencies of model requests.
+    /// Weights of the urgencies of model requests.
     pub urgencies: UrgencyMix,
     /// Deadlines.
     pub deadlines: Deadlines,
@@ -106,21 +106,21 @@
     pub streamed_share: f64,
     /// Share of model requests with an adapter, 0 to 1.
     pub adapter_share: f64,
-    /// Share of non-repeatable requests that callers send once more with the same key, 0 to 1.
+    /// Share of non-idempotent requests sent twice with the same key, 0 to 1.
     pub repeat_share: f64,
-    /// Fewest tokens asked for.
+    /// Fewest tokens requested.
     pub minimum_tokens: u32,
-    /// Most tokens asked for.
+    /// Most tokens requested.
     pub maximum_tokens: u32,
     /// Words of the prompt.
     pub prompt_words: u32,
 }
 
-/// Names of the traces that [`Workload::named`] knows.
+/// Names accepted by [`Workload::named`].
 pub const NAMED_WORKLOADS: [&str; 2] = ["burst-peak", "uneven-batch"];
 
 impl Workload {
-    /// The named trace, stretched to this length; none if the name is not known.
+    /// Returns the named trace, scaled to this duration; `None` if the name is unknown.
     pub fn named(name: &str, duration_seconds: f64) -> Option<Self> {
         match name {
             "burst-peak" => Some(Self::burst_peak(duration_seconds)),
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Bursts of cold models at all routers at once, with one peak of web reads and with
-    /// publications that may not be repeated.
+    /// Returns a trace with bursts for cold models at all routers, one peak of the request rate
+    /// and non-idempotent web requests.
     pub fn burst_peak(duration_seconds: f64) -> Self {
         Workload {
             name: "burst-peak".to_owned(),
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Traffic that swings over the day, with people waiting for answers and batches that need not
-    /// hurry, and with charges that may not be repeated.
+    /// Returns a trace with a diurnal rate, interactive and batch requests, and non-idempotent
+    /// web requests.
     pub fn uneven_batch(duration_seconds: f64) -> Self {
         Workload {
             name: "uneven-batch".to_owned(),
