--- a/crates/millpass-experiment/src/lib.rs
+++ b/crates/millpass-experiment/src/lib.rs
@@ -1,8 +1,7 @@
 //! Compares keep-alive strategies over traces of several days, in virtual time.
 //!
-//! The scheduler, the replicated state, the engine model and the weight store model are those that
-//! the product and its stand-ins run. A trace is made from a seed; the same arguments give the same
-//! figures.
+//! Uses the production scheduler and replicated state, and the engine and weight store models of
+//! the stand-ins. Results are deterministic for equal arguments.
 
 pub mod catalog;
 pub mod curve;
@@ -11,9 +10,9 @@
 pub mod fleet;
 pub mod metrics;
 pub mod options;
+pub mod replica_pool;
 pub mod report;
 pub mod routers;
-pub mod seats;
 pub mod simulation;
 pub mod strategies;
 pub mod trace;
@@ -27,12 +26,12 @@
 use report::{Figures, markdown};
 use workload::Workload;
 
-/// Runs the command: prints the report, and writes it if a folder is given.
+/// Runs the experiment, prints the report, and writes it if an output folder is set.
 pub fn run(options: &Options) -> Result<()> {
     let deployment = Deployment::read(&options.deployment.join("deployment.toml"))?;
     let workload = Workload::of_deployment(&deployment.name).with_context(|| {
         let name = &deployment.name;
-        format!("deployment {name} has no workload; choose one named pnw or sicilia")
+        format!("no workload for deployment {name}; use the deployment pnw or sicilia")
     })?;
     let comparison = Comparison::run(
         deployment,
@@ -43,7 +42,7 @@
     );
     println!("{}", markdown(&Figures::new(&comparison)));
     if options.by_model {
-        print_models(&comparison);
+        print_model_counts(&comparison);
     }
     if let Some(folder) = &options.output {
         report::write(&comparison, folder)?;
@@ -51,7 +50,7 @@
     Ok(())
 }
 
-fn print_models(comparison: &Comparison) {
+fn print_model_counts(comparison: &Comparison) {
     let Some(stated) = comparison.stated() else {
         return;
     };
@@ -59,7 +58,7 @@
     for ((name, _), counts) in models.iter().zip(&stated.measurements.models) {
         println!(
             "model={name} requests={} cold={} cold_p99_seconds={:.1}",
-            counts.asked,
+            counts.requests,
             counts.cold,
             counts
                 .cold_start
--- a/crates/millpass-experiment/src/metrics.rs
+++ b/crates/millpass-experiment/src/metrics.rs
@@ -1,52 +1,49 @@
-//! What a run measures.
+//! Measurements of a run.
 //!
 //! A request is cold if no replica that could serve it was loaded when it arrived. Its cold-start
 //! time is the time from arrival until an engine begins to run it; that of a warm request is zero.
-//! A refused cold request counts with its whole patience, so that refusing cannot improve a
-//! percentile. Batches are kept apart: they can wait.
+//! A refused cold request counts with its whole timeout, so that refusals cannot improve a
+//! percentile. Batch requests are recorded separately.
 
 use crate::trace::TraceRequest;
 use hdrhistogram::Histogram;
 use millpass_proto::{Duration, Urgency};
 
-/// Longest time recorded, in milliseconds: a day.
+/// Upper bound of recorded times, in milliseconds: one day.
 const LONGEST_MILLIS: u64 = 86_400_000;
-/// Significant digits of histograms.
-const DIGITS: u8 = 3;
-/// Milliseconds in an hour.
+const SIGNIFICANT_DIGITS: u8 = 3;
 const HOUR_MILLIS: f64 = 3_600_000.0;
-/// Milliseconds in a second.
 const SECOND_MILLIS: f64 = 1_000.0;
 
-/// A histogram of times.
+/// Histogram of times.
 #[derive(Clone, Debug)]
 pub struct Times(Histogram<u64>);
 
 impl Default for Times {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_MILLIS, DIGITS);
+        let histogram = Histogram::new_with_bounds(1, LONGEST_MILLIS, SIGNIFICANT_DIGITS);
         Times(histogram.expect("the bounds are valid"))
     }
 }
 
 impl Times {
-    /// Adds a time.
+    /// Records a time.
     pub fn record(&mut self, time: Duration) {
         let millis = u64::try_from(time.as_millis()).unwrap_or(LONGEST_MILLIS);
         self.0.saturating_record(millis);
     }
 
-    /// Seconds that this share of the times do not exceed.
+    /// Returns the quantile `share` (0 to 1), in seconds.
     pub fn quantile_seconds(&self, share: f64) -> f64 {
         self.0.value_at_quantile(share) as f64 / SECOND_MILLIS
     }
 
-    /// Mean, in seconds.
+    /// Returns the mean, in seconds.
     pub fn mean_seconds(&self) -> f64 {
         self.0.mean() / SECOND_MILLIS
     }
 
-    /// Times recorded.
+    /// Returns the number of recorded times.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
@@ -56,12 +53,12 @@
     }
 }
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestEnd {
     /// No replica could serve it when it arrived.
     pub cold: bool,
-    /// Time until an engine began to run it; none if it was refused.
+    /// Time until an engine started it; `None` if it was refused.
     pub started_after: Option<Duration>,
 }
 
@@ -69,8 +66,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct TenantCounts {
     /// Requests that were served or refused.
-    pub asked: u64,
-    /// Served ones.
+    pub requests: u64,
+    /// Requests served.
     pub served: u64,
     /// Cold-start times.
     pub cold_start: Times,
@@ -79,9 +76,9 @@
 /// Counts of one model.
 #[derive(Clone, Debug, Default)]
 pub struct ModelCounts {
-    /// Requests.
-    pub asked: u64,
-    /// Cold ones.
+    /// Requests that were served or refused.
+    pub requests: u64,
+    /// Cold requests.
     pub cold: u64,
     /// Cold-start times.
     pub cold_start: Times,
@@ -90,31 +87,31 @@
 /// Everything measured in one or several runs of one strategy.
 #[derive(Clone, Debug)]
 pub struct Measurements {
-    /// Cold-start times of requests that are not of a batch.
+    /// Cold-start times of non-batch requests.
     pub cold_start: Times,
-    /// The same, of cold requests only.
+    /// Cold-start times of cold non-batch requests.
     pub cold_only: Times,
     /// Cold-start times of batch requests.
     pub batch_cold_start: Times,
-    /// Waits for whatever reason, of requests that are not of a batch.
+    /// Waiting times of non-batch requests, for any reason.
     pub wait: Times,
     /// Requests refused.
     pub refused: u64,
     /// Requests served or refused.
-    pub asked: u64,
-    /// Requests without an end when the run ended.
+    pub requests: u64,
+    /// Requests not finished at the end of the run.
     pub unfinished: u64,
     /// Accelerator time loaded, in milliseconds.
     pub loaded_millis: u64,
-    /// Accelerator time loaded and not running anything, in milliseconds.
+    /// Accelerator time loaded without running requests, in milliseconds.
     pub idle_millis: u64,
     /// Loads from the weight store.
     pub store_loads: u64,
-    /// Most loads at the store at once.
+    /// Most concurrent loads at the weight store.
     pub store_most_at_once: u64,
-    /// Loads of models, from any tier.
+    /// Model loads from any tier.
     pub model_loads: u64,
-    /// Breaches that the engines counted.
+    /// Violations counted by the engines.
     pub breaches: u64,
     /// Days measured.
     pub days: f64,
@@ -125,7 +122,7 @@
 }
 
 impl Measurements {
-    /// Nothing measured yet.
+    /// Creates empty measurements.
     pub fn new(tenants: usize, models: usize) -> Self {
         Measurements {
             cold_start: Times::default(),
@@ -133,7 +130,7 @@
             batch_cold_start: Times::default(),
             wait: Times::default(),
             refused: 0,
-            asked: 0,
+            requests: 0,
             unfinished: 0,
             loaded_millis: 0,
             idle_millis: 0,
@@ -147,15 +144,15 @@
         }
     }
 
-    /// Counts the end of a request.
+    /// Records the end of a request.
     pub fn record(&mut self, request: &TraceRequest, end: RequestEnd) {
-        let waited = end.started_after.unwrap_or(request.patience);
+        let waited = end.started_after.unwrap_or(request.timeout);
         let cold_start = if end.cold { waited } else { Duration::ZERO };
-        self.asked += 1;
+        self.requests += 1;
         let served = end.started_after.is_some();
         self.refused += u64::from(!served);
         let tenant = &mut self.tenants[request.tenant];
-        tenant.asked += 1;
+        tenant.requests += 1;
         tenant.served += u64::from(served);
         if request.urgency == Urgency::Batch {
             self.batch_cold_start.record(cold_start);
@@ -168,19 +165,19 @@
             self.cold_only.record(cold_start);
         }
         let model = &mut self.models[request.model];
-        model.asked += 1;
+        model.requests += 1;
         model.cold += u64::from(end.cold);
         model.cold_start.record(cold_start);
     }
 
-    /// Adds another run.
+    /// Adds the measurements of another run.
     pub fn add(&mut self, other: &Measurements) {
         self.cold_start.add(&other.cold_start);
         self.cold_only.add(&other.cold_only);
         self.batch_cold_start.add(&other.batch_cold_start);
         self.wait.add(&other.wait);
         self.refused += other.refused;
-        self.asked += other.asked;
+        self.requests += other.requests;
         self.unfinished += other.unfinished;
         self.loaded_millis += other.loaded_millis;
         self.idle_millis += other.idle_millis;
@@ -190,33 +187,32 @@
         self.breaches += other.breaches;
         self.days += other.days;
         for (own, other) in self.tenants.iter_mut().zip(&other.tenants) {
-            own.asked += other.asked;
+            own.requests += other.requests;
             own.served += other.served;
             own.cold_start.add(&other.cold_start);
         }
         for (own, other) in self.models.iter_mut().zip(&other.models) {
-            own.asked += other.asked;
+            own.requests += other.requests;
             own.cold += other.cold;
             own.cold_start.add(&other.cold_start);
         }
     }
 
-    /// Idle accelerator hours a day.
+    /// Returns the idle accelerator hours per day.
     pub fn idle_hours_a_day(&self) -> f64 {
         self.idle_millis as f64 / HOUR_MILLIS / self.days
     }
 
-    /// Jain's index of the share of each tenant's requests that were served: 1 is even, 1/n means
-    /// that one of n tenants got everything.
+    /// Returns Jain's fairness index of the served share of each tenant's requests.
     pub fn fairness(&self) -> f64 {
-        let active = self.tenants.iter().filter(|tenant| tenant.asked > 0);
+        let active = self.tenants.iter().filter(|tenant| tenant.requests > 0);
         let shares: Vec<f64> = active
-            .map(|tenant| tenant.served as f64 / tenant.asked as f64)
+            .map(|tenant| tenant.served as f64 / tenant.requests as f64)
             .collect();
         jain_index(&shares)
     }
 
-    /// Largest p99 cold-start time of any tenant, in seconds.
+    /// Returns the largest p99 cold-start time of any tenant, in seconds.
     pub fn worst_tenant_p99(&self) -> f64 {
         let tenants = self.tenants.iter();
         tenants
@@ -225,7 +221,8 @@
     }
 }
 
-/// Jain's fairness index of shares; 1 for none.
+/// Returns Jain's fairness index: 1 if all shares are equal or none is positive, 1/n if one of n
+/// is.
 pub fn jain_index(shares: &[f64]) -> f64 {
     let sum: f64 = shares.iter().sum();
     let squares: f64 = shares.iter().map(|share| share * share).sum();
--- a/crates/millpass-experiment/src/report/figures.rs
+++ b/crates/millpass-experiment/src/report/figures.rs
@@ -131,7 +131,7 @@
         family: result.strategy.family.label().to_owned(),
         parameter: result.strategy.parameter.clone(),
         stated: result.strategy.stated,
-        requests: measured.asked,
+        requests: measured.requests,
         cold_share: measured.cold_only.count() as f64 / measured.cold_start.count().max(1) as f64,
         cold_start: Quantiles::new(&measured.cold_start),
         cold_only: Quantiles::new(&measured.cold_only),
--- a/crates/millpass-experiment/src/routers.rs
+++ b/crates/millpass-experiment/src/routers.rs
@@ -1,7 +1,6 @@
-//! The routers, one a zone: waiting requests, and reports of demand.
+//! Model of the routers, one per zone: queues of waiting requests and reports of demand.
 //!
-//! Requests wait by urgency, then in order of arrival; fair shares are the routing core's matter
-//! and not part of this model.
+//! Requests are queued by urgency, then by arrival. Fair sharing between tenants is not modeled.
 
 use crate::catalog::Catalog;
 use crate::trace::TraceRequest;
@@ -11,18 +10,18 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A router reports at least this often.
-const HEARTBEAT: Duration = Duration::from_secs(5);
+/// Maximum interval between reports of a router.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A model, or a model with one of its adapters.
+/// Model and optional adapter, as catalog indices.
 pub type Target = (usize, Option<usize>);
-/// Place in a queue: more urgent first, then by number.
-type Place = (Urgency, usize);
+/// Position in a queue: by urgency, then by request number.
+type QueuePosition = (Urgency, usize);
 
 /// Demand of one target at one router.
 #[derive(Clone, Debug, Default)]
 struct RouterDemand {
-    waiting: BTreeSet<Place>,
+    waiting: BTreeSet<QueuePosition>,
     in_flight: u32,
     arrivals: u64,
 }
@@ -31,7 +30,7 @@
 struct Router {
     name: RouterName,
     sequence: u64,
-    reported: Option<Timestamp>,
+    last_report: Option<Timestamp>,
     changed: BTreeSet<Target>,
     demand: BTreeMap<Target, RouterDemand>,
 }
@@ -41,16 +40,16 @@
 pub struct Routers {
     routers: Vec<Router>,
     /// Waiting requests of all routers.
-    waiting: BTreeMap<Target, BTreeSet<Place>>,
+    waiting: BTreeMap<Target, BTreeSet<QueuePosition>>,
 }
 
 impl Routers {
-    /// One router in each zone.
+    /// Creates one router per zone.
     pub fn new(zones: usize) -> Self {
         let router = |zone| Router {
             name: RouterName(format!("router-{zone}")),
             sequence: 0,
-            reported: None,
+            last_report: None,
             changed: BTreeSet::new(),
             demand: BTreeMap::new(),
         };
@@ -60,75 +59,75 @@
         }
     }
 
-    /// Name of a zone's router.
+    /// Returns the name of a zone's router.
     pub fn name(&self, zone: usize) -> &RouterName {
         &self.routers[zone].name
     }
 
-    /// Counts an arrival.
-    pub fn arrived(&mut self, request: &TraceRequest) {
+    /// Records an arrival.
+    pub fn record_arrival(&mut self, request: &TraceRequest) {
         self.demand(request).arrivals += 1;
     }
 
-    /// Lets a request wait.
-    pub fn wait(&mut self, number: usize, request: &TraceRequest) {
-        let place = (request.urgency, number);
-        self.demand(request).waiting.insert(place);
+    /// Adds a request to its queue.
+    pub fn enqueue(&mut self, number: usize, request: &TraceRequest) {
+        let position = (request.urgency, number);
+        self.demand(request).waiting.insert(position);
         let queue = self.waiting.entry(target(request)).or_default();
-        queue.insert(place);
+        queue.insert(position);
     }
 
-    /// A waiting request waits no longer.
-    pub fn stop_waiting(&mut self, number: usize, request: &TraceRequest) {
-        let place = (request.urgency, number);
-        self.demand(request).waiting.remove(&place);
+    /// Removes a request from its queue.
+    pub fn dequeue(&mut self, number: usize, request: &TraceRequest) {
+        let position = (request.urgency, number);
+        self.demand(request).waiting.remove(&position);
         let target = target(request);
         if let Some(queue) = self.waiting.get_mut(&target) {
-            queue.remove(&place);
+            queue.remove(&position);
             if queue.is_empty() {
                 self.waiting.remove(&target);
             }
         }
     }
 
-    /// A request went to an engine.
-    pub fn dispatched(&mut self, request: &TraceRequest) {
+    /// Records that a request was sent to an engine.
+    pub fn record_dispatch(&mut self, request: &TraceRequest) {
         self.demand(request).in_flight += 1;
     }
 
-    /// A request came back from an engine.
-    pub fn ended(&mut self, request: &TraceRequest) {
+    /// Records that a request ended at an engine.
+    pub fn record_end(&mut self, request: &TraceRequest) {
         self.demand(request).in_flight -= 1;
     }
 
-    /// Whether anything waits.
+    /// Returns whether any request waits.
     pub fn any_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Targets that requests wait for.
+    /// Returns the targets with waiting requests.
     pub fn waiting_targets(&self) -> Vec<Target> {
         self.waiting.keys().copied().collect()
     }
 
-    /// Whether requests wait for a target.
-    pub fn waits(&self, target: Target) -> bool {
+    /// Returns whether requests wait for a target.
+    pub fn has_waiting(&self, target: Target) -> bool {
         self.waiting.contains_key(&target)
     }
 
-    /// The next request of a target.
+    /// Returns the next waiting request of a target.
     pub fn first_waiting(&self, target: Target) -> Option<usize> {
         let queue = self.waiting.get(&target)?;
         queue.first().map(|(_, number)| *number)
     }
 
-    /// All requests that wait for a target.
+    /// Returns all waiting requests of a target.
     pub fn all_waiting(&self, target: Target) -> Vec<usize> {
         let queue = self.waiting.get(&target).into_iter().flatten();
         queue.map(|(_, number)| *number).collect()
     }
 
-    /// Reports of the routers whose demand changed, or that are due for a heartbeat.
+    /// Returns the reports of routers whose demand changed or whose heartbeat is due.
     pub fn reports(
         &mut self,
         now: Timestamp,
@@ -137,13 +136,13 @@
     ) -> Vec<(RouterName, RouterReport)> {
         let mut reports = Vec::new();
         for router in &mut self.routers {
-            let silent = router
-                .reported
-                .is_none_or(|last| now.since(last) >= HEARTBEAT);
-            if !silent && router.changed.is_empty() {
+            let heartbeat_due = router
+                .last_report
+                .is_none_or(|last| now.since(last) >= HEARTBEAT_INTERVAL);
+            if !heartbeat_due && router.changed.is_empty() {
                 continue;
             }
-            router.reported = Some(now);
+            router.last_report = Some(now);
             reports.push((router.name.clone(), router.report(now, catalog, trace)));
         }
         reports
@@ -158,7 +157,7 @@
 }
 
 impl Router {
-    /// Everything that waits, runs or newly arrived.
+    /// Reports targets with waiting, running or newly arrived requests.
     fn report(
         &mut self,
         now: Timestamp,
@@ -167,35 +166,36 @@
     ) -> RouterReport {
         self.sequence += 1;
         let changed = std::mem::take(&mut self.changed);
-        let lines = self.demand.iter().filter(|(target, demand)| {
+        let entries = self.demand.iter().filter(|(target, demand)| {
             let active = demand.in_flight > 0 || !demand.waiting.is_empty();
             active || changed.contains(target)
         });
-        let lines = lines.map(|(target, demand)| line(now, *target, demand, catalog, trace));
+        let entries =
+            entries.map(|(target, demand)| model_demand(now, *target, demand, catalog, trace));
         RouterReport {
             sequence: self.sequence,
             configuration: ConfigurationRevision(0),
             placement: PlacementRevision(0),
-            demand: lines.collect(),
+            demand: entries.collect(),
             observations: Vec::new(),
             draining: false,
         }
     }
 }
 
-/// The target of a request.
+/// Returns the target of a request.
 pub fn target(request: &TraceRequest) -> Target {
     (request.model, request.adapter)
 }
 
-/// Name of a target's adapter.
+/// Returns the name of a target's adapter.
 pub fn adapter_name(catalog: &Catalog, target: Target) -> Option<&AdapterName> {
     target
         .1
         .map(|adapter| &catalog.models[target.0].adapters[adapter])
 }
 
-fn line(
+fn model_demand(
     now: Timestamp,
     target: Target,
     demand: &RouterDemand,
--- a/crates/millpass-experiment/src/simulation.rs
+++ b/crates/millpass-experiment/src/simulation.rs
@@ -1,11 +1,11 @@
-//! One run: the trace goes through routers, scheduler, state, engines and store in virtual time.
+//! Simulates one trace with routers, scheduler, state, engines and weight store in virtual time.
 
 use crate::catalog::{Catalog, position};
 use crate::deployment::Deployment;
 use crate::fleet::Fleet;
 use crate::metrics::{Measurements, RequestEnd};
+use crate::replica_pool::{LoadedReplica, ReplicaPool};
 use crate::routers::{Routers, Target, adapter_name, target};
-use crate::seats::{Seat, Seats};
 use crate::trace::Trace;
 use millpass_proto::{BackendName, Command, Duration, Incarnation, LogPosition, SlotId, Timestamp};
 use millpass_scheduler::{Scheduler, SchedulerSettings};
@@ -13,29 +13,29 @@
 use millpass_state::State;
 use std::collections::BTreeMap;
 
-/// Time between rounds while requests wait or orders are under way.
-const BUSY_ROUND: Duration = Duration::from_millis(250);
-/// Time between rounds while requests only run. The control process decides more often; with
-/// nothing under way its further rounds would decide the same.
-const RUNNING_ROUND: Duration = Duration::from_secs(4);
-/// Time between rounds with no request anywhere; within the silence that a leader bears.
-const QUIET_ROUND: Duration = Duration::from_secs(5);
-/// Time from the first request that waits until the leader decides on it.
-const HURRIED_REPORT: Duration = Duration::from_millis(10);
-/// How long a model must be unplaceable before its requests are refused, as at a router.
+/// Interval between rounds while requests wait or orders are outstanding.
+const BUSY_ROUND_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between rounds while requests only run. Longer than in the control process, whose
+/// additional rounds would not change the decisions.
+const RUNNING_ROUND_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval between rounds without any request; shorter than the scheduler's contact timeout.
+const IDLE_ROUND_INTERVAL: Duration = Duration::from_secs(5);
+/// Delay from the first waiting request of a target until the next round.
+const NEW_DEMAND_DELAY: Duration = Duration::from_millis(10);
+/// Time a model must be unplaceable before its requests are refused, as in a router.
 const UNPLACEABLE_GRACE: Duration = Duration::from_millis(500);
-/// The run of every router.
-const ROUTER_RUN: Incarnation = Incarnation(1);
+/// Incarnation of every router.
+const ROUTER_INCARNATION: Incarnation = Incarnation(1);
 
-/// A request on its way.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, Default)]
 struct Progress {
     cold: bool,
     slot: Option<SlotId>,
-    counted: bool,
+    recorded: bool,
 }
 
-/// Counters of engines and store when measurement began.
+/// Counters of engines and weight store at the start of the measurement.
 #[derive(Clone, Copy, Debug, Default)]
 struct Baseline {
     loaded_millis: u64,
@@ -44,7 +44,7 @@
     store_loads: u64,
 }
 
-/// One run.
+/// Simulation of one trace with one strategy.
 pub struct Simulation<'a> {
     catalog: &'a Catalog,
     trace: &'a Trace,
@@ -53,9 +53,9 @@
     scheduler: Scheduler,
     fleet: Fleet,
     routers: Routers,
-    seats: Seats,
-    /// Commands applied when the seats were read.
-    seats_of: u64,
+    replica_pool: ReplicaPool,
+    /// Number of applied commands when the replica pool was last refreshed.
+    refreshed_at_command: u64,
     progress: Vec<Progress>,
     delivered: BTreeMap<BackendName, LogPosition>,
     unplaceable_since: BTreeMap<usize, Timestamp>,
@@ -65,7 +65,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// Sets a run up.
+    /// Creates a simulation with the catalog applied to an empty state.
     pub fn new(
         deployment: &Deployment,
         catalog: &'a Catalog,
@@ -85,8 +85,8 @@
             scheduler,
             fleet: Fleet::new(deployment, catalog),
             routers,
-            seats: Seats::default(),
-            seats_of: 0,
+            replica_pool: ReplicaPool::default(),
+            refreshed_at_command: 0,
             progress: vec![Progress::default(); trace.requests.len()],
             delivered: BTreeMap::new(),
             unplaceable_since: BTreeMap::new(),
@@ -100,7 +100,7 @@
         simulation
     }
 
-    /// Runs the trace to its end.
+    /// Runs the trace to its end and returns the measurements.
     pub fn run(mut self) -> Measurements {
         let mut next = 0;
         loop {
@@ -111,7 +111,7 @@
                 return self.finish();
             }
             if self.baseline.is_none() && now >= self.trace.measured_from {
-                self.baseline = Some(self.counted(self.trace.measured_from));
+                self.baseline = Some(self.read_counters(self.trace.measured_from));
             }
             self.advance_fleet(now);
             while self
@@ -120,11 +120,11 @@
                 .get(next)
                 .is_some_and(|one| one.at <= now)
             {
-                self.arrive(now, next);
+                self.on_arrival(now, next);
                 next += 1;
             }
             if self.next_round <= now {
-                self.round(now);
+                self.run_round(now);
             }
             self.advance_fleet(now);
         }
@@ -135,112 +135,112 @@
         self.state.apply(position(self.commands), command);
     }
 
-    fn arrive(&mut self, now: Timestamp, number: usize) {
+    fn on_arrival(&mut self, now: Timestamp, number: usize) {
         let request = &self.trace.requests[number];
         let target = target(request);
-        self.routers.arrived(request);
-        self.progress[number].cold = !self.seats.serves(target);
-        let first = !self.routers.waits(target);
-        self.routers.wait(number, request);
+        self.routers.record_arrival(request);
+        self.progress[number].cold = !self.replica_pool.serves(target);
+        let first = !self.routers.has_waiting(target);
+        self.routers.enqueue(number, request);
         self.dispatch(now, target);
-        let hurried = first && self.routers.waits(target);
-        let pause = if hurried {
-            HURRIED_REPORT
+        let is_new_demand = first && self.routers.has_waiting(target);
+        let interval = if is_new_demand {
+            NEW_DEMAND_DELAY
         } else {
-            RUNNING_ROUND
+            RUNNING_ROUND_INTERVAL
         };
-        self.next_round = self.next_round.min(now + pause);
+        self.next_round = self.next_round.min(now + interval);
     }
 
-    /// Sends as many waiting requests of a target to engines as have room.
+    /// Sends waiting requests of a target to engines until no replica has a free slot.
     fn dispatch(&mut self, now: Timestamp, target: Target) {
         let concurrency = self.catalog.models[target.0].concurrency;
         while let Some(number) = self.routers.first_waiting(target) {
-            let Some(seat) = self.seats.take(target, concurrency) else {
+            let Some(replica) = self.replica_pool.acquire(target, concurrency) else {
                 return;
             };
-            self.submit(now, number, seat);
+            self.submit(now, number, replica);
         }
     }
 
-    fn submit(&mut self, now: Timestamp, number: usize, seat: Seat) {
+    fn submit(&mut self, now: Timestamp, number: usize, replica: LoadedReplica) {
         let request = &self.trace.requests[number];
-        self.routers.stop_waiting(number, request);
-        self.routers.dispatched(request);
-        self.progress[number].slot = Some(seat.slot);
+        self.routers.dequeue(number, request);
+        self.routers.record_dispatch(request);
+        self.progress[number].slot = Some(replica.slot);
         let submission = EngineRequest {
             handle: RequestHandle(number as u64),
             request_id: number.to_string(),
             tenant: format!("tenant-{}", request.tenant).into(),
-            slot: seat.slot,
+            slot: replica.slot,
             incarnation: None,
             adapter: adapter_name(self.catalog, target(request)).cloned(),
             urgency: request.urgency,
             prompt_tokens: request.prompt_tokens,
             prefix_blocks: Vec::new(),
-            maximum_tokens: request.answer_tokens,
+            maximum_tokens: request.completion_tokens,
             resume_from: 0,
             deadline: None,
             idempotency_key: None,
         };
-        self.fleet.submit(now, seat.engine, submission);
+        self.fleet.submit(now, replica.engine, submission);
     }
 
-    /// Lets engines and store do what is due, and takes what became of requests.
+    /// Advances engines and weight store to `now` and handles their outputs.
     fn advance_fleet(&mut self, now: Timestamp) {
         loop {
             let outputs = self.fleet.advance(now);
             if outputs.is_empty() {
                 return;
             }
-            self.take_outputs(now, outputs);
+            self.handle_outputs(now, outputs);
         }
     }
 
-    fn take_outputs(&mut self, now: Timestamp, outputs: Vec<EngineOutput>) {
+    fn handle_outputs(&mut self, now: Timestamp, outputs: Vec<EngineOutput>) {
         for output in outputs {
             match output {
-                EngineOutput::Started(handle) => self.started(now, handle.0 as usize),
-                EngineOutput::Finished(handle, _) => self.left(now, handle.0 as usize),
-                EngineOutput::Refused(handle, _) => self.sent_back(now, handle.0 as usize),
+                EngineOutput::Started(handle) => self.on_started(now, handle.0 as usize),
+                EngineOutput::Finished(handle, _) => self.on_finished(now, handle.0 as usize),
+                EngineOutput::Refused(handle, _) => self.on_refused(now, handle.0 as usize),
                 _ => {}
             }
         }
     }
 
-    fn started(&mut self, now: Timestamp, number: usize) {
+    fn on_started(&mut self, now: Timestamp, number: usize) {
         let waited = now.since(self.trace.requests[number].at);
-        self.count(number, Some(waited));
+        self.record_end(number, Some(waited));
     }
 
-    fn left(&mut self, now: Timestamp, number: usize) {
+    fn on_finished(&mut self, now: Timestamp, number: usize) {
         let request = &self.trace.requests[number];
-        self.give_back(number);
-        for adapter in self.seats.targets_of(request.model) {
+        self.release_replica(number);
+        for adapter in self.replica_pool.servable_adapters(request.model) {
             self.dispatch(now, (request.model, adapter));
         }
     }
 
-    fn give_back(&mut self, number: usize) {
-        self.routers.ended(&self.trace.requests[number]);
+    fn release_replica(&mut self, number: usize) {
+        self.routers.record_end(&self.trace.requests[number]);
         if let Some(slot) = self.progress[number].slot.take() {
-            self.seats.give_back(slot);
+            self.replica_pool.release(slot);
         }
     }
 
-    /// An engine that unloads refused the request: it waits for the next round.
-    fn sent_back(&mut self, now: Timestamp, number: usize) {
+    /// Requeues a request that an unloading engine refused.
+    fn on_refused(&mut self, now: Timestamp, number: usize) {
         let request = &self.trace.requests[number];
         self.progress[number].cold = true;
-        self.routers.wait(number, request);
-        self.give_back(number);
-        self.next_round = self.next_round.min(now + HURRIED_REPORT);
+        self.routers.enqueue(number, request);
+        self.release_replica(number);
+        self.next_round = self.next_round.min(now + NEW_DEMAND_DELAY);
     }
 
-    fn count(&mut self, number: usize, started_after: Option<Duration>) {
+    fn record_end(&mut self, number: usize, started_after: Option<Duration>) {
         let request = &self.trace.requests[number];
         let progress = &mut self.progress[number];
-        progress.counted = true;
+        progress.recorded = true;
         if request.at >= self.trace.measured_from {
             let end = RequestEnd {
                 cold: progress.cold,
@@ -250,8 +250,8 @@
         }
     }
 
-    /// One scheduling round with what comes before and after it at the control process.
-    fn round(&mut self, now: Timestamp) {
+    /// Runs one scheduling round: reports, decisions, delivery of orders and dispatch.
+    fn run_round(&mut self, now: Timestamp) {
         let trace = &self.trace.requests;
         for report in self.fleet.read_reports(now) {
             self.scheduler.observe_engine(now, &report);
@@ -261,38 +261,38 @@
         }
         for (router, report) in self.routers.reports(now, self.catalog, trace) {
             self.scheduler
-                .observe_router(now, &router, ROUTER_RUN, &report);
+                .observe_router(now, &router, ROUTER_INCARNATION, &report);
         }
         for command in self.scheduler.decide(now, &self.state) {
             self.apply(&command);
         }
-        if self.seats_of != self.commands {
-            self.seats_of = self.commands;
-            self.seats.refresh(&self.state, self.catalog);
+        if self.refreshed_at_command != self.commands {
+            self.refreshed_at_command = self.commands;
+            self.replica_pool.refresh(&self.state, self.catalog);
         }
         self.deliver_orders(now);
         for target in self.routers.waiting_targets() {
             self.dispatch(now, target);
         }
-        self.refuse_hopeless(now);
+        self.refuse_unservable(now);
         let busy = self.routers.any_waiting() || self.state.outstanding_order_count() > 0;
-        let pause = match (busy, self.seats.any_in_flight()) {
-            (true, _) => BUSY_ROUND,
-            (false, true) => RUNNING_ROUND,
-            (false, false) => QUIET_ROUND,
+        let interval = match (busy, self.replica_pool.any_in_flight()) {
+            (true, _) => BUSY_ROUND_INTERVAL,
+            (false, true) => RUNNING_ROUND_INTERVAL,
+            (false, false) => IDLE_ROUND_INTERVAL,
         };
-        self.next_round = now + pause;
+        self.next_round = now + interval;
     }
 
-    /// Delivers the next order of each engine, once.
+    /// Delivers the next order of each engine once.
     fn deliver_orders(&mut self, now: Timestamp) {
         let engines: Vec<BackendName> = self.state.engines_with_orders().cloned().collect();
         for backend in engines {
             let Some(order) = self.state.next_order(&backend) else {
                 continue;
             };
-            let known = self.delivered.insert(backend.clone(), order.fence);
-            if known == Some(order.fence) {
+            let delivered = self.delivered.insert(backend.clone(), order.fence);
+            if delivered == Some(order.fence) {
                 continue;
             }
             if let Some(engine) = self.catalog.engine_number(&backend) {
@@ -301,27 +301,27 @@
         }
     }
 
-    /// Refuses what cannot be met in time by the leader's outlook, as routers do.
-    fn refuse_hopeless(&mut self, now: Timestamp) {
+    /// Refuses requests that the leader's ready estimate places after their deadline, as routers do.
+    fn refuse_unservable(&mut self, now: Timestamp) {
         let targets = self.routers.waiting_targets();
-        let waits = |model: &usize| targets.iter().any(|target| target.0 == *model);
-        self.unplaceable_since.retain(|model, _| waits(model));
+        let has_waiting = |model: &usize| targets.iter().any(|target| target.0 == *model);
+        self.unplaceable_since.retain(|model, _| has_waiting(model));
         for target in targets {
             let model = &self.catalog.models[target.0].name;
-            let outlook = self.scheduler.ready_estimate(now, &self.state, model);
-            let ready = now + Duration::from_millis(outlook.ready_in_millis);
-            let given_up = self.given_up(now, target.0, outlook.placeable);
+            let estimate = self.scheduler.ready_estimate(now, &self.state, model);
+            let ready = now + Duration::from_millis(estimate.ready_in_millis);
+            let unplaceable = self.is_unplaceable(now, target.0, estimate.placeable);
             for number in self.routers.all_waiting(target) {
                 let request = &self.trace.requests[number];
-                if given_up || request.at + request.patience < ready {
-                    self.routers.stop_waiting(number, request);
-                    self.count(number, None);
+                if unplaceable || request.at + request.timeout < ready {
+                    self.routers.dequeue(number, request);
+                    self.record_end(number, None);
                 }
             }
         }
     }
 
-    fn given_up(&mut self, now: Timestamp, model: usize, placeable: bool) -> bool {
+    fn is_unplaceable(&mut self, now: Timestamp, model: usize, placeable: bool) -> bool {
         if placeable {
             self.unplaceable_since.remove(&model);
             return false;
@@ -330,7 +330,7 @@
         now.since(since) >= UNPLACEABLE_GRACE
     }
 
-    fn counted(&self, now: Timestamp) -> Baseline {
+    fn read_counters(&self, now: Timestamp) -> Baseline {
         let mut sums = Baseline {
             store_loads: self.fleet.store_audit().started,
             ..Baseline::default()
@@ -345,7 +345,7 @@
 
     fn finish(mut self) -> Measurements {
         let before = self.baseline.unwrap_or_default();
-        let after = self.counted(self.trace.end);
+        let after = self.read_counters(self.trace.end);
         let measured = &mut self.measurements;
         measured.loaded_millis = after.loaded_millis - before.loaded_millis;
         measured.idle_millis = after.idle_millis - before.idle_millis;
@@ -358,10 +358,10 @@
             .iter()
             .map(|audit| audit.memory_overcommits + audit.repeated_requests.len() as u64)
             .sum();
-        let uncounted = self.progress.iter().zip(&self.trace.requests);
+        let requests = self.progress.iter().zip(&self.trace.requests);
         let measured_from = self.trace.measured_from;
-        measured.unfinished = uncounted
-            .filter(|(progress, request)| !progress.counted && request.at >= measured_from)
+        measured.unfinished = requests
+            .filter(|(progress, request)| !progress.recorded && request.at >= measured_from)
             .count() as u64;
         self.measurements
     }
--- a/crates/millpass-experiment/src/trace.rs
+++ b/crates/millpass-experiment/src/trace.rs
@@ -1,43 +1,43 @@
-//! Traces: what is asked for, and when.
+//! Request traces.
 
 use millpass_proto::{Duration, Timestamp, Urgency};
 
-/// One request. Models, adapters, tenants and zones are numbers of the catalog.
+/// One request. Models, adapters, tenants and zones are catalog indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceRequest {
-    /// When it arrives.
+    /// Arrival time.
     pub at: Timestamp,
     /// Tenant.
     pub tenant: usize,
-    /// Model, the most popular first.
+    /// Model; 0 is the most popular.
     pub model: usize,
-    /// Adapter, among those of the model.
+    /// Adapter, as an index into those of the model.
     pub adapter: Option<usize>,
-    /// Zone whose router it reaches.
+    /// Zone of the router that receives the request.
     pub zone: usize,
     /// Urgency.
     pub urgency: Urgency,
     /// Time from arrival to deadline.
-    pub patience: Duration,
-    /// Length of the prompt.
+    pub timeout: Duration,
+    /// Prompt length.
     pub prompt_tokens: u32,
-    /// Length of the answer.
-    pub answer_tokens: u32,
+    /// Completion length.
+    pub completion_tokens: u32,
 }
 
 /// A whole trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
-    /// Requests by time.
+    /// Requests in order of arrival.
     pub requests: Vec<TraceRequest>,
-    /// Measurement begins here; what comes before only teaches the scheduler.
+    /// Start of the measurement; earlier requests only warm up the scheduler.
     pub measured_from: Timestamp,
-    /// The run ends here.
+    /// End of the run.
     pub end: Timestamp,
 }
 
 impl Trace {
-    /// Days that are measured.
+    /// Returns the number of measured days.
     pub fn measured_days(&self) -> f64 {
         self.end.since(self.measured_from).as_secs_f64() / crate::workload::DAY_SECONDS
     }
--- a/crates/millpass-experiment/src/workload/generator.rs
+++ b/crates/millpass-experiment/src/workload/generator.rs
@@ -1,4 +1,4 @@
-//! Sessions, and the random draws they are made of.
+//! Generates the sessions of a trace from a seed.
 
 use super::{DAY_SECONDS, WARM_UP_DAYS};
 use crate::trace::{Trace, TraceRequest};
@@ -14,7 +14,7 @@
 /// Share of sessions with an adapter.
 const ADAPTER_SHARE: f64 = 0.4;
 
-/// Who asks, and what there is to ask for.
+/// Sizes of the population that a trace draws from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Population {
     /// Models.
@@ -27,7 +27,7 @@
     pub zones: usize,
 }
 
-/// How a session goes.
+/// Parameters of a session.
 #[derive(Clone, Debug)]
 pub struct SessionShape {
     /// Requests of the opening burst.
@@ -38,8 +38,8 @@
     pub think_seconds: f64,
     /// Urgency.
     pub urgency: Urgency,
-    /// Patience, in seconds.
-    pub patience_seconds: u64,
+    /// Request timeout, in seconds.
+    pub timeout_seconds: u64,
 }
 
 /// Collects the requests of a trace.
@@ -52,7 +52,7 @@
 }
 
 impl Generator {
-    /// A generator for this many days.
+    /// Creates a generator for this many days.
     pub fn new(population: Population, days: usize, seed: u64) -> Self {
         Generator {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -63,44 +63,44 @@
         }
     }
 
-    /// Number of models.
+    /// Returns the number of models.
     pub fn models(&self) -> usize {
         self.population.models
     }
 
-    /// Number of tenants.
+    /// Returns the number of tenants.
     pub fn tenants(&self) -> usize {
         self.population.tenants
     }
 
-    /// A number from `low` to `high`, evenly.
+    /// Draws a uniform number from `low` to `high`.
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.random.random::<f64>()
     }
 
-    /// A whole number of the range, evenly.
+    /// Draws a uniform integer from the range.
     pub fn count(&mut self, range: RangeInclusive<usize>) -> usize {
         self.random.random_range(range)
     }
 
-    /// An exponentially distributed time.
+    /// Draws an exponentially distributed value.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         let uniform: f64 = self.random.random();
         -(1.0 - uniform).ln() * mean
     }
 
-    /// Draws from a Zipf law.
+    /// Draws from a Zipf distribution.
     pub fn zipf(&mut self, zipf: &Zipf) -> usize {
         zipf.draw(&mut self.random)
     }
 
-    /// Start times of a Poisson process of so many events a day, thinned by `factor` (0 to 1) of
-    /// the time of day in hours.
-    pub fn poisson(&mut self, most_a_day: f64, factor: impl Fn(f64) -> f64) -> Vec<f64> {
+    /// Returns the event times of a Poisson process, in seconds, with the rate
+    /// `peak_per_day * factor(hour)`; `factor` must be within 0 and 1.
+    pub fn poisson(&mut self, peak_per_day: f64, factor: impl Fn(f64) -> f64) -> Vec<f64> {
         let mut times = Vec::new();
         let mut seconds = 0.0;
         loop {
-            seconds += self.exponential(DAY_SECONDS / most_a_day);
+            seconds += self.exponential(DAY_SECONDS / peak_per_day);
             if seconds >= self.end_seconds {
                 return times;
             }
@@ -120,16 +120,16 @@
             let at = start + self.between(0.0, OPENING_SPREAD_SECONDS);
             self.request(at, tenant, model, adapter, shape);
         }
-        // A geometric number of follow-ups, by its mean.
-        let goes_on = shape.follow_ups / (1.0 + shape.follow_ups);
+        // The number of follow-ups is geometrically distributed.
+        let follow_up_probability = shape.follow_ups / (1.0 + shape.follow_ups);
         let mut at = start;
-        while self.between(0.0, 1.0) < goes_on {
+        while self.between(0.0, 1.0) < follow_up_probability {
             at += self.exponential(shape.think_seconds);
             self.request(at, tenant, model, adapter, shape);
         }
     }
 
-    /// Adds a batch of one tenant: many requests within a short time.
+    /// Adds a batch of one tenant.
     pub fn batch(&mut self, start: f64, tenant: usize, model: usize, shape: &SessionShape) {
         let adapter = self.adapter(model);
         for _ in 0..self.count(shape.opening.clone()) {
@@ -140,8 +140,8 @@
 
     fn adapter(&mut self, model: usize) -> Option<usize> {
         let adapters = self.population.adapters[model];
-        let wanted = adapters > 0 && self.random.random_bool(ADAPTER_SHARE);
-        wanted.then(|| self.random.random_range(0..adapters))
+        let with_adapter = adapters > 0 && self.random.random_bool(ADAPTER_SHARE);
+        with_adapter.then(|| self.random.random_range(0..adapters))
     }
 
     fn request(
@@ -163,13 +163,13 @@
             adapter,
             zone,
             urgency: shape.urgency,
-            patience: Duration::from_secs(shape.patience_seconds),
+            timeout: Duration::from_secs(shape.timeout_seconds),
             prompt_tokens: self.random.random_range(50..=600),
-            answer_tokens: self.random.random_range(40..=300),
+            completion_tokens: self.random.random_range(40..=300),
         });
     }
 
-    /// The trace, ordered by time.
+    /// Returns the trace, ordered by arrival.
     pub fn finish(mut self) -> Trace {
         self.requests.sort_by_key(|request| request.at);
         Trace {
@@ -184,14 +184,14 @@
     Timestamp::from_micros((day as f64 * DAY_SECONDS * 1e6) as u64)
 }
 
-/// Zipf's law over numbers from 0, the most likely first.
+/// Zipf distribution over indices from 0, the most likely first.
 #[derive(Clone, Debug)]
 pub struct Zipf {
     sums: Vec<f64>,
 }
 
 impl Zipf {
-    /// A law over `count` numbers.
+    /// Creates a distribution over `count` indices.
     pub fn new(count: usize, exponent: f64) -> Self {
         let mut sum = 0.0;
         let sums = (1..=count.max(1)).map(|rank| {
--- a/crates/millpass-experiment/src/workload/mod.rs
+++ b/crates/millpass-experiment/src/workload/mod.rs
@@ -1,8 +1,7 @@
-//! Seeded generators of the two users' workloads.
+//! Seeded generators of the example deployments' workloads.
 //!
-//! Requests come in sessions: an opening burst at several routers, then follow-ups with time to
-//! think between them. The rates are invented; what they must show is stated by the users: most
-//! models sit idle most of the time, and first requests come in bursts when a model is cold.
+//! Requests come in sessions: an opening burst at several routers, then follow-ups separated by
+//! think times. Most models are idle most of the time and receive bursts when cold.
 
 mod generator;
 mod pnw;
@@ -17,17 +16,17 @@
 /// Days before measurement begins.
 pub const WARM_UP_DAYS: usize = 1;
 
-/// The two workloads.
+/// Workload of an example deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Workload {
-    /// Cascade's: bursts of cold models, jobs at regular times, an election night.
+    /// Cascade: bursts of cold models, jobs at regular times, an election night.
     Pnw,
-    /// Trinacria's: counter hours, chats, batches over night.
+    /// Trinacria: counter hours, chats, nightly batches.
     Sicilia,
 }
 
 impl Workload {
-    /// The workload of a deployment; none if it has no generator.
+    /// Returns the workload of a deployment; `None` if it has no generator.
     pub fn of_deployment(name: &str) -> Option<Self> {
         match name {
             "pnw" => Some(Workload::Pnw),
@@ -36,7 +35,7 @@
         }
     }
 
-    /// Makes a trace; the same arguments make the same trace.
+    /// Generates a trace; deterministic for equal arguments.
     pub fn trace(self, population: Population, measured_days: usize, seed: u64) -> Trace {
         let days = WARM_UP_DAYS + measured_days;
         match self {
--- a/crates/millpass-experiment/src/workload/pnw.rs
+++ b/crates/millpass-experiment/src/workload/pnw.rs
@@ -1,52 +1,52 @@
-//! Cascade: sessions over the day, jobs at regular times, and on the last day an election night.
+//! Cascade: sessions over the day, periodic jobs, and an election night on the last day.
 
 use super::DAY_SECONDS;
 use super::generator::{Generator, Population, SessionShape, Zipf};
 use crate::trace::Trace;
 use millpass_proto::Urgency;
 
-/// Sessions a day at the busiest hour's rate.
+/// Sessions per day at the peak rate.
 const SESSIONS_A_DAY: f64 = 800.0;
 /// Exponent of the Zipf law of model popularity.
 const MODEL_EXPONENT: f64 = 1.0;
-/// Every model whose number divides by this has a job at regular times.
+/// Every model whose index is a multiple of this has a periodic job.
 const JOB_EVERY: usize = 3;
 /// Periods of those jobs, in seconds.
 const JOB_PERIODS: [f64; 3] = [1_800.0, 3_600.0, 7_200.0];
 /// Jitter of a job around its time, as a share of its period.
 const JOB_JITTER: f64 = 0.02;
-/// When polls close, in seconds of the day.
-const POLLS_CLOSE: f64 = 20.0 * 3_600.0;
-/// When the election night ends, in seconds of the day.
-const NIGHT_ENDS: f64 = 23.5 * 3_600.0;
+/// Time of day at which polls close, in seconds.
+const POLLS_CLOSE_SECONDS: f64 = 20.0 * 3_600.0;
+/// Time of day at which the election night ends, in seconds.
+const NIGHT_END_SECONDS: f64 = 23.5 * 3_600.0;
 /// Time over which the first returns of all counties arrive, in seconds.
 const FIRST_RETURNS_SECONDS: f64 = 300.0;
-/// Time between returns of one county, in seconds.
-const RETURNS_PAUSE: (f64, f64) = (900.0, 2_400.0);
+/// Range of the time between returns of one county, in seconds.
+const RETURNS_INTERVAL_SECONDS: (f64, f64) = (900.0, 2_400.0);
 
 const SESSION: SessionShape = SessionShape {
     opening: 2..=6,
     follow_ups: 6.0,
     think_seconds: 45.0,
     urgency: Urgency::Normal,
-    patience_seconds: 120,
+    timeout_seconds: 120,
 };
 const JOB: SessionShape = SessionShape {
     opening: 3..=5,
     follow_ups: 2.0,
     think_seconds: 10.0,
     urgency: Urgency::Normal,
-    patience_seconds: 120,
+    timeout_seconds: 120,
 };
 const RETURNS: SessionShape = SessionShape {
     opening: 4..=10,
     follow_ups: 8.0,
     think_seconds: 20.0,
     urgency: Urgency::Interactive,
-    patience_seconds: 60,
+    timeout_seconds: 60,
 };
 
-/// The trace.
+/// Generates the trace.
 pub fn trace(population: Population, days: usize, seed: u64) -> Trace {
     let mut generator = Generator::new(population, days, seed);
     sessions(&mut generator);
@@ -57,16 +57,16 @@
 
 fn sessions(generator: &mut Generator) {
     let popularity = Zipf::new(generator.models(), MODEL_EXPONENT);
-    for start in generator.poisson(SESSIONS_A_DAY, daytime) {
+    for start in generator.poisson(SESSIONS_A_DAY, diurnal_factor) {
         let model = generator.zipf(&popularity);
         generator.session(start, model, &SESSION);
     }
 }
 
-/// Share of the busiest rate at an hour: lowest at two at night, highest at two in the afternoon.
-fn daytime(hour: f64) -> f64 {
-    let turn = (hour - 2.0) / 24.0 * std::f64::consts::TAU;
-    (1.0 - 0.85 * turn.cos()) / 1.85
+/// Returns the share of the peak rate at an hour: lowest at 2:00, highest at 14:00.
+fn diurnal_factor(hour: f64) -> f64 {
+    let angle = (hour - 2.0) / 24.0 * std::f64::consts::TAU;
+    (1.0 - 0.85 * angle.cos()) / 1.85
 }
 
 fn jobs(generator: &mut Generator, days: usize) {
@@ -85,10 +85,10 @@
 fn election_night(generator: &mut Generator, days: usize) {
     let midnight = (days - 1) as f64 * DAY_SECONDS;
     for model in 0..generator.models() {
-        let mut at = midnight + POLLS_CLOSE + generator.between(0.0, FIRST_RETURNS_SECONDS);
-        while at < midnight + NIGHT_ENDS {
+        let mut at = midnight + POLLS_CLOSE_SECONDS + generator.between(0.0, FIRST_RETURNS_SECONDS);
+        while at < midnight + NIGHT_END_SECONDS {
             generator.session(at, model, &RETURNS);
-            at += generator.between(RETURNS_PAUSE.0, RETURNS_PAUSE.1);
+            at += generator.between(RETURNS_INTERVAL_SECONDS.0, RETURNS_INTERVAL_SECONDS.1);
         }
     }
 }
--- a/crates/millpass-experiment/tests/metrics.rs
+++ b/crates/millpass-experiment/tests/metrics.rs
@@ -13,9 +13,9 @@
         adapter: None,
         zone: 0,
         urgency,
-        patience: Duration::from_secs(60),
+        timeout: Duration::from_secs(60),
         prompt_tokens: 1,
-        answer_tokens: 1,
+        completion_tokens: 1,
     }
 }
 
--- a/crates/millpass-experiment/tests/runs.rs
+++ b/crates/millpass-experiment/tests/runs.rs
@@ -95,7 +95,7 @@
         let run = Simulation::new(&deployment, &catalog, &trace, strategy.settings.clone());
         let measured = run.run();
         let requests = trace.requests.len() as u64;
-        assert_eq!(measured.asked + measured.unfinished, requests);
+        assert_eq!(measured.requests + measured.unfinished, requests);
         assert_eq!(measured.breaches, 0, "{:?}", strategy.family);
         assert!(measured.idle_millis <= measured.loaded_millis);
         assert!(measured.store_most_at_once <= u64::from(deployment.store.concurrent_loads));
--- a/crates/millpass-load/src/runner.rs
+++ b/crates/millpass-load/src/runner.rs
@@ -52,7 +52,7 @@
 pub enum RunError {
     /// The schedule uses more routers than there are addresses.
     #[error(
-        "the schedule uses router index {needed}, but only {given} addresses are configured; add the missing addresses"
+        "the schedule uses router index {needed}, but only {given} addresses are given; add more"
     )]
     TooFewRouters {
         /// Router index used by the schedule.
@@ -61,9 +61,7 @@
         given: usize,
     },
     /// A tenant index outside the population.
-    #[error(
-        "the schedule uses tenant index {0}, which is not in the population; use the population it was generated from"
-    )]
+    #[error("the population has no tenant index {0}; use the schedule's own population")]
     UnknownTenant(usize),
     /// The history cannot be written.
     #[error("cannot write the history: {0}; choose a writable folder")]
