--- a/crates/millpass-experiment/src/catalog.rs
+++ b/crates/millpass-experiment/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The deployment as the replicated state holds it: catalog objects and registered engines.
+//! The deployment as commands of the replicated state: catalog objects and registered engines.
 
 use crate::deployment::{Deployment, ModelClass};
 use crate::workload::Population;
@@ -11,9 +11,8 @@
 
 /// Label of the one version of each model.
 const VERSION: &str = "v1";
-/// The run of every engine.
+/// Incarnation of every engine.
 pub const INCARNATION: Incarnation = Incarnation(1);
-/// Most replicas of a model.
 const MAXIMUM_REPLICAS: u32 = 4;
 
 /// A model with its adapters.
@@ -23,11 +22,11 @@
     pub name: ModelName,
     /// Adapters.
     pub adapters: Vec<AdapterName>,
-    /// Requests a replica serves at once.
+    /// Concurrent requests per replica.
     pub concurrency: u32,
 }
 
-/// Names of everything, by the numbers that traces use.
+/// Catalog of a deployment; traces refer to its entries by index.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     /// Models, the most popular first.
@@ -37,12 +36,12 @@
     /// Zones.
     pub zones: Vec<ZoneName>,
     commands: Vec<Command>,
-    model_numbers: BTreeMap<ModelName, usize>,
-    engine_numbers: BTreeMap<BackendName, usize>,
+    model_indices: BTreeMap<ModelName, usize>,
+    engine_indices: BTreeMap<BackendName, usize>,
 }
 
 impl Catalog {
-    /// Lays a deployment out.
+    /// Creates the catalog of a deployment.
     pub fn new(deployment: &Deployment) -> Self {
         let mut commands = Vec::new();
         let mut models = Vec::new();
@@ -70,13 +69,13 @@
             commands.push(registration(deployment, name, zone));
         }
         let zones = deployment.zones.iter();
-        let numbered = models.iter().enumerate();
-        let model_numbers = numbered.map(|(number, model)| (model.name.clone(), number));
-        let numbered = engines.iter().enumerate();
-        let engine_numbers = numbered.map(|(number, (name, _))| (name.clone(), number));
+        let indexed = models.iter().enumerate();
+        let model_indices = indexed.map(|(number, model)| (model.name.clone(), number));
+        let indexed = engines.iter().enumerate();
+        let engine_indices = indexed.map(|(number, (name, _))| (name.clone(), number));
         Catalog {
-            model_numbers: model_numbers.collect(),
-            engine_numbers: engine_numbers.collect(),
+            model_indices: model_indices.collect(),
+            engine_indices: engine_indices.collect(),
             models,
             engines,
             zones: zones.map(|zone| ZoneName(zone.name.clone())).collect(),
@@ -84,22 +83,22 @@
         }
     }
 
-    /// Commands that bring an empty state to the deployment.
+    /// Returns the commands that create the deployment in an empty state.
     pub fn commands(&self) -> &[Command] {
         &self.commands
     }
 
-    /// Number of a model.
+    /// Returns the index of a model.
     pub fn model_number(&self, name: &ModelName) -> Option<usize> {
-        self.model_numbers.get(name).copied()
+        self.model_indices.get(name).copied()
     }
 
-    /// Number of an engine.
+    /// Returns the index of an engine.
     pub fn engine_number(&self, name: &BackendName) -> Option<usize> {
-        self.engine_numbers.get(name).copied()
+        self.engine_indices.get(name).copied()
     }
 
-    /// What traces need to know.
+    /// Returns the population for trace generation.
     pub fn population(&self, tenants: usize) -> Population {
         let adapters = self.models.iter().map(|model| model.adapters.len());
         Population {
@@ -111,7 +110,7 @@
     }
 }
 
-/// Position of the command number `index`; one leader's term all along.
+/// Returns the log position of a command; the term is always 1.
 pub fn position(index: u64) -> LogPosition {
     LogPosition { term: 1, index }
 }
--- a/crates/millpass-experiment/src/curve.rs
+++ b/crates/millpass-experiment/src/curve.rs
@@ -1,18 +1,18 @@
-//! Curves of idle time against cold-start time, and comparisons at equal values of one of them.
+//! Compares curves of idle time against cold-start time at equal values of either.
 
 use serde::Serialize;
 
-/// A strategy's place: less is better on both axes.
+/// Result of a strategy; lower is better on both axes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// Idle accelerator hours a day.
+    /// Idle accelerator hours per day.
     pub idle: f64,
     /// Cold-start time, in seconds.
     pub cold: f64,
 }
 
 impl Point {
-    fn mirrored(self) -> Point {
+    fn transposed(self) -> Point {
         Point {
             idle: self.cold,
             cold: self.idle,
@@ -20,51 +20,52 @@
     }
 }
 
-/// Baselines: curves, each of one strategy at several parameters, in the order of the parameter.
+/// Baseline curves, each of one strategy in the order of its parameter.
 #[derive(Clone, Debug, Default)]
 pub struct Baselines {
     curves: Vec<Vec<Point>>,
 }
 
 impl Baselines {
-    /// Takes curves; one of a single point is a strategy without a parameter.
+    /// Creates baselines; a strategy without a parameter is a curve with one point.
     pub fn new(curves: Vec<Vec<Point>>) -> Self {
         Baselines { curves }
     }
 
-    /// Least cold-start time that any baseline has for no more than this idle time. Between two
-    /// neighbouring points of a curve it is read off the straight line. None if all idle longer.
+    /// Returns the lowest cold-start time of any baseline with at most this idle time, with linear
+    /// interpolation interpolate neighboring points. `None` if all have more idle time.
     pub fn cold_at(&self, idle: f64) -> Option<f64> {
-        least_at(&self.curves, idle)
+        lowest_cold_at(&self.curves, idle)
     }
 
-    /// Least idle time that any baseline has for no more than this cold-start time.
+    /// Returns the lowest idle time of any baseline with at most this cold-start time; `None` if
+    /// all have a higher one.
     pub fn idle_at(&self, cold: f64) -> Option<f64> {
-        let mirrored: Vec<Vec<Point>> = self
+        let transposed: Vec<Vec<Point>> = self
             .curves
             .iter()
-            .map(|curve| curve.iter().map(|point| point.mirrored()).collect())
+            .map(|curve| curve.iter().map(|point| point.transposed()).collect())
             .collect();
-        least_at(&mirrored, cold)
+        lowest_cold_at(&transposed, cold)
     }
 }
 
-fn least_at(curves: &[Vec<Point>], idle: f64) -> Option<f64> {
-    let mut least: Option<f64> = None;
+fn lowest_cold_at(curves: &[Vec<Point>], idle: f64) -> Option<f64> {
+    let mut lowest: Option<f64> = None;
     for curve in curves {
         let points = curve.iter().filter(|point| point.idle <= idle);
         let on_points = points.map(|point| point.cold);
         let on_lines = curve
             .windows(2)
-            .filter_map(|pair| between(pair[0], pair[1], idle));
+            .filter_map(|pair| interpolate(pair[0], pair[1], idle));
         for cold in on_points.chain(on_lines) {
-            least = Some(least.map_or(cold, |known| known.min(cold)));
+            lowest = Some(lowest.map_or(cold, |lowest| lowest.min(cold)));
         }
     }
-    least
+    lowest
 }
 
-fn between(first: Point, second: Point, idle: f64) -> Option<f64> {
+fn interpolate(first: Point, second: Point, idle: f64) -> Option<f64> {
     let (low, high) = if first.idle <= second.idle {
         (first, second)
     } else {
@@ -73,6 +74,6 @@
     if idle < low.idle || idle > high.idle || low.idle == high.idle {
         return None;
     }
-    let share = (idle - low.idle) / (high.idle - low.idle);
-    Some(low.cold + share * (high.cold - low.cold))
+    let fraction = (idle - low.idle) / (high.idle - low.idle);
+    Some(low.cold + fraction * (high.cold - low.cold))
 }
--- a/crates/millpass-experiment/src/deployment.rs
+++ b/crates/millpass-experiment/src/deployment.rs
@@ -1,9 +1,9 @@
-//! What the experiment reads of a deployment description (`examples/NAME/deployment.toml`).
+//! Deployment description (`examples/NAME/deployment.toml`).
 
 use serde::Deserialize;
 use std::path::Path;
 
-/// The parts of a deployment description that scheduling depends on; the rest is the fleet's.
+/// Parts of a deployment description that affect scheduling; other keys are ignored.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Deployment {
     /// Name.
@@ -20,7 +20,7 @@
     pub adapters: Adapters,
     /// Tenants.
     pub tenants: Tenants,
-    /// What the operators weigh.
+    /// Cost weights.
     pub weights: Weights,
 }
 
@@ -29,54 +29,53 @@
 pub struct Zone {
     /// Name.
     pub name: String,
-    /// Model engines in it.
+    /// Number of model engines.
     pub engines: usize,
 }
 
-/// A machine that runs a model engine.
+/// Machine of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct EngineMachine {
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: usize,
-    /// Memory of each.
+    /// Memory per accelerator.
     pub accelerator_bytes: u64,
-    /// Room for checkpoints in host memory.
+    /// Checkpoint cache in host memory.
     pub checkpoint_memory_bytes: u64,
-    /// Room for checkpoints on disk.
+    /// Checkpoint cache on disk.
     pub checkpoint_disk_bytes: u64,
 }
 
-/// What the weight store allows. Its speed is not taken from here: see
-/// [`crate::fleet::STORE_BYTES_PER_SECOND`].
+/// Limits of the weight store. For its speed see [`crate::fleet::STORE_BYTES_PER_SECOND`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct StoreLimits {
-    /// Loads that may start a second.
+    /// Loads that may start per second.
     pub loads_per_second: u32,
-    /// Loads at once at full speed.
+    /// Concurrent loads at full speed.
     pub concurrent_loads: u32,
 }
 
-/// A number of models of one size.
+/// Models of one size.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ModelClass {
-    /// Start of their names.
+    /// Prefix of the models' names.
     pub prefix: String,
-    /// How many.
+    /// Number of models.
     pub count: usize,
-    /// Weights over all accelerators of a replica.
+    /// Size of the weights over all accelerators of a replica.
     pub weights_bytes: u64,
-    /// Caches over all accelerators of a replica.
+    /// Size of the caches over all accelerators of a replica.
     pub cache_bytes: u64,
-    /// Accelerators of a replica.
+    /// Accelerators per replica.
     pub accelerators: u32,
-    /// Requests a replica serves at once.
+    /// Concurrent requests per replica.
     pub concurrency: u32,
 }
 
-/// Adapters, spread over the models in turn.
+/// Adapters, assigned to the models round-robin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct Adapters {
-    /// How many.
+    /// Number of adapters.
     pub count: usize,
     /// Size of each.
     pub bytes: u64,
@@ -85,20 +84,20 @@
 /// Tenants.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Tenants {
-    /// How many.
+    /// Number of tenants.
     pub count: usize,
 }
 
-/// What the operators weigh.
+/// Cost weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct Weights {
-    /// A second of cold start.
+    /// Weight of a second of cold start.
     pub cold_start: u32,
-    /// An idle accelerator second.
+    /// Weight of an idle accelerator second.
     pub idle: u32,
 }
 
-/// Why a description was not taken.
+/// Error of [`Deployment::read`].
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
     /// The file cannot be read.
@@ -116,13 +115,13 @@
     Malformed {
         /// File.
         file: String,
-        /// What is wrong, with line and column.
+        /// Cause, with line and column.
         reason: String,
     },
 }
 
 impl Deployment {
-    /// Reads a description.
+    /// Reads a deployment description.
     pub fn read(path: &Path) -> Result<Self, DeploymentError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| DeploymentError::Unreadable {
@@ -135,22 +134,22 @@
         })
     }
 
-    /// Classes of the models, the most popular model first. Classes alternate, so that popular
-    /// models come in all sizes.
+    /// Returns models with their classes, the most popular first. Classes are interleaved, so that
+    /// popular models have all sizes.
     pub fn models(&self) -> Vec<(String, &ModelClass)> {
         let total: usize = self.model_classes.iter().map(|class| class.count).sum();
-        let mut taken = vec![0; self.model_classes.len()];
+        let mut assigned = vec![0; self.model_classes.len()];
         let mut models = Vec::with_capacity(total);
         for number in 0..total {
-            // The class that lags most behind its even spread over the numbers so far.
+            // Picks the class furthest below its proportional count.
             let lag = |index: &usize| {
                 let count = self.model_classes[*index].count;
-                (count * (number + 1)) as i64 - (taken[*index] * total) as i64
+                (count * (number + 1)) as i64 - (assigned[*index] * total) as i64
             };
-            let next = (0..taken.len()).max_by_key(lag).unwrap_or(0);
+            let next = (0..assigned.len()).max_by_key(lag).unwrap_or(0);
             let class = &self.model_classes[next];
-            models.push((format!("{}-{:02}", class.prefix, taken[next]), class));
-            taken[next] += 1;
+            models.push((format!("{}-{:02}", class.prefix, assigned[next]), class));
+            assigned[next] += 1;
         }
         models
     }
--- a/crates/millpass-experiment/src/experiment.rs
+++ b/crates/millpass-experiment/src/experiment.rs
@@ -1,4 +1,4 @@
-//! All strategies over all seeds, on several threads.
+//! Runs all strategies over all seeds on several threads.
 
 use crate::catalog::Catalog;
 use crate::curve::{Baselines, Point};
@@ -10,10 +10,10 @@
 use crate::workload::Workload;
 use crossbeam::channel;
 
-/// The quantile that strategies are compared by.
+/// Cold-start quantile that strategies are compared by.
 pub const COMPARED_QUANTILE: f64 = 0.99;
 
-/// What one strategy came to over all seeds.
+/// Result of one strategy over all seeds.
 #[derive(Clone, Debug)]
 pub struct StrategyResult {
     /// Strategy.
@@ -23,7 +23,7 @@
 }
 
 impl StrategyResult {
-    /// Its place among the others.
+    /// Returns the point on the strategy's curve.
     pub fn point(&self) -> Point {
         let measured = &self.measurements;
         Point {
@@ -33,7 +33,7 @@
     }
 }
 
-/// The whole comparison.
+/// Comparison of all strategies.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     /// Deployment.
@@ -47,7 +47,7 @@
 }
 
 impl Comparison {
-    /// Runs everything.
+    /// Runs all strategies over all seeds.
     pub fn run(
         deployment: Deployment,
         workload: Workload,
@@ -61,7 +61,7 @@
             .map(|seed| workload.trace(population.clone(), days, seed))
             .collect();
         let strategies = strategies(&deployment);
-        let (jobs, next_job) = channel::unbounded();
+        let (jobs, job_receiver) = channel::unbounded();
         for strategy in 0..strategies.len() {
             for trace in 0..traces.len() {
                 jobs.send((strategy, trace)).expect("the queue is open");
@@ -72,16 +72,16 @@
         std::thread::scope(|scope| {
             for _ in 0..threads.max(1) {
                 scope.spawn(|| {
-                    for (strategy, trace) in next_job.iter() {
+                    for (strategy, trace) in job_receiver.iter() {
                         let settings = strategies[strategy].settings.clone();
                         let run = Simulation::new(&deployment, &catalog, &traces[trace], settings);
-                        let begun = std::time::Instant::now();
+                        let started = std::time::Instant::now();
                         let measured = run.run();
                         eprintln!(
                             "event=run-done family={:?} parameter={:?} trace={trace} seconds={:.1}",
                             strategies[strategy].family,
                             strategies[strategy].parameter,
-                            begun.elapsed().as_secs_f64()
+                            started.elapsed().as_secs_f64()
                         );
                         done.send((strategy, measured)).expect("the queue is open");
                     }
@@ -89,8 +89,8 @@
             }
         });
         drop(done);
-        let blank = Measurements::new(deployment.tenants.count, catalog.models.len());
-        let mut sums = vec![blank; strategies.len()];
+        let empty = Measurements::new(deployment.tenants.count, catalog.models.len());
+        let mut sums = vec![empty; strategies.len()];
         for (strategy, measurements) in results.iter() {
             sums[strategy].add(&measurements);
         }
@@ -107,18 +107,19 @@
         }
     }
 
-    /// Results of a family, in the order of the parameter; the stated weights are left out.
+    /// Returns the results of a family in the order of the parameter, without the deployment's own
+    /// weights.
     pub fn family(&self, family: Family) -> impl Iterator<Item = &StrategyResult> {
         let results = self.results.iter();
         results.filter(move |one| one.strategy.family == family && !one.strategy.stated)
     }
 
-    /// The result at the deployment's own weights.
+    /// Returns the result for the deployment's own weights.
     pub fn stated(&self) -> Option<&StrategyResult> {
         self.results.iter().find(|one| one.strategy.stated)
     }
 
-    /// The baselines' curves.
+    /// Returns the curves of the baselines.
     pub fn baselines(&self) -> Baselines {
         let families = [
             Family::Fixed,
--- a/crates/millpass-experiment/src/fleet.rs
+++ b/crates/millpass-experiment/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The engines and the weight store, driven in virtual time.
 //!
-//! They are the models of the stand-ins, so loads, unloads, batching, checkpoint caches, the lag
-//! of reports and the count of idle accelerator time are the same as in a fleet of processes.
+//! Uses the models of the stand-ins, so loads, batching, caches, report lag and idle time are the
+//! same as in a fleet of processes.
 
 use crate::catalog::{Catalog, INCARNATION};
 use crate::deployment::Deployment;
@@ -15,21 +15,20 @@
 };
 use std::collections::BTreeMap;
 
-/// Full speed of one load from the weight store. Deployment descriptions state a faster store, so
-/// that runs of real processes are short; loads of minutes are what keep-alive is about.
+/// Full speed of one load from the weight store. Lower than in deployment descriptions, which
+/// shorten runs of real processes; keep-alive matters for loads that take minutes.
 pub const STORE_BYTES_PER_SECOND: u64 = 2_000_000_000;
-/// Speed of a load from a machine's disk.
+/// Speed of a load from local disk.
 pub const DISK_BYTES_PER_SECOND: u64 = 3_000_000_000;
-/// Speed of a load from a machine's memory.
+/// Speed of a load from host memory.
 pub const MEMORY_BYTES_PER_SECOND: u64 = 20_000_000_000;
-/// Tokens of one step of the engine model: coarse steps make several days affordable.
+/// Tokens per step of the engine model; coarse steps keep simulations of several days fast.
 const TOKENS_PER_STEP: u32 = 64;
-/// Transfers that may wait at the store.
-const WAITING_TRANSFERS: usize = 256;
-/// Time until a change of an engine shows in its reports, with the interval between reports.
+const MAXIMUM_WAITING_TRANSFERS: usize = 256;
+/// Time until an engine's change is visible in its reports, including the report interval.
 const REPORT_DELAY: Duration = Duration::from_millis(350);
 
-/// All engines and the store.
+/// All engines and the weight store.
 pub struct Fleet {
     engines: Vec<Engine>,
     store: WeightStoreModel,
@@ -41,12 +40,12 @@
 struct Engine {
     model: EngineModel,
     wake: Option<Timestamp>,
-    /// Changes up to here are not yet all in the reports that were read.
-    unread_until: Option<Timestamp>,
+    /// Time until which reports must be read to cover all changes; `None` if all are read.
+    reports_due_until: Option<Timestamp>,
 }
 
 impl Fleet {
-    /// Engines with nothing loaded and nothing cached: the warm-up fills the caches.
+    /// Creates engines without loaded models and with empty caches.
     pub fn new(deployment: &Deployment, catalog: &Catalog) -> Self {
         let engines = catalog.engines.iter();
         let engines = engines.map(|(backend, zone)| {
@@ -69,14 +68,14 @@
             Engine {
                 model: EngineModel::new(settings, Timestamp::ZERO),
                 wake: None,
-                unread_until: Some(Timestamp::ZERO),
+                reports_due_until: Some(Timestamp::ZERO),
             }
         });
         let store = WeightStoreSettings {
             loads_per_second: deployment.store.loads_per_second,
             full_speed_loads: deployment.store.concurrent_loads,
             bytes_per_second: STORE_BYTES_PER_SECOND,
-            waiting_loads: WAITING_TRANSFERS,
+            waiting_loads: MAXIMUM_WAITING_TRANSFERS,
         };
         Fleet {
             engines: engines.collect(),
@@ -87,13 +86,13 @@
         }
     }
 
-    /// When an engine or the store next does something by itself.
+    /// Returns the earliest time at which an engine or the store is due.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let engines = self.engines.iter().filter_map(|engine| engine.wake);
         engines.chain(self.store.next_wake()).min()
     }
 
-    /// Lets everything that is due happen; gives what became of requests.
+    /// Advances engines and store to `now`; returns the results of requests.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineOutput> {
         if self.store.next_wake().is_some_and(|wake| wake <= now) {
             self.step_store(now, StoreInput::Tick);
@@ -106,38 +105,38 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Gives an order to an engine.
+    /// Sends an order to an engine.
     pub fn order(&mut self, now: Timestamp, engine: usize, order: EngineOrder) {
         self.step_engine(now, engine, EngineInput::Order(order));
     }
 
-    /// Gives a request to an engine.
+    /// Sends a request to an engine.
     pub fn submit(&mut self, now: Timestamp, engine: usize, request: EngineRequest) {
         self.step_engine(now, engine, EngineInput::Submit(request));
     }
 
-    /// Load reports, as lagged as they are, of engines that changed since they were last read.
+    /// Returns the delayed load reports of engines that changed since the last read.
     pub fn read_reports(&mut self, now: Timestamp) -> Vec<EngineReport> {
         let mut reports = Vec::new();
         for engine in &mut self.engines {
-            let Some(until) = engine.unread_until else {
+            let Some(until) = engine.reports_due_until else {
                 continue;
             };
             reports.push(engine.model.report(now));
             if until <= now {
-                engine.unread_until = None;
+                engine.reports_due_until = None;
             }
         }
         reports
     }
 
-    /// What each engine counted.
+    /// Returns the audit counters of each engine.
     pub fn audits(&self, now: Timestamp) -> Vec<EngineAudit> {
         let engines = self.engines.iter();
         engines.map(|engine| engine.model.audit(now)).collect()
     }
 
-    /// What the store counted.
+    /// Returns the audit counters of the store.
     pub fn store_audit(&self) -> StoreAudit {
         self.store.audit()
     }
@@ -146,7 +145,7 @@
         let engine = &mut self.engines[index];
         let outputs = engine.model.step(now, input);
         engine.wake = engine.model.next_wake();
-        engine.unread_until = Some(now + REPORT_DELAY);
+        engine.reports_due_until = Some(now + REPORT_DELAY);
         for output in outputs {
             match output {
                 EngineOutput::Fetch { fetch, bytes, .. } => self.fetch(now, index, fetch, bytes),
@@ -182,7 +181,7 @@
 
     fn abandon(&mut self, now: Timestamp, engine: usize, fetch: FetchId) {
         let mut transfers = self.transfers.iter();
-        let found = transfers.find(|(_, asked)| **asked == (engine, fetch));
+        let found = transfers.find(|(_, requester)| **requester == (engine, fetch));
         if let Some(transfer) = found.map(|(transfer, _)| *transfer) {
             self.transfers.remove(&transfer);
             self.step_store(now, StoreInput::Abandon(transfer));
--- a/crates/millpass-experiment/src/options.rs
+++ b/crates/millpass-experiment/src/options.rs
@@ -28,12 +28,12 @@
     pub by_model: bool,
 }
 
-/// A range of seeds, written `A..B`.
+/// Range of seeds, written `A..B`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seeds {
-    /// First.
+    /// First seed.
     pub first: u64,
-    /// One after the last.
+    /// Seed after the last one.
     pub end: u64,
 }
 
@@ -47,14 +47,14 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let wrong = || format!("{text}: write seeds as A..B, the smaller number first");
-        let (first, end) = text.split_once("..").ok_or_else(wrong)?;
+        let invalid = || format!("invalid seed range {text}; use A..B with A less than B");
+        let (first, end) = text.split_once("..").ok_or_else(invalid)?;
         let seeds = Seeds {
-            first: first.parse().map_err(|_| wrong())?,
-            end: end.parse().map_err(|_| wrong())?,
+            first: first.parse().map_err(|_| invalid())?,
+            end: end.parse().map_err(|_| invalid())?,
         };
         if seeds.first >= seeds.end {
-            return Err(wrong());
+            return Err(invalid());
         }
         Ok(seeds)
     }
--- a/crates/millpass-experiment/src/report/figures.rs
+++ b/crates/millpass-experiment/src/report/figures.rs
@@ -1,21 +1,21 @@
-//! Figures of a comparison, as they are written to JSON.
+//! Figures of a comparison, as written to JSON.
 
 use crate::experiment::{Comparison, StrategyResult};
 use crate::metrics::Times;
 use serde::Serialize;
 
-/// All figures.
+/// Figures of all strategies.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
     /// Deployment.
     pub deployment: String,
     /// Seeds.
     pub seeds: String,
-    /// Days measured of each seed.
+    /// Days measured per seed.
     pub days: usize,
-    /// Loads at once that the store serves at full speed.
+    /// Concurrent loads that the weight store serves at full speed.
     pub store_concurrent_loads: u32,
-    /// Loads that the store starts in a second.
+    /// Loads that the weight store starts per second.
     pub store_loads_per_second: u32,
     /// Strategies.
     pub strategies: Vec<StrategyFigures>,
@@ -28,47 +28,47 @@
     pub family: String,
     /// Parameter.
     pub parameter: String,
-    /// Whether these are the weights that the deployment states.
+    /// Whether the weights are those of the deployment description.
     pub stated: bool,
     /// Requests served or refused.
     pub requests: u64,
-    /// Share of requests that were cold, batches left out.
+    /// Share of cold requests, without batches.
     pub cold_share: f64,
-    /// Cold-start time over all requests, batches left out.
+    /// Cold-start time over all requests, without batches.
     pub cold_start: Quantiles,
-    /// Cold-start time over cold requests only, batches left out.
+    /// Cold-start time over cold requests only, without batches.
     pub cold_only: Quantiles,
     /// Cold-start time of batch requests.
     pub batch_cold_start: Quantiles,
-    /// Waits for whatever reason, batches left out.
+    /// Waiting times for any reason, without batches.
     pub wait: Quantiles,
-    /// Idle accelerator hours a day.
+    /// Idle accelerator hours per day.
     pub idle_hours_a_day: f64,
-    /// Loaded accelerator hours a day.
+    /// Loaded accelerator hours per day.
     pub loaded_hours_a_day: f64,
     /// Requests refused.
     pub refused: u64,
-    /// Requests without an end when the run ended.
+    /// Requests not finished at the end of the run.
     pub unfinished: u64,
-    /// Loads of models a day, from any tier.
+    /// Model loads per day, from any tier.
     pub model_loads_a_day: f64,
-    /// Loads from the store a day.
+    /// Loads from the weight store per day.
     pub store_loads_a_day: f64,
-    /// Most loads at the store at once.
+    /// Most concurrent loads at the weight store.
     pub store_most_at_once: u64,
-    /// Jain's index of the served share of tenants.
+    /// Jain's fairness index of the served share of tenants.
     pub fairness: f64,
     /// Largest p99 cold-start time of any tenant, in seconds.
     pub worst_tenant_p99_seconds: f64,
-    /// Breaches that the engines counted.
+    /// Violations counted by the engines.
     pub breaches: u64,
-    /// Best baseline's p99 cold-start time for no more idle hours; adaptive only.
+    /// Lowest baseline p99 cold-start time with at most these idle hours; adaptive only.
     pub baseline_p99_seconds: Option<f64>,
-    /// p99 cold-start time over that.
+    /// Ratio of the p99 cold-start time to that baseline.
     pub cold_ratio: Option<f64>,
-    /// Best baseline's idle hours a day for no more p99 cold-start time; adaptive only.
+    /// Lowest baseline idle hours per day with at most this p99 cold-start time; adaptive only.
     pub baseline_idle_hours_a_day: Option<f64>,
-    /// Idle hours over that.
+    /// Ratio of the idle hours to that baseline.
     pub idle_ratio: Option<f64>,
 }
 
@@ -77,9 +77,9 @@
 pub struct Quantiles {
     /// Median.
     pub p50: f64,
-    /// 99 of a hundred.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 of a thousand.
+    /// 99.9th percentile.
     pub p999: f64,
     /// Mean.
     pub mean: f64,
@@ -97,7 +97,7 @@
 }
 
 impl Figures {
-    /// Figures of a comparison.
+    /// Computes the figures of a comparison.
     pub fn new(comparison: &Comparison) -> Self {
         let results = comparison.results.iter();
         Figures {
@@ -106,11 +106,13 @@
             days: comparison.days,
             store_concurrent_loads: comparison.deployment.store.concurrent_loads,
             store_loads_per_second: comparison.deployment.store.loads_per_second,
-            strategies: results.map(|one| figures_of(comparison, one)).collect(),
+            strategies: results
+                .map(|one| strategy_figures(comparison, one))
+                .collect(),
         }
     }
 
-    /// Strategies of a family; the stated weights are left out.
+    /// Returns the strategies of a family without the deployment's own weights.
     pub fn family(&self, family: &str) -> Vec<&StrategyFigures> {
         let strategies = self.strategies.iter();
         strategies
@@ -119,14 +121,14 @@
     }
 }
 
-fn figures_of(comparison: &Comparison, result: &StrategyResult) -> StrategyFigures {
+fn strategy_figures(comparison: &Comparison, result: &StrategyResult) -> StrategyFigures {
     let measured = &result.measurements;
     let point = result.point();
     let adaptive = result.strategy.family == crate::strategies::Family::Adaptive;
     let baselines = comparison.baselines();
     let baseline_p99 = baselines.cold_at(point.idle).filter(|_| adaptive);
     let baseline_idle = baselines.idle_at(point.cold).filter(|_| adaptive);
-    let hours_loaded = measured.loaded_millis as f64 / 3_600_000.0;
+    let loaded_hours = measured.loaded_millis as f64 / 3_600_000.0;
     StrategyFigures {
         family: result.strategy.family.label().to_owned(),
         parameter: result.strategy.parameter.clone(),
@@ -138,7 +140,7 @@
         batch_cold_start: Quantiles::new(&measured.batch_cold_start),
         wait: Quantiles::new(&measured.wait),
         idle_hours_a_day: point.idle,
-        loaded_hours_a_day: hours_loaded / measured.days,
+        loaded_hours_a_day: loaded_hours / measured.days,
         refused: measured.refused,
         unfinished: measured.unfinished,
         model_loads_a_day: measured.model_loads as f64 / measured.days,
@@ -154,7 +156,7 @@
     }
 }
 
-/// None where the baseline is zero too.
+/// Returns `own / baseline`; `None` if the baseline is zero.
 fn ratio(own: f64, baseline: f64) -> Option<f64> {
     (baseline > 0.0).then(|| own / baseline)
 }
--- a/crates/millpass-experiment/src/report/markdown.rs
+++ b/crates/millpass-experiment/src/report/markdown.rs
@@ -1,4 +1,4 @@
-//! The report as Markdown.
+//! Markdown report.
 
 use super::figures::{Figures, StrategyFigures};
 
@@ -8,7 +8,7 @@
 at equal p99 | ratio |\n\
 |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n";
 
-/// The whole report.
+/// Returns the report as Markdown.
 pub fn markdown(figures: &Figures) -> String {
     let name = &figures.deployment;
     let mut text = format!(
--- a/crates/millpass-experiment/src/report/mod.rs
+++ b/crates/millpass-experiment/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a comparison came to, as text, figures and plots.
+//! Report of a comparison as Markdown, JSON and plots.
 
 mod figures;
 mod markdown;
@@ -11,26 +11,26 @@
 use crate::experiment::Comparison;
 use std::path::Path;
 
-/// Why a report was not written.
+/// Error of [`write`].
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// A file was not written.
-    #[error("{file}: {source}; give a folder that this process may write to")]
+    /// A file cannot be written.
+    #[error("{file}: {source}; choose a writable folder")]
     Unwritable {
         /// File.
         file: String,
         /// Cause.
         source: std::io::Error,
     },
-    /// The figures were not encoded.
-    #[error("figures: {0}")]
+    /// The figures cannot be encoded as JSON.
+    #[error("cannot encode the figures as JSON: {0}")]
     Figures(#[from] serde_json::Error),
-    /// A plot was not drawn.
+    /// A plot cannot be drawn.
     #[error(transparent)]
     Plot(#[from] PlotError),
 }
 
-/// Writes `NAME.md`, `NAME.json` and the plots into a folder.
+/// Writes `NAME.md`, `NAME.json` and the plots to a folder.
 pub fn write(comparison: &Comparison, folder: &Path) -> Result<(), ReportError> {
     let figures = Figures::new(comparison);
     let name = &comparison.deployment.name;
--- a/crates/millpass-experiment/src/report/plots.rs
+++ b/crates/millpass-experiment/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of a comparison, as SVG.
+//! SVG plots of a comparison.
 
 use super::figures::{Figures, StrategyFigures};
 use crate::strategies::Family;
@@ -7,7 +7,7 @@
 
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (640, 400);
-/// Room beyond the largest value.
+/// Axis length relative to the largest value.
 const HEADROOM: f64 = 1.05;
 const FAMILIES: [(Family, RGBColor); 4] = [
     (Family::Adaptive, RGBColor(200, 40, 40)),
@@ -16,12 +16,12 @@
     (Family::AlwaysLoaded, RGBColor(120, 60, 160)),
 ];
 
-/// What a plot shows of a strategy.
+/// Value of a strategy on the vertical axis.
 type Value = fn(&StrategyFigures) -> f64;
 
-/// A plot was not drawn.
+/// Error of [`draw`].
 #[derive(Debug, thiserror::Error)]
-#[error("{file}: {reason}; give a folder that this process may write to")]
+#[error("{file}: {reason}; choose a writable folder")]
 pub struct PlotError {
     file: String,
     reason: String,
@@ -34,7 +34,7 @@
     points: Vec<(f64, f64)>,
 }
 
-/// Draws all plots into a folder.
+/// Writes all plots to a folder.
 pub fn draw(figures: &Figures, folder: &Path) -> Result<(), PlotError> {
     let name = &figures.deployment;
     let plot = |suffix: &str, title: &str, vertical: &str, lines: Vec<Line>| {
@@ -82,7 +82,7 @@
     lines.collect()
 }
 
-/// p50, p99 and p99.9 of the two strategies with a parameter.
+/// Returns the p50, p99 and p99.9 lines of the adaptive and fixed strategies.
 fn adaptive_and_fixed(figures: &Figures) -> Vec<Line> {
     let quantiles: [(&str, Value); 3] = [
         ("p50", |one| one.cold_start.p50),
--- a/crates/millpass-experiment/src/simulation.rs
+++ b/crates/millpass-experiment/src/simulation.rs
@@ -18,7 +18,7 @@
 /// Interval between rounds while requests only run. Longer than in the control process, whose
 /// additional rounds would not change the decisions.
 const RUNNING_ROUND_INTERVAL: Duration = Duration::from_secs(4);
-/// Interval between rounds without any request; shorter than the scheduler's contact timeout.
+/// Interval between rounds without any request; within the scheduler's contact timeout.
 const IDLE_ROUND_INTERVAL: Duration = Duration::from_secs(5);
 /// Delay from the first waiting request of a target until the next round.
 const NEW_DEMAND_DELAY: Duration = Duration::from_millis(10);
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Refuses requests that the leader's ready estimate places after their deadline, as routers do.
+    /// Refuses requests whose model will not be ready by their deadline, as routers do.
     fn refuse_unservable(&mut self, now: Timestamp) {
         let targets = self.routers.waiting_targets();
         let has_waiting = |model: &usize| targets.iter().any(|target| target.0 == *model);
--- a/crates/millpass-experiment/src/strategies.rs
+++ b/crates/millpass-experiment/src/strategies.rs
@@ -1,30 +1,30 @@
-//! The strategies of one comparison: the product's at several weights, and the baselines.
+//! Compared strategies: the adaptive one at several weights, and the baselines.
 
 use crate::deployment::{Deployment, Weights};
 use crate::fleet::{DISK_BYTES_PER_SECOND, MEMORY_BYTES_PER_SECOND, STORE_BYTES_PER_SECOND};
 use millpass_proto::Duration;
 use millpass_scheduler::{KeepAlive, SchedulerSettings};
 
-/// Timeouts of the fixed baseline, in seconds.
-const FIXED_SECONDS: [u64; 6] = [300, 900, 1_800, 3_600, 7_200, 14_400];
+/// Keep-alive times of the fixed baseline.
+const FIXED_KEEP_ALIVE_SECONDS: [u64; 6] = [300, 900, 1_800, 3_600, 7_200, 14_400];
 /// Cold-start weights of the adaptive strategy, at an idle weight of 1.
-const ADAPTIVE_WEIGHTS: [u32; 5] = [100, 300, 1_000, 3_000, 10_000];
+const ADAPTIVE_COLD_START_WEIGHTS: [u32; 5] = [100, 300, 1_000, 3_000, 10_000];
 
 /// Strategies that form one curve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Family {
-    /// The product's.
+    /// Adaptive keep-alive, as used in production.
     Adaptive,
-    /// Fixed keep-alive.
+    /// Fixed keep-alive time.
     Fixed,
-    /// Least recently used.
+    /// Eviction of the least recently used model.
     LeastRecentlyUsed,
-    /// Always loaded.
+    /// Models stay loaded.
     AlwaysLoaded,
 }
 
 impl Family {
-    /// Name in reports.
+    /// Returns the name in reports.
     pub fn label(self) -> &'static str {
         match self {
             Family::Adaptive => "adaptive",
@@ -38,17 +38,17 @@
 /// One strategy with its parameter.
 #[derive(Clone, Debug)]
 pub struct Strategy {
-    /// Its curve.
+    /// Curve that the strategy belongs to.
     pub family: Family,
     /// Parameter, for reports.
     pub parameter: String,
-    /// Whether these are the weights that the deployment states.
+    /// Whether the weights are those of the deployment description.
     pub stated: bool,
     /// Scheduler settings.
     pub settings: SchedulerSettings,
 }
 
-/// All strategies of a deployment.
+/// Returns all strategies to compare for a deployment.
 pub fn strategies(deployment: &Deployment) -> Vec<Strategy> {
     let mut strategies = vec![
         baseline(
@@ -64,13 +64,13 @@
             String::new(),
         ),
     ];
-    for seconds in FIXED_SECONDS {
+    for seconds in FIXED_KEEP_ALIVE_SECONDS {
         let keep_alive = KeepAlive::Fixed(Duration::from_secs(seconds));
         let parameter = format!("{seconds} s");
         strategies.push(baseline(deployment, Family::Fixed, keep_alive, parameter));
     }
     let stated = deployment.weights;
-    for cold_start in ADAPTIVE_WEIGHTS {
+    for cold_start in ADAPTIVE_COLD_START_WEIGHTS {
         strategies.push(adaptive(
             deployment,
             Weights {
@@ -96,7 +96,7 @@
         stated: false,
         settings: SchedulerSettings {
             keep_alive,
-            ..common(deployment)
+            ..common_settings(deployment)
         },
     }
 }
@@ -110,13 +110,13 @@
             cold_start_weight: weights.cold_start,
             idle_weight: weights.idle,
             keep_alive: KeepAlive::Adaptive,
-            ..common(deployment)
+            ..common_settings(deployment)
         },
     }
 }
 
-/// What all strategies share: the limits and speeds as they are.
-fn common(deployment: &Deployment) -> SchedulerSettings {
+/// Returns the settings common_settings to all strategies: store limits and load speeds.
+fn common_settings(deployment: &Deployment) -> SchedulerSettings {
     SchedulerSettings {
         store_loads_per_second: deployment.store.loads_per_second,
         store_concurrent_loads: deployment.store.concurrent_loads,
--- a/crates/millpass-experiment/tests/curve.rs
+++ b/crates/millpass-experiment/tests/curve.rs
@@ -20,7 +20,7 @@
 #[case(25.0, Some(8.0))]
 #[case(30.0, Some(1.0))]
 #[case(100.0, Some(1.0))]
-fn the_best_baseline_idles_no_longer(#[case] idle: f64, #[case] cold: Option<f64>) {
+fn lowest_cold_start_at_equal_idle_time(#[case] idle: f64, #[case] cold: Option<f64>) {
     assert_eq!(baselines().cold_at(idle), cold);
 }
 
@@ -30,6 +30,6 @@
 #[case(10.0, Some(20.0))]
 #[case(20.0, Some(15.0))]
 #[case(60.0, Some(10.0))]
-fn the_best_baseline_starts_no_slower(#[case] cold: f64, #[case] idle: Option<f64>) {
+fn lowest_idle_time_at_equal_cold_start(#[case] cold: f64, #[case] idle: Option<f64>) {
     assert_eq!(baselines().idle_at(cold), idle);
 }
--- a/crates/millpass-experiment/tests/metrics.rs
+++ b/crates/millpass-experiment/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a run counts.
+//! Measurements of request ends and fairness.
 
 use millpass_experiment::metrics::{Measurements, RequestEnd, jain_index};
 use millpass_experiment::trace::TraceRequest;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_refused_cold_request_counts_with_its_whole_patience() {
+fn a_refused_cold_request_counts_with_its_whole_timeout() {
     let mut measured = Measurements::new(1, 1);
     let end = RequestEnd {
         cold: true,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_warm_request_counts_as_zero_and_a_batch_apart() {
+fn warm_requests_count_as_zero_and_batches_separately() {
     let mut measured = Measurements::new(1, 1);
     let warm = RequestEnd {
         cold: false,
@@ -52,6 +52,6 @@
 #[case(&[1.0, 1.0, 1.0], 1.0)]
 #[case(&[1.0, 0.0, 0.0, 0.0], 0.25)]
 #[case(&[], 1.0)]
-fn fairness_by_jains_index(#[case] shares: &[f64], #[case] index: f64) {
+fn jain_index_of_known_shares(#[case] shares: &[f64], #[case] index: f64) {
     assert!((jain_index(shares) - index).abs() < 1e-9);
 }
--- a/crates/millpass-experiment/tests/runs.rs
+++ b/crates/millpass-experiment/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Traces and whole runs of a small deployment.
+//! Traces and complete runs of a small deployment.
 
 use millpass_experiment::Seeds;
 use millpass_experiment::catalog::Catalog;
@@ -18,7 +18,7 @@
     Deployment::read(&folder.join(name).join("deployment.toml")).expect("deployment")
 }
 
-/// Two engines and three models of a real deployment.
+/// Reduces an example deployment to two engines and one model per class.
 fn small(name: &str) -> Deployment {
     let mut deployment = examples(name);
     let zone = |zone: &Zone| Zone {
@@ -36,12 +36,12 @@
     deployment
 }
 
-/// The first hours of a day's trace, all measured.
+/// Cuts a trace to two measured hours, from 9:00 to 11:00.
 fn trace(workload: Workload, catalog: &Catalog, tenants: usize, seed: u64) -> Trace {
     let mut trace = workload.trace(catalog.population(tenants), 1, seed);
-    let morning = Duration::from_secs(11 * 3_600);
+    let end_of_window = Duration::from_secs(11 * 3_600);
     let from = trace.measured_from + Duration::from_secs(9 * 3_600);
-    trace.end = trace.measured_from + morning;
+    trace.end = trace.measured_from + end_of_window;
     trace.measured_from = from;
     let end = trace.end;
     trace
@@ -51,7 +51,7 @@
 }
 
 #[rstest]
-fn the_same_seed_makes_the_same_trace_in_order(
+fn equal_seeds_generate_equal_ordered_traces(
     #[values(Workload::Pnw, Workload::Sicilia)] workload: Workload,
 ) {
     let deployment = examples("pnw");
@@ -66,7 +66,7 @@
 #[rstest]
 #[case("pnw", 61, 94, 13)]
 #[case("sicilia", 38, 96, 13)]
-fn deployments_have_the_users_sizes(
+fn example_deployments_have_the_expected_sizes(
     #[case] name: &str,
     #[case] models: usize,
     #[case] adapters: usize,
@@ -86,7 +86,7 @@
 #[rstest]
 #[case("pnw", Workload::Pnw)]
 #[case("sicilia", Workload::Sicilia)]
-fn every_request_ends_once_and_nothing_is_breached(#[case] name: &str, #[case] workload: Workload) {
+fn every_request_ends_once_without_violations(#[case] name: &str, #[case] workload: Workload) {
     let deployment = small(name);
     let catalog = Catalog::new(&deployment);
     let trace = trace(workload, &catalog, deployment.tenants.count, 3);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_same_run_gives_the_same_figures() {
+fn equal_runs_produce_equal_figures() {
     let deployment = small("sicilia");
     let catalog = Catalog::new(&deployment);
     let trace = trace(Workload::Sicilia, &catalog, deployment.tenants.count, 5);
--- a/crates/millpass-load/src/stream.rs
+++ b/crates/millpass-load/src/stream.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use std::io::{self, BufRead};
 
-/// Longer lines are cut here and fail to parse.
+/// Maximum bytes read per line.
 const MAXIMUM_LINE_BYTES: u64 = 1024 * 1024;
 
 /// One event of a stream.
--- a/crates/millpass-load/src/summary.rs
+++ b/crates/millpass-load/src/summary.rs
@@ -73,7 +73,7 @@
     pub whole: u64,
     /// Of these, responses replayed for the same key.
     pub replayed: u64,
-    /// Responses without their end.
+    /// Truncated responses, with or without the end marker.
     pub truncated: u64,
     /// Responses with repeated tokens.
     pub duplicated: u64,
--- a/crates/millpass-load/tests/answers.rs
+++ b/crates/millpass-load/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Checks of answers, streams and refusals; each is shown to fail on what it is there to find.
+//! Checks of responses, streams and refusals detect each kind of fault.
 
 use millpass_load::answer::{AnswerVerdict, check_page, check_run, check_tokens, tokens_received};
 use millpass_load::expected::expected_tokens;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_whole_own_answer_passes() {
+fn a_complete_response_passes() {
     let tokens = expected("a", 5);
     assert_eq!(
         check_tokens(&tokens, &tokens.concat(), true),
@@ -28,7 +28,7 @@
 #[case::without_last_token(4, true)]
 #[case::without_stated_end(5, false)]
 #[case::empty(0, true)]
-fn truncation_is_found(#[case] kept: usize, #[case] ended: bool) {
+fn truncation_is_detected(#[case] kept: usize, #[case] ended: bool) {
     let tokens = expected("a", 5);
     let received = tokens[..kept].concat();
     assert_eq!(
@@ -38,18 +38,18 @@
 }
 
 #[test]
-fn a_doubled_token_is_found() {
+fn a_repeated_token_is_detected() {
     let tokens = expected("a", 5);
-    let mut doubled = tokens.clone();
-    doubled.insert(2, tokens[2].clone());
+    let mut repeated = tokens.clone();
+    repeated.insert(2, tokens[2].clone());
     assert_eq!(
-        check_tokens(&tokens, &doubled.concat(), true),
+        check_tokens(&tokens, &repeated.concat(), true),
         AnswerVerdict::Duplicated
     );
 }
 
 #[test]
-fn an_answer_given_twice_is_found() {
+fn a_repeated_response_is_detected() {
     let tokens = expected("a", 5);
     let twice = tokens.concat().repeat(2);
     assert_eq!(
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn another_request_s_answer_is_found() {
+fn a_response_to_another_request_is_detected() {
     let foreign = expected("b", 5).concat();
     assert_eq!(
         check_tokens(&expected("a", 5), &foreign, true),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn one_foreign_token_is_found() {
+fn one_foreign_token_is_detected() {
     let tokens = expected("a", 5);
     let mut mixed = tokens.clone();
     mixed[3] = expected("b", 5)[3].clone();
@@ -78,9 +78,9 @@
     );
 }
 
-/// Whatever is cut, doubled or put in from elsewhere, the answer no longer counts as whole.
+/// Guards against accepting a response with a removed, repeated or foreign token.
 #[test]
-fn no_damaged_answer_counts_as_whole() {
+fn no_damaged_response_counts_as_complete() {
     let mut runner = TestRunner::new_with_rng(
         Config {
             cases: 256,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn pages_are_checked_byte_by_byte() {
+fn pages_are_compared_byte_by_byte() {
     let own = page("/p/1/n");
     assert_eq!(check_page("/p/1/n", own.as_bytes()), AnswerVerdict::Whole);
     let cut = &own.as_bytes()[..own.len() - 1];
@@ -128,7 +128,7 @@
 #[case::second_run(r#"{"path":"/w","key":"k","runs":2}"#, AnswerVerdict::Duplicated)]
 #[case::other_key(r#"{"path":"/w","key":"l","runs":1}"#, AnswerVerdict::Foreign)]
 #[case::cut(r#"{"path":"/w","key":"k""#, AnswerVerdict::Truncated)]
-fn runs_are_checked_for_key_and_number(#[case] body: &str, #[case] verdict: AnswerVerdict) {
+fn runs_are_checked_for_key_and_count(#[case] body: &str, #[case] verdict: AnswerVerdict) {
     assert_eq!(check_run("/w", "k", body.as_bytes()), verdict);
 }
 
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_refusal_that_says_all_passes() {
+fn a_complete_refusal_passes() {
     let body = br#"{"error":{"code":"no-capacity","executed":"no","message":"m"}}"#;
     let refusal = check_refusal(503, Some("no"), Some("2"), body).expect("complete");
     assert_eq!(refusal.executed, Executed::No);
@@ -179,7 +179,7 @@
     Some("1"),
     RefusalFault::NoCode
 )]
-#[case::silent(
+#[case::no_execution(
     br#"{"error":{"code":"c"}}"#,
     None,
     Some("1"),
@@ -191,13 +191,13 @@
     Some("1"),
     RefusalFault::ExecutedDiffers
 )]
-#[case::no_return_time(
+#[case::no_retry_after(
     br#"{"error":{"code":"c","executed":"no"}}"#,
     None,
     None,
     RefusalFault::NoRetryAfter(503)
 )]
-fn each_lack_of_a_refusal_is_found(
+fn each_fault_of_a_refusal_is_detected(
     #[case] body: &[u8],
     #[case] executed: Option<&str>,
     #[case] retry_after: Option<&str>,
--- a/crates/millpass-load/tests/engine.rs
+++ b/crates/millpass-load/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to the engine stand-in itself: what it answers is what the callers expect.
+//! The engine stand-in returns the responses that callers expect.
 
 use millpass_load::answer::AnswerVerdict;
 use millpass_load::caller::{CallContext, call, client};
@@ -31,9 +31,9 @@
     };
     let url = format!("http://{}/engine/orders", engine.address());
     ureq::post(&url).send_json(&order).expect("ordered");
-    let begin = std::time::Instant::now();
+    let started = std::time::Instant::now();
     while engine.audit().model_loads == 0 {
-        assert!(begin.elapsed() < START_TIMEOUT, "not loaded");
+        assert!(started.elapsed() < START_TIMEOUT, "not loaded");
         std::thread::sleep(Duration::from_millis(1));
     }
     engine
@@ -44,7 +44,7 @@
 #[case::streamed_completion(false, true)]
 #[case::chat(true, false)]
 #[case::streamed_chat(true, true)]
-fn an_answer_is_whole(#[case] chat: bool, #[case] streamed: bool) {
+fn response_is_complete(#[case] chat: bool, #[case] streamed: bool) {
     let engine = loaded_engine();
     let planned = PlannedRequest {
         request: 1,
--- a/crates/millpass-load/tests/run.rs
+++ b/crates/millpass-load/tests/run.rs
@@ -1,4 +1,4 @@
-//! A whole run over HTTP against a small server that answers, refuses, breaks off and mixes up.
+//! Runs over HTTP against a server with correct, truncated, foreign and refused responses.
 
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
@@ -14,31 +14,31 @@
 use std::sync::atomic::AtomicBool;
 
 #[derive(Deserialize)]
-struct Asked {
+struct CompletionRequest {
     model: String,
     #[serde(default)]
     prompt: String,
     max_tokens: u32,
 }
 
-/// How the server treats token requests.
+/// How the server responds to token requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Manner {
-    Honest,
+enum Behavior {
+    Correct,
     Truncating,
-    MixingUp,
+    ForeignText,
     Refusing,
     RefusingWithoutCode,
 }
 
-fn tokens_of(asked: &Asked, manner: Manner) -> Vec<String> {
-    let prompt = match manner {
-        Manner::MixingUp => "somebody else's nonce=x",
-        _ => asked.prompt.as_str(),
+fn tokens_of(completion: &CompletionRequest, behavior: Behavior) -> Vec<String> {
+    let prompt = match behavior {
+        Behavior::ForeignText => "somebody else's nonce=x",
+        _ => completion.prompt.as_str(),
     };
-    let (model, adapter) = match asked.model.split_once(':') {
+    let (model, adapter) = match completion.model.split_once(':') {
         Some((model, adapter)) => (model, Some(adapter.into())),
-        None => (asked.model.as_str(), None),
+        None => (completion.model.as_str(), None),
     };
     let version = "v1".into();
     expected_tokens(
@@ -46,31 +46,32 @@
         &version,
         adapter.as_ref(),
         prompt,
-        asked.max_tokens,
+        completion.max_tokens,
     )
 }
 
-fn answer(request: &Request, responder: Responder, manner: Manner) {
-    match manner {
-        Manner::Refusing => return refuse(responder, r#"{"error":{"code":"queue_full"}}"#),
-        Manner::RefusingWithoutCode => return refuse(responder, "busy"),
+fn answer(request: &Request, responder: Responder, behavior: Behavior) {
+    match behavior {
+        Behavior::Refusing => return refuse(responder, r#"{"error":{"code":"queue_full"}}"#),
+        Behavior::RefusingWithoutCode => return refuse(responder, "busy"),
         _ => {}
     }
-    let asked: Asked = serde_json::from_slice(&request.body).expect("a completion");
+    let completion: CompletionRequest =
+        serde_json::from_slice(&request.body).expect("a completion");
     let mut writer = responder.stream(StatusCode::OK, HeaderMap::new());
-    let mut tokens = tokens_of(&asked, manner);
-    if manner == Manner::Truncating {
+    let mut tokens = tokens_of(&completion, behavior);
+    if behavior == Behavior::Truncating {
         tokens.pop();
     }
     for token in tokens {
         let chunk = serde_json::json!({"choices": [{"text": token}]});
         writer
             .write(Bytes::from(format!("data: {chunk}\n\n")))
-            .expect("the caller listens");
+            .expect("the caller is connected");
     }
     writer
         .write(Bytes::from_static(b"data: [DONE]\n\n"))
-        .expect("the caller listens");
+        .expect("the caller is connected");
     writer.finish();
 }
 
@@ -85,15 +86,15 @@
     });
 }
 
-fn serve(manner: Manner) -> ServerHandle {
+fn serve(behavior: Behavior) -> ServerHandle {
     let address = "127.0.0.1:0".parse().expect("an address");
     let server = Server::bind(address, ServerSettings::default()).expect("bound");
     server.serve(Arc::new(move |request: Request, responder: Responder| {
-        answer(&request, responder, manner);
+        answer(&request, responder, behavior);
     }))
 }
 
-/// Streamed completions only, all due at once.
+/// Schedules streamed completions only, within 0.2 s.
 fn schedule(population: &Population) -> Schedule {
     let mut workload = Workload::burst_peak(0.2);
     workload.bursts.clear();
@@ -109,8 +110,8 @@
     Schedule::generate(&workload, population, 1).expect("valid")
 }
 
-fn carry_out(manner: Manner) -> (RunResult, usize) {
-    let server = serve(manner);
+fn run_against(behavior: Behavior) -> (RunResult, usize) {
+    let server = serve(behavior);
     let population = Population::numbered(3, 4, 1);
     let planned = schedule(&population);
     let settings = RunSettings {
@@ -119,22 +120,22 @@
         ..RunSettings::default()
     };
     let result = run(&planned, &population, &settings, &AtomicBool::new(false));
-    (result.expect("carried out"), planned.requests.len())
+    (result.expect("run succeeds"), planned.requests.len())
 }
 
 #[test]
-fn every_request_of_an_honest_server_is_whole() {
-    let (result, planned) = carry_out(Manner::Honest);
+fn all_responses_of_a_correct_server_are_complete() {
+    let (result, planned) = run_against(Behavior::Correct);
     assert_eq!(result.records.len(), planned);
     assert_eq!(result.summary.whole, planned as u64, "{}", result.summary);
     assert_eq!(result.summary.breaches(), 0, "{}", result.summary);
 }
 
 #[test]
-fn faults_of_a_server_are_found() {
-    let (truncated, planned) = carry_out(Manner::Truncating);
+fn truncated_and_foreign_responses_are_detected() {
+    let (truncated, planned) = run_against(Behavior::Truncating);
     assert_eq!(truncated.summary.truncated, planned as u64);
-    let (foreign, planned) = carry_out(Manner::MixingUp);
+    let (foreign, planned) = run_against(Behavior::ForeignText);
     assert_eq!(foreign.summary.foreign, planned as u64);
     assert!(foreign.records.iter().all(|record| matches!(
         record.outcome,
@@ -147,16 +148,16 @@
 
 #[test]
 fn refusals_are_counted_and_checked() {
-    let (refused, planned) = carry_out(Manner::Refusing);
+    let (refused, planned) = run_against(Behavior::Refusing);
     assert_eq!(refused.summary.refusals["429 queue_full"], planned as u64);
     assert_eq!(refused.summary.breaches(), 0);
-    let (faulty, planned) = carry_out(Manner::RefusingWithoutCode);
+    let (faulty, planned) = run_against(Behavior::RefusingWithoutCode);
     assert_eq!(faulty.summary.faulty(), planned as u64);
 }
 
 #[test]
-fn a_router_that_is_gone_counts_as_a_broken_connection() {
-    let server = serve(Manner::Honest);
+fn an_unreachable_router_counts_as_a_transport_error() {
+    let server = serve(Behavior::Correct);
     let address = server.local_address().to_string();
     server.stop();
     drop(server);
@@ -168,15 +169,15 @@
         ..RunSettings::default()
     };
     let result = run(&planned, &population, &settings, &AtomicBool::new(false));
-    let summary = result.expect("carried out").summary;
+    let summary = result.expect("run succeeds").summary;
     assert_eq!(summary.transport_errors, planned.requests.len() as u64);
 }
 
 #[test]
-fn the_history_file_holds_what_the_summary_says() {
+fn the_history_file_matches_the_summary() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("history.jsonl");
-    let server = serve(Manner::Honest);
+    let server = serve(Behavior::Correct);
     let population = Population::numbered(2, 2, 1);
     let planned = schedule(&population);
     let settings = RunSettings {
--- a/crates/millpass-load/tests/schedule.rs
+++ b/crates/millpass-load/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules: the same seed gives the same one, and traces have the shape they claim.
+//! Schedules are deterministic and follow their workload.
 
 use millpass_load::arrivals::{WeightedChoice, poisson_times};
 use millpass_load::schedule::{PlannedRequest, ScheduleError};
@@ -19,13 +19,13 @@
 }
 
 #[rstest]
-fn same_seed_same_schedule(#[values("burst-peak", "uneven-batch")] name: &str) {
+fn equal_seeds_generate_equal_schedules(#[values("burst-peak", "uneven-batch")] name: &str) {
     assert_eq!(schedule(name, 7), schedule(name, 7));
     assert_ne!(schedule(name, 7), schedule(name, 8));
 }
 
 #[test]
-fn unknown_names_are_not_guessed() {
+fn unknown_workload_names_are_rejected() {
     assert!(Workload::named("no-such", SECONDS).is_none());
     for name in NAMED_WORKLOADS {
         assert_eq!(Workload::named(name, SECONDS).expect("known").name, name);
@@ -38,26 +38,26 @@
     let cases = Config::with_cases(16).cases;
     for _ in 0..cases {
         let seed = rand::Rng::next_u64(&mut runner.new_rng());
-        let made = schedule("uneven-batch", seed);
-        let due: Vec<u64> = made
+        let schedule = schedule("uneven-batch", seed);
+        let due: Vec<u64> = schedule
             .requests
             .iter()
             .map(|planned| planned.due_micros)
             .collect();
         assert!(due.is_sorted());
-        let numbers = made.requests.iter().map(|planned| planned.request);
-        assert!(numbers.eq(0..made.requests.len() as u64));
+        let numbers = schedule.requests.iter().map(|planned| planned.request);
+        assert!(numbers.eq(0..schedule.requests.len() as u64));
     }
 }
 
 #[test]
 fn a_burst_reaches_every_router_for_every_cold_model() {
-    let made = schedule("burst-peak", 3);
+    let schedule = schedule("burst-peak", 3);
     let workload = Workload::burst_peak(SECONDS);
     let mut seen: BTreeMap<String, BTreeSet<usize>> = BTreeMap::new();
-    for planned in made.requests.iter().filter(|planned| planned.burst) {
+    for planned in schedule.requests.iter().filter(|planned| planned.burst) {
         let Target::Tokens { model, .. } = &planned.target else {
-            panic!("bursts ask models");
+            panic!("bursts target models only");
         };
         seen.entry(model.to_string())
             .or_default()
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn nonces_are_unique_but_for_deliberate_repeats() {
-    let made = schedule("uneven-batch", 11);
+fn nonces_are_unique_except_in_repeats() {
+    let schedule = schedule("uneven-batch", 11);
     let mut by_nonce: BTreeMap<&str, Vec<&PlannedRequest>> = BTreeMap::new();
-    for planned in &made.requests {
+    for planned in &schedule.requests {
         by_nonce.entry(&planned.nonce).or_default().push(planned);
     }
     let repeated: Vec<_> = by_nonce.values().filter(|same| same.len() > 1).collect();
-    assert!(!repeated.is_empty(), "the workload repeats some");
+    assert!(!repeated.is_empty(), "the workload contains repeats");
     for same in repeated {
         let mut same_keys = same.iter().map(|planned| match &planned.target {
             Target::WebWrite { key, body, .. } => (key, body, planned.tenant),
@@ -88,10 +88,10 @@
 }
 
 #[test]
-fn keys_are_uuid_v7_of_their_birth() {
-    let made = schedule("burst-peak", 5);
+fn keys_are_uuid_v7_with_their_creation_time() {
+    let schedule = schedule("burst-peak", 5);
     let start_unix_millis = 1_800_000_000_000;
-    let planned = made
+    let planned = schedule
         .requests
         .iter()
         .find_map(|planned| match &planned.target {
@@ -103,8 +103,8 @@
     let parsed = uuid::Uuid::parse_str(&text).expect("a UUID");
     assert_eq!(parsed.get_version_num(), 7);
     let (seconds, nanos) = parsed.get_timestamp().expect("a time").to_unix();
-    let born = seconds * 1_000 + u64::from(nanos) / 1_000_000;
-    assert_eq!(born, start_unix_millis + key.born_at_micros / 1_000);
+    let created = seconds * 1_000 + u64::from(nanos) / 1_000_000;
+    assert_eq!(created, start_unix_millis + key.born_at_micros / 1_000);
 }
 
 #[test]
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_population_without_models_is_refused_by_name() {
+fn a_population_without_models_is_rejected() {
     let workload = Workload::burst_peak(SECONDS);
     let population = Population::numbered(1, 0, 1);
     let refused = Schedule::generate(&workload, &population, 1);
--- a/crates/millpass-load/tests/summaries.rs
+++ b/crates/millpass-load/tests/summaries.rs
@@ -1,4 +1,4 @@
-//! Sums over histories.
+//! Summaries and history files.
 
 use millpass_load::answer::AnswerVerdict;
 use millpass_load::history::{HistoryRecord, HistoryWriter, Outcome, read_history};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn latency_counts_from_the_due_time() {
+fn latency_is_measured_from_the_due_time() {
     let summary = Summary::of(&[record(0, answered(AnswerVerdict::Whole))]);
     assert_eq!(summary.first_token_warm.count, 1);
     assert!((summary.first_token_warm.p50_millis - 10.0).abs() < 0.1);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn cold_and_warm_are_apart() {
+fn cold_and_warm_requests_are_counted_separately() {
     let warm = record(0, answered(AnswerVerdict::Whole));
     let mut cold = record(1, answered(AnswerVerdict::Whole));
     cold.cold = true;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn each_fault_counts_as_a_breach() {
+fn each_violation_counts_as_a_breach() {
     let verdicts = [
         AnswerVerdict::Truncated,
         AnswerVerdict::Duplicated,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn refusals_count_by_code_and_execution() {
+fn refusals_are_counted_by_code_and_execution() {
     let summary = Summary::of(&[record(0, refused()), record(1, refused())]);
     assert_eq!(summary.refusals["503 no-capacity"], 2);
     assert_eq!(summary.refusals_by_executed["no"], 2);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn quantiles_of_a_known_row() {
+fn quantiles_match_a_known_distribution() {
     let mut histogram = TimeHistogram::default();
     (1..=1_000_u64).for_each(|millis| histogram.record(millis * 1_000));
     let quantiles = histogram.quantiles();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_history_comes_back_as_written_and_stays_bounded() {
+fn history_round_trips_and_respects_the_size_limit() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("history.jsonl");
     let one = record(0, refused());
