--- a/crates/millpass-sim/tests/mechanisms.rs
+++ b/crates/millpass-sim/tests/mechanisms.rs
@@ -1,5 +1,5 @@
-//! Each checker reports the breach that its mechanism prevents: with the mechanism switched off it
-//! reports in some seed, and with everything on, over the same plan and seeds, nothing is reported.
+//! Verifies each checker: with a mechanism disabled it reports a violation for some seed, and with
+//! all mechanisms enabled nothing is reported for the same plan and seeds.
 
 use millpass_sim::faults::Fault;
 use millpass_sim::run::{RunReport, run_plan, run_seeds_with};
@@ -10,16 +10,16 @@
 
 const THREADS: usize = 3;
 const SEEDS: Range<u64> = 0..3;
-/// Where a breach needs a coincidence.
+/// Seeds for violations that occur only in some runs.
 const MORE_SEEDS: Range<u64> = 0..8;
 
-/// What a mechanism's absence is tried with.
-struct Trial {
-    /// Scenario, or a plan of its own.
+/// Faults, seeds and settings of a test case.
+struct Case {
+    /// Scenario, or a custom plan.
     faults: Faults,
     /// Seeds.
     seeds: Range<u64>,
-    /// Settings of both the red and the green runs.
+    /// Settings of the runs with and without the mechanism.
     settings: fn(&mut Settings),
 }
 
@@ -28,74 +28,74 @@
     Plan(fn() -> Vec<(u64, Fault)>),
 }
 
-fn scenario(name: &'static str) -> Trial {
-    Trial {
+fn scenario(name: &'static str) -> Case {
+    Case {
         faults: Faults::Scenario(name),
         seeds: SEEDS,
         settings: |_| {},
     }
 }
 
-/// Answers of given-up attempts come late.
-fn late_answers() -> Trial {
-    Trial {
+/// Answers of cancelled attempts arrive late.
+fn late_answers() -> Case {
+    Case {
         settings: |settings| settings.times.attempt_timeout = 120 * MILLIS,
         ..scenario("bad-network")
     }
 }
 
-/// All web back ends leave, and routers freeze between a decision and its attempt.
-fn frozen_at_dispatch() -> Trial {
+/// All web back ends leave, and routers freeze before they send an attempt.
+fn frozen_at_dispatch() -> Case {
     let plan = || {
         let leaving = (0..3).map(|web| (2_500 * MILLIS, Fault::LeaveWeb(web)));
         let freezing = (0..4).map(|r| (2_500 * MILLIS, Fault::FreezeRouterAtDispatch(r)));
         let waking = (0..4).map(|router| (9 * SECONDS, Fault::WakeRouter(router)));
         leaving.chain(freezing).chain(waking).collect()
     };
-    Trial {
+    Case {
         faults: Faults::Plan(plan),
         seeds: SEEDS,
         settings: |_| {},
     }
 }
 
-/// A zone is cut off for eleven seconds.
-fn long_cut() -> Trial {
+/// A zone is partitioned for eleven seconds.
+fn long_partition() -> Case {
     let plan = || {
         let cut = [(0, 1), (1, 0), (0, 2), (2, 0)];
         let cuts = cut.map(|(from, to)| (3 * SECONDS, Fault::Cut(from, to)));
         cuts.into()
     };
-    Trial {
+    Case {
         faults: Faults::Plan(plan),
         seeds: MORE_SEEDS,
         settings: |settings| {
             settings.times.healed = 14 * SECONDS;
             settings.times.audit = 22 * SECONDS;
-            settings.times.over = 24 * SECONDS;
+            settings.times.run_end = 24 * SECONDS;
         },
     }
 }
 
-/// All control members die, and start when everything is mended.
-fn control_gone() -> Trial {
-    Trial {
+/// All control members are killed, and start when all faults end.
+fn all_control_killed() -> Case {
+    Case {
         faults: Faults::Plan(|| vec![(5 * SECONDS, Fault::KillAllControl)]),
         seeds: SEEDS,
         settings: |_| {},
     }
 }
 
-impl Trial {
-    fn seeds(self, seeds: Range<u64>) -> Trial {
-        Trial { seeds, ..self }
+impl Case {
+    fn seeds(self, seeds: Range<u64>) -> Case {
+        Case { seeds, ..self }
     }
 
-    /// The broken runs with these mechanisms switched off.
-    fn broken(&self, switch_off: fn(&mut Mechanisms)) -> Vec<RunReport> {
+    /// Returns the failed runs with these mechanisms disabled.
+    fn broken(&self, disable: fn(&mut Mechanisms)) -> Vec<RunReport> {
         let mut settings = Settings::default();
         (self.settings)(&mut settings);
-        switch_off(&mut settings.mechanisms);
+        disable(&mut settings.mechanisms);
         match self.faults {
             Faults::Scenario(name) => {
                 let scenario = Scenario::named(name).expect("scenario exists");
@@ -104,7 +104,7 @@
             Faults::Plan(plan) => {
                 let run = |seed| run_plan(settings.clone(), plan(), seed, false);
                 let reports = self.seeds.clone().map(run);
-                reports.filter(|report| !report.holds()).collect()
+                reports.filter(|report| !report.passed()).collect()
             }
         }
     }
@@ -115,7 +115,7 @@
     breaches.any(|breach| breach.checker == checker)
 }
 
-fn described(runs: &[RunReport]) -> Vec<String> {
+fn descriptions(runs: &[RunReport]) -> Vec<String> {
     let lines = runs.iter().flat_map(|run| {
         let breaches = run.breaches.iter().map(ToString::to_string);
         let failure = run.failure.clone();
@@ -128,41 +128,45 @@
 
 #[rstest]
 #[case::log_entries_lost("agreement", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
-#[case::stale_orders_taken("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.fences = false)]
-#[case::freed_too_early("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.frees_after_use = false)]
-#[case::ledger_of_wrong_size("memory", scenario("cold-burst"), |m: &mut Mechanisms| m.engine.reports_true_memory = false)]
+#[case::stale_orders_executed("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.fences = false)]
+#[case::memory_reported_free_too_early("replicas", scenario("memory-pressure"), |m: &mut Mechanisms| m.engine.frees_after_use = false)]
+#[case::wrong_memory_reported("memory", scenario("cold-burst"), |m: &mut Mechanisms| m.engine.reports_true_memory = false)]
 #[case::never_refused("answers", scenario("calm"), |m: &mut Mechanisms| m.refusals = false)]
-#[case::late_parts_passed_on("integrity", late_answers(), |m: &mut Mechanisms| m.drops_old_attempts = false)]
-#[case::false_not_run("refusals", scenario("machine-reclaimed").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.honest_failures = false)]
+#[case::late_answer_parts_forwarded("integrity", late_answers(), |m: &mut Mechanisms| m.drops_stale_attempts = false)]
+#[case::wrongly_reported_as_not_sent("refusals", scenario("machine-reclaimed").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.accurate_failures = false)]
 #[case::no_claims("once", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
-#[case::no_claims_in_order("claims-linearizable", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
-#[case::no_check_before_sending("leaving", frozen_at_dispatch(), |m: &mut Mechanisms| m.send_before = false)]
+#[case::no_claims_linearizable("claims-linearizable", scenario("calm"), |m: &mut Mechanisms| m.claims = false)]
+#[case::no_send_deadline("leaving", frozen_at_dispatch(), |m: &mut Mechanisms| m.send_before = false)]
 #[case::no_drain("drain", scenario("planned-stops").seeds(MORE_SEEDS), |m: &mut Mechanisms| m.drains = false)]
 #[case::changes_lost("configuration", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
-#[case::changes_not_told("configuration", scenario("racing-operators"), |m: &mut Mechanisms| m.catalog_changes = false)]
-#[case::changes_out_of_order("configuration-linearizable", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
-#[case::leases_without_end("enforcement", long_cut().seeds(0..80), |m: &mut Mechanisms| m.leases_end = false)]
+#[case::changes_not_sent("configuration", scenario("racing-operators"), |m: &mut Mechanisms| m.catalog_changes = false)]
+#[case::changes_not_linearizable("configuration-linearizable", scenario("kill-all-control"), |m: &mut Mechanisms| m.synced_writes = false)]
+#[case::leases_never_expire("enforcement", long_partition().seeds(0..80), |m: &mut Mechanisms| m.leases_expire = false)]
 #[case::no_permits("store", scenario("memory-pressure"), |m: &mut Mechanisms| m.store_permits = false)]
-#[case::never_mended("liveness", control_gone(), |m: &mut Mechanisms| m.healing = false)]
-fn checker_reports_what_its_mechanism_prevents(
+#[case::faults_never_end("liveness", all_control_killed(), |m: &mut Mechanisms| m.healing = false)]
+fn checker_reports_violation_without_mechanism(
     #[case] checker: &str,
-    #[case] trial: Trial,
-    #[case] switch_off: fn(&mut Mechanisms),
+    #[case] case: Case,
+    #[case] disable: fn(&mut Mechanisms),
 ) {
-    let red = trial.broken(switch_off);
-    assert!(reports(&red, checker), "{:?}", described(&red));
-    let green = trial.broken(|_| {});
-    assert_eq!(described(&green), Vec::<String>::new());
+    let without_mechanism = case.broken(disable);
+    assert!(
+        reports(&without_mechanism, checker),
+        "{:?}",
+        descriptions(&without_mechanism)
+    );
+    let with_mechanism = case.broken(|_| {});
+    assert_eq!(descriptions(&with_mechanism), Vec::<String>::new());
 }
 
 #[test]
-fn every_checker_has_a_case_above() {
+fn every_checker_has_a_case() {
     let source = include_str!("mechanisms.rs");
     for (name, _) in millpass_checkers::CHECKERS {
         let case = format!("(\"{name}\", ");
         assert!(
             source.contains(&case),
-            "no case switches off what {name} guards"
+            "no case disables the mechanism that {name} checks"
         );
     }
 }
--- a/crates/millpass-standin/src/run/driver.rs
+++ b/crates/millpass-standin/src/run/driver.rs
@@ -1,4 +1,4 @@
-//! Drives a model by the clock, and hands its outputs to those who wait for them.
+//! Drives a model by the clock and dispatches its outputs to waiters.
 
 use super::alarm::{Alarm, Alarms};
 use crossbeam::channel::{Receiver, Sender, unbounded};
@@ -8,112 +8,112 @@
 
 /// A model that a [`Driver`] can drive.
 pub trait TimedModel: Send + 'static {
-    /// What happens to it.
+    /// Event that the model handles.
     type Input;
-    /// What it does.
+    /// Effect of a step.
     type Output: Send + 'static;
 
-    /// Brings it to `now`, then takes the input; without one, only time went on.
+    /// Advances the model to `now`, then applies the input, if any.
     fn advance(&mut self, now: Timestamp, input: Option<Self::Input>) -> Vec<Self::Output>;
-    /// When it next does something by itself.
+    /// Time at which the model must be advanced next without an input.
     fn next_wake(&self) -> Option<Timestamp>;
-    /// Number of the one who waits for this output, and whether it is the last for it.
+    /// Returns the waiter of this output and whether it is that waiter's last output.
     fn waiter_of(output: &Self::Output) -> Option<(u64, bool)>;
 }
 
-/// Takes outputs that nobody waits for.
-type Take<Output> = Box<dyn Fn(Vec<Output>) + Send + Sync>;
+/// Handles outputs without a waiter.
+type OutputHandler<Output> = Box<dyn Fn(Vec<Output>) + Send + Sync>;
 
-/// A model with its clock and those who wait for its outputs.
+/// A model with its clock and the waiters for its outputs.
 pub struct Driver<M: TimedModel> {
-    cell: Mutex<Cell<M>>,
+    state: Mutex<State<M>>,
     alarms: Arc<Alarms>,
     alarm: OnceLock<u64>,
-    unclaimed: OnceLock<Take<M::Output>>,
+    unclaimed: OnceLock<OutputHandler<M::Output>>,
 }
 
-struct Cell<M: TimedModel> {
+struct State<M: TimedModel> {
     model: M,
     next_waiter: u64,
     waiters: BTreeMap<u64, Sender<M::Output>>,
 }
 
 impl<M: TimedModel> Driver<M> {
-    /// Begins to drive a model.
+    /// Starts to drive a model.
     pub fn new(model: M, alarms: Arc<Alarms>) -> Arc<Self> {
-        let cell = Cell {
+        let state = State {
             model,
             next_waiter: 1,
             waiters: BTreeMap::new(),
         };
         let driver = Arc::new(Driver {
-            cell: Mutex::new(cell),
+            state: Mutex::new(state),
             alarms: alarms.clone(),
             alarm: OnceLock::new(),
             unclaimed: OnceLock::new(),
         });
         let weak: Weak<Self> = Arc::downgrade(&driver);
-        // The cell is new, so this is the first and only setting.
+        // Cannot fail: the driver was created above.
         let _ = driver.alarm.set(alarms.add(weak));
         driver
     }
 
-    /// Says who takes outputs that nobody waits for and that come from the passing of time. To be
-    /// called once, before the first input.
-    pub fn on_unclaimed(&self, take: impl Fn(Vec<M::Output>) + Send + Sync + 'static) {
-        // A second call is ignored: the first owner keeps its outputs.
-        let _ = self.unclaimed.set(Box::new(take));
+    /// Sets the handler of outputs without a waiter that the passage of time produces. Must be called
+    /// once, before the first input.
+    pub fn on_unclaimed(&self, handle: impl Fn(Vec<M::Output>) + Send + Sync + 'static) {
+        // A second call has no effect.
+        let _ = self.unclaimed.set(Box::new(handle));
     }
 
-    /// The alarms and their clock.
+    /// Alarms that wake the model, and their clock.
     pub fn alarms(&self) -> &Alarms {
         &self.alarms
     }
 
-    /// One input; gives the outputs that nobody waits for.
+    /// Applies an input and returns the outputs without a waiter.
     pub fn input(&self, input: M::Input) -> Vec<M::Output> {
-        let mut cell = self.lock();
-        self.advance(&mut cell, Some(input))
+        let mut state = self.lock();
+        self.advance(&mut state, Some(input))
     }
 
-    /// One input by someone who waits for the outputs under the number that `make` gets.
+    /// Applies the input that `make` creates for a new waiter, and returns the waiter's id and outputs.
     pub fn open(&self, make: impl FnOnce(u64) -> M::Input) -> (u64, Receiver<M::Output>) {
         self.open_with_sender(make, |_, _| ())
     }
 
-    /// As [`Driver::open`]; `prepare` gets the number and the sending end before the input, to let
-    /// others, such as a hang-up notice, wake the one who waits.
+    /// Like [`Driver::open`]; `prepare` receives the waiter's id and sender before the input is applied, so
+    /// that other events, such as a disconnect, can wake the waiter.
     ///
-    /// The channel has no bound of its own: a model gives a bounded number of outputs for each
-    /// waiter, and must never wait for a slow one.
+    /// The channel is unbounded so that a slow waiter never blocks the model, which emits a bounded number
+    /// of outputs per waiter.
     pub fn open_with_sender(
         &self,
         make: impl FnOnce(u64) -> M::Input,
         prepare: impl FnOnce(u64, &Sender<M::Output>),
     ) -> (u64, Receiver<M::Output>) {
         let (sender, receiver) = unbounded();
-        let mut cell = self.lock();
-        let waiter = cell.next_waiter;
-        cell.next_waiter += 1;
+        let mut state = self.lock();
+        let waiter = state.next_waiter;
+        state.next_waiter += 1;
         prepare(waiter, &sender);
-        cell.waiters.insert(waiter, sender);
-        let unclaimed = self.advance(&mut cell, Some(make(waiter)));
-        drop(cell);
-        self.give_unclaimed(unclaimed);
+        state.waiters.insert(waiter, sender);
+        let unclaimed = self.advance(&mut state, Some(make(waiter)));
+        drop(state);
+        self.deliver_unclaimed(unclaimed);
         (waiter, receiver)
     }
 
-    /// Reads the model at the present time.
-    pub fn read<T>(&self, look: impl FnOnce(&M, Timestamp) -> T) -> T {
-        let mut cell = self.lock();
-        let unclaimed = self.advance(&mut cell, None);
-        let seen = look(&cell.model, self.alarms.clock().now());
-        drop(cell);
-        self.give_unclaimed(unclaimed);
+    /// Queries the model at the current time.
+    pub fn read<T>(&self, query: impl FnOnce(&M, Timestamp) -> T) -> T {
+        let mut state = self.lock();
+        let unclaimed = self.advance(&mut state, None);
+        let seen = query(&state.model, self.alarms.clock().now());
+        drop(state);
+        self.deliver_unclaimed(unclaimed);
         seen
     }
 
-    /// Stops driving: waiters see their channels close.
+    /// Stops driving the model and closes the waiters' channels.
     pub fn stop(&self) {
         self.lock().waiters.clear();
         if let Some(alarm) = self.alarm.get() {
@@ -121,33 +121,33 @@
         }
     }
 
-    /// Steps and hands out under the lock, so that each waiter sees its outputs in order.
-    fn advance(&self, cell: &mut Cell<M>, input: Option<M::Input>) -> Vec<M::Output> {
+    /// Steps and dispatches under the lock, so that each waiter receives its outputs in order.
+    fn advance(&self, state: &mut State<M>, input: Option<M::Input>) -> Vec<M::Output> {
         let now = self.alarms.clock().now();
-        let outputs = cell.model.advance(now, input);
-        let unclaimed = cell.hand_out(outputs);
+        let outputs = state.model.advance(now, input);
+        let unclaimed = state.dispatch(outputs);
         if let Some(alarm) = self.alarm.get() {
-            self.alarms.set(*alarm, cell.model.next_wake());
+            self.alarms.set(*alarm, state.model.next_wake());
         }
         unclaimed
     }
 
-    fn give_unclaimed(&self, outputs: Vec<M::Output>) {
+    fn deliver_unclaimed(&self, outputs: Vec<M::Output>) {
         if outputs.is_empty() {
             return;
         }
-        if let Some(take) = self.unclaimed.get() {
-            take(outputs);
+        if let Some(handle) = self.unclaimed.get() {
+            handle(outputs);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Cell<M>> {
-        self.cell.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State<M>> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl<M: TimedModel> Cell<M> {
-    fn hand_out(&mut self, outputs: Vec<M::Output>) -> Vec<M::Output> {
+impl<M: TimedModel> State<M> {
+    fn dispatch(&mut self, outputs: Vec<M::Output>) -> Vec<M::Output> {
         let mut unclaimed = Vec::new();
         for output in outputs {
             let Some((waiter, is_last)) = M::waiter_of(&output) else {
@@ -155,7 +155,7 @@
                 continue;
             };
             if let Some(sender) = self.waiters.get(&waiter) {
-                // One who no longer listens needs nothing.
+                // Fails if the waiter has stopped receiving.
                 let _ = sender.send(output);
             }
             if is_last {
@@ -168,9 +168,9 @@
 
 impl<M: TimedModel> Alarm for Driver<M> {
     fn wake(&self) {
-        let mut cell = self.lock();
-        let unclaimed = self.advance(&mut cell, None);
-        drop(cell);
-        self.give_unclaimed(unclaimed);
+        let mut state = self.lock();
+        let unclaimed = self.advance(&mut state, None);
+        drop(state);
+        self.deliver_unclaimed(unclaimed);
     }
 }
