--- a/crates/millpass-experiment/src/curve.rs
+++ b/crates/millpass-experiment/src/curve.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the lowest cold-start time of any baseline with at most this idle time, with linear
-    /// interpolation interpolate neighboring points. `None` if all have more idle time.
+    /// interpolation between neighboring points. `None` if all have more idle time.
     pub fn cold_at(&self, idle: f64) -> Option<f64> {
         lowest_cold_at(&self.curves, idle)
     }
--- a/crates/millpass-experiment/src/report/mod.rs
+++ b/crates/millpass-experiment/src/report/mod.rs
@@ -11,7 +11,7 @@
 use crate::experiment::Comparison;
 use std::path::Path;
 
-/// Error of [`write`].
+/// Error of [`write()`].
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// A file cannot be written.
--- a/crates/millpass-experiment/src/trace.rs
+++ b/crates/millpass-experiment/src/trace.rs
@@ -25,7 +25,7 @@
     pub completion_tokens: u32,
 }
 
-/// A whole trace.
+/// A request trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
     /// Requests in order of arrival.
