--- a/crates/millpass-standin/examples/capacity.rs
+++ b/crates/millpass-standin/examples/capacity.rs
@@ -1,9 +1,9 @@
-//! Measures what stand-ins carry.
+//! Measures the capacity of the stand-ins.
 //!
-//! `capacity serve STREAMS STEP_MICROS SECONDS`: one engine; prints its address, at the end its
-//! peak of resident memory and its tokens.
-//! `capacity call ADDRESS STREAMS TOKENS`: that many streams at once, each answer checked.
-//! `capacity engines COUNT`: memory of that many idle engines in one process.
+//! `capacity serve STREAMS STEP_MICROS SECONDS`: runs one engine; prints its address and, at the end, its
+//! peak resident memory and number of tokens.
+//! `capacity call ADDRESS STREAMS TOKENS`: runs concurrent streams and checks each completion.
+//! `capacity engines COUNT`: measures the memory of idle engines in one process.
 
 use anyhow::{Context, Result, bail};
 use millpass_proto::*;
@@ -18,17 +18,17 @@
 fn main() -> Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let number = |place: usize| -> Result<u64> {
-        let text = arguments.get(place).context("a number is missing")?;
+        let text = arguments.get(place).context("missing numeric argument")?;
         Ok(text.parse()?)
     };
     match arguments.first().map(String::as_str) {
         Some("serve") => serve(number(1)?, number(2)?, number(3)?),
         Some("call") => {
-            let address = arguments.get(1).context("the address is missing")?;
+            let address = arguments.get(1).context("missing address argument")?;
             call(address, number(2)?, number(3)?)
         }
         Some("engines") => measure_engines(number(1)?),
-        _ => bail!("usage: capacity serve|call|engines; see the head of this file"),
+        _ => bail!("usage: capacity serve|call|engines; see the comment at the top of capacity.rs"),
     }
 }
 
@@ -95,23 +95,23 @@
     let begin = Instant::now();
     while engine.audit().model_loads == 0 {
         if begin.elapsed() > START_TIMEOUT {
-            bail!("the model was not loaded in time");
+            bail!("model was not loaded within 10 s; check the engine");
         }
         std::thread::sleep(Duration::from_millis(1));
     }
     Ok(())
 }
 
-/// Reads one stream; tells whether it was whole and the caller's own.
+/// Reads one stream; returns whether it is the complete completion of this caller's prompt.
 fn stream(address: &str, caller: u64, tokens: u64) -> Result<bool> {
     let prompt = format!("write a listing nonce=caller-{caller}");
     let body = serde_json::json!({
         "model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": true
     });
     let url = format!("http://{address}/v1/completions");
-    let answer = ureq::post(&url).send_json(body)?;
+    let response = ureq::post(&url).send_json(body)?;
     let mut text = String::new();
-    for line in BufReader::new(answer.into_body().into_reader()).lines() {
+    for line in BufReader::new(response.into_body().into_reader()).lines() {
         let line = line?;
         let Some(json) = line.strip_prefix("data: {") else {
             continue;
@@ -120,8 +120,8 @@
         text.push_str(event["choices"][0]["text"].as_str().unwrap_or_default());
     }
     let version = VersionLabel::from("1");
-    let answer = Completion::new(&ModelName::from(MODEL), &version, None, &prompt);
-    Ok(answer.matches(0, u32::try_from(tokens)?, &text))
+    let expected = Completion::new(&ModelName::from(MODEL), &version, None, &prompt);
+    Ok(expected.matches(0, u32::try_from(tokens)?, &text))
 }
 
 fn measure_engines(count: u64) -> Result<()> {
@@ -137,12 +137,12 @@
         let url = format!("http://{}/engine/report", engine.address());
         ureq::get(&url).call()?;
     }
-    let asked = resident_kib()?;
+    let after_report = resident_kib()?;
     let each = |after: u64| (after - before) as f64 / count as f64;
     println!(
         "engines={count} resident_kib_each_idle={:.1} after_one_report_each={:.1}",
         each(idle),
-        each(asked)
+        each(after_report)
     );
     Ok(())
 }
@@ -156,7 +156,10 @@
     let line = status
         .lines()
         .find(|line| line.starts_with(name))
-        .context("no such line")?;
-    let number = line.split_whitespace().nth(1).context("no number")?;
+        .context("line missing in /proc/self/status")?;
+    let number = line
+        .split_whitespace()
+        .nth(1)
+        .context("number missing in /proc/self/status")?;
     Ok(number.parse()?)
 }
--- a/crates/millpass-standin/src/engine/batch.rs
+++ b/crates/millpass-standin/src/engine/batch.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 
 /// Position in the queue: by urgency, then by arrival.
-pub type QueuePlace = (Urgency, u64);
+pub type QueuePosition = (Urgency, u64);
 
 /// Running and waiting requests of one slot.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    running: BTreeMap<QueuePlace, RequestHandle>,
-    waiting: BTreeMap<QueuePlace, RequestHandle>,
+    running: BTreeMap<QueuePosition, RequestHandle>,
+    waiting: BTreeMap<QueuePosition, RequestHandle>,
     /// Cache memory reserved for the running requests.
     pub running_bytes: u64,
     /// End of the current step; `None` between steps.
@@ -19,45 +19,45 @@
 }
 
 impl Batch {
-    pub fn enqueue(&mut self, place: QueuePlace, handle: RequestHandle) {
-        self.waiting.insert(place, handle);
+    pub fn enqueue(&mut self, queue_position: QueuePosition, handle: RequestHandle) {
+        self.waiting.insert(queue_position, handle);
     }
 
     /// Returns the next request to run.
-    pub fn next_waiting(&self) -> Option<(QueuePlace, RequestHandle)> {
+    pub fn next_waiting(&self) -> Option<(QueuePosition, RequestHandle)> {
         self.waiting
             .first_key_value()
-            .map(|(place, handle)| (*place, *handle))
+            .map(|(queue_position, handle)| (*queue_position, *handle))
     }
 
     /// Moves a waiting request to the running batch and reserves `bytes` of cache for it.
-    pub fn start(&mut self, place: QueuePlace, bytes: u64) {
-        if let Some(handle) = self.waiting.remove(&place) {
-            self.running.insert(place, handle);
+    pub fn start(&mut self, queue_position: QueuePosition, bytes: u64) {
+        if let Some(handle) = self.waiting.remove(&queue_position) {
+            self.running.insert(queue_position, handle);
             self.running_bytes += bytes;
         }
     }
 
     /// Returns the request to preempt first: the running request of batch urgency that arrived last.
-    pub fn preemption_victim(&self) -> Option<(QueuePlace, RequestHandle)> {
-        let (place, handle) = self.running.last_key_value()?;
-        (place.0 == Urgency::Batch).then_some((*place, *handle))
+    pub fn preemption_victim(&self) -> Option<(QueuePosition, RequestHandle)> {
+        let (queue_position, handle) = self.running.last_key_value()?;
+        (queue_position.0 == Urgency::Batch).then_some((*queue_position, *handle))
     }
 
     /// Moves a running request back to the queue and frees its `bytes` of cache.
-    pub fn preempt(&mut self, place: QueuePlace, bytes: u64) {
-        if let Some(handle) = self.running.remove(&place) {
-            self.waiting.insert(place, handle);
+    pub fn preempt(&mut self, queue_position: QueuePosition, bytes: u64) {
+        if let Some(handle) = self.running.remove(&queue_position) {
+            self.waiting.insert(queue_position, handle);
             self.running_bytes -= bytes;
         }
     }
 
     /// Removes a running or waiting request; `bytes` is its cache reservation while running.
-    pub fn remove(&mut self, place: QueuePlace, bytes: u64) {
-        if self.running.remove(&place).is_some() {
+    pub fn remove(&mut self, queue_position: QueuePosition, bytes: u64) {
+        if self.running.remove(&queue_position).is_some() {
             self.running_bytes -= bytes;
         }
-        self.waiting.remove(&place);
+        self.waiting.remove(&queue_position);
     }
 
     /// Returns the running requests in queue order.
--- a/crates/millpass-standin/src/engine/front/service.rs
+++ b/crates/millpass-standin/src/engine/front/service.rs
@@ -141,10 +141,10 @@
         };
         let summary = format!("fence={} action={:?}", order.fence, order.action);
         let mut outputs = self.driver.input(EngineInput::Order(order));
-        let place = outputs
+        let index = outputs
             .iter()
             .position(|output| matches!(output, EngineOutput::OrderResponse(_)));
-        let response = place.map(|place| outputs.swap_remove(place));
+        let response = index.map(|index| outputs.swap_remove(index));
         self.fetches.start_all(outputs);
         match response {
             Some(EngineOutput::OrderResponse(response)) => {
--- a/crates/millpass-standin/src/engine/front/start.rs
+++ b/crates/millpass-standin/src/engine/front/start.rs
@@ -87,8 +87,8 @@
     let model = EngineModel::new(settings, alarms.clock().now());
     let driver = Driver::new(model, alarms);
     let fetches = Arc::new(Fetches::new(Arc::downgrade(&driver), front.store.clone()));
-    let for_alarms = fetches.clone();
-    driver.on_unclaimed(move |outputs| for_alarms.start_all(outputs));
+    let alarm_fetches = fetches.clone();
+    driver.on_unclaimed(move |outputs| alarm_fetches.start_all(outputs));
     let service = Arc::new(Service {
         driver: driver.clone(),
         fetches,
--- a/crates/millpass-standin/src/engine/orders.rs
+++ b/crates/millpass-standin/src/engine/orders.rs
@@ -220,11 +220,11 @@
     /// Evicts unloaded and failed slots and adapters beyond the limit, lowest fences first.
     fn evict_released_slots(&mut self) {
         let limit = self.settings.limits.reported_unloaded_slots;
-        let gone = self
+        let released = self
             .slots
             .iter()
             .filter(|(_, slot)| slot.weights.is_released());
-        let mut by_fence: BTreeMap<(LogPosition, SlotId), ()> = gone
+        let mut by_fence: BTreeMap<(LogPosition, SlotId), ()> = released
             .map(|(id, slot)| ((slot.weights.fence, *id), ()))
             .collect();
         while by_fence.len() > limit {
@@ -240,11 +240,11 @@
 
 fn evict_released_adapters(adapters: &mut BTreeMap<AdapterName, Artifact>, limit: usize) {
     loop {
-        let gone = adapters.iter().filter(|(_, one)| one.is_released());
-        if gone.clone().count() <= limit {
+        let released = adapters.iter().filter(|(_, one)| one.is_released());
+        if released.clone().count() <= limit {
             return;
         }
-        let oldest = gone.min_by_key(|(_, artifact)| artifact.fence);
+        let oldest = released.min_by_key(|(_, artifact)| artifact.fence);
         if let Some(name) = oldest.map(|(name, _)| name.clone()) {
             adapters.remove(&name);
         }
--- a/crates/millpass-standin/src/engine/prefix.rs
+++ b/crates/millpass-standin/src/engine/prefix.rs
@@ -44,13 +44,13 @@
 
     /// Caches leading blocks up to `capacity` blocks and evicts older ones beyond it.
     pub fn insert(&mut self, blocks: &[u64], capacity: usize, changes: &mut Vec<PrefixChange>) {
-        let kept = &blocks[..blocks.len().min(capacity)];
-        for block in kept {
+        let cacheable = &blocks[..blocks.len().min(capacity)];
+        for block in cacheable {
             if !self.contains(*block) {
                 changes.push((*block, CacheChange::Inserted));
             }
         }
-        self.touch_all(kept);
+        self.touch_all(cacheable);
         self.shrink(capacity, changes);
     }
 
--- a/crates/millpass-standin/src/engine/requests.rs
+++ b/crates/millpass-standin/src/engine/requests.rs
@@ -1,6 +1,6 @@
 //! Waiting and running requests of an engine.
 
-use super::batch::QueuePlace;
+use super::batch::QueuePosition;
 use super::messages::{EngineRequest, RequestHandle};
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 pub struct RequestState {
     pub request: EngineRequest,
     /// Position in the slot's queue or batch.
-    pub place: QueuePlace,
+    pub queue_position: QueuePosition,
     /// Position of the next token.
     pub position: u32,
     /// Position after the last token.
--- a/crates/millpass-standin/src/engine/serving.rs
+++ b/crates/millpass-standin/src/engine/serving.rs
@@ -21,12 +21,12 @@
         let end = request
             .maximum_tokens
             .min(self.settings.limits.maximum_tokens);
-        let place = (request.urgency, self.requests.arrival());
+        let queue_position = (request.urgency, self.requests.arrival());
         if let Some(deadline) = request.deadline {
             self.timers.set(deadline, Timer::Deadline(handle));
         }
         let state = RequestState {
-            place,
+            queue_position,
             position: request.resume_from.min(end),
             end,
             cache_bytes: self.required_cache_bytes(&request),
@@ -35,7 +35,7 @@
         };
         self.requests.insert(state);
         if let Some(state) = self.slots.get_mut(&slot) {
-            state.batch.enqueue(place, handle);
+            state.batch.enqueue(queue_position, handle);
         }
         self.mark_changed(now);
         self.begin_step_if_idle(now, slot);
@@ -211,7 +211,7 @@
             let Some(state) = self.slots.get(&slot) else {
                 return prefill_tokens;
             };
-            let Some((place, handle)) = state.batch.next_waiting() else {
+            let Some((queue_position, handle)) = state.batch.next_waiting() else {
                 return prefill_tokens;
             };
             let required = self.requests.get(handle).map_or(0, |one| one.cache_bytes);
@@ -223,13 +223,14 @@
                 continue;
             }
             let victim = state.batch.preemption_victim();
-            let Some((victim_place, victim)) = victim.filter(|_| place.0 == Urgency::Interactive)
+            let Some((victim_position, victim)) =
+                victim.filter(|_| queue_position.0 == Urgency::Interactive)
             else {
                 return prefill_tokens;
             };
             let held = self.requests.get(victim).map_or(0, |one| one.cache_bytes);
             if let Some(state) = self.slots.get_mut(&slot) {
-                state.batch.preempt(victim_place, held);
+                state.batch.preempt(victim_position, held);
             }
             self.counters.preemptions += 1;
         }
@@ -242,7 +243,7 @@
         };
         let is_first = !one.started;
         one.started = true;
-        let (place, bytes) = (one.place, one.cache_bytes);
+        let (queue_position, bytes) = (one.queue_position, one.cache_bytes);
         let context = one.request.prompt_tokens.saturating_add(one.position);
         let is_complete = one.position >= one.end;
         let blocks = one.request.prefix_blocks.clone();
@@ -252,7 +253,7 @@
         }
         let mut cached = 0;
         if let Some(state) = self.slots.get_mut(&slot) {
-            state.batch.start(place, bytes);
+            state.batch.start(queue_position, bytes);
             cached = state.prefix.use_prefix(&blocks);
         }
         self.cache_blocks(now, slot, &blocks);
@@ -325,7 +326,7 @@
         }
         let slot = state.request.slot;
         if let Some(owner) = self.slots.get_mut(&slot) {
-            owner.batch.remove(state.place, state.cache_bytes);
+            owner.batch.remove(state.queue_position, state.cache_bytes);
         }
         self.mark_changed(now);
         Some(slot)
--- a/crates/millpass-standin/src/lib.rs
+++ b/crates/millpass-standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for outside systems: engine, web back end, weight store, platform list.
+//! Stand-ins for external systems: engine, web back end, weight store, platform list.
 //!
 //! Each consists of a model, a deterministic state machine without I/O, clock or threads, and a
 //! front end (`start`) that serves the model over loopback HTTP.
--- a/crates/millpass-standin/src/weight_store/service.rs
+++ b/crates/millpass-standin/src/weight_store/service.rs
@@ -92,13 +92,13 @@
             let status = StatusCode::BAD_REQUEST;
             return responder.send(error_response(status, "missing_size", message, false));
         };
-        let gone = responder.caller_gone();
+        let caller_gone = responder.caller_gone();
         let (waiter, ends) = self.driver.open_with_sender(
             |waiter| StoreInput::Request(TransferId(waiter), bytes),
             |waiter, sender| {
                 // Any output wakes the waiting thread, which then sees the disconnect.
                 let sender = sender.clone();
-                gone.on_gone(move || {
+                caller_gone.on_gone(move || {
                     let _ = sender.send(StoreOutput::Done(TransferId(waiter)));
                 });
             },
--- a/crates/millpass-standin/tests/common/loopback.rs
+++ b/crates/millpass-standin/tests/common/loopback.rs
@@ -1,16 +1,16 @@
-//! Pieces of the loopback tests.
+//! Helpers of the loopback tests.
 
 use millpass_standin::run::FrontSettings;
 use std::time::{Duration, Instant};
 use ureq::Agent;
 
-/// Simulated seconds in a real one, so that tests are fast.
+/// Simulated seconds per real second.
 pub const SCALE: f64 = 50.0;
-/// Longest wait for anything; reached only by a defect.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of every wait and request.
+const TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_PAUSE: Duration = Duration::from_millis(2);
 
-/// A front end on a free port, on the fast clock.
+/// Front-end settings with a free port and an accelerated clock.
 pub fn fast() -> FrontSettings {
     FrontSettings {
         time_scale: SCALE,
@@ -18,26 +18,26 @@
     }
 }
 
-/// A client that gives every status as an answer.
+/// Client that does not treat HTTP error statuses as errors.
 pub fn agent() -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(TIMEOUT))
         .build();
     Agent::new_with_config(config)
 }
 
-/// JSON of a GET.
+/// Sends a GET request and parses the JSON response.
 pub fn get<T: serde::de::DeserializeOwned>(url: &str) -> T {
-    let mut answer = agent().get(url).call().unwrap();
-    answer.body_mut().read_json().unwrap()
+    let mut response = agent().get(url).call().unwrap();
+    response.body_mut().read_json().unwrap()
 }
 
-/// Polls until something holds.
+/// Polls until the condition holds.
 pub fn wait_until(holds: impl Fn() -> bool) {
     let begin = Instant::now();
     while !holds() {
-        assert!(begin.elapsed() < PATIENCE, "condition did not come true");
+        assert!(begin.elapsed() < TIMEOUT, "condition did not hold in time");
         std::thread::sleep(POLL_PAUSE);
     }
 }
--- a/crates/millpass-standin/tests/common/mod.rs
+++ b/crates/millpass-standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared pieces of the tests: orders, requests and a driver that answers fetches at once.
+//! Test helpers: orders, requests and a driver that completes fetches immediately.
 #![allow(dead_code)]
 
 pub mod loopback;
@@ -6,10 +6,10 @@
 use millpass_proto::*;
 use millpass_standin::engine::*;
 
-/// The one model that the tests load.
+/// Model that the tests load.
 pub const MODEL: &str = "narrator";
 
-/// Settings with round, small numbers: one accelerator of 1,000 bytes, one cache byte a token.
+/// Small settings: one accelerator of 1,000 bytes, one cache byte per token.
 pub fn small_settings() -> EngineSettings {
     let mut settings = EngineSettings {
         accelerator_bytes: vec![1_000],
@@ -22,12 +22,11 @@
     settings
 }
 
-/// Fence with this index.
 pub fn fence(index: u64) -> LogPosition {
     LogPosition { term: 1, index }
 }
 
-/// An order to `engine-1`, incarnation 1.
+/// Creates an order for `engine-1`, incarnation 1.
 pub fn order(index: u64, action: OrderAction) -> EngineOrder {
     EngineOrder {
         fence: fence(index),
@@ -37,7 +36,7 @@
     }
 }
 
-/// A load of [`MODEL`] on accelerator 0.
+/// Creates a load of [`MODEL`] on accelerator 0.
 pub fn load(slot: u64, weights_bytes: u64, cache_bytes: u64) -> OrderAction {
     OrderAction::LoadModel(LoadModelOrder {
         slot: SlotId(slot),
@@ -50,7 +49,7 @@
     })
 }
 
-/// A request of ten prompt tokens for a slot.
+/// Creates a request with ten prompt tokens for a slot.
 pub fn request(handle: u64, slot: u64, maximum_tokens: u32) -> EngineRequest {
     EngineRequest {
         handle: RequestHandle(handle),
@@ -69,11 +68,9 @@
     }
 }
 
-/// An engine with its clock; every fetch is answered at once.
+/// An engine with its clock; completes every fetch immediately.
 pub struct Driver {
-    /// The engine.
     pub engine: EngineModel,
-    /// Its clock.
     pub now: Timestamp,
 }
 
@@ -86,15 +83,15 @@
         }
     }
 
-    /// An engine with slot 1 loaded: 500 bytes of weights, 400 of cache.
+    /// Starts an engine with slot 1 loaded: 500 bytes of weights, 400 of cache.
     pub fn loaded(settings: EngineSettings) -> Self {
         let mut driver = Driver::new(settings);
         driver.input(EngineInput::Order(order(1, load(1, 500, 400))));
-        driver.run_dry();
+        driver.run_until_idle();
         driver
     }
 
-    /// One input; its outputs, and those of the fetches that it caused.
+    /// Applies an input; returns its outputs and those of the fetches that it caused.
     pub fn input(&mut self, input: EngineInput) -> Vec<EngineOutput> {
         let mut outputs = self.engine.step(self.now, input);
         let fetches: Vec<FetchId> = outputs
@@ -110,7 +107,7 @@
         outputs
     }
 
-    /// Lets time pass to the next thing the engine does, and does it.
+    /// Advances the time to the next wake of the engine.
     pub fn wake(&mut self) -> Vec<EngineOutput> {
         if let Some(at) = self.engine.next_wake() {
             self.now = self.now.max(at);
@@ -118,8 +115,8 @@
         self.input(EngineInput::Tick)
     }
 
-    /// Lets time pass until the engine has nothing left to do.
-    pub fn run_dry(&mut self) -> Vec<EngineOutput> {
+    /// Advances the time until the engine is idle.
+    pub fn run_until_idle(&mut self) -> Vec<EngineOutput> {
         let mut outputs = Vec::new();
         while self.engine.next_wake().is_some() {
             outputs.extend(self.wake());
@@ -127,19 +124,19 @@
         outputs
     }
 
-    /// Sends an order; gives its answer.
+    /// Sends an order and returns the response.
     pub fn send(&mut self, order: EngineOrder) -> OrderResponse {
         let outputs = self.input(EngineInput::Order(order));
         outputs
             .into_iter()
             .find_map(|output| match output {
-                EngineOutput::OrderResponse(answer) => Some(answer),
+                EngineOutput::OrderResponse(response) => Some(response),
                 _ => None,
             })
-            .expect("an order is answered")
+            .expect("no response to an order")
     }
 
-    /// Phase of a slot now.
+    /// Current phase of a slot.
     pub fn phase(&self, slot: u64) -> Option<EngineSlotPhase> {
         let report = self.engine.current_report();
         let found = report
@@ -150,7 +147,7 @@
     }
 }
 
-/// Positions of the tokens that a request was given, in order.
+/// Positions of the tokens emitted for a request, in order.
 pub fn positions(outputs: &[EngineOutput], handle: u64) -> Vec<u32> {
     let ranges = outputs.iter().filter_map(|output| match output {
         EngineOutput::Tokens {
@@ -163,20 +160,20 @@
     ranges.flatten().collect()
 }
 
-/// Place among the outputs of a request's end.
+/// Index among the outputs, and reason, of a request's end.
 pub fn end_of(outputs: &[EngineOutput], handle: u64) -> Option<(usize, FinishReason)> {
     outputs
         .iter()
         .enumerate()
-        .find_map(|(place, output)| match output {
+        .find_map(|(index, output)| match output {
             EngineOutput::Finished(request, reason) if *request == RequestHandle(handle) => {
-                Some((place, *reason))
+                Some((index, *reason))
             }
             _ => None,
         })
 }
 
-/// Runs a property over the same cases in every run.
+/// Checks a property with the same cases in every run.
 pub fn check_property<S: proptest::strategy::Strategy>(
     strategy: S,
     test: impl Fn(S::Value) -> Result<(), proptest::test_runner::TestCaseError>,
--- a/crates/millpass-standin/tests/engine_front.rs
+++ b/crates/millpass-standin/tests/engine_front.rs
@@ -1,4 +1,4 @@
-//! The engine over loopback HTTP.
+//! Tests of the engine's HTTP interface over loopback.
 
 mod common;
 
@@ -15,16 +15,16 @@
     let mut front = EngineFront::default();
     front.front.time_scale = SCALE;
     let engine = start(small_settings(), &front).unwrap();
-    let answer = send_order(&engine, &order(1, load(1, 500, 400)));
-    assert_eq!(answer, OrderResponse::Accepted);
+    let response = send_order(&engine, &order(1, load(1, 500, 400)));
+    assert_eq!(response, OrderResponse::Accepted);
     wait_until(|| engine.current_report().slots[0].phase == EngineSlotPhase::Loaded);
     engine
 }
 
 fn send_order(engine: &EngineHandle, order: &EngineOrder) -> OrderResponse {
     let url = format!("http://{}/engine/orders", engine.address());
-    let mut answer = agent().post(&url).send_json(order).unwrap();
-    answer.body_mut().read_json().unwrap()
+    let mut response = agent().post(&url).send_json(order).unwrap();
+    response.body_mut().read_json().unwrap()
 }
 
 fn complete(
@@ -44,10 +44,10 @@
     request.send_json(body).unwrap()
 }
 
-/// Text of a stream, and whether it ended with `[DONE]`.
-fn stream_text(answer: http::Response<ureq::Body>) -> (String, bool) {
+/// Reads the text of a stream and whether it ended with `[DONE]`.
+fn stream_text(response: http::Response<ureq::Body>) -> (String, bool) {
     let mut text = String::new();
-    for line in BufReader::new(answer.into_body().into_reader()).lines() {
+    for line in BufReader::new(response.into_body().into_reader()).lines() {
         let Ok(line) = line else {
             return (text, false);
         };
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn streamed_and_whole_answers_agree_and_carry_the_nonce() {
+fn streamed_and_full_completions_agree_and_contain_the_nonce() {
     let engine = start_loaded();
     let (streamed, is_done) = stream_text(complete(&engine, 7, true, &[]));
     assert!(is_done);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn resumed_stream_gives_exactly_the_tail() {
+fn resumed_stream_contains_only_the_remaining_tokens() {
     let engine = start_loaded();
     let headers = [("millpass-resume-from", "4"), ("millpass-slot", "1")];
     let (tail, is_done) = stream_text(complete(&engine, 9, true, &headers));
@@ -97,18 +97,21 @@
 }
 
 #[test]
-fn chat_is_the_same_content_over_the_joined_prompt() {
+fn chat_completes_the_joined_prompt() {
     let engine = start_loaded();
     let url = format!("http://{}/v1/chat/completions", engine.address());
     let body = serde_json::json!({
         "model": MODEL, "max_tokens": 3, "messages": [{"role": "user", "content": PROMPT}]
     });
-    let mut answer = agent().post(&url).send_json(body).unwrap();
-    let json: serde_json::Value = answer.body_mut().read_json().unwrap();
+    let mut response = agent().post(&url).send_json(body).unwrap();
+    let json: serde_json::Value = response.body_mut().read_json().unwrap();
     let prompt = millpass_standin::content::chat_prompt([("user", PROMPT)]);
     let model = ModelName::from(MODEL);
-    let answer = Completion::new(&model, &VersionLabel::from("1"), None, &prompt);
-    assert_eq!(json["choices"][0]["message"]["content"], answer.text(0, 3));
+    let completion = Completion::new(&model, &VersionLabel::from("1"), None, &prompt);
+    assert_eq!(
+        json["choices"][0]["message"]["content"],
+        completion.text(0, 3)
+    );
     engine.stop();
 }
 
@@ -117,9 +120,9 @@
 #[case::incarnation("millpass-incarnation", "9")]
 fn conflicts_are_refused_as_not_executed(#[case] name: &str, #[case] value: &str) {
     let engine = start_loaded();
-    let answer = complete(&engine, 3, true, &[(name, value)]);
-    assert_eq!(answer.status(), 409);
-    assert_eq!(answer.headers()["millpass-executed"], "no");
+    let response = complete(&engine, 3, true, &[(name, value)]);
+    assert_eq!(response.status(), 409);
+    assert_eq!(response.headers()["millpass-executed"], "no");
     assert_eq!(engine.audit().requests_started, 0);
     engine.stop();
 }
@@ -131,15 +134,15 @@
     let engine = start(settings, &EngineFront::default()).unwrap();
     send_order(&engine, &order(1, load(1, 500, 400)));
     wait_until(|| engine.current_report().slots[0].phase == EngineSlotPhase::Loaded);
-    let answer = complete(&engine, 3, false, &[]);
-    assert_eq!(answer.status(), 503);
-    assert_eq!(answer.headers()["millpass-executed"], "no");
-    assert_eq!(answer.headers()["retry-after"], "1");
+    let response = complete(&engine, 3, false, &[]);
+    assert_eq!(response.status(), 503);
+    assert_eq!(response.headers()["millpass-executed"], "no");
+    assert_eq!(response.headers()["retry-after"], "1");
     engine.stop();
 }
 
 #[test]
-fn hang_up_cancels_and_so_does_delete() {
+fn disconnect_and_delete_cancel_a_request() {
     let mut settings = small_settings();
     settings.timing.step_base = Duration::from_secs(1);
     let mut front = EngineFront::default();
@@ -148,21 +151,21 @@
     send_order(&engine, &order(1, load(1, 500, 400)));
     wait_until(|| engine.current_report().slots[0].phase == EngineSlotPhase::Loaded);
 
-    let answer = complete(&engine, 300, true, &[]);
-    drop(answer);
+    let response = complete(&engine, 300, true, &[]);
+    drop(response);
     wait_until(|| engine.audit().requests_cancelled == 1);
 
-    let answer = complete(&engine, 300, true, &[("x-request-id", "second")]);
+    let response = complete(&engine, 300, true, &[("x-request-id", "second")]);
     let url = format!("http://{}/engine/requests/second", engine.address());
     assert_eq!(agent().delete(&url).call().unwrap().status(), 200);
-    let (_, is_done) = stream_text(answer);
+    let (_, is_done) = stream_text(response);
     assert!(!is_done);
     assert_eq!(engine.audit().requests_cancelled, 2);
     engine.stop();
 }
 
 #[test]
-fn adapter_is_named_in_the_model_and_changes_the_text() {
+fn adapter_in_the_model_name_changes_the_completion() {
     let engine = start_loaded();
     let adapter = OrderAction::LoadAdapter(LoadAdapterOrder {
         slot: SlotId(1),
@@ -170,24 +173,24 @@
         bytes: 10,
         checkpoint: "dealer-1".to_owned(),
     });
-    let ask = || {
+    let complete_with_adapter = || {
         let url = format!("http://{}/v1/completions", engine.address());
         let model = format!("{MODEL}:dealer");
         let body = serde_json::json!({"model": model, "prompt": PROMPT, "max_tokens": 2});
         agent().post(&url).send_json(body).unwrap()
     };
-    assert_eq!(ask().status(), 409);
+    assert_eq!(complete_with_adapter().status(), 409);
     assert_eq!(
         send_order(&engine, &order(2, adapter)),
         OrderResponse::Accepted
     );
     wait_until(|| engine.audit().adapter_loads == 1);
-    let json: serde_json::Value = ask().body_mut().read_json().unwrap();
+    let json: serde_json::Value = complete_with_adapter().body_mut().read_json().unwrap();
     let (model, version) = (ModelName::from(MODEL), VersionLabel::from("1"));
     let dealer = AdapterName::from("dealer");
-    let answer = Completion::new(&model, &version, Some(&dealer), PROMPT);
-    assert_eq!(json["choices"][0]["text"], answer.text(0, 2));
-    assert_ne!(answer, expected());
+    let completion = Completion::new(&model, &version, Some(&dealer), PROMPT);
+    assert_eq!(json["choices"][0]["text"], completion.text(0, 2));
+    assert_ne!(completion, expected());
     engine.stop();
 }
 
@@ -215,12 +218,12 @@
 }
 
 #[test]
-fn report_comes_over_http_as_the_schema_says() {
+fn report_over_http_matches_the_schema() {
     let engine = start_loaded();
     let url = format!("http://{}/engine/report", engine.address());
     let read = || -> EngineReport {
-        let mut answer = agent().get(&url).call().unwrap();
-        answer.body_mut().read_json().unwrap()
+        let mut response = agent().get(&url).call().unwrap();
+        response.body_mut().read_json().unwrap()
     };
     wait_until(|| {
         let report = read();
@@ -234,16 +237,16 @@
 fn malformed_bodies_and_headers_are_refused_as_not_executed() {
     let engine = start_loaded();
     let url = format!("http://{}/v1/completions", engine.address());
-    let answer = agent().post(&url).send("{").unwrap();
-    assert_eq!(answer.status(), 400);
-    let answer = complete(&engine, 3, false, &[("millpass-priority", "urgent")]);
-    assert_eq!(answer.status(), 400);
-    assert_eq!(answer.headers()["millpass-executed"], "no");
+    let response = agent().post(&url).send("{").unwrap();
+    assert_eq!(response.status(), 400);
+    let response = complete(&engine, 3, false, &[("millpass-priority", "urgent")]);
+    assert_eq!(response.status(), 400);
+    assert_eq!(response.headers()["millpass-executed"], "no");
     engine.stop();
 }
 
 #[test]
-fn many_engines_share_a_process_and_stay_apart() {
+fn engines_in_one_process_are_independent() {
     let named = |number: u64| EngineSettings {
         backend: BackendName(format!("engine-{number}")),
         incarnation: Incarnation(number),
@@ -254,8 +257,8 @@
     let engines = start_many((1..=20).map(named), &front).unwrap();
     send_order(&engines[0], &order(1, load(1, 500, 400)));
     wait_until(|| engines[0].audit().model_loads == 1);
-    let answer = send_order(&engines[1], &order(1, load(1, 500, 400)));
-    assert!(matches!(answer, OrderResponse::Rejected(_)));
+    let response = send_order(&engines[1], &order(1, load(1, 500, 400)));
+    assert!(matches!(response, OrderResponse::Rejected(_)));
     let (text, is_done) = stream_text(complete(&engines[0], 3, true, &[]));
     assert!(is_done && expected().matches(0, 3, &text));
     let loads: u64 = engines
--- a/crates/millpass-standin/tests/engine_model.rs
+++ b/crates/millpass-standin/tests/engine_model.rs
@@ -1,4 +1,4 @@
-//! The engine model by examples: fences, memory, loads, batching, reports.
+//! Tests of the engine model: fences, memory, loads, batching and reports.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 #[test]
-fn load_reserves_memory_and_ends_loaded() {
+fn load_reserves_memory_and_completes() {
     let mut driver = Driver::new(small_settings());
     assert_eq!(
         driver.send(order(1, load(1, 500, 400))),
@@ -16,16 +16,16 @@
     );
     assert_eq!(driver.phase(1), Some(EngineSlotPhase::Loading));
     assert_eq!(driver.engine.current_report().used_bytes, vec![900]);
-    driver.run_dry();
+    driver.run_until_idle();
     assert_eq!(driver.phase(1), Some(EngineSlotPhase::Loaded));
     assert_eq!(driver.engine.audit(driver.now).model_loads, 1);
 }
 
 #[test]
-fn order_beyond_memory_is_a_counted_breach_and_does_nothing() {
+fn order_exceeding_memory_is_rejected_and_counted() {
     let mut driver = Driver::loaded(small_settings());
-    let answer = driver.send(order(2, load(2, 101, 0)));
-    assert!(matches!(answer, OrderResponse::Rejected(_)));
+    let response = driver.send(order(2, load(2, 101, 0)));
+    assert!(matches!(response, OrderResponse::Rejected(_)));
     let audit = driver.engine.audit(driver.now);
     assert_eq!(audit.memory_overcommits, 1);
     assert_eq!(audit.peak_used_bytes, vec![900]);
@@ -33,21 +33,24 @@
 }
 
 #[test]
-fn a_copy_of_a_rejected_order_is_rejected_also_when_memory_came_free() {
+fn resent_rejected_order_stays_rejected_after_memory_is_freed() {
     let mut driver = Driver::loaded(small_settings());
-    let too_much = order(2, load(2, 600, 0));
-    let first = driver.send(too_much.clone());
+    let oversized = order(2, load(2, 600, 0));
+    let first = driver.send(oversized.clone());
     assert!(matches!(first, OrderResponse::Rejected(_)));
     driver.send(order(3, OrderAction::UnloadModel(SlotId(1))));
-    driver.run_dry();
-    assert_eq!(driver.send(too_much), first);
+    driver.run_until_idle();
+    assert_eq!(driver.send(oversized), first);
     assert_eq!(driver.phase(2), None);
 }
 
 #[rstest]
 #[case::lower(order(4, load(2, 1, 1)), OrderResponse::StaleFence(fence(5)))]
 #[case::resent(order(5, load(1, 500, 400)), OrderResponse::Accepted)]
-fn fences_decide(#[case] second: EngineOrder, #[case] expected: OrderResponse) {
+fn stale_and_resent_orders_are_recognized(
+    #[case] second: EngineOrder,
+    #[case] expected: OrderResponse,
+) {
     let mut driver = Driver::new(small_settings());
     assert_eq!(
         driver.send(order(5, load(1, 500, 400))),
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn another_incarnation_is_refused_and_counted() {
+fn order_for_another_incarnation_is_rejected_and_counted() {
     let mut driver = Driver::new(small_settings());
     let mut foreign = order(1, load(1, 1, 1));
     foreign.incarnation = Incarnation(7);
@@ -71,15 +74,15 @@
 }
 
 #[test]
-fn one_fence_with_two_orders_is_a_counted_breach() {
+fn reused_fence_is_rejected_and_counted() {
     let mut driver = Driver::loaded(small_settings());
-    let answer = driver.send(order(1, load(9, 1, 1)));
-    assert!(matches!(answer, OrderResponse::Rejected(_)));
+    let response = driver.send(order(1, load(9, 1, 1)));
+    assert!(matches!(response, OrderResponse::Rejected(_)));
     assert_eq!(driver.engine.audit(driver.now).conflicting_fences, 1);
 }
 
 #[test]
-fn tiers_differ_in_speed_and_only_remote_asks_the_store() {
+fn load_time_depends_on_the_tier_and_only_remote_fetches() {
     let initial = |tier| {
         let mut settings = small_settings();
         settings.timing.memory_bytes_per_second = 1_000;
@@ -94,7 +97,7 @@
         let fetched = outputs
             .iter()
             .any(|output| matches!(output, EngineOutput::Fetch { .. }));
-        driver.run_dry();
+        driver.run_until_idle();
         (driver.now.as_millis(), fetched)
     };
     assert_eq!(initial(CheckpointTier::Memory), (900, false));
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn the_next_engine_on_a_machine_finds_its_checkpoints() {
+fn cached_checkpoints_survive_an_engine_restart() {
     let first = Driver::loaded(small_settings());
     let mut settings = small_settings();
     settings.checkpoints.initial = first.engine.cached_checkpoints();
@@ -135,29 +138,29 @@
 }
 
 #[test]
-fn a_store_at_its_limit_is_asked_again_and_at_last_given_up() {
+fn load_fails_after_the_retry_limit_of_the_store() {
     let mut settings = small_settings();
     settings.limits.fetch_retries = 2;
     let mut engine = EngineModel::new(settings, Timestamp::ZERO);
     let mut now = Timestamp::ZERO;
     let mut outputs = engine.step(now, EngineInput::Order(order(1, load(1, 500, 400))));
-    let mut asked = 0;
+    let mut fetches = 0;
     while let Some(fetch) = outputs.iter().find_map(|output| match output {
         EngineOutput::Fetch { fetch, .. } => Some(*fetch),
         _ => None,
     }) {
-        asked += 1;
+        fetches += 1;
         let later = FetchResult::RetryAfter(Duration::from_secs(1));
         engine.step(now, EngineInput::FetchEnded(fetch, later));
         now = engine.next_wake().unwrap_or(now);
         outputs = engine.step(now, EngineInput::Tick);
     }
-    assert_eq!(asked, 3);
+    assert_eq!(fetches, 3);
     assert_eq!(engine.audit(now).failed_loads, 1);
 }
 
 #[test]
-fn planned_unload_waits_for_what_runs_and_refuses_what_waits() {
+fn unload_completes_running_requests_and_refuses_waiting_ones() {
     let mut driver = Driver::loaded(small_settings());
     for handle in 1..=3 {
         driver.input(EngineInput::Submit(request(handle, 1, 20)));
@@ -170,7 +173,7 @@
         assert_eq!(driver.engine.current_report().used_bytes, vec![900]);
         outputs.extend(driver.wake());
     }
-    outputs.extend(driver.run_dry());
+    outputs.extend(driver.run_until_idle());
     for handle in 1..=2 {
         assert_eq!(positions(&outputs, handle), (0..20).collect::<Vec<_>>());
         assert_eq!(end_of(&outputs, handle).unwrap().1, FinishReason::Complete);
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn adapter_of_a_loading_slot_is_loaded_with_it_and_goes_with_it() {
+fn adapter_is_loaded_and_unloaded_with_its_slot() {
     let mut driver = Driver::new(small_settings());
     driver.send(order(1, load(1, 500, 400)));
     let adapter = OrderAction::LoadAdapter(LoadAdapterOrder {
@@ -192,18 +195,18 @@
         checkpoint: "dealer-1".to_owned(),
     });
     assert_eq!(driver.send(order(2, adapter)), OrderResponse::Accepted);
-    driver.run_dry();
+    driver.run_until_idle();
     let mut with_adapter = request(1, 1, 2);
     with_adapter.adapter = Some(AdapterName::from("dealer"));
     driver.input(EngineInput::Submit(with_adapter));
-    assert_eq!(positions(&driver.run_dry(), 1), vec![0, 1]);
+    assert_eq!(positions(&driver.run_until_idle(), 1), vec![0, 1]);
     driver.send(order(3, OrderAction::UnloadModel(SlotId(1))));
-    driver.run_dry();
+    driver.run_until_idle();
     assert_eq!(driver.engine.current_report().used_bytes, vec![0]);
 }
 
 #[test]
-fn interactive_preempts_batch_which_still_ends_whole() {
+fn interactive_preempts_batch_which_still_completes() {
     let mut driver = Driver::loaded(small_settings());
     for handle in 1..=2 {
         let mut batch = request(handle, 1, 30);
@@ -214,14 +217,14 @@
     let mut urgent = request(3, 1, 5);
     urgent.urgency = Urgency::Interactive;
     driver.input(EngineInput::Submit(urgent));
-    outputs.extend(driver.run_dry());
+    outputs.extend(driver.run_until_idle());
     assert!(end_of(&outputs, 3).unwrap().0 < end_of(&outputs, 2).unwrap().0);
     assert_eq!(positions(&outputs, 2), (0..30).collect::<Vec<_>>());
     assert_eq!(driver.engine.audit(driver.now).preemptions, 1);
 }
 
 #[test]
-fn unload_lets_a_preempted_request_end_whole() {
+fn unload_completes_a_preempted_request() {
     let mut settings = small_settings();
     settings.limits.batch_slots = 1;
     let mut driver = Driver::loaded(settings);
@@ -234,28 +237,28 @@
     let mut outputs = driver.wake();
     assert_eq!(driver.engine.audit(driver.now).preemptions, 1);
     driver.send(order(2, OrderAction::UnloadModel(SlotId(1))));
-    outputs.extend(driver.run_dry());
+    outputs.extend(driver.run_until_idle());
     assert_eq!(positions(&outputs, 1), (0..10).collect::<Vec<_>>());
     assert_eq!(end_of(&outputs, 1).unwrap().1, FinishReason::Complete);
 }
 
 #[test]
-fn unload_bound_cuts_what_still_runs() {
+fn unload_timeout_aborts_running_requests() {
     let mut settings = small_settings();
     settings.limits.unload_timeout = Some(Duration::from_millis(100));
     let mut driver = Driver::loaded(settings);
     driver.input(EngineInput::Submit(request(1, 1, 300)));
     let begin = driver.now;
     driver.send(order(2, OrderAction::UnloadModel(SlotId(1))));
-    let outputs = driver.run_dry();
+    let outputs = driver.run_until_idle();
     assert_eq!(end_of(&outputs, 1).unwrap().1, FinishReason::Unloaded);
     assert_eq!(driver.now.since(begin), Duration::from_millis(300));
     assert_eq!(driver.engine.audit(driver.now).requests_cut, 1);
 }
 
 #[test]
-fn full_queue_refuses_with_when_to_come_back() {
-    // One runs, four wait; the batch takes more only at the next step.
+fn full_queue_refuses_with_a_retry_delay() {
+    // One request runs and four wait; the batch admits more only at the next step.
     let mut driver = Driver::loaded(small_settings());
     let refusals: Vec<EngineOutput> = (1..=8)
         .flat_map(|handle| driver.input(EngineInput::Submit(request(handle, 1, 5))))
@@ -268,7 +271,7 @@
 }
 
 #[test]
-fn deadline_refuses_what_waits_and_cuts_what_runs() {
+fn deadline_refuses_waiting_and_aborts_running_requests() {
     let mut driver = Driver::loaded(small_settings());
     let deadline = Some(driver.now + Duration::from_millis(100));
     for handle in 1..=3 {
@@ -276,7 +279,7 @@
         limited.deadline = deadline;
         driver.input(EngineInput::Submit(limited));
     }
-    let outputs = driver.run_dry();
+    let outputs = driver.run_until_idle();
     assert_eq!(end_of(&outputs, 1).unwrap().1, FinishReason::DeadlinePassed);
     let refused = EngineOutput::Refused(RequestHandle(3), Refusal::DeadlinePassed);
     assert!(outputs.contains(&refused));
@@ -290,13 +293,13 @@
     }
     let mut outputs = driver.input(EngineInput::Cancel(RequestHandle(1)));
     assert_eq!(end_of(&outputs, 1).unwrap().1, FinishReason::Cancelled);
-    outputs.extend(driver.run_dry());
+    outputs.extend(driver.run_until_idle());
     assert_eq!(positions(&outputs, 3).len(), 50);
     assert!(positions(&outputs, 1).is_empty());
 }
 
 #[test]
-fn report_shows_the_past_and_its_sequence_grows() {
+fn report_lags_and_its_sequence_increases() {
     let driver = Driver::loaded(small_settings());
     let loaded_at = driver.now;
     let lag = driver.engine.settings().publishing.report_lag;
@@ -311,7 +314,7 @@
 }
 
 #[test]
-fn cached_prefix_shortens_prefill_and_is_published_late() {
+fn cached_prefix_shortens_prefill_and_is_published_with_lag() {
     let mut driver = Driver::loaded(small_settings());
     let first_token_after = |driver: &mut Driver, handle| {
         let mut long = request(handle, 1, 1);
@@ -319,7 +322,7 @@
         long.prefix_blocks = vec![11, 12, 13];
         let begin = driver.now;
         driver.input(EngineInput::Submit(long));
-        driver.run_dry();
+        driver.run_until_idle();
         driver.now.since(begin)
     };
     let cold = first_token_after(&mut driver, 1);
@@ -334,7 +337,7 @@
 }
 
 #[test]
-fn imported_cache_lets_a_decode_engine_serve() {
+fn decode_engine_serves_with_imported_cache() {
     let mut settings = small_settings();
     settings.limits.decode_prefill_tokens = 4;
     let mut driver = Driver::loaded(settings);
@@ -354,18 +357,18 @@
     });
     assert_eq!(imported, vec![EngineOutput::CacheImported(true)]);
     driver.input(EngineInput::Submit(long));
-    assert_eq!(positions(&driver.run_dry(), 1).len(), 3);
+    assert_eq!(positions(&driver.run_until_idle(), 1).len(), 3);
 }
 
 #[test]
-fn a_key_that_runs_twice_is_listed_per_tenant() {
+fn repeated_key_is_listed_per_tenant() {
     let mut driver = Driver::loaded(small_settings());
     for (handle, tenant) in [(1, "a"), (2, "b"), (3, "a")] {
         let mut keyed = request(handle, 1, 1);
         keyed.tenant = TenantName::from(tenant);
         keyed.idempotency_key = Some("charge-1".to_owned());
         driver.input(EngineInput::Submit(keyed));
-        driver.run_dry();
+        driver.run_until_idle();
     }
     let repeated = driver.engine.audit(driver.now).repeated_keys;
     let expected = RepeatedRun {
@@ -377,7 +380,7 @@
 }
 
 #[test]
-fn idle_time_is_loaded_time_without_requests() {
+fn idle_time_excludes_running_requests() {
     let mut driver = Driver::loaded(small_settings());
     let later = driver.now + Duration::from_secs(10);
     let audit = driver.engine.audit(later);
@@ -385,7 +388,7 @@
     assert_eq!(audit.idle_accelerator_millis, 10_000);
     driver.input(EngineInput::Submit(request(1, 1, 100)));
     let begin = driver.now;
-    driver.run_dry();
+    driver.run_until_idle();
     let busy = driver.now.since(begin).as_millis() as u64;
     let audit = driver.engine.audit(driver.now);
     assert_eq!(audit.idle_accelerator_millis, 0);
--- a/crates/millpass-standin/tests/engine_properties.rs
+++ b/crates/millpass-standin/tests/engine_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the engine model under random orders, requests and times.
+//! Property tests of the engine model with random orders, requests and times.
 
 mod common;
 
@@ -10,21 +10,21 @@
 use std::collections::BTreeMap;
 
 const CAPACITY: u64 = 1_000;
-/// Fences between those that orders use are free for stale orders.
+/// Gap between the fences of regular orders; stale orders use the fences between.
 const FENCE_GAP: u64 = 2;
 
-/// One thing done to the engine. Numbers are kept small so that collisions are common.
+/// An action on the engine. Small numbers make collisions frequent.
 #[derive(Clone, Debug)]
 enum Action {
     Load { slot: u64, weights: u64, cache: u64 },
     Unload { slot: u64 },
     LoadAdapter { slot: u64, adapter: u8, bytes: u64 },
     UnloadAdapter { slot: u64, adapter: u8 },
-    OldFence { back: u64 },
+    StaleFence { back: u64 },
     Submit(Submission),
     Cancel { handle: u64 },
-    EndFetch { result: u8 },
-    Pass { millis: u64 },
+    CompleteFetch { result: u8 },
+    AdvanceTime { millis: u64 },
 }
 
 #[derive(Clone, Debug)]
@@ -73,16 +73,16 @@
             .prop_map(|(slot, adapter, bytes)| Action::LoadAdapter { slot, adapter, bytes }),
         1 => (1_u64..4, 0_u8..2)
             .prop_map(|(slot, adapter)| Action::UnloadAdapter { slot, adapter }),
-        1 => (0_u64..5).prop_map(|back| Action::OldFence { back }),
+        1 => (0_u64..5).prop_map(|back| Action::StaleFence { back }),
         6 => submission().prop_map(Action::Submit),
         1 => (1_u64..40).prop_map(|handle| Action::Cancel { handle }),
-        4 => (0_u8..6).prop_map(|result| Action::EndFetch { result }),
-        4 => (0_u64..1_500).prop_map(|millis| Action::Pass { millis }),
+        4 => (0_u8..6).prop_map(|result| Action::CompleteFetch { result }),
+        4 => (0_u64..1_500).prop_map(|millis| Action::AdvanceTime { millis }),
     ]
 }
 
-/// An engine with two accelerators and a record of what it did.
-struct Trial {
+/// An engine with two accelerators and its recorded outputs.
+struct EngineHarness {
     engine: EngineModel,
     now: Timestamp,
     next_fence: u64,
@@ -92,14 +92,14 @@
     submitted: BTreeMap<u64, Submission>,
 }
 
-impl Trial {
+impl EngineHarness {
     fn new() -> Self {
         let mut settings = small_settings();
         settings.accelerator_bytes = vec![CAPACITY, CAPACITY];
         settings.limits.batch_slots = 4;
         settings.checkpoints.memory_bytes = 900;
         settings.checkpoints.disk_bytes = 1_200;
-        Trial {
+        EngineHarness {
             engine: EngineModel::new(settings, Timestamp::ZERO),
             now: Timestamp::ZERO,
             next_fence: FENCE_GAP,
@@ -135,7 +135,7 @@
                 cache,
             } => {
                 let OrderAction::LoadModel(mut order) = load(slot, weights, cache) else {
-                    unreachable!("load() makes loads");
+                    unreachable!("load() returns a model load");
                 };
                 order.accelerators = if slot == 3 {
                     vec![0, 1]
@@ -164,7 +164,7 @@
                     adapter: adapter_name(adapter),
                 }));
             }
-            Action::OldFence { back } => {
+            Action::StaleFence { back } => {
                 let highest = self.engine.current_report().highest_fence;
                 if highest == LogPosition::ZERO {
                     return;
@@ -179,8 +179,8 @@
             Action::Cancel { handle } => {
                 self.step(EngineInput::Cancel(RequestHandle(handle)));
             }
-            Action::EndFetch { result } => self.end_fetch(result),
-            Action::Pass { millis } => {
+            Action::CompleteFetch { result } => self.complete_fetch(result),
+            Action::AdvanceTime { millis } => {
                 self.now = self.now + Duration::from_millis(millis);
                 self.step(EngineInput::Tick);
             }
@@ -203,7 +203,7 @@
         self.step(EngineInput::Submit(request));
     }
 
-    fn end_fetch(&mut self, result: u8) {
+    fn complete_fetch(&mut self, result: u8) {
         let Some(fetch) = self.fetches.pop() else {
             return;
         };
@@ -215,10 +215,10 @@
         self.step(EngineInput::FetchEnded(fetch, result));
     }
 
-    fn run_dry(&mut self) {
+    fn run_until_idle(&mut self) {
         loop {
             while !self.fetches.is_empty() {
-                self.end_fetch(2);
+                self.complete_fetch(2);
             }
             let Some(at) = self.engine.next_wake() else {
                 return;
@@ -233,8 +233,8 @@
     AdapterName(format!("adapter-{number}"))
 }
 
-/// Memory of accelerators and of each slot's caches is never exceeded, and what is reported as
-/// used is what the parts that are there hold.
+/// Checks that accelerator and cache memory are not exceeded, and that unloaded slots hold no memory and no
+/// requests.
 fn check_memory(engine: &EngineModel) -> Result<(), TestCaseError> {
     let report = engine.current_report();
     let audit = engine.audit(Timestamp::ZERO);
@@ -257,7 +257,7 @@
         let has_requests = slot.running + slot.waiting > 0;
         prop_assert!(
             !is_gone(&slot.phase) || !has_requests,
-            "unloaded under requests"
+            "slot with requests was unloaded"
         );
         let cache = engine.cache_use(slot.slot).unwrap();
         prop_assert!(cache.running_bytes + cache.prefix_bytes <= cache.total_bytes);
@@ -266,32 +266,32 @@
 }
 
 #[test]
-fn memory_and_fences_hold_whatever_comes() {
+fn memory_limits_and_fences_hold_under_random_actions() {
     check_property(vec(action(), 1..80), |actions| {
-        let mut trial = Trial::new();
+        let mut harness = EngineHarness::new();
         let mut highest = LogPosition::ZERO;
         for action in &actions {
-            trial.apply(action);
-            check_memory(&trial.engine)?;
-            let now_highest = trial.engine.current_report().highest_fence;
+            harness.apply(action);
+            check_memory(&harness.engine)?;
+            let now_highest = harness.engine.current_report().highest_fence;
             prop_assert!(now_highest >= highest);
             highest = now_highest;
         }
-        trial.run_dry();
-        check_memory(&trial.engine)
+        harness.run_until_idle();
+        check_memory(&harness.engine)
     });
 }
 
 #[test]
-fn every_request_ends_once_and_its_tokens_have_no_gap_and_no_double() {
+fn every_request_ends_once_without_missing_or_duplicate_tokens() {
     check_property(vec(action(), 1..80), |actions| {
-        let mut trial = Trial::new();
+        let mut harness = EngineHarness::new();
         for action in &actions {
-            trial.apply(action);
+            harness.apply(action);
         }
-        trial.run_dry();
-        for (handle, submission) in &trial.submitted {
-            check_request(&trial.outputs, *handle, submission)?;
+        harness.run_until_idle();
+        for (handle, submission) in &harness.submitted {
+            check_request(&harness.outputs, *handle, submission)?;
         }
         Ok(())
     });
@@ -321,38 +321,35 @@
     prop_assert_eq!(
         refusals + finished.len(),
         1,
-        "one end of request {}",
+        "request {} must end exactly once",
         handle
     );
     prop_assert!(starts <= 1);
-    prop_assert!(
-        refusals == 0 || starts == 0,
-        "a refused request did not run"
-    );
-    let given = positions(outputs, handle);
+    prop_assert!(refusals == 0 || starts == 0, "refused request was started");
+    let emitted = positions(outputs, handle);
     let end = submission.maximum_tokens;
     let expected: Vec<u32> = (submission.resume_from.min(end)..end).collect();
     if finished == [FinishReason::Complete] {
-        prop_assert_eq!(given, expected);
+        prop_assert_eq!(emitted, expected);
     } else {
-        prop_assert!(expected.starts_with(&given));
+        prop_assert!(expected.starts_with(&emitted));
     }
     Ok(())
 }
 
 #[test]
-fn the_same_inputs_give_the_same_outputs() {
+fn model_is_deterministic() {
     check_property(vec(action(), 1..60), |actions| {
         let run = || {
-            let mut trial = Trial::new();
+            let mut harness = EngineHarness::new();
             for action in &actions {
-                trial.apply(action);
+                harness.apply(action);
             }
-            trial.run_dry();
+            harness.run_until_idle();
             (
-                trial.outputs,
-                trial.engine.current_report(),
-                trial.engine.audit(trial.now),
+                harness.outputs,
+                harness.engine.current_report(),
+                harness.engine.audit(harness.now),
             )
         };
         prop_assert_eq!(run(), run());
@@ -375,7 +372,7 @@
             driver.input(EngineInput::Submit(waiting));
         }
         let started: Vec<u64> = driver
-            .run_dry()
+            .run_until_idle()
             .iter()
             .filter_map(|output| match output {
                 EngineOutput::Started(handle) => Some(handle.0),
--- a/crates/millpass-standin/tests/outside_front.rs
+++ b/crates/millpass-standin/tests/outside_front.rs
@@ -1,4 +1,4 @@
-//! Weight store, web back end and platform list over loopback HTTP.
+//! Tests of the HTTP interfaces of the weight store, web back end and platform list.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use millpass_standin::{content, engine, platform, web, weight_store};
 
 #[test]
-fn store_serves_up_to_its_limit_and_refuses_beyond() {
+fn store_refuses_transfers_when_its_queue_is_full() {
     let settings = weight_store::WeightStoreSettings {
         loads_per_second: 1,
         waiting_loads: 0,
@@ -16,19 +16,19 @@
     };
     let store = weight_store::start(settings, &fast()).unwrap();
     let address = store.address();
-    let answer = agent()
+    let response = agent()
         .get(&format!("http://{address}/checkpoints/a?bytes=1"))
         .call()
         .unwrap();
-    assert_eq!(answer.status(), 429);
-    assert!(answer.headers().contains_key("retry-after"));
+    assert_eq!(response.status(), 429);
+    assert!(response.headers().contains_key("retry-after"));
     let audit: StoreAudit = get(&format!("http://{address}/audit"));
     assert_eq!(audit.refused, 1);
     store.stop();
 }
 
 #[test]
-fn store_answers_when_the_transfer_is_over_and_can_be_slowed() {
+fn store_responds_after_the_transfer_and_can_be_slowed() {
     let settings = weight_store::WeightStoreSettings {
         bytes_per_second: 1_000,
         ..Default::default()
@@ -36,8 +36,8 @@
     let store = weight_store::start(settings, &fast()).unwrap();
     let address = store.address().to_string();
     let slow = format!("http://{address}/faults/slow");
-    let answer = agent().post(&slow).send(r#"{"factor": 2}"#).unwrap();
-    assert_eq!(answer.status(), 200);
+    let response = agent().post(&slow).send(r#"{"factor": 2}"#).unwrap();
+    assert_eq!(response.status(), 200);
     let access = weight_store::StoreAccess::At(address.clone());
     let clock = ScaledClock::start(SCALE);
     let result = weight_store::fetch(&access, clock, "models/a b", 5_000);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn machines_register_leave_and_go() {
+fn machines_register_depart_and_are_removed() {
     let list = platform::start(platform::PlatformSettings::default(), &fast()).unwrap();
     let address = list.address().to_string();
     let front = engine::EngineFront {
--- a/crates/millpass-standin/tests/outside_models.rs
+++ b/crates/millpass-standin/tests/outside_models.rs
@@ -1,4 +1,4 @@
-//! Weight store, web back end, platform list, lagged states and content: properties and examples.
+//! Tests of the models of the weight store, web back end and platform list, lagged states and content.
 
 mod common;
 
@@ -28,40 +28,40 @@
     WeightStoreModel::new(settings, Timestamp::ZERO)
 }
 
-/// Runs a store through arrivals (pause before each in milliseconds, bytes) until it is idle;
-/// gives each transfer's end, `None` for a refused one.
+/// Runs a store until it has processed all arrivals (preceding pause in milliseconds, bytes). Returns
+/// the end of each transfer, `None` for refused ones.
 fn run_store(arrivals: &[(u64, u64)]) -> (BTreeMap<u64, Option<Timestamp>>, StoreAudit) {
     let mut store = store();
     let mut now = Timestamp::ZERO;
     let mut ends = BTreeMap::new();
-    let mut note = |now, outputs: Vec<StoreOutput>| {
+    let mut record = |now, outputs: Vec<StoreOutput>| {
         for output in outputs {
             let before = match output {
                 StoreOutput::Done(transfer) => ends.insert(transfer.0, Some(now)),
                 StoreOutput::Refused(transfer, _) => ends.insert(transfer.0, None),
             };
-            assert_eq!(before, None, "a transfer ends once");
+            assert_eq!(before, None, "transfer ended twice");
         }
     };
     for (transfer, (pause, bytes)) in (0_u64..).zip(arrivals) {
         let arrival = now + Duration::from_millis(*pause);
         while let Some(at) = store.next_wake().filter(|at| *at <= arrival) {
-            note(at, store.step(at, StoreInput::Tick));
+            record(at, store.step(at, StoreInput::Tick));
         }
         now = arrival;
-        note(
+        record(
             now,
             store.step(now, StoreInput::Request(TransferId(transfer), *bytes)),
         );
     }
     while let Some(at) = store.next_wake() {
-        note(at, store.step(at, StoreInput::Tick));
+        record(at, store.step(at, StoreInput::Tick));
     }
     (ends, store.audit())
 }
 
 #[test]
-fn store_keeps_its_limits_and_ends_every_transfer() {
+fn store_respects_limits_and_ends_every_transfer() {
     check_property(vec((0_u64..600, 0_u64..4_000), 1..40), |arrivals| {
         let (ends, audit) = run_store(&arrivals);
         prop_assert_eq!(ends.len(), arrivals.len());
@@ -86,18 +86,18 @@
 }
 
 #[test]
-fn store_runs_few_at_full_speed_and_shares_beyond() {
+fn store_shares_bandwidth_above_the_full_speed_count() {
     let alone = run_store(&[(0, 4_000)]).0;
     assert_eq!(alone[&0], Some(Timestamp::from_millis(4_000)));
-    // Four at once share the bandwidth of two: each takes twice as long. They start 250 ms apart
-    // at most, so the first one is a little faster and the last one ends when all are over.
+    // Four transfers share the bandwidth of two, so each takes about twice as long. Their starts are 250 ms
+    // apart, so the first ones are slightly faster.
     let four = run_store(&[(0, 40_000); 4]).0;
     let ends: Vec<u64> = four.values().flatten().map(|end| end.as_millis()).collect();
     assert_eq!(ends, vec![79_417, 79_792, 80_042, 80_208]);
 }
 
 #[test]
-fn slow_factor_stretches_transfers() {
+fn slow_factor_slows_transfers() {
     let mut store = store();
     store.step(Timestamp::ZERO, StoreInput::SlowFactor(10_000));
     store.step(Timestamp::ZERO, StoreInput::Request(TransferId(1), 1_000));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn abandoned_transfer_gives_its_bandwidth_back() {
+fn abandoned_transfer_frees_its_bandwidth() {
     let mut store = store();
     store.step(Timestamp::ZERO, StoreInput::Request(TransferId(1), 1_000));
     store.step(Timestamp::ZERO, StoreInput::Abandon(TransferId(1)));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn lagged_read_shows_a_state_of_the_right_age() {
+fn lagged_read_is_as_old_as_lag_and_interval_permit() {
     let lag = Duration::from_millis(300);
     let interval = Duration::from_millis(50);
     check_property(vec(0_u64..100, 1..50), |pauses| {
@@ -130,9 +130,12 @@
             changes.push(now);
             let read = lagged.read(now, || current + 1);
             let shown = lagged.shown_time(now);
-            prop_assert!(changes[read] <= shown, "younger than the lag");
+            prop_assert!(changes[read] <= shown, "read is newer than the lag permits");
             let next = changes.get(read + 1).copied().unwrap_or(now);
-            prop_assert!(next + interval >= shown, "older than lag and interval");
+            prop_assert!(
+                next + interval >= shown,
+                "read is older than lag and interval permit"
+            );
         }
         let late = now + lag;
         prop_assert_eq!(lagged.read(late, || pauses.len()), pauses.len());
@@ -141,7 +144,7 @@
 }
 
 #[test]
-fn resumed_text_is_the_tail_and_texts_of_others_differ() {
+fn resumed_completion_continues_and_other_prompts_differ() {
     let texts = (
         "[a-z]{1,8}",
         "[a-z]{1,8}",
@@ -152,22 +155,22 @@
     check_property(texts, |(model, version, prompt, from, more)| {
         let model = ModelName(model);
         let version = VersionLabel(version);
-        let answer = Completion::new(&model, &version, None, &prompt);
+        let completion = Completion::new(&model, &version, None, &prompt);
         let end = from + more;
-        let whole = answer.text(0, end);
+        let whole = completion.text(0, end);
         prop_assert_eq!(
-            answer.text(0, from) + &answer.text(from, end),
+            completion.text(0, from) + &completion.text(from, end),
             whole.clone()
         );
         let other = Completion::new(&model, &version, None, &format!("{prompt} nonce=x1"));
         prop_assert!(end == 0 || !other.matches(0, end, &whole));
-        prop_assert!(more == 0 || !answer.matches(0, end, &answer.text(0, from)));
+        prop_assert!(more == 0 || !completion.matches(0, end, &completion.text(0, from)));
         Ok(())
     });
 }
 
 #[test]
-fn prefix_blocks_are_shared_as_far_as_prompts_agree() {
+fn prefix_blocks_match_for_common_prompt_prefixes() {
     let words = |count: usize, last: &str| {
         let mut words: Vec<String> = (0..count).map(|word| word.to_string()).collect();
         words.push(last.to_owned());
@@ -185,7 +188,7 @@
 }
 
 #[test]
-fn web_runs_count_by_tenant_and_key_and_end_after_the_think_time() {
+fn web_runs_are_counted_by_tenant_and_key_and_respond_after_the_think_time() {
     let settings = WebSettings {
         maximum_running: 2,
         ..WebSettings::default()
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn platform_list_lags_and_its_sequence_grows() {
+fn platform_list_lags_and_its_sequence_increases() {
     let settings = PlatformSettings::default();
     let lag = settings.list_lag;
     let mut list = PlatformModel::new(settings, Timestamp::ZERO);
@@ -244,6 +247,6 @@
     assert!(later.sequence > list.list(at + lag).sequence);
     list.step(at + lag, PlatformInput::Remove(name.clone()))
         .unwrap();
-    let again = list.step(at + lag, PlatformInput::Remove(name));
-    assert_eq!(again, Err(PlatformRefusal::Unknown));
+    let repeated = list.step(at + lag, PlatformInput::Remove(name));
+    assert_eq!(repeated, Err(PlatformRefusal::Unknown));
 }
