--- a/crates/millpass-sim/src/router_link.rs
+++ b/crates/millpass-sim/src/router_link.rs
@@ -1,4 +1,4 @@
-//! A router's link to the control group: opened to one member after the other until one leads.
+//! A router's link to the control group; it tries one member after another until one leads.
 
 use crate::event::{ControlEvent, RouterEvent, SimEvent};
 use crate::router_node::Link;
@@ -18,19 +18,19 @@
         }
         self.next_connection += 1;
         let connection = ConnectionId(self.next_connection);
-        let place = self.routers[router].next_member % self.control.len();
-        self.routers[router].next_member = place + 1;
+        let member_index = self.routers[router].next_member % self.control.len();
+        self.routers[router].next_member = member_index + 1;
         self.routers[router].link = Link::Opening(connection);
-        let (from, to) = (self.routers[router].zone, self.control[place].zone);
+        let (from, to) = (self.routers[router].zone, self.control[member_index].zone);
         let both = self.network.passes_both(from, to);
-        let listens = self.control[place].runs();
+        let listens = self.control[member_index].runs();
         let delay = self.network.delay(&mut self.random, from, to);
         match delay {
             Some(delay) if both && listens => {
                 let run = self.routers[router].run;
                 let opened = ControlEvent::Opened(connection, router, run);
-                self.control_later(place, delay, opened);
-                let connected = RouterEvent::Connected(connection, place);
+                self.control_later(member_index, delay, opened);
+                let connected = RouterEvent::Connected(connection, member_index);
                 self.router_later(router, 2 * delay, connected);
             }
             _ => {
@@ -40,20 +40,25 @@
         }
     }
 
-    /// The link is open.
-    pub(crate) fn connected(&mut self, router: usize, connection: ConnectionId, place: usize) {
+    /// Handles the opening of the link.
+    pub(crate) fn connected(
+        &mut self,
+        router: usize,
+        connection: ConnectionId,
+        member_index: usize,
+    ) {
         if self.routers[router].link != Link::Opening(connection) {
             return;
         }
         self.routers[router].link = Link::Up {
             connection,
-            place,
-            heard_at: self.now,
+            member_index,
+            last_message_at: self.now,
         };
         self.router_step(router, RoutingInput::LinkUp);
     }
 
-    /// The link ended.
+    /// Handles the end of the link and schedules the next connection attempt.
     pub(crate) fn link_ended(&mut self, router: usize, connection: ConnectionId) {
         let was_up = match self.routers[router].link {
             Link::Down => return,
@@ -68,62 +73,67 @@
         self.router_later(router, RECONNECT_MICROS / 2, RouterEvent::Connect);
     }
 
-    /// Gives up a link that is silent for too long.
+    /// Closes a link without messages for longer than the link timeout.
     pub(crate) fn check_link(&mut self, router: usize) {
         let Link::Up {
             connection,
-            heard_at,
+            last_message_at,
             ..
         } = self.routers[router].link
         else {
             return;
         };
-        if self.now - heard_at > self.settings.times.link_timeout {
+        if self.now - last_message_at > self.settings.times.link_timeout {
             self.close_link(router);
             self.link_ended(router, connection);
         }
     }
 
-    /// Closes the router's end; the other end learns of it if messages pass.
+    /// Closes the link. The member is notified, or detects it by the link timeout if partitioned.
     pub(crate) fn close_link(&mut self, router: usize) {
         let Link::Up {
-            connection, place, ..
+            connection,
+            member_index,
+            ..
         } = self.routers[router].link
         else {
             return;
         };
-        let (from, to) = (self.routers[router].zone, self.control[place].zone);
+        let (from, to) = (self.routers[router].zone, self.control[member_index].zone);
         let delay = if self.network.passes(from, to) {
             2 * MILLIS
         } else {
             self.settings.times.link_timeout
         };
-        let at = self.in_order((connection, false), delay);
-        let run = self.control[place].run;
+        let at = self.stream_arrival((connection, false), delay);
+        let run = self.control[member_index].run;
         let closed = ControlEvent::Closed(connection);
-        self.queue.push(at, SimEvent::Control(place, run, closed));
+        self.queue
+            .push(at, SimEvent::Control(member_index, run, closed));
     }
 
     /// Sends a message on the link, if it is up.
     pub(crate) fn send_to_leader(&mut self, router: usize, message: RouterToControl) {
         let Link::Up {
-            connection, place, ..
+            connection,
+            member_index,
+            ..
         } = self.routers[router].link
         else {
             return;
         };
-        let (from, to) = (self.routers[router].zone, self.control[place].zone);
+        let (from, to) = (self.routers[router].zone, self.control[member_index].zone);
         match self.network.stream_delay(&mut self.random, from, to) {
             Some(delay) => {
-                let at = self.in_order((connection, false), delay);
-                self.send_to_control(place, at, connection, message);
+                let at = self.stream_arrival((connection, false), delay);
+                self.send_to_control(member_index, at, connection, message);
             }
-            None => self.break_link(place, connection),
+            None => self.break_link(member_index, connection),
         }
     }
 
-    /// A message came on the link.
-    pub(crate) fn take_control_message(
+    /// Handles a message received on the link.
+    pub(crate) fn handle_control_message(
         &mut self,
         router: usize,
         connection: ConnectionId,
@@ -132,9 +142,9 @@
         match &mut self.routers[router].link {
             Link::Up {
                 connection: up,
-                heard_at,
+                last_message_at,
                 ..
-            } if *up == connection => *heard_at = self.now,
+            } if *up == connection => *last_message_at = self.now,
             _ => return,
         }
         match message {
@@ -144,24 +154,31 @@
             ControlToRouter::ChangesAvailable => {
                 self.router_step(router, RoutingInput::ChangesAvailable)
             }
-            // For gateways only.
+            // Sent to gateways only.
             ControlToRouter::Gateway(_)
             | ControlToRouter::Credit(_)
             | ControlToRouter::Crashes(_)
             | ControlToRouter::Permits(_)
             | ControlToRouter::Limits(_) => {}
-            ControlToRouter::Claim(answer) => {
-                self.claim_answered(router, answer.attempt, answer.decision);
+            ControlToRouter::Claim(response) => {
+                self.handle_claim_decision(router, response.attempt, response.decision);
             }
             ControlToRouter::ClaimFinished(attempt) => self.claim_finished(router, attempt),
-            ControlToRouter::NotLeader(not_leader) => self.follow(router, connection, &not_leader),
+            ControlToRouter::NotLeader(not_leader) => {
+                self.reconnect_to_leader(router, connection, &not_leader)
+            }
         }
     }
 
-    fn follow(&mut self, router: usize, connection: ConnectionId, not_leader: &NotLeader) {
+    fn reconnect_to_leader(
+        &mut self,
+        router: usize,
+        connection: ConnectionId,
+        not_leader: &NotLeader,
+    ) {
         let leader = not_leader.leader_address.as_deref();
-        if let Some(place) = leader.and_then(|address| self.place_of_peer(address)) {
-            self.routers[router].next_member = place;
+        if let Some(member_index) = leader.and_then(|address| self.member_index_at(address)) {
+            self.routers[router].next_member = member_index;
         }
         self.close_link(router);
         self.link_ended(router, connection);
