--- a/crates/millpass-lab/src/fleet/children.rs
+++ b/crates/millpass-lab/src/fleet/children.rs
@@ -127,7 +127,7 @@
     }
 
     /// Asks a child to end in an orderly way.
-    pub fn ask_to_stop(&mut self, name: &str) -> Result<()> {
+    pub fn request_stop(&mut self, name: &str) -> Result<()> {
         if let Some(running) = self.running.get_mut(name) {
             running.is_stopping = true;
         }
@@ -135,7 +135,7 @@
     }
 
     /// Takes note of children that ended.
-    pub fn look(&mut self) {
+    pub fn reap(&mut self) {
         for (name, running) in &mut self.running {
             let Some(child) = &mut running.child else {
                 continue;
@@ -151,7 +151,7 @@
     }
 
     /// Children that ended without being asked to, with how.
-    pub fn unasked_ends(&self) -> &[String] {
+    pub fn unexpected_exits(&self) -> &[String] {
         &self.unasked
     }
 
--- a/crates/millpass-lab/src/fleet/deployed.rs
+++ b/crates/millpass-lab/src/fleet/deployed.rs
@@ -242,10 +242,10 @@
         self.events.push(Event::StopPlanned {
             process: process(name),
         });
-        self.lock().ask_to_stop(name)?;
+        self.lock().request_stop(name)?;
         let has_ended = || {
             let mut children = self.lock();
-            children.look();
+            children.reap();
             children.process_id(name).is_none()
         };
         if !holds_within(patience, has_ended) {
@@ -268,12 +268,12 @@
             if self.lock().process_id(name).is_some() {
                 // One that has just ended takes no signal, and needs none.
                 let _ = self.lock().signal(name, Signal::CONT);
-                let _ = self.lock().ask_to_stop(name);
+                let _ = self.lock().request_stop(name);
             }
         }
         let all_ended = || {
             let mut children = self.lock();
-            children.look();
+            children.reap();
             names.iter().all(|name| children.process_id(name).is_none())
         };
         holds_within(STOP_PATIENCE, all_ended);
--- a/crates/millpass-lab/src/fleet/observer.rs
+++ b/crates/millpass-lab/src/fleet/observer.rs
@@ -96,8 +96,8 @@
 
     fn look_at_processes(&mut self, fleet: &Fleet, abort: &AtomicBool) {
         let mut children = fleet.lock();
-        children.look();
-        for end in children.unasked_ends() {
+        children.reap();
+        for end in children.unexpected_exits() {
             self.breaches.insert(format!("process: {end}"));
         }
         let memory = children.resident_by_kind();
--- a/crates/millpass-lab/src/relay/paths.rs
+++ b/crates/millpass-lab/src/relay/paths.rs
@@ -129,7 +129,7 @@
 
     /// Connections of the pairs that the pattern covers, in both directions, that are open now pass nothing on any
     /// more, and do not end. New ones work.
-    pub fn silence(&self, pattern: &PathKey) {
+    pub fn blackhole(&self, pattern: &PathKey) {
         let mut inner = self.lock();
         let opened = inner.opened;
         if inner.silences.len() + 2 <= MAXIMUM_PATHS {
--- a/crates/millpass-lab/tests/programs.rs
+++ b/crates/millpass-lab/tests/programs.rs
@@ -35,13 +35,13 @@
     wait_until("it serves", PATIENCE, || ureq::get(&url).call().is_ok()).expect("serving");
     assert!(children.start(launch).is_err(), "the bound is one process");
     assert!(children.resident_by_kind()["platform"].1 > 0);
-    children.ask_to_stop("platform").expect("asked");
+    children.request_stop("platform").expect("asked");
     let ended = wait_until("it ends", PATIENCE, || {
-        children.look();
+        children.reap();
         children.process_id("platform").is_none()
     });
     ended.expect("ended");
-    assert!(children.unasked_ends().is_empty());
+    assert!(children.unexpected_exits().is_empty());
     children.restart("platform").expect("started again");
     children.kill("platform").expect("killed");
     assert!(children.process_ids().is_empty());
@@ -55,9 +55,9 @@
     let mut children = Children::new(&folder.path().join("logs"), 1).expect("children");
     children.start(launch).expect("started");
     let ended = wait_until("it ends", PATIENCE, || {
-        children.look();
+        children.reap();
         children.process_ids().is_empty()
     });
     ended.expect("ended");
-    assert_eq!(children.unasked_ends().len(), 1);
+    assert_eq!(children.unexpected_exits().len(), 1);
 }
