--- a/crates/millpass-hollow/src/catalog.rs
+++ b/crates/millpass-hollow/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Fills and changes the catalog through the administration API.
+//! Creates and changes catalog objects through the administration API.
 
 use crate::member::OPERATOR_KEY;
 use anyhow::Result;
@@ -8,9 +8,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
-use std::time::{Duration as Length, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Callers that fill the catalog at once.
+/// Concurrent callers that create objects.
 const CALLERS: usize = 8;
 /// Tenants created.
 const TENANTS: usize = 200;
@@ -20,17 +20,17 @@
 /// An object to create.
 pub type NewObject = (ObjectKind, String, ObjectSpec);
 
-/// A client of the members at these administration addresses.
+/// Returns a client of the members at these administration addresses.
 pub fn client(addresses: &[String]) -> AdministrationClient {
     AdministrationClient::new(addresses.to_vec(), OPERATOR_KEY)
 }
 
-/// Name of a model.
+/// Returns the name of a model.
 pub fn model_name(number: usize) -> String {
     format!("model-{number:03}")
 }
 
-/// Models and tenants, then what refers to models.
+/// Returns tenants and models, then the objects that refer to models.
 pub fn objects(models: usize, adapters: usize, replicas: u32) -> [Vec<NewObject>; 2] {
     let mut first = Vec::new();
     let mut second = Vec::new();
@@ -96,8 +96,8 @@
     (ObjectKind::Adapter, name, ObjectSpec::Adapter(spec))
 }
 
-/// Creates objects with several callers at once; gives the time that each change took.
-pub fn create(addresses: &[String], objects: &[NewObject]) -> Result<Vec<Length>> {
+/// Creates objects with concurrent callers; returns the duration of each change.
+pub fn create(addresses: &[String], objects: &[NewObject]) -> Result<Vec<StdDuration>> {
     let next = AtomicUsize::new(0);
     let times = Mutex::new(Vec::new());
     let caller = || -> Result<()> {
@@ -121,7 +121,7 @@
     Ok(times.into_inner().unwrap_or_default())
 }
 
-/// Changes one tenant; gives the new revision of the catalog.
+/// Changes one tenant; returns the new revision of the catalog.
 pub fn change_tenant(client: &mut AdministrationClient, version: u64) -> Result<u64> {
     let (kind, name, spec) = tenant(0);
     put(client, kind, &name, version, &spec)
--- a/crates/millpass-hollow/src/engines.rs
+++ b/crates/millpass-hollow/src/engines.rs
@@ -1,7 +1,7 @@
-//! Hollow engines and the platform's list, behind one HTTP server.
+//! Hollow engines and the platform list, behind one HTTP server.
 //!
-//! All engines have the same address: an order names the engine it is for. Reports are not read
-//! over HTTP here; the hollow router that watches an engine takes them from memory.
+//! All engines share one address; an order names its engine. Hollow routers read the reports in
+//! memory instead of over HTTP.
 
 use anyhow::{Context, Result};
 use http::{Method, StatusCode};
@@ -10,15 +10,15 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::{Duration as Length, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Accelerators of one engine, and the memory of each.
+/// Accelerators per engine, and bytes of memory of each.
 const ACCELERATORS: usize = 4;
 const ACCELERATOR_BYTES: u64 = 80 << 30;
-/// Zones that engines and routers are spread over.
+/// Number of zones of engines and routers.
 pub const ZONES: usize = 8;
 
-/// What one engine holds.
+/// State of one engine.
 struct Engine {
     highest_fence: LogPosition,
     slots: BTreeMap<SlotId, Slot>,
@@ -32,10 +32,10 @@
 /// All hollow engines.
 pub struct Engines {
     started: Instant,
-    load_time: Length,
+    load_time: StdDuration,
     checkpoints: usize,
     engines: BTreeMap<BackendName, Mutex<Engine>>,
-    /// Orders that were accepted for the first time.
+    /// Distinct accepted orders.
     pub orders: AtomicU64,
     machines: Mutex<Vec<u8>>,
 }
@@ -48,7 +48,7 @@
 }
 
 impl EnginesHandle {
-    /// Address of the platform's list.
+    /// Returns the address of the platform list.
     pub fn address(&self) -> String {
         self.server.local_address().to_string()
     }
@@ -60,8 +60,8 @@
     }
 }
 
-/// Starts this many engines.
-pub fn start(count: usize, load_time: Length, checkpoints: usize) -> Result<EnginesHandle> {
+/// Starts `count` engines and their server.
+pub fn start(count: usize, load_time: StdDuration, checkpoints: usize) -> Result<EnginesHandle> {
     let names = (0..count).map(engine_name);
     let engines = names.map(|name| {
         let engine = Engine {
@@ -94,7 +94,7 @@
     format!("engine-{number:05}").into()
 }
 
-/// Zone of the engine or router with this number.
+/// Returns the zone of the engine or router with this number.
 pub fn zone_name(number: usize) -> ZoneName {
     format!("zone-{}", number % ZONES).into()
 }
@@ -121,7 +121,7 @@
             (Method::GET, "/machines") => Some(self.machines().clone()),
             (Method::POST, "/engine/orders") => serde_json::from_slice(&request.body)
                 .ok()
-                .and_then(|order| serde_json::to_vec(&self.order(&order)).ok()),
+                .and_then(|order| serde_json::to_vec(&self.handle_order(&order)).ok()),
             _ => None,
         };
         responder.send(match body {
@@ -132,8 +132,8 @@
 }
 
 impl Engines {
-    /// Takes an order as an engine would.
-    pub fn order(&self, order: &EngineOrder) -> OrderResponse {
+    /// Handles an order as a real engine does.
+    pub fn handle_order(&self, order: &EngineOrder) -> OrderResponse {
         let Some(mut engine) = self.engine(&order.backend) else {
             return OrderResponse::Rejected("no such engine".to_owned());
         };
@@ -142,13 +142,13 @@
         }
         if order.fence > engine.highest_fence {
             engine.highest_fence = order.fence;
-            engine.carry_out(order, Instant::now() + self.load_time);
+            engine.execute(order, Instant::now() + self.load_time);
             self.orders.fetch_add(1, Ordering::Relaxed);
         }
         OrderResponse::Accepted
     }
 
-    /// An engine's report as read now.
+    /// Returns the current report of an engine; `None` if there is no such engine.
     pub fn report(&self, backend: &BackendName, zone: ZoneName) -> Option<EngineReport> {
         let engine = self.engine(backend)?;
         let now = Instant::now();
@@ -165,7 +165,11 @@
             highest_fence: engine.highest_fence,
             accelerator_bytes: vec![ACCELERATOR_BYTES; ACCELERATORS],
             used_bytes: vec![ACCELERATOR_BYTES / 2; ACCELERATORS],
-            slots: engine.slots.values().map(|slot| slot.seen(now)).collect(),
+            slots: engine
+                .slots
+                .values()
+                .map(|slot| slot.current_report(now))
+                .collect(),
             checkpoints: (0..self.checkpoints).map(checkpoint).collect(),
         })
     }
@@ -181,15 +185,15 @@
 }
 
 impl Slot {
-    fn seen(&self, now: Instant) -> EngineSlotReport {
-        let mut seen = self.report.clone();
+    fn current_report(&self, now: Instant) -> EngineSlotReport {
+        let mut report = self.report.clone();
         if now >= self.ready_at {
-            seen.phase = finished(seen.phase);
-            for adapter in &mut seen.adapters {
+            report.phase = finished(report.phase);
+            for adapter in &mut report.adapters {
                 adapter.phase = finished(adapter.phase.clone());
             }
         }
-        seen
+        report
     }
 }
 
@@ -202,7 +206,7 @@
 }
 
 impl Engine {
-    fn carry_out(&mut self, order: &EngineOrder, ready_at: Instant) {
+    fn execute(&mut self, order: &EngineOrder, ready_at: Instant) {
         match &order.action {
             OrderAction::LoadModel(load) => {
                 let report = EngineSlotReport {
@@ -224,7 +228,7 @@
                 }
             }
             OrderAction::LoadAdapter(load) => {
-                self.adapter(
+                self.set_adapter(
                     load.slot,
                     &load.adapter,
                     order.fence,
@@ -237,13 +241,13 @@
             }
             OrderAction::UnloadAdapter(unload) => {
                 let phase = EngineSlotPhase::Unloaded;
-                self.adapter(unload.slot, &unload.adapter, order.fence, phase);
+                self.set_adapter(unload.slot, &unload.adapter, order.fence, phase);
             }
             OrderAction::ChangeRole(_) => {}
         }
     }
 
-    fn adapter(
+    fn set_adapter(
         &mut self,
         slot: SlotId,
         adapter: &AdapterName,
--- a/crates/millpass-hollow/src/figures.rs
+++ b/crates/millpass-hollow/src/figures.rs
@@ -7,11 +7,11 @@
 pub struct Line {
     /// Value at zero.
     pub intercept: f64,
-    /// Growth with each unit.
+    /// Increase per unit.
     pub slope: f64,
 }
 
-/// The line with the least sum of squared distances; none for fewer than two different places.
+/// Fits a line by least squares; `None` for fewer than two distinct x values.
 pub fn least_squares(points: &[(f64, f64)]) -> Option<Line> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
@@ -20,25 +20,25 @@
     if points.len() < 2 || spread == 0.0 {
         return None;
     }
-    let together = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
-    let slope = together.sum::<f64>() / spread;
+    let products = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
+    let slope = products.sum::<f64>() / spread;
     Some(Line {
         intercept: mean_y - slope * mean_x,
         slope,
     })
 }
 
-/// The value below which this share of the times lies; zero of none.
-pub fn quantile(times: &mut [Duration], share: f64) -> Duration {
+/// Returns a quantile of the times; zero if there are none.
+pub fn quantile(times: &mut [Duration], fraction: f64) -> Duration {
     if times.is_empty() {
         return Duration::ZERO;
     }
     times.sort();
-    let place = (times.len() as f64 * share) as usize;
-    times[place.min(times.len() - 1)]
+    let index = (times.len() as f64 * fraction) as usize;
+    times[index.min(times.len() - 1)]
 }
 
-/// Count, median, 99th percentile and maximum, in milliseconds.
+/// Formats count, median, 99th percentile and maximum, in milliseconds.
 pub fn summary(times: &mut [Duration]) -> String {
     let millis = |time: Duration| time.as_secs_f64() * 1e3;
     format!(
--- a/crates/millpass-hollow/src/group.rs
+++ b/crates/millpass-hollow/src/group.rs
@@ -1,4 +1,4 @@
-//! The members' processes: started, ended and read by their ids.
+//! Starts, stops and inspects the member processes.
 
 use crate::options::MeasureOptions;
 use crate::usage::{self, Usage};
@@ -6,25 +6,25 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use std::time::{Duration as Length, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Longest wait for a member's answer.
-const PATIENCE: Length = Length::from_secs(60);
+/// Maximum wait for a condition of the group.
+const WAIT_TIMEOUT: StdDuration = StdDuration::from_secs(60);
 
-/// One member.
-struct Place {
+/// Addresses, data folder and process of a member.
+struct MemberProcess {
     peer: String,
     administration: String,
     folder: PathBuf,
     child: Option<Child>,
 }
 
-/// A group of members, each in a process of its own.
+/// A control group with one process per member.
 pub struct Group {
-    places: Vec<Place>,
+    places: Vec<MemberProcess>,
     platform: String,
     store_loads: u32,
-    // Removed with everything in it when the group is dropped.
+    // Deleted when the group is dropped.
     folder: tempfile::TempDir,
 }
 
@@ -32,9 +32,9 @@
     /// Starts a new group.
     pub fn start(options: &MeasureOptions, platform: String) -> Result<Self> {
         let folder = tempfile::tempdir()?;
-        let places: Result<Vec<Place>> = (0..options.members)
+        let places: Result<Vec<MemberProcess>> = (0..options.members)
             .map(|place| {
-                Ok(Place {
+                Ok(MemberProcess {
                     peer: free_address()?,
                     administration: free_address()?,
                     folder: folder.path().join(place.to_string()),
@@ -54,7 +54,7 @@
         Ok(group)
     }
 
-    /// Starts a member's process; `initialize` makes its folder that of an initial member.
+    /// Starts a member process; `initialize` first initializes its folder as an initial member.
     pub fn start_member(&mut self, place: usize, initialize: bool) -> Result<()> {
         let mut command = Command::new(std::env::current_exe()?);
         command
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Kills a member's process.
+    /// Kills a member process.
     pub fn kill(&mut self, place: usize) -> Result<()> {
         if let Some(mut child) = self.places[place].child.take() {
             child.kill()?;
@@ -85,32 +85,32 @@
         Ok(())
     }
 
-    /// Removes a member's data folder.
+    /// Removes the data folder of a member.
     pub fn wipe(&self, place: usize) -> Result<()> {
         Ok(std::fs::remove_dir_all(&self.places[place].folder)?)
     }
 
-    /// What each member has used.
+    /// Returns the resource usage of each member.
     pub fn usage(&self) -> Result<Vec<Usage>> {
         let children = self.places.iter().map(|place| place.child.as_ref());
         children
-            .map(|child| usage::read(child.context("not running")?.id()))
+            .map(|child| usage::read(child.context("member is not running")?.id()))
             .collect()
     }
 
-    /// Peer addresses.
+    /// Returns the peer addresses.
     pub fn peers(&self) -> Result<Vec<SocketAddr>> {
         let places = self.places.iter();
         places.map(|place| Ok(place.peer.parse()?)).collect()
     }
 
-    /// Administration addresses.
+    /// Returns the administration addresses.
     pub fn administration(&self) -> Vec<String> {
         let places = self.places.iter();
         places.map(|place| place.administration.clone()).collect()
     }
 
-    /// The member that leads, once one does.
+    /// Waits for a leader and returns its index.
     pub fn leader(&self) -> Result<usize> {
         wait_for("a leader", || {
             (0..self.places.len())
@@ -118,7 +118,7 @@
         })
     }
 
-    /// A number from a member's metrics; none when it does not answer.
+    /// Reads a metric of a member; `None` if the member does not respond.
     pub fn metric(&self, place: usize, name: &str) -> Option<u64> {
         let text = self.metrics(place)?;
         let line = text.lines().find(|line| {
@@ -132,14 +132,14 @@
             .map(|value| value as u64)
     }
 
-    /// A member's metrics.
+    /// Reads the metrics of a member; `None` if it does not respond.
     pub fn metrics(&self, place: usize) -> Option<String> {
         self.places[place].child.as_ref()?;
         let url = format!("http://{}/metrics", self.places[place].administration);
         ureq::get(url).call().ok()?.body_mut().read_to_string().ok()
     }
 
-    /// Size of a member's data folder, in bytes.
+    /// Returns the size of the data folder of a member, in bytes.
     pub fn folder_bytes(&self, place: usize) -> u64 {
         let entries = std::fs::read_dir(&self.places[place].folder);
         let entries = entries.into_iter().flatten().flatten();
@@ -147,7 +147,7 @@
         sizes.map(|metadata| metadata.len()).sum()
     }
 
-    /// Folder of the whole group.
+    /// Returns the folder of the group.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
@@ -157,21 +157,21 @@
     fn drop(&mut self) {
         for place in 0..self.places.len() {
             if let Err(error) = self.kill(place) {
-                eprintln!("member {place} did not end: {error}");
+                eprintln!("cannot kill member {place}: {error}");
             }
         }
     }
 }
 
-/// Repeats until something is there.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> Result<T> {
-    let end = Instant::now() + PATIENCE;
+/// Polls until a value is available.
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> Result<T> {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return Ok(found);
         }
-        anyhow::ensure!(Instant::now() < end, "no {what} within {PATIENCE:?}");
-        std::thread::sleep(Length::from_millis(10));
+        anyhow::ensure!(Instant::now() < end, "no {what} within {WAIT_TIMEOUT:?}");
+        std::thread::sleep(StdDuration::from_millis(10));
     }
 }
 
--- a/crates/millpass-hollow/src/lib.rs
+++ b/crates/millpass-hollow/src/lib.rs
@@ -1,20 +1,19 @@
-//! Load on a real control group: members as processes of their own, and hollow routers, engines
-//! and a platform list that share this process. Measures what each costs at several sizes and
-//! fits straight lines over the number of routers. A test tool; no part of the product.
+//! Load test of a control group: real member processes, with hollow routers, engines and a platform
+//! list in this process. Measures several sizes and fits lines over the number of routers.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
 //! | `options` | the command line |
-//! | `member` | body of a member's process |
-//! | `group` | starts, ends and reads the members' processes |
-//! | `engines` | hollow engines and the platform's list |
+//! | `member` | main function of a member process |
+//! | `group` | starts, stops and inspects the member processes |
+//! | `engines` | hollow engines and the platform list |
 //! | `router` | one hollow router on the real link protocol |
-//! | `routers` | all hollow routers, and what they count |
-//! | `catalog` | fills and changes the catalog |
+//! | `routers` | all hollow routers, and their counters |
+//! | `catalog` | creates and changes catalog objects |
 //! | `usage` | processor time and memory of a process |
 //! | `figures` | quantiles and least squares |
-//! | `measure` | one size, from start to the leader's end |
-//! | `run` | all sizes, and the lines through them |
+//! | `measure` | measures one size, phase by phase |
+//! | `run` | measures all sizes and fits the lines |
 
 pub mod catalog;
 pub mod engines;
--- a/crates/millpass-hollow/src/measure.rs
+++ b/crates/millpass-hollow/src/measure.rs
@@ -1,37 +1,36 @@
-//! One size: a group with its hollow routers, phase after phase, one line for each.
+//! Measures a group with hollow routers at one size, and prints one line per phase.
 
 use crate::catalog;
 use crate::engines::{self, EnginesHandle};
 use crate::figures::summary;
 use crate::group::{Group, wait_for};
 use crate::options::MeasureOptions;
-use crate::router::Wanted;
+use crate::router::RequestTarget;
 use crate::routers::{Applied, Routers, RoutersHandle};
 use crate::usage::{Usage, busiest_threads};
 use anyhow::Result;
 use std::sync::Arc;
 use std::thread;
-use std::time::{Duration as Length, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Changes of configuration a second, while they are measured.
+/// Configuration changes per second in the change phase.
 const CHANGES_PER_SECOND: u64 = 10;
-/// Cold loads a second, while they are measured: 18,000 an hour.
+/// Cold loads per second in the cold load phase.
 const LOADS_PER_SECOND: u64 = 5;
-/// Time in which the last deltas, loads or claims still arrive.
-const SETTLING: Length = Length::from_secs(2);
-/// Routers that join first and through which the first replicas are placed: so many loads at once
-/// never happen with all routers there.
-const FIRST_ROUTERS: usize = 25;
-/// Share of the replicas that must be loaded before the steady phase, in percent.
+/// Wait for the last deltas, loads or claims of a phase.
+const SETTLE_TIME: StdDuration = StdDuration::from_secs(2);
+/// Routers that join before the initial placement, whose load burst does not occur at full size.
+const INITIAL_ROUTERS: usize = 25;
+/// Percentage of replicas that must be ordered before the steady phase.
 const PLACED_PERCENT: usize = 98;
 
-/// What grows with the number of routers.
+/// Named values that are fitted over the number of routers.
 pub type Values = Vec<(&'static str, f64)>;
 
 /// A running deployment of one size.
 struct Deployment<'a> {
     options: &'a MeasureOptions,
-    // Dropped in this order: the routers, then the group, then the engines.
+    // Field order is drop order: routers, group, engines.
     running: Vec<RoutersHandle>,
     routers: Arc<Routers>,
     group: Group,
@@ -39,7 +38,7 @@
     leader: usize,
 }
 
-/// Measures one size; gives what grows with the number of routers.
+/// Measures one size; returns the values to fit.
 pub fn measure(options: &MeasureOptions, count: usize) -> Result<Values> {
     let engines = count * options.engines_per_router;
     let replicas = replicas(options, engines);
@@ -51,16 +50,16 @@
         replicas as usize * options.models
     );
     let mut deployment = Deployment::start(options, count, engines, replicas)?;
-    deployment.joined("first_joined", FIRST_ROUTERS.min(count), engines)?;
-    deployment.placed(replicas as usize * options.models)?;
-    let mut values = deployment.joined("joined", count, engines)?;
-    values.extend(deployment.steady()?);
-    values.extend(deployment.changes()?);
-    deployment.cold_loads()?;
-    values.extend(deployment.claims()?);
+    deployment.measure_join("first_joined", INITIAL_ROUTERS.min(count), engines)?;
+    deployment.measure_placement(replicas as usize * options.models)?;
+    let mut values = deployment.measure_join("joined", count, engines)?;
+    values.extend(deployment.measure_steady_state()?);
+    values.extend(deployment.measure_changes()?);
+    deployment.measure_cold_loads()?;
+    values.extend(deployment.measure_claims()?);
     if !options.no_faults && options.members >= 3 {
-        values.extend(deployment.leader_killed()?);
-        deployment.member_wiped()?;
+        values.extend(deployment.measure_failover()?);
+        deployment.measure_wiped_member()?;
     }
     Ok(values)
 }
@@ -79,7 +78,7 @@
         engine_count: usize,
         replicas: u32,
     ) -> Result<Self> {
-        let load_time = Length::from_millis(options.load_millis);
+        let load_time = StdDuration::from_millis(options.load_millis);
         let engines = engines::start(engine_count, load_time, options.checkpoints)?;
         let group = Group::start(options, engines.address())?;
         let leader = group.leader()?;
@@ -110,26 +109,26 @@
         })
     }
 
-    /// Until this many routers are served and watch all engines.
-    fn joined(&mut self, name: &str, count: usize, engines: usize) -> Result<Values> {
+    /// Waits until `count` routers are served and together watch all engines.
+    fn measure_join(&mut self, name: &str, count: usize, engines: usize) -> Result<Values> {
         self.leader = self.group.leader()?;
         let (bytes_before, _) = self.routers.bytes();
         let (started, before) = (Instant::now(), self.group.usage()?);
         let first = if self.running.is_empty() {
             0
         } else {
-            FIRST_ROUTERS.min(count)
+            INITIAL_ROUTERS.min(count)
         };
         self.running.push(self.routers.start(first..count));
-        wait_for("answer to each router", || {
-            self.routers.answered_above(0, count)
+        wait_for("response to each router", || {
+            self.routers.responded_above_term(0, count)
         })?;
         let served = started.elapsed();
         wait_for("watcher of each engine", || {
             (self.routers.watched() >= engines).then_some(())
         })?;
         let watched = started.elapsed();
-        let used = self.used(&before, started.elapsed())?;
+        let used = self.format_usage(&before, started.elapsed())?;
         let (bytes, _) = self.routers.bytes();
         println!(
             "{name} routers={count} served_ms={} watched_ms={} received_mib={} \
@@ -144,11 +143,11 @@
         Ok(vec![("join_ms", served.as_secs_f64() * 1e3)])
     }
 
-    /// Until the replicas that the catalog asks for are ordered.
-    fn placed(&mut self, replicas: usize) -> Result<()> {
+    /// Waits until the replicas required by the catalog are ordered.
+    fn measure_placement(&mut self, replicas: usize) -> Result<()> {
         self.leader = self.group.leader()?;
         let (started, before) = (Instant::now(), self.group.usage()?);
-        let end = started + Length::from_secs(self.options.placing_seconds);
+        let end = started + StdDuration::from_secs(self.options.placing_seconds);
         let orders = || {
             self.engines
                 .engines
@@ -156,26 +155,26 @@
                 .load(std::sync::atomic::Ordering::Relaxed)
         };
         while (orders() as usize) < replicas * PLACED_PERCENT / 100 && Instant::now() < end {
-            thread::sleep(Length::from_millis(50));
+            thread::sleep(StdDuration::from_millis(50));
         }
         let elapsed = started.elapsed();
         let rate = orders() as f64 / elapsed.as_secs_f64();
-        let used = self.used(&before, elapsed)?;
+        let used = self.format_usage(&before, elapsed)?;
         println!(
             "placing orders={} of={replicas} seconds={:.1} orders_per_second={rate:.0} {used}",
             orders(),
             elapsed.as_secs_f64()
         );
-        thread::sleep(SETTLING);
+        thread::sleep(SETTLE_TIME);
         Ok(())
     }
 
-    fn steady(&mut self) -> Result<Values> {
+    fn measure_steady_state(&mut self) -> Result<Values> {
         self.leader = self.group.leader()?;
         self.routers.take_records();
         let (started, before) = (Instant::now(), self.group.usage()?);
         let (bytes_before, reports_before) = self.routers.bytes();
-        thread::sleep(Length::from_secs(self.options.steady_seconds));
+        thread::sleep(StdDuration::from_secs(self.options.steady_seconds));
         let seconds = started.elapsed().as_secs_f64();
         let (bytes, reports) = self.routers.bytes();
         let after = self.group.usage()?;
@@ -192,8 +191,8 @@
             rate(bytes.placement, bytes_before.placement),
             rate(bytes.watch, bytes_before.watch),
             bytes.watch_lists - bytes_before.watch_lists,
-            summary(&mut self.routers.take_records().answers),
-            self.used(&before, started.elapsed())?,
+            summary(&mut self.routers.take_records().response_times),
+            self.format_usage(&before, started.elapsed())?,
         );
         let cpu = |member: usize| cpu_rate(&before[member], &after[member], seconds);
         let follower = (self.leader + 1) % self.options.members;
@@ -213,8 +212,8 @@
         ])
     }
 
-    /// Changes of configuration: time to commit, and to be in force at all routers.
-    fn changes(&mut self) -> Result<Values> {
+    /// Measures the time until configuration changes are committed and applied by all routers.
+    fn measure_changes(&mut self) -> Result<Values> {
         self.leader = self.group.leader()?;
         let before = self.group.usage()?;
         let started = Instant::now();
@@ -222,7 +221,7 @@
         let mut client = catalog::client(&self.group.administration());
         let mut submitted = Vec::new();
         let mut commits = Vec::new();
-        let pause = Length::from_millis(1_000 / CHANGES_PER_SECOND);
+        let pause = StdDuration::from_millis(1_000 / CHANGES_PER_SECOND);
         for number in 0..self.options.changes {
             let begun = Instant::now();
             let revision = catalog::change_tenant(&mut client, number as u64 + 1)?;
@@ -231,8 +230,8 @@
             thread::sleep(pause.saturating_sub(begun.elapsed()));
         }
         let elapsed = started.elapsed();
-        let used = self.used(&before, elapsed)?;
-        thread::sleep(SETTLING);
+        let used = self.format_usage(&before, elapsed)?;
+        thread::sleep(SETTLE_TIME);
         let applied = self.routers.take_records().applied;
         let (mut each, mut everywhere) = in_force(&submitted, &applied, self.routers.len());
         println!("changes commit {} {used}", summary(&mut commits));
@@ -245,34 +244,35 @@
         )])
     }
 
-    /// Requests for adapters that are not loaded, at the rate of the largest deployment.
-    fn cold_loads(&mut self) -> Result<()> {
+    /// Measures requests for adapters that are not loaded.
+    fn measure_cold_loads(&mut self) -> Result<()> {
         self.leader = self.group.leader()?;
         let (started, before) = (Instant::now(), self.group.usage()?);
         self.routers.take_records();
-        let pause = Length::from_millis(1_000 / LOADS_PER_SECOND);
+        let pause = StdDuration::from_millis(1_000 / LOADS_PER_SECOND);
         let count = self.options.loads_seconds * LOADS_PER_SECOND;
         let count = (count as usize).min(self.options.adapters);
         for number in 0..count {
-            self.routers.want(number * 13, self.cold(number));
+            self.routers
+                .add_waiting(number * 13, self.cold_target(number));
             thread::sleep(pause);
         }
         let elapsed = started.elapsed();
-        let used = self.used(&before, elapsed)?;
-        thread::sleep(SETTLING);
+        let used = self.format_usage(&before, elapsed)?;
+        thread::sleep(SETTLE_TIME);
         let mut loads = self.routers.take_records().loads;
         println!("cold_loads asked={count} {} {used}", summary(&mut loads));
         Ok(())
     }
 
-    fn cold(&self, number: usize) -> Wanted {
+    fn cold_target(&self, number: usize) -> RequestTarget {
         let model = catalog::model_name(number % self.options.models);
         let adapter = format!("adapter-{number:04}");
         (model.into(), Some(adapter.into()))
     }
 
-    /// As many claims under way as asked for, each followed by another when it is finished.
-    fn claims(&mut self) -> Result<Values> {
+    /// Measures claims at a constant concurrency.
+    fn measure_claims(&mut self) -> Result<Values> {
         self.leader = self.group.leader()?;
         let (started, before) = (Instant::now(), self.group.usage()?);
         self.routers.take_records();
@@ -280,7 +280,7 @@
         for number in 0..self.options.claims {
             self.routers.router(number).begin_claim();
         }
-        thread::sleep(Length::from_secs(self.options.claims_seconds));
+        thread::sleep(StdDuration::from_secs(self.options.claims_seconds));
         let elapsed = started.elapsed();
         let mut records = self.routers.take_records();
         self.routers.set_claiming(false);
@@ -290,25 +290,25 @@
             self.options.claims,
             records.claims_refused,
             summary(&mut records.claims),
-            self.used(&before, elapsed)?,
+            self.format_usage(&before, elapsed)?,
         );
-        thread::sleep(SETTLING);
+        thread::sleep(SETTLE_TIME);
         Ok(vec![("claims_per_s", rate)])
     }
 
-    /// The leader is killed; until the next one has answered every router. Then it is restarted.
-    fn leader_killed(&mut self) -> Result<Values> {
+    /// Kills the leader, waits until its successor has responded to every router, and restarts it.
+    fn measure_failover(&mut self) -> Result<Values> {
         self.leader = self.group.leader()?;
         let term = self.routers.term();
         let (bytes_before, _) = self.routers.bytes();
         let killed = self.leader;
         let at = Instant::now();
         self.group.kill(killed)?;
-        let answered = wait_for("answer of the next leader to each router", || {
-            self.routers.answered_above(term, self.routers.len())
+        let responses = wait_for("response of the next leader to each router", || {
+            self.routers.responded_above_term(term, self.routers.len())
         })?;
-        let times = answered.iter().map(|answered| answered.duration_since(at));
-        let mut times: Vec<Length> = times.collect();
+        let times = responses.iter().map(|response| response.duration_since(at));
+        let mut times: Vec<StdDuration> = times.collect();
         let (bytes, _) = self.routers.bytes();
         println!(
             "leader_killed served_by_the_next {} received_mib={} of_that_watch_mib={} \
@@ -319,25 +319,25 @@
             (bytes.placement - bytes_before.placement) >> 20,
         );
         let slowest = crate::figures::quantile(&mut times, 1.0);
-        self.caught_up("restarted", killed, false)?;
+        self.measure_catch_up("restarted", killed, false)?;
         Ok(vec![(
             "next_leader_serves_all_ms",
             slowest.as_secs_f64() * 1e3,
         )])
     }
 
-    /// A follower loses its disk and comes back empty.
-    fn member_wiped(&mut self) -> Result<()> {
+    /// Wipes the disk of a follower and restarts it.
+    fn measure_wiped_member(&mut self) -> Result<()> {
         let leader = self.group.leader()?;
         self.leader = leader;
         let wiped = (leader + 1) % self.options.members;
         self.group.kill(wiped)?;
         self.group.wipe(wiped)?;
-        self.caught_up("wiped", wiped, true)
+        self.measure_catch_up("wiped", wiped, true)
     }
 
-    /// Starts a member and waits until it has committed what the leader had at the start.
-    fn caught_up(&mut self, name: &str, member: usize, wiped: bool) -> Result<()> {
+    /// Starts a member and waits until it reaches the current commit index of the leader.
+    fn measure_catch_up(&mut self, name: &str, member: usize, wiped: bool) -> Result<()> {
         let leader = self.group.leader()?;
         self.leader = leader;
         let wanted = self.group.metric(leader, "millpass_control_commit_index");
@@ -356,8 +356,8 @@
         Ok(())
     }
 
-    /// Processor time and memory of leader and first follower since a reading.
-    fn used(&self, before: &[Usage], elapsed: Length) -> Result<String> {
+    /// Formats processor time and memory of leader and first follower since a reading.
+    fn format_usage(&self, before: &[Usage], elapsed: StdDuration) -> Result<String> {
         let after = self.group.usage()?;
         let seconds = elapsed.as_secs_f64();
         let leader = self.leader;
@@ -386,19 +386,20 @@
     after.cpu_millis.saturating_sub(before.cpu_millis) as f64 / seconds
 }
 
-/// From the submission of each change: times until single routers had it, and until all had it.
+/// Returns the times from the submission of each change until individual routers applied it, and
+/// until all did.
 pub fn in_force(
     submitted: &[(u64, Instant)],
     applied: &[Applied],
     routers: usize,
-) -> (Vec<Length>, Vec<Length>) {
+) -> (Vec<StdDuration>, Vec<StdDuration>) {
     let mut each = Vec::new();
     let mut everywhere = Vec::new();
     for (revision, begun) in submitted {
-        let having = applied
+        let matching = applied
             .iter()
             .filter(|delta| delta.from < *revision && *revision <= delta.to);
-        let times: Vec<Length> = having
+        let times: Vec<StdDuration> = matching
             .map(|delta| delta.at.duration_since(*begun))
             .collect();
         if times.len() >= routers {
--- a/crates/millpass-hollow/src/member.rs
+++ b/crates/millpass-hollow/src/member.rs
@@ -1,4 +1,4 @@
-//! Body of a member's process: the product's own start, until the input ends.
+//! Main function of a member process. Runs until standard input is closed.
 
 use crate::options::MemberOptions;
 use anyhow::{Context, Result};
@@ -8,10 +8,10 @@
 use millpass_telemetry::{LogSettings, start_logging};
 use std::io::Read;
 
-/// Key of the administrator in these measurements.
+/// Administrator key.
 pub const OPERATOR_KEY: &str = "operator-key";
 
-/// Runs a member until standard input ends.
+/// Runs a member until standard input is closed.
 pub fn run(options: &MemberOptions) -> Result<()> {
     start_logging(&LogSettings {
         level: "info".to_owned(),
@@ -38,7 +38,7 @@
     let initial = initial?;
     let own = initial
         .get(options.place)
-        .context("place beyond the list")?;
+        .context("--place is not in the list of initial members")?;
     let key_hash = blake3::hash(OPERATOR_KEY.as_bytes());
     Ok(ControlProcessSettings {
         bootstrap: false,
@@ -58,7 +58,9 @@
 }
 
 fn initial_member(text: &str) -> Result<InitialMember> {
-    let (peer, administration) = text.split_once(',').context("PEER,ADMINISTRATION")?;
+    let (peer, administration) = text
+        .split_once(',')
+        .context("--initial must be PEER,ADMINISTRATION")?;
     Ok(InitialMember {
         zone: "zone-0".into(),
         peer_address: peer.to_owned(),
--- a/crates/millpass-hollow/src/router.rs
+++ b/crates/millpass-hollow/src/router.rs
@@ -1,5 +1,5 @@
-//! One hollow router: hello, reports, claims and updates on the real link protocol, without
-//! callers. It keeps revisions and its share to watch, and counts the rest.
+//! A hollow router: speaks the real link protocol without serving callers. Stores only revisions and
+//! the back ends it watches.
 
 use crate::engines::zone_name;
 use crate::routers::Routers;
@@ -12,26 +12,26 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Mutex, MutexGuard, PoisonError};
-use std::time::{Duration as Length, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Time between two reports.
-const REPORT_INTERVAL: Length = Length::from_millis(500);
-/// Longest wait for a connection.
-const CONNECT: Length = Length::from_millis(500);
-/// Silence after which a connection counts as broken.
-const SILENCE: Length = Length::from_secs(2);
-/// Shortest and longest pause before the next connection.
-const MINIMUM_PAUSE: Length = Length::from_millis(20);
-const MAXIMUM_PAUSE: Length = Length::from_secs(1);
-/// Most observations in one report, as the real router has it.
+/// Interval between reports.
+const REPORT_INTERVAL: StdDuration = StdDuration::from_millis(500);
+/// Connection timeout.
+const CONNECT_TIMEOUT: StdDuration = StdDuration::from_millis(500);
+/// Timeout after which a connection without messages is closed.
+const CONTACT_TIMEOUT: StdDuration = StdDuration::from_secs(2);
+/// Bounds of the reconnect backoff.
+const MINIMUM_BACKOFF: StdDuration = StdDuration::from_millis(20);
+const MAXIMUM_BACKOFF: StdDuration = StdDuration::from_secs(1);
+/// Maximum observations per report, as in the real router.
 const MAXIMUM_OBSERVATIONS: usize = 64;
-/// Length of the recorded answer of a claimed request, in bytes.
-const ANSWER_BYTES: usize = 512;
+/// Size of the recorded response of a claimed request.
+const RESPONSE_BYTES: usize = 512;
 /// Tenant of all claims.
 const TENANT: &str = "tenant-000";
 
-/// What a router waits for: a model, or a model with an adapter.
-pub type Wanted = (ModelName, Option<AdapterName>);
+/// Target of a waiting request: a model and an optional adapter.
+pub type RequestTarget = (ModelName, Option<AdapterName>);
 
 /// One hollow router.
 pub struct HollowRouter {
@@ -47,13 +47,13 @@
     configuration: u64,
     placement: u64,
     watched: Vec<BackendName>,
-    wanted: BTreeMap<Wanted, Instant>,
+    target: BTreeMap<RequestTarget, Instant>,
     claims: BTreeMap<u64, (Instant, ClaimKey)>,
     next_claim: u64,
 }
 
 impl HollowRouter {
-    /// The router with this number.
+    /// Creates the router with this number.
     pub fn new(number: usize) -> Self {
         HollowRouter {
             number,
@@ -62,17 +62,17 @@
         }
     }
 
-    /// Lets a request wait for a model until a replica serves it.
-    pub fn want(&self, wanted: Wanted) {
-        self.state().wanted.insert(wanted, Instant::now());
+    /// Adds a request that waits until a replica has loaded its target.
+    pub fn add_waiting(&self, target: RequestTarget) {
+        self.state().target.insert(target, Instant::now());
     }
 
-    /// Back ends that it watches.
+    /// Returns the number of watched back ends.
     pub fn watched(&self) -> usize {
         self.state().watched.len()
     }
 
-    /// Begins a claim under a key that no other request has.
+    /// Begins a claim with a unique key.
     pub fn begin_claim(&self) {
         let mut state = self.state();
         state.next_claim += 1;
@@ -93,26 +93,26 @@
         self.send(RouterToControl::Claim(ClaimRequest { claim }));
     }
 
-    /// Serves connections until the task is dropped.
+    /// Connects to the members, again after each failure, until the task is dropped.
     pub async fn run(&self, routers: &Routers) {
         let mut next_member = self.number;
         let mut hint = None;
-        let mut pause = MINIMUM_PAUSE;
+        let mut backoff = MINIMUM_BACKOFF;
         loop {
             let address = hint.take().unwrap_or_else(|| {
                 next_member += 1;
                 routers.members[next_member % routers.members.len()]
             });
             let mut served = false;
-            // A broken connection is what the next one is for.
+            // Errors are handled by reconnecting.
             let _ = self.serve(routers, address, &mut hint, &mut served).await;
-            pause = if served {
-                MINIMUM_PAUSE
+            backoff = if served {
+                MINIMUM_BACKOFF
             } else {
-                (pause * 2).min(MAXIMUM_PAUSE)
+                (backoff * 2).min(MAXIMUM_BACKOFF)
             };
-            let part = 50 + (self.number * 37 % 50) as u32;
-            Timer::after(pause * part / 100).await;
+            let percent = 50 + (self.number * 37 % 50) as u32;
+            Timer::after(backoff * percent / 100).await;
         }
     }
 
@@ -124,7 +124,7 @@
         served: &mut bool,
     ) -> Result<()> {
         let connecting = async { Ok(Async::<TcpStream>::connect(address).await?) };
-        let stream = within(CONNECT, connecting).await?;
+        let stream = with_timeout(CONNECT_TIMEOUT, connecting).await?;
         stream.get_ref().set_nodelay(true)?;
         self.state().sent.clear();
         let hello = RouterHello {
@@ -184,9 +184,9 @@
             let model = crate::catalog::model_name(model).into();
             demand_of((model, None), 5, 0, state.sequence * 3)
         });
-        let waiting = state.wanted.iter().map(|(wanted, since)| {
+        let waiting = state.target.iter().map(|(target, since)| {
             let waited = since.elapsed().as_millis() as u64;
-            demand_of(wanted.clone(), 0, waited.max(1), 1)
+            demand_of(target.clone(), 0, waited.max(1), 1)
         });
         served.chain(waiting).collect()
     }
@@ -199,35 +199,37 @@
         served: &mut bool,
     ) -> Result<()> {
         loop {
-            let message = within(SILENCE, read(routers, stream)).await?;
+            let message = with_timeout(CONTACT_TIMEOUT, read(routers, stream)).await?;
             match message {
-                ControlToRouter::NotLeader(answer) => {
-                    let leader = answer.leader_address;
+                ControlToRouter::NotLeader(response) => {
+                    let leader = response.leader_address;
                     *hint = leader.and_then(|text| text.parse().ok());
-                    bail!("not the leader");
+                    bail!("the member is not the leader");
                 }
                 ControlToRouter::Update(update) => {
                     *served = true;
-                    self.take_update(routers, update);
+                    self.apply_update(routers, update);
                 }
-                // Hollow routers keep to their interval.
+                // Not needed: hollow routers report only at fixed intervals and serve no callers.
                 ControlToRouter::ChangesAvailable
                 | ControlToRouter::Gateway(_)
                 | ControlToRouter::Credit(_)
                 | ControlToRouter::Crashes(_)
                 | ControlToRouter::Permits(_)
                 | ControlToRouter::Limits(_) => {}
-                ControlToRouter::Claim(answer) => self.take_claim(routers, answer),
-                ControlToRouter::ClaimFinished(attempt) => self.claim_finished(routers, attempt),
+                ControlToRouter::Claim(response) => self.handle_claim_response(routers, response),
+                ControlToRouter::ClaimFinished(attempt) => {
+                    self.handle_claim_finished(routers, attempt)
+                }
             }
         }
     }
 
-    fn take_update(&self, routers: &Routers, update: RouterUpdate) {
+    fn apply_update(&self, routers: &Routers, update: RouterUpdate) {
         let now = Instant::now();
         let mut state = self.state();
         let sent = state.sent.remove(&update.sequence);
-        routers.updated(self.number, &update, sent, now);
+        routers.record_update(self.number, &update, sent, now);
         if let Some(delta) = update.configuration {
             state.configuration = delta.to.0;
         }
@@ -238,49 +240,49 @@
         if let Some(delta) = update.placement {
             state.placement = delta.to.0;
             for route in &delta.replicas {
-                self.take_route(routers, &mut state, route);
+                self.apply_route(routers, &mut state, route);
             }
         }
     }
 
-    fn take_route(&self, routers: &Routers, state: &mut RouterState, route: &ReplicaRoute) {
-        if route.phase != ReplicaPhase::Loaded || state.wanted.is_empty() {
+    fn apply_route(&self, routers: &Routers, state: &mut RouterState, route: &ReplicaRoute) {
+        if route.phase != ReplicaPhase::Loaded || state.target.is_empty() {
             return;
         }
         let adapters = route.adapters.iter().cloned().map(Some);
         for adapter in adapters.chain([None]) {
-            let wanted = (route.model.clone(), adapter);
-            if let Some(since) = state.wanted.remove(&wanted) {
+            let target = (route.model.clone(), adapter);
+            if let Some(since) = state.target.remove(&target) {
                 routers.loaded(since.elapsed());
             }
         }
     }
 
-    fn take_claim(&self, routers: &Routers, answer: ClaimResponse) {
-        if answer.decision != ClaimDecision::Granted {
+    fn handle_claim_response(&self, routers: &Routers, response: ClaimResponse) {
+        if response.decision != ClaimDecision::Granted {
             routers.claim_refused();
             return;
         }
-        let Some((begun, key)) = self.state().claims.get(&answer.attempt).cloned() else {
+        let Some((begun, key)) = self.state().claims.get(&response.attempt).cloned() else {
             return;
         };
         routers.claim_granted(begun.elapsed());
         let recorded = RecordedAnswer {
             status: 200,
             content_type: "application/json".to_owned(),
-            body: vec![b'x'; ANSWER_BYTES].into(),
+            body: vec![b'x'; RESPONSE_BYTES].into(),
         };
         self.send(RouterToControl::FinishClaim(ClaimFinish {
             tenant: TENANT.into(),
             key,
             router: self.name(),
             router_incarnation: Incarnation(1),
-            attempt: answer.attempt,
+            attempt: response.attempt,
             conclusion: ClaimConclusion::Answered(recorded),
         }));
     }
 
-    fn claim_finished(&self, routers: &Routers, attempt: u64) {
+    fn handle_claim_finished(&self, routers: &Routers, attempt: u64) {
         let ended = self.state().claims.remove(&attempt);
         if ended.is_some() && routers.claiming() {
             self.begin_claim();
@@ -288,11 +290,11 @@
     }
 
     fn send(&self, message: RouterToControl) {
-        // The other end lives as long as this router.
+        // Cannot fail: the receiver lives as long as this router.
         let _ = self.frames.0.try_send(message);
     }
 
-    /// Name of the router.
+    /// Returns the name of the router.
     pub fn name(&self) -> RouterName {
         format!("router-{:03}", self.number).into()
     }
@@ -302,10 +304,10 @@
     }
 }
 
-fn demand_of(wanted: Wanted, in_flight: u32, waited: u64, arrivals: u64) -> ModelDemand {
+fn demand_of(target: RequestTarget, in_flight: u32, waited: u64, arrivals: u64) -> ModelDemand {
     ModelDemand {
-        model: wanted.0,
-        adapter: wanted.1,
+        model: target.0,
+        adapter: target.1,
         waiting: u32::from(waited > 0),
         in_flight,
         arrivals,
@@ -318,12 +320,12 @@
     }
 }
 
-async fn within<T>(time: Length, work: impl Future<Output = Result<T>>) -> Result<T> {
-    let late = async {
+async fn with_timeout<T>(time: StdDuration, work: impl Future<Output = Result<T>>) -> Result<T> {
+    let timeout = async {
         Timer::after(time).await;
-        bail!("no answer in time")
+        bail!("timed out")
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
 async fn write(
--- a/crates/millpass-hollow/src/routers.rs
+++ b/crates/millpass-hollow/src/routers.rs
@@ -1,7 +1,7 @@
-//! All hollow routers on a few threads, and what they count.
+//! Runs all hollow routers on a few threads and collects their counters.
 
 use crate::engines::Engines;
-use crate::router::{HollowRouter, Wanted};
+use crate::router::{HollowRouter, RequestTarget};
 use async_executor::Executor;
 use millpass_proto::{RouterUpdate, codec};
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, JoinHandle};
-use std::time::{Duration as Length, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Threads that carry all routers.
+/// Threads that run all routers.
 const THREADS: usize = 2;
 
 /// A catalog delta that a router applied.
@@ -23,39 +23,39 @@
     pub from: u64,
     /// Revision after.
     pub to: u64,
-    /// When.
+    /// Time of application.
     pub at: Instant,
 }
 
-/// Times and places that the phases look at.
+/// Samples collected during a phase.
 #[derive(Default)]
 pub struct Records {
-    /// Time from a report to its update.
-    pub answers: Vec<Length>,
+    /// Time from each report to its update.
+    pub response_times: Vec<StdDuration>,
     /// Catalog deltas applied.
     pub applied: Vec<Applied>,
-    /// Time from a waiting request to a loaded replica in the routes.
-    pub loads: Vec<Length>,
-    /// Time from a claim to its grant.
-    pub claims: Vec<Length>,
+    /// Time from each waiting request to a loaded replica in the routes.
+    pub loads: Vec<StdDuration>,
+    /// Time from each claim to its grant.
+    pub claims: Vec<StdDuration>,
     /// Claims not granted.
     pub claims_refused: u64,
 }
 
-/// Bytes by what they are for.
+/// Byte counters by purpose.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bytes {
-    /// Frames of routers.
+    /// Sent by routers.
     pub sent: u64,
-    /// Frames of members.
+    /// Received by routers.
     pub received: u64,
     /// Of `received`, catalog deltas.
     pub configuration: u64,
     /// Of `received`, route deltas.
     pub placement: u64,
-    /// Of `received`, shares to watch.
+    /// Of `received`, watch lists.
     pub watch: u64,
-    /// Shares to watch received.
+    /// Number of watch lists received.
     pub watch_lists: u64,
 }
 
@@ -70,8 +70,8 @@
     /// Models of the catalog.
     pub models: usize,
     routers: Vec<HollowRouter>,
-    /// Last term under which each router was answered, and when.
-    answered: Vec<Mutex<(u64, Option<Instant>)>>,
+    /// By router: newest term of a response, and time of the first response in it.
+    first_responses: Vec<Mutex<(u64, Option<Instant>)>>,
     bytes: Mutex<Bytes>,
     records: Mutex<Records>,
     reports: AtomicU64,
@@ -79,7 +79,7 @@
 }
 
 impl Routers {
-    /// This many routers, not yet running.
+    /// Creates `count` routers that are not running yet.
     pub fn new(
         count: usize,
         members: Vec<SocketAddr>,
@@ -93,7 +93,7 @@
             demand,
             models,
             routers: (0..count).map(HollowRouter::new).collect(),
-            answered: (0..count).map(|_| Mutex::default()).collect(),
+            first_responses: (0..count).map(|_| Mutex::default()).collect(),
             bytes: Mutex::default(),
             records: Mutex::default(),
             reports: AtomicU64::new(0),
@@ -101,7 +101,7 @@
         })
     }
 
-    /// Runs these until the handle is dropped.
+    /// Runs the routers with these numbers until the handle is dropped.
     pub fn start(self: &Arc<Self>, numbers: Range<usize>) -> RoutersHandle {
         let executor = Arc::new(Executor::new());
         let (stop, stopping) = async_channel::bounded::<()>(1);
@@ -114,7 +114,7 @@
             let (executor, stopping) = (executor.clone(), stopping.clone());
             thread::spawn(move || {
                 let stopped = async {
-                    // Ends with an error, as nothing is ever sent.
+                    // Returns an error when the channel is closed; nothing is ever sent.
                     let _ = stopping.recv().await;
                 };
                 async_io::block_on(executor.run(stopped));
@@ -126,57 +126,60 @@
         }
     }
 
-    /// Number of routers.
+    /// Returns the number of routers.
     pub fn len(&self) -> usize {
         self.routers.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no routers.
     pub fn is_empty(&self) -> bool {
         self.routers.is_empty()
     }
 
-    /// One router.
+    /// Returns a router; the number wraps around.
     pub fn router(&self, number: usize) -> &HollowRouter {
         &self.routers[number % self.routers.len()]
     }
 
-    /// Lets a request wait at one router.
-    pub fn want(&self, router: usize, wanted: Wanted) {
-        self.router(router).want(wanted);
+    /// Adds a waiting request at one router.
+    pub fn add_waiting(&self, router: usize, target: RequestTarget) {
+        self.router(router).add_waiting(target);
     }
 
-    /// When the first answer under the newest term, if above `term`, reached each of the first
-    /// `count` routers; none until all have one.
-    pub fn answered_above(&self, term: u64, count: usize) -> Option<Vec<Instant>> {
-        let answered = self.answered.iter().take(count).map(lock);
-        answered
-            .map(|answered| answered.1.filter(|_| answered.0 > term))
+    /// Returns when each of the first `count` routers received its first response in a term above
+    /// `term`; `None` until all have received one.
+    pub fn responded_above_term(&self, term: u64, count: usize) -> Option<Vec<Instant>> {
+        let first_responses = self.first_responses.iter().take(count).map(lock);
+        first_responses
+            .map(|first_responses| first_responses.1.filter(|_| first_responses.0 > term))
             .collect()
     }
 
-    /// Highest term under which a router was answered.
+    /// Returns the highest term in which a router received a response.
     pub fn term(&self) -> u64 {
-        let terms = self.answered.iter().map(|answered| lock(answered).0);
+        let terms = self
+            .first_responses
+            .iter()
+            .map(|first_responses| lock(first_responses).0);
         terms.max().unwrap_or(0)
     }
 
-    /// Back ends watched by all routers together.
+    /// Returns the total number of back ends watched by all routers.
     pub fn watched(&self) -> usize {
         self.routers.iter().map(HollowRouter::watched).sum()
     }
 
-    /// Bytes so far, and reports answered.
+    /// Returns the byte counters and the number of reports with a response.
     pub fn bytes(&self) -> (Bytes, u64) {
         (*lock(&self.bytes), self.reports.load(Ordering::Relaxed))
     }
 
-    /// Takes what was recorded since the last call.
+    /// Returns and resets the samples.
     pub fn take_records(&self) -> Records {
         std::mem::take(&mut *lock(&self.records))
     }
 
-    /// Begins or ends the phase in which each claim is followed by another.
+    /// Sets whether a finished claim is followed by another.
     pub fn set_claiming(&self, claiming: bool) {
         self.claiming.store(claiming, Ordering::Relaxed);
     }
@@ -193,11 +196,11 @@
         lock(&self.bytes).received += bytes as u64;
     }
 
-    pub(crate) fn loaded(&self, time: Length) {
+    pub(crate) fn loaded(&self, time: StdDuration) {
         lock(&self.records).loads.push(time);
     }
 
-    pub(crate) fn claim_granted(&self, time: Length) {
+    pub(crate) fn claim_granted(&self, time: StdDuration) {
         lock(&self.records).claims.push(time);
     }
 
@@ -205,7 +208,7 @@
         lock(&self.records).claims_refused += 1;
     }
 
-    pub(crate) fn updated(
+    pub(crate) fn record_update(
         &self,
         router: usize,
         update: &RouterUpdate,
@@ -213,11 +216,11 @@
         at: Instant,
     ) {
         self.reports.fetch_add(1, Ordering::Relaxed);
-        self.note_term(router, update.term, at);
-        self.note_bytes(update);
+        self.record_term(router, update.term, at);
+        self.record_bytes(update);
         let mut records = lock(&self.records);
         records
-            .answers
+            .response_times
             .extend(sent.map(|sent| at.duration_since(sent)));
         if let Some(delta) = &update.configuration {
             records.applied.push(Applied {
@@ -229,15 +232,15 @@
         }
     }
 
-    /// Keeps the first answer under each term.
-    fn note_term(&self, router: usize, term: u64, at: Instant) {
-        let mut answered = lock(&self.answered[router]);
-        if term > answered.0 {
-            *answered = (term, Some(at));
+    /// Records the first response in each term.
+    fn record_term(&self, router: usize, term: u64, at: Instant) {
+        let mut first_responses = lock(&self.first_responses[router]);
+        if term > first_responses.0 {
+            *first_responses = (term, Some(at));
         }
     }
 
-    fn note_bytes(&self, update: &RouterUpdate) {
+    fn record_bytes(&self, update: &RouterUpdate) {
         let mut bytes = lock(&self.bytes);
         bytes.configuration += encoded_bytes(&update.configuration);
         bytes.placement += encoded_bytes(&update.placement);
@@ -246,7 +249,7 @@
     }
 }
 
-/// Length of the encoding of an optional part; its absence counts nothing.
+/// Returns the encoded size of a part; 0 if absent.
 fn encoded_bytes<T: serde::Serialize>(part: &Option<T>) -> u64 {
     let encoded = part.as_ref().map(codec::encode);
     encoded
@@ -258,7 +261,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Running routers. Dropping it ends them.
+/// Running routers; dropping it stops them.
 pub struct RoutersHandle {
     stop: Option<async_channel::Sender<()>>,
     threads: Vec<JoinHandle<()>>,
@@ -269,7 +272,7 @@
         self.stop.take();
         for thread in self.threads.drain(..) {
             if thread.join().is_err() {
-                eprintln!("a thread of the hollow routers panicked");
+                eprintln!("a hollow router thread panicked");
             }
         }
     }
--- a/crates/millpass-hollow/src/run.rs
+++ b/crates/millpass-hollow/src/run.rs
@@ -1,18 +1,21 @@
-//! All sizes, and the lines through what grows with them.
+//! Measures all sizes and fits lines over the number of routers.
 
 use crate::figures::least_squares;
 use crate::measure::{Values, measure};
 use crate::options::MeasureOptions;
 use anyhow::{Context, Result};
 
-/// The size to design for.
-const WANTED_ROUTERS: f64 = 490.0;
+/// Size at which the fitted lines are evaluated.
+const TARGET_ROUTERS: f64 = 490.0;
 
-/// Measures each size in turn and prints the lines.
+/// Measures each size and prints the fitted lines.
 pub fn run(options: &MeasureOptions) -> Result<()> {
     let mut sizes = Vec::new();
     for text in options.routers.split(',') {
-        let count: usize = text.trim().parse().context("numbers of routers")?;
+        let count: usize = text
+            .trim()
+            .parse()
+            .context("--routers must be numbers separated by commas")?;
         sizes.push((count as f64, measure(options, count)?));
     }
     print_lines(&sizes);
@@ -35,10 +38,10 @@
             continue;
         };
         println!(
-            "line {name} intercept={:.2} slope_per_router={:.4} at_{WANTED_ROUTERS}={:.1}",
+            "line {name} intercept={:.2} slope_per_router={:.4} at_{TARGET_ROUTERS}={:.1}",
             line.intercept,
             line.slope,
-            line.intercept + line.slope * WANTED_ROUTERS
+            line.intercept + line.slope * TARGET_ROUTERS
         );
     }
 }
--- a/crates/millpass-hollow/src/usage.rs
+++ b/crates/millpass-hollow/src/usage.rs
@@ -1,10 +1,10 @@
-//! Processor time and memory of a process, from the system's own accounts.
+//! Processor time and memory of a process, from procfs.
 
 use anyhow::Result;
 use procfs::process::Process;
 use std::collections::BTreeMap;
 
-/// What a process has used so far.
+/// Resources used by a process so far.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
     /// Processor time of the whole process, in milliseconds.
@@ -13,25 +13,25 @@
     pub by_thread: BTreeMap<String, u64>,
     /// Resident memory, in KiB.
     pub resident_kib: u64,
-    /// Highest resident memory so far, in KiB.
+    /// Peak resident memory, in KiB.
     pub peak_kib: u64,
     /// Bytes written to disk.
     pub written_bytes: u64,
 }
 
-/// Reads what a process has used.
+/// Reads the resource usage of a process.
 pub fn read(process: u32) -> Result<Usage> {
     let process = Process::new(i32::try_from(process)?)?;
-    let per_tick = 1_000 / procfs::ticks_per_second();
+    let millis_per_tick = 1_000 / procfs::ticks_per_second();
     let stat = process.stat()?;
     let status = process.status()?;
     let mut by_thread = BTreeMap::new();
     for task in process.tasks()?.flatten() {
         let Ok(stat) = task.stat() else { continue };
-        *by_thread.entry(stat.comm).or_default() += (stat.utime + stat.stime) * per_tick;
+        *by_thread.entry(stat.comm).or_default() += (stat.utime + stat.stime) * millis_per_tick;
     }
     Ok(Usage {
-        cpu_millis: (stat.utime + stat.stime) * per_tick,
+        cpu_millis: (stat.utime + stat.stime) * millis_per_tick,
         by_thread,
         resident_kib: status.vmrss.unwrap_or(0),
         peak_kib: status.vmhwm.unwrap_or(0),
@@ -39,7 +39,7 @@
     })
 }
 
-/// Processor time of the threads that used most between two readings, in milliseconds a second.
+/// Formats the processor time of the busiest threads between two readings, in ms per second.
 pub fn busiest_threads(before: &Usage, after: &Usage, seconds: f64) -> String {
     let mut rates: Vec<(f64, &String)> = after
         .by_thread
--- a/crates/millpass-hollow/tests/engines.rs
+++ b/crates/millpass-hollow/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Hollow engines obey fences as real ones do.
+//! Hollow engines enforce fences.
 
 use millpass_hollow::engines;
 use millpass_proto::*;
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn an_order_below_the_highest_fence_does_nothing() {
+fn an_order_below_the_highest_fence_is_rejected() {
     let handle = engines::start(1, Duration::ZERO, 0).expect("engines");
     let engines = &handle.engines;
-    assert_eq!(engines.order(&load(7, 7)), OrderResponse::Accepted);
-    assert_eq!(engines.order(&load(7, 7)), OrderResponse::Accepted);
+    assert_eq!(engines.handle_order(&load(7, 7)), OrderResponse::Accepted);
+    assert_eq!(engines.handle_order(&load(7, 7)), OrderResponse::Accepted);
     let highest = LogPosition { term: 1, index: 7 };
     assert_eq!(
-        engines.order(&load(5, 5)),
+        engines.handle_order(&load(5, 5)),
         OrderResponse::StaleFence(highest)
     );
     let name = "engine-00000".into();
--- a/crates/millpass-hollow/tests/figures.rs
+++ b/crates/millpass-hollow/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Lines and quantiles.
+//! Least squares and quantiles.
 
 use millpass_hollow::figures::{least_squares, quantile};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn one_place_gives_no_line() {
+fn fewer_than_two_distinct_x_values_have_no_line() {
     assert_eq!(least_squares(&[(1.0, 2.0), (1.0, 3.0)]), None);
     assert_eq!(least_squares(&[]), None);
 }
--- a/crates/millpass-hollow/tests/in_force.rs
+++ b/crates/millpass-hollow/tests/in_force.rs
@@ -1,4 +1,4 @@
-//! When a change counts as in force.
+//! Times until a change is in force.
 
 use millpass_hollow::measure::in_force;
 use millpass_hollow::routers::Applied;
@@ -13,7 +13,7 @@
         to,
         at: begun + Duration::from_millis(millis),
     };
-    // The first router takes both changes in one delta; the second misses the later one.
+    // The first router applies both changes in one delta; the second never applies the later one.
     let deltas = [applied(0, 3, 5, 20), applied(1, 3, 4, 30)];
     let submitted = [(4, begun), (5, begun)];
     let (each, everywhere) = in_force(&submitted, &deltas, 2);
--- a/crates/millpass-lab/src/deployment.rs
+++ b/crates/millpass-lab/src/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployment descriptions: zones, delays, back ends, models, limits; as data in `examples/`.
+//! Deployment descriptions: zones, delays, back ends, models and limits, read from TOML.
 
 use millpass_load::Population;
 use millpass_load::population::{ModelChoice, TenantIdentity, WebChoice};
@@ -8,9 +8,9 @@
 
 /// Version label of every model that the lab creates.
 pub const VERSION: &str = "v1";
-/// Most back ends, routers and members of one deployment.
+/// Maximum number of processes of one deployment.
 const MAXIMUM_PROCESSES: usize = 200;
-/// Members of a control group: an odd number that survives two losses.
+/// Members of the control group; five tolerate two failures.
 const CONTROL_MEMBERS: usize = 5;
 
 /// A whole deployment.
@@ -39,9 +39,9 @@
     pub tenants: Tenants,
     /// Web back ends.
     pub web: Web,
-    /// What the operators weigh.
+    /// Weights of the scheduler's cost function.
     pub weights: Weights,
-    /// What a fleet may take of the machine.
+    /// Limits on what a fleet may use of the machine.
     pub bounds: Bounds,
 }
 
@@ -55,7 +55,7 @@
     pub between_zones_micros: u64,
     /// Between callers and any zone.
     pub to_clients_micros: u64,
-    /// Largest extra delay.
+    /// Maximum additional delay.
     pub jitter_micros: u64,
 }
 
@@ -81,47 +81,47 @@
     pub accelerators: usize,
     /// Memory of each.
     pub accelerator_bytes: u64,
-    /// Room for checkpoints in host memory.
+    /// Capacity for checkpoints in host memory.
     pub checkpoint_memory_bytes: u64,
-    /// Room for checkpoints on disk.
+    /// Capacity for checkpoints on disk.
     pub checkpoint_disk_bytes: u64,
 }
 
-/// What the weight store allows.
+/// Limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreLimits {
-    /// Loads that may start a second.
+    /// Loads that may start per second.
     pub loads_per_second: u32,
-    /// Loads at once at full speed.
+    /// Concurrent loads at full speed.
     pub concurrent_loads: u32,
-    /// Speed of one load, in bytes a second.
+    /// Throughput of one load, in bytes per second.
     pub bytes_per_second: u64,
 }
 
-/// A number of models of one size.
+/// A class of models of the same size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelClass {
-    /// Start of their names.
+    /// Prefix of the names.
     pub prefix: String,
-    /// How many.
+    /// Count.
     pub count: usize,
-    /// Weights over all accelerators of a replica.
+    /// Size of the weights, summed over all accelerators of a replica.
     pub weights_bytes: u64,
-    /// Caches over all accelerators of a replica.
+    /// Size of the caches, summed over all accelerators of a replica.
     pub cache_bytes: u64,
-    /// Accelerators of a replica.
+    /// Accelerators per replica.
     pub accelerators: u32,
-    /// Requests a replica serves at once.
+    /// Concurrent requests per replica.
     pub concurrency: u32,
 }
 
-/// Adapters, spread over the models in turn.
+/// Adapters, assigned to the models round-robin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapters {
-    /// How many.
+    /// Count.
     pub count: usize,
     /// Size of each.
     pub bytes: u64,
@@ -131,9 +131,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenants {
-    /// How many.
+    /// Count.
     pub count: usize,
-    /// Start of their names.
+    /// Prefix of the names.
     pub prefix: String,
 }
 
@@ -145,35 +145,35 @@
     pub group: String,
     /// Path prefix of pages.
     pub read_path: String,
-    /// Path prefix of requests that may not be repeated.
+    /// Path prefix of non-idempotent requests.
     pub write_path: String,
 }
 
-/// What the operators weigh.
+/// Weights of the scheduler's cost function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// A second of cold start.
+    /// Cost of one second of cold start.
     pub cold_start: u32,
-    /// An idle accelerator second.
+    /// Cost of one idle accelerator second.
     pub idle: u32,
 }
 
-/// What a fleet may take of the machine.
+/// Limits on what a fleet may use of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Processes.
+    /// Maximum number of processes.
     pub processes: usize,
-    /// Sum of their resident memory.
+    /// Maximum total resident memory, in bytes.
     pub resident_bytes: u64,
 }
 
-/// Why a description was not taken.
+/// Reason why a description is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
     /// The file cannot be read.
-    #[error("{file}: {source}; give pnw, sicilia or a file such as examples/pnw/deployment.toml")]
+    #[error("{file}: {source}; use pnw, sicilia or a file such as examples/pnw/deployment.toml")]
     Unreadable {
         /// File.
         file: String,
@@ -188,17 +188,17 @@
         /// What is wrong, with line and column.
         reason: String,
     },
-    /// A value makes no sense.
+    /// A value is out of range or inconsistent.
     #[error("{key}: {reason}")]
     Invalid {
         /// Key.
         key: &'static str,
-        /// What is wrong and what to write.
+        /// What is wrong and how to fix it.
         reason: String,
     },
 }
 
-/// Deployments known by name.
+/// Built-in deployments.
 const NAMED: [(&str, &str); 2] = [
     ("pnw", include_str!("../../../examples/pnw/deployment.toml")),
     (
@@ -208,7 +208,7 @@
 ];
 
 impl Deployment {
-    /// The deployment of this name, or described in the file of this name.
+    /// Returns the built-in deployment of this name, or reads the file at this path.
     pub fn named(name: &str) -> Result<Self, DeploymentError> {
         match NAMED.iter().find(|(known, _)| *known == name) {
             Some((name, text)) => Self::parse(name, text),
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Reads a description and checks it.
+    /// Reads and validates a description.
     pub fn read(path: &Path) -> Result<Self, DeploymentError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| DeploymentError::Unreadable {
@@ -236,7 +236,7 @@
         Ok(deployment)
     }
 
-    /// Checks values that the type system does not.
+    /// Validates values and their consistency.
     pub fn check(&self) -> Result<(), DeploymentError> {
         let invalid = |key, reason: &str| {
             Err(DeploymentError::Invalid {
@@ -246,24 +246,24 @@
         };
         let members: usize = self.zones.iter().map(|zone| zone.control_members).sum();
         if members != CONTROL_MEMBERS {
-            let reason = format!("{members} in all; spread {CONTROL_MEMBERS} over the zones");
+            let reason = format!("{members} in total; distribute {CONTROL_MEMBERS} over the zones");
             return invalid("zones.control_members", &reason);
         }
         let mut names: Vec<&str> = self.zones.iter().map(|zone| zone.name.as_str()).collect();
         names.sort_unstable();
         names.dedup();
         if names.len() != self.zones.len() {
-            return invalid("zones.name", "two zones share a name; give each its own");
-        }
-        if self.router_count_per_zone == 0 {
             return invalid(
-                "router_count_per_zone",
-                "0 routers serve nobody; write 1 or more",
+                "zones.name",
+                "two zones have the same name; make the names unique",
             );
         }
+        if self.router_count_per_zone == 0 {
+            return invalid("router_count_per_zone", "must be at least 1");
+        }
         if self.process_count() > MAXIMUM_PROCESSES {
             let reason = format!(
-                "{} processes; at most {MAXIMUM_PROCESSES}",
+                "{} processes; the maximum is {MAXIMUM_PROCESSES}",
                 self.process_count()
             );
             return invalid("zones", &reason);
@@ -282,7 +282,10 @@
             let fits = per_accelerator <= self.engine.accelerator_bytes
                 && class.accelerators as usize <= self.engine.accelerators;
             if class.accelerators == 0 || !fits {
-                let reason = format!("{} fits on no engine; make it smaller", class.prefix);
+                let reason = format!(
+                    "{} does not fit on any engine; reduce its size",
+                    class.prefix
+                );
                 return invalid("model_classes", &reason);
             }
         }
@@ -309,7 +312,7 @@
         self.zones.iter().map(|zone| zone.control_members).sum()
     }
 
-    /// Processes of a fleet: the product's, the back ends, store, platform list and relay.
+    /// Processes of a fleet, including the weight store, the platform list and the relay.
     pub fn process_count(&self) -> usize {
         const STORE_PLATFORM_AND_RELAY: usize = 3;
         self.engine_count()
@@ -319,14 +322,14 @@
             + STORE_PLATFORM_AND_RELAY
     }
 
-    /// Models, each with its class, the most popular first. Classes alternate, so that popular
-    /// models come in all sizes.
+    /// Returns the models with their classes, most popular first. Classes are interleaved, so that
+    /// popular models come in all sizes.
     pub fn models(&self) -> Vec<(ModelName, &ModelClass)> {
         let largest = self.model_classes.iter().map(|class| class.count).max();
         let mut models = Vec::new();
         for number in 0..largest.unwrap_or(0) {
             for class in &self.model_classes {
-                // Spread a class of few models evenly over the numbers of the largest.
+                // Distributes smaller classes evenly over the sequence of the largest class.
                 let before = number * class.count / largest.unwrap_or(1);
                 let after = (number + 1) * class.count / largest.unwrap_or(1);
                 for index in before..after {
@@ -338,7 +341,7 @@
         models
     }
 
-    /// Adapters of each model, in the order of [`Deployment::models`].
+    /// Returns the adapters of each model, in the order of [`Deployment::models`].
     pub fn adapters_by_model(&self) -> Vec<Vec<AdapterName>> {
         let models = self.models();
         let mut adapters = vec![Vec::new(); models.len()];
@@ -350,7 +353,7 @@
         adapters
     }
 
-    /// Who asks and what there is to ask for.
+    /// Returns the tenants, models and paths that the load generator chooses from.
     pub fn population(&self) -> Population {
         let tenant = |number: usize| TenantIdentity {
             name: TenantName(format!("{}-{number:02}", self.tenants.prefix)),
--- a/crates/millpass-lab/src/fleet/audits.rs
+++ b/crates/millpass-lab/src/fleet/audits.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins counted, read at the end of a run.
+//! Audit counters of the stand-ins, read at the end of a run.
 
 use super::deployed::Fleet;
 use millpass_proto::{EngineAudit, StoreAudit, WebAudit};
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for one stand-in.
+/// Request timeout per stand-in.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// All audits. A back end that was killed lost what it counted before.
+/// All audits. A killed back end loses its counters.
 #[derive(Clone, Debug, Default)]
 pub struct Audits {
     /// Engines.
@@ -18,12 +18,12 @@
     pub web: Vec<WebAudit>,
     /// Weight store.
     pub store: Option<StoreAudit>,
-    /// Stand-ins that did not answer.
+    /// Stand-ins that did not respond.
     pub missing: Vec<String>,
 }
 
 impl Audits {
-    /// Reads them all.
+    /// Reads all audits.
     pub fn read(fleet: &Fleet) -> Self {
         let config = ureq::Agent::config_builder()
             .proxy(None)
@@ -50,7 +50,7 @@
         audits
     }
 
-    /// What must never be counted, in words.
+    /// Returns a message for each violated invariant.
     pub fn breaches(&self) -> Vec<String> {
         let engines = self.engines.iter().flat_map(engine_breaches);
         let web = self.web.iter().flat_map(|audit| {
@@ -59,11 +59,11 @@
             repeated.map(move |run| format!("{backend}: key {} ran {} times", run.key, run.runs))
         });
         let missing = self.missing.iter();
-        let missing = missing.map(|name| format!("{name} did not tell what it counted"));
+        let missing = missing.map(|name| format!("{name} did not return its audit"));
         engines.chain(web).chain(missing).collect()
     }
 
-    /// Sum of one count over the engines.
+    /// Returns the sum of a counter over the engines.
     pub fn sum(&self, count: impl Fn(&EngineAudit) -> u64) -> u64 {
         self.engines.iter().map(count).sum()
     }
--- a/crates/millpass-lab/src/fleet/bounds.rs
+++ b/crates/millpass-lab/src/fleet/bounds.rs
@@ -1,71 +1,71 @@
-//! Refuses to start what the machine or the deployment's bounds do not hold.
+//! Memory limits: checked before a fleet starts and while it runs.
 
 use crate::deployment::Deployment;
 use procfs::Current;
 
-/// Free memory left for everything else on the machine.
-const SPARE_BYTES: u64 = 1_000_000_000;
+/// Memory reserved for other programs on the machine.
+const RESERVED_BYTES: u64 = 1_000_000_000;
 
-/// Why a fleet is not started or goes no further.
+/// Reason why a fleet is not started or is stopped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BoundsError {
     /// Not enough free memory.
     #[error(
-        "{available} bytes of memory are free, the fleet may take {bound} and {SPARE_BYTES} must \
+        "{available} bytes of memory are free, the fleet may use {bound} and {RESERVED_BYTES} must \
          stay free; stop other programs, or lower bounds.resident_bytes and the zones"
     )]
     NotEnoughMemory {
-        /// Free now.
+        /// Available memory, in bytes.
         available: u64,
-        /// What the deployment allows the fleet.
+        /// Memory bound of the deployment, in bytes.
         bound: u64,
     },
-    /// The bound is more than half of the machine.
+    /// The bound exceeds half of the memory of the machine.
     #[error(
-        "bounds.resident_bytes ({bound}) is more than half of the machine's {total} bytes; lower it"
+        "bounds.resident_bytes ({bound}) is more than half of the {total} bytes of the machine; lower it"
     )]
     MoreThanHalf {
-        /// Memory of the machine.
+        /// Total memory of the machine, in bytes.
         total: u64,
-        /// What the deployment allows the fleet.
+        /// Memory bound of the deployment, in bytes.
         bound: u64,
     },
-    /// The fleet grew too large.
+    /// The fleet exceeds its bound.
     #[error(
-        "the fleet holds {resident} bytes of memory, more than bounds.resident_bytes ({bound}); \
+        "the fleet uses {resident} bytes of memory, more than bounds.resident_bytes ({bound}); \
          it is stopped"
     )]
     TooLarge {
-        /// Held now.
+        /// Resident memory, in bytes.
         resident: u64,
-        /// Bound.
+        /// Memory bound of the deployment, in bytes.
         bound: u64,
     },
 }
 
-/// Memory of a machine.
+/// Memory of a machine, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineMemory {
-    /// All of it.
+    /// Total memory.
     pub total: u64,
-    /// What programs may still take.
+    /// Available memory.
     pub available: u64,
 }
 
-/// Checks before the start.
+/// Checks the memory limits before a fleet starts.
 pub fn check_before(deployment: &Deployment, machine: MachineMemory) -> Result<(), BoundsError> {
     let bound = deployment.bounds.resident_bytes;
     let MachineMemory { total, available } = machine;
     if bound > total / 2 {
         return Err(BoundsError::MoreThanHalf { total, bound });
     }
-    if available < bound.saturating_add(SPARE_BYTES) {
+    if available < bound.saturating_add(RESERVED_BYTES) {
         return Err(BoundsError::NotEnoughMemory { available, bound });
     }
     Ok(())
 }
 
-/// Checks while the fleet runs.
+/// Checks the memory bound of a running fleet.
 pub fn check_running(deployment: &Deployment, resident: u64) -> Result<(), BoundsError> {
     let bound = deployment.bounds.resident_bytes;
     if resident > bound {
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// Memory of this machine; 0 for what cannot be told.
+/// Reads the memory of this machine; 0 for values that are unavailable.
 pub fn machine_memory() -> MachineMemory {
     let memory = procfs::Meminfo::current().ok();
     MachineMemory {
--- a/crates/millpass-lab/src/fleet/children.rs
+++ b/crates/millpass-lab/src/fleet/children.rs
@@ -1,4 +1,4 @@
-//! The fleet's own child processes: started by path, stopped by id, never by name.
+//! Child processes of a fleet, started by path and signalled by process id.
 
 use anyhow::{Context, Result, bail};
 use procfs::process::Process;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// How to start a process, the first time and again.
+/// Command line of a process, kept for restarts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Launch {
     /// Name in the fleet.
@@ -25,31 +25,31 @@
     is_stopping: bool,
 }
 
-/// All children of a fleet. Dropping it kills those that still run.
+/// Children of a fleet. Dropping it kills those that still run.
 pub struct Children {
     logs: PathBuf,
     maximum: usize,
     running: BTreeMap<String, Running>,
-    unasked: Vec<String>,
+    unexpected: Vec<String>,
 }
 
 impl Children {
-    /// No children yet; their output goes to files in `logs`, at most `maximum` of them run.
+    /// Creates an empty set of at most `maximum` running children, whose output goes to files in `logs`.
     pub fn new(logs: &Path, maximum: usize) -> Result<Self> {
-        std::fs::create_dir_all(logs).context("the folder for logs cannot be made")?;
+        std::fs::create_dir_all(logs).context("cannot create the log folder")?;
         Ok(Children {
             logs: logs.to_owned(),
             maximum,
             running: BTreeMap::new(),
-            unasked: Vec::new(),
+            unexpected: Vec::new(),
         })
     }
 
-    /// Starts a process and gives its id.
+    /// Starts a process and returns its id.
     pub fn start(&mut self, launch: Launch) -> Result<u32> {
         if self.process_ids().len() >= self.maximum {
             bail!(
-                "{} processes run; the deployment's bound allows no more",
+                "{} processes are running, the limit of the deployment; raise bounds.processes",
                 self.maximum
             );
         }
@@ -65,13 +65,13 @@
         Ok(id)
     }
 
-    /// Starts a process that ended, as before.
+    /// Restarts a process that ended, with the same command line.
     pub fn restart(&mut self, name: &str) -> Result<u32> {
-        let known = self.running.get(name);
-        let launch = known.map(|running| running.launch.clone());
-        let launch = launch.with_context(|| format!("{name} is no process of this fleet"))?;
+        let process = self.running.get(name);
+        let launch = process.map(|running| running.launch.clone());
+        let launch = launch.with_context(|| format!("{name} is not a process of this fleet"))?;
         if self.process_id(name).is_some() {
-            bail!("{name} still runs; kill it before it is started again");
+            bail!("{name} is still running; kill it before restarting it");
         }
         self.start(launch)
     }
@@ -87,23 +87,23 @@
             .spawn()
             .with_context(|| {
                 let program = launch.program.display();
-                format!("{program} cannot be started; build it with `cargo build --release`")
+                format!("cannot start {program}; build it with `cargo build --release`")
             })
     }
 
-    /// Id of a process that runs.
+    /// Returns the id of a process; `None` if it is not running.
     pub fn process_id(&self, name: &str) -> Option<u32> {
         let child = self.running.get(name)?.child.as_ref()?;
         Some(child.id())
     }
 
-    /// Ids of all processes that run.
+    /// Returns the ids of all running processes.
     pub fn process_ids(&self) -> Vec<u32> {
         let children = self.running.values().filter_map(|one| one.child.as_ref());
         children.map(Child::id).collect()
     }
 
-    /// Names of all processes, running or not.
+    /// Returns the names of all processes, running or not.
     pub fn names(&self) -> Vec<String> {
         self.running.keys().cloned().collect()
     }
@@ -111,22 +111,22 @@
     /// Sends a signal to one of the children.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<()> {
         let id = self.process_id(name);
-        let id = id.with_context(|| format!("{name} does not run"))?;
+        let id = id.with_context(|| format!("{name} is not running"))?;
         let process = Pid::from_raw(i32::try_from(id)?).context("a process id is not zero")?;
-        kill_process(process, signal).with_context(|| format!("{name} took no signal"))
+        kill_process(process, signal).with_context(|| format!("cannot send a signal to {name}"))
     }
 
-    /// Kills a child and takes its end.
+    /// Kills a child and reaps it.
     pub fn kill(&mut self, name: &str) -> Result<()> {
         let running = self.running.get_mut(name);
         let child = running.and_then(|running| running.child.take());
-        let mut child = child.with_context(|| format!("{name} does not run"))?;
+        let mut child = child.with_context(|| format!("{name} is not running"))?;
         child.kill()?;
         child.wait()?;
         Ok(())
     }
 
-    /// Asks a child to end in an orderly way.
+    /// Sends SIGTERM to a child; its exit then counts as expected.
     pub fn request_stop(&mut self, name: &str) -> Result<()> {
         if let Some(running) = self.running.get_mut(name) {
             running.is_stopping = true;
@@ -134,7 +134,7 @@
         self.signal(name, Signal::TERM)
     }
 
-    /// Takes note of children that ended.
+    /// Reaps children that exited and records unexpected exits.
     pub fn reap(&mut self) {
         for (name, running) in &mut self.running {
             let Some(child) = &mut running.child else {
@@ -142,25 +142,25 @@
             };
             if let Ok(Some(status)) = child.try_wait() {
                 if !running.is_stopping {
-                    self.unasked
-                        .push(format!("{name} ended by itself: {status}"));
+                    self.unexpected
+                        .push(format!("{name} exited unexpectedly: {status}"));
                 }
                 running.child = None;
             }
         }
     }
 
-    /// Children that ended without being asked to, with how.
+    /// Returns the children that exited without a request to stop, with their exit status.
     pub fn unexpected_exits(&self) -> &[String] {
-        &self.unasked
+        &self.unexpected
     }
 
-    /// Resident memory of all children, in bytes.
+    /// Returns the resident memory of all children, in bytes.
     pub fn resident_bytes(&self) -> u64 {
         self.process_ids().into_iter().map(resident_bytes).sum()
     }
 
-    /// Resident memory by the kind in a name (`router-3` is a `router`): count and bytes.
+    /// Returns process count and resident bytes by kind, the part of the name before the first `-`.
     pub fn resident_by_kind(&self) -> BTreeMap<String, (usize, u64)> {
         let mut kinds: BTreeMap<String, (usize, u64)> = BTreeMap::new();
         for (name, running) in &self.running {
@@ -175,11 +175,11 @@
         kinds
     }
 
-    /// Kills every child that runs.
+    /// Kills all running children.
     pub fn kill_all(&mut self) {
         for name in self.names() {
             if self.process_id(&name).is_some() {
-                // Nothing can be done about one that will not die.
+                // Best effort: fails if the child has already exited.
                 let _ = self.kill(&name);
             }
         }
@@ -194,7 +194,7 @@
 
 const BYTES_PER_KIBIBYTE: u64 = 1_024;
 
-/// Resident memory of a process; 0 if it has just ended.
+/// Returns the resident memory of a process, in bytes; 0 if it has exited.
 pub fn resident_bytes(id: u32) -> u64 {
     let status = i32::try_from(id)
         .ok()
--- a/crates/millpass-lab/src/fleet/deployed.rs
+++ b/crates/millpass-lab/src/fleet/deployed.rs
@@ -1,4 +1,4 @@
-//! A running fleet: its processes, started in order and each stopped by id.
+//! A running fleet: starts, signals and stops its processes.
 
 use super::bounds;
 use super::children::{Children, Launch};
@@ -18,14 +18,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time for the relay to answer after its start.
-const RELAY_PATIENCE: Duration = Duration::from_secs(10);
-/// Time for the product's processes to end in an orderly way at the end of a run.
-const STOP_PATIENCE: Duration = Duration::from_secs(15);
-/// Pause between two looks.
-const POLL: Duration = Duration::from_millis(20);
+/// Maximum wait for the relay to start.
+const RELAY_START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum wait for the graceful stop of the product processes at the end of a run.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The programs that a fleet starts.
+/// Paths of the programs that a fleet starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// `millpass`.
@@ -35,13 +35,13 @@
 }
 
 impl Programs {
-    /// This program, and the `millpass` beside it.
-    pub fn beside_own() -> Result<Self> {
-        let lab = std::env::current_exe().context("the path of this program is not known")?;
+    /// Returns the current executable and the `millpass` in the same folder.
+    pub fn beside_current_exe() -> Result<Self> {
+        let lab = std::env::current_exe().context("cannot determine the path of this program")?;
         let millpass = lab.with_file_name("millpass");
         ensure!(
             millpass.exists(),
-            "{} does not exist; build it as this program was built, with `cargo build --release`",
+            "{} does not exist; build it with the same profile as this program, such as `cargo build --release`",
             millpass.display()
         );
         Ok(Programs { millpass, lab })
@@ -50,15 +50,15 @@
 
 /// A running fleet. Dropping it kills its processes.
 pub struct Fleet {
-    /// What it is.
+    /// Deployment description.
     pub deployment: Deployment,
-    /// Names and addresses.
+    /// Names, zones and addresses of the processes.
     pub layout: Layout,
-    /// Files.
+    /// Files of the run.
     pub folder: WorkFolder,
-    /// What was done to it.
+    /// Events of the run.
     pub events: EventLog,
-    /// Cuts and delays.
+    /// Client of the relay that emulates the links.
     pub relay: RelayClient,
     programs: Programs,
     children: Mutex<Children>,
@@ -81,16 +81,16 @@
             folder,
             programs,
         };
-        fleet.start_outside()?;
+        fleet.start_environment()?;
         fleet.start_product()?;
         Ok(fleet)
     }
 
-    fn start_outside(&self) -> Result<()> {
+    fn start_environment(&self) -> Result<()> {
         let settings = self.folder.lab_settings(RELAY);
         let arguments = ["relay".to_owned(), setting(&settings)];
         self.lock().start(self.lab_launch(RELAY, arguments))?;
-        wait_until("the relay answers", RELAY_PATIENCE, || {
+        wait_until("the relay responds", RELAY_START_TIMEOUT, || {
             self.relay.status().is_ok()
         })?;
         self.start_stand_in(&self.layout.platform, "platform")?;
@@ -127,12 +127,12 @@
             .output()?;
         if !output.status.success() {
             let errors = String::from_utf8_lossy(&output.stderr);
-            bail!("{} could not be initialized: {errors}", place.name);
+            bail!("cannot initialize {}: {errors}", place.name);
         }
         Ok(())
     }
 
-    /// Creates the catalog, as an operator does.
+    /// Creates the catalog with `millpass apply`.
     pub fn apply_catalog(&self) -> Result<()> {
         let output = Command::new(&self.programs.millpass)
             .args(["apply", "--control"])
@@ -142,7 +142,7 @@
             .output()?;
         if !output.status.success() {
             let errors = String::from_utf8_lossy(&output.stderr);
-            bail!("the catalog was not taken: {errors}");
+            bail!("the catalog was rejected: {errors}");
         }
         Ok(())
     }
@@ -153,9 +153,9 @@
         self.launch(place, self.lab_launch(&place.name, arguments))
     }
 
-    fn start_product_process(&self, place: &Place, words: &[String]) -> Result<()> {
+    fn start_product_process(&self, place: &Place, command: &[String]) -> Result<()> {
         let settings = self.folder.settings(&place.name);
-        let mut arguments = words.to_vec();
+        let mut arguments = command.to_vec();
         arguments.push(setting(&settings));
         let launch = Launch {
             name: place.name.clone(),
@@ -175,22 +175,22 @@
 
     fn launch(&self, place: &Place, launch: Launch) -> Result<()> {
         let id = self.lock().start(launch)?;
-        self.relay.tell(id, Some(&place.zone))?;
+        self.relay.set_process_zone(id, Some(&place.zone))?;
         let process = process(&place.name);
         self.events.push(Event::Started { process });
         Ok(())
     }
 
-    /// The children; the lock is held for short looks only.
+    /// Locks the children; hold the lock only briefly.
     pub fn lock(&self) -> MutexGuard<'_, Children> {
         self.children.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Place of a process.
+    /// Returns the place of a process.
     pub fn place(&self, name: &str) -> Result<&Place> {
         let mut places = self.layout.places();
         let found = places.find(|place| place.name == name);
-        found.with_context(|| format!("{name} is no process of this fleet"))
+        found.with_context(|| format!("{name} is not a process of this fleet"))
     }
 
     /// Kills a process.
@@ -200,26 +200,26 @@
         self.lock().kill(name)?;
         let process = process(name);
         self.events.push(Event::Killed { process });
-        id.map_or(Ok(()), |id| self.relay.tell(id, None))
+        id.map_or(Ok(()), |id| self.relay.set_process_zone(id, None))
     }
 
-    /// Removes the data folder of a member that does not run.
+    /// Removes the data folder of a stopped member.
     pub fn wipe(&self, name: &str) -> Result<()> {
         self.events.disturbed(format!("wipe {name}"));
         Ok(std::fs::remove_dir_all(self.folder.data(name))?)
     }
 
-    /// Starts a process again that ended.
+    /// Restarts a process that ended.
     pub fn restart(&self, name: &str) -> Result<()> {
         let place = self.place(name)?;
         let id = self.lock().restart(name)?;
-        self.relay.tell(id, Some(&place.zone))?;
+        self.relay.set_process_zone(id, Some(&place.zone))?;
         let process = process(name);
         self.events.push(Event::Started { process });
         Ok(())
     }
 
-    /// Stops a process from running, without ending it.
+    /// Suspends a process with SIGSTOP.
     pub fn freeze(&self, name: &str) -> Result<()> {
         self.events.disturbed(format!("freeze {name}"));
         self.lock().signal(name, Signal::STOP)?;
@@ -228,16 +228,16 @@
         Ok(())
     }
 
-    /// Lets a frozen process run again.
-    pub fn wake(&self, name: &str) -> Result<()> {
+    /// Resumes a suspended process with SIGCONT.
+    pub fn resume(&self, name: &str) -> Result<()> {
         self.events.disturbed(format!("wake {name}"));
         let process = process(name);
         self.events.push(Event::Woken { process });
         self.lock().signal(name, Signal::CONT)
     }
 
-    /// Stops a process as planned; false if it did not end in time.
-    pub fn stop_planned(&self, name: &str, patience: Duration) -> Result<bool> {
+    /// Stops a process gracefully. Returns false if it did not end in time.
+    pub fn stop_planned(&self, name: &str, timeout: Duration) -> Result<bool> {
         let id = self.lock().process_id(name);
         self.events.push(Event::StopPlanned {
             process: process(name),
@@ -248,25 +248,25 @@
             children.reap();
             children.process_id(name).is_none()
         };
-        if !holds_within(patience, has_ended) {
+        if !holds_within(timeout, has_ended) {
             return Ok(false);
         }
         let process = process(name);
         self.events.push(Event::Stopped { process });
-        id.map_or(Ok(()), |id| self.relay.tell(id, None))?;
+        id.map_or(Ok(()), |id| self.relay.set_process_zone(id, None))?;
         Ok(true)
     }
 
-    /// Stops the product's processes in an orderly way, then kills what is left. Gives the names of
-    /// the product's processes that had to be killed.
+    /// Stops the product processes gracefully, then kills all remaining processes. Returns the names
+    /// of the product processes that had to be killed.
     pub fn stop(&self) -> Vec<String> {
-        // A cut would hold up the orderly stop; without a relay there is none.
+        // A cut would block the graceful stop. Without a relay there are no cuts.
         let _ = self.relay.heal_all();
         let product = self.layout.routers.iter().chain(&self.layout.control);
         let names: Vec<&str> = product.map(|place| place.name.as_str()).collect();
         for name in &names {
             if self.lock().process_id(name).is_some() {
-                // One that has just ended takes no signal, and needs none.
+                // Fails if the process has just exited.
                 let _ = self.lock().signal(name, Signal::CONT);
                 let _ = self.lock().request_stop(name);
             }
@@ -276,7 +276,7 @@
             children.reap();
             names.iter().all(|name| children.process_id(name).is_none())
         };
-        holds_within(STOP_PATIENCE, all_ended);
+        holds_within(STOP_TIMEOUT, all_ended);
         let running = |name: &&str| self.lock().process_id(name).is_some();
         let late: Vec<String> = names
             .iter()
@@ -289,24 +289,24 @@
     }
 }
 
-/// Waits until something holds, at most for `patience`; false if it does not hold then.
-pub fn holds_within(patience: Duration, mut holds: impl FnMut() -> bool) -> bool {
-    let until = Instant::now() + patience;
+/// Polls a condition until it holds. Returns false if it does not within `timeout`.
+pub fn holds_within(timeout: Duration, mut holds: impl FnMut() -> bool) -> bool {
+    let until = Instant::now() + timeout;
     while !holds() {
         if Instant::now() >= until {
             return false;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
 
-/// Waits until something holds, or says what did not.
-pub fn wait_until(what: &str, patience: Duration, holds: impl FnMut() -> bool) -> Result<()> {
+/// Polls a condition until it holds; fails with the description `what` after `timeout`.
+pub fn wait_until(what: &str, timeout: Duration, holds: impl FnMut() -> bool) -> Result<()> {
     ensure!(
-        holds_within(patience, holds),
+        holds_within(timeout, holds),
         "{what}: not within {} s; see the logs in the run's folder",
-        patience.as_secs()
+        timeout.as_secs()
     );
     Ok(())
 }
--- a/crates/millpass-lab/src/fleet/events.rs
+++ b/crates/millpass-lab/src/fleet/events.rs
@@ -1,31 +1,31 @@
-//! What the fleet itself did and saw, as events for the checkers.
+//! Events of the fleet, recorded for the checkers.
 
 use millpass_checkers::{Event, ProcessName, Record};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Events of a run, with the machine's wall clock as their one clock.
+/// Events of a run, timestamped with the wall clock of the machine.
 #[derive(Debug, Default)]
 pub struct EventLog {
     records: Mutex<Vec<Record>>,
 }
 
 impl EventLog {
-    /// Notes an event now.
+    /// Records an event with the current time.
     pub fn push(&self, event: Event) {
         let mut records = self.lock();
-        // Read under the lock, so that times never go back.
+        // Read under the lock, so that timestamps follow the order of events.
         let at_micros = unix_micros();
         records.push(Record { at_micros, event });
     }
 
-    /// Notes something broken or mended.
+    /// Records a fault or its recovery.
     pub fn disturbed(&self, what: impl Into<String>) {
         let what = what.into();
         self.push(Event::Disturbed { what });
     }
 
-    /// All events so far.
+    /// Returns all events recorded so far.
     pub fn records(&self) -> Vec<Record> {
         self.lock().clone()
     }
@@ -35,12 +35,12 @@
     }
 }
 
-/// A process by name.
+/// Converts a name to a [`ProcessName`].
 pub fn process(name: &str) -> ProcessName {
     ProcessName(name.to_owned())
 }
 
-/// Microseconds since the Unix epoch.
+/// Returns the current time in Unix microseconds.
 pub fn unix_micros() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or(u64::MAX)
--- a/crates/millpass-lab/src/fleet/evidence.rs
+++ b/crates/millpass-lab/src/fleet/evidence.rs
@@ -1,4 +1,4 @@
-//! One history of a run for the checkers: what the fleet did, what callers saw, what back ends ran.
+//! Merges fleet events, caller records and back end journals into one history for the checkers.
 
 use super::events::process;
 use super::layout::Layout;
@@ -15,36 +15,36 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Time past the deadline for the way back and for a caller's thread to be woken.
-const ANSWER_GRACE_MICROS: u64 = 500_000;
-/// Digest of the whole own answer of any request: the callers compared it already.
-const OWN: AnswerDigest = AnswerDigest(1);
-/// Digest of any other answer.
-const NOT_OWN: AnswerDigest = AnswerDigest(0);
+/// Tolerance past the deadline for network delay and thread scheduling of the caller.
+const RESPONSE_GRACE_MICROS: u64 = 500_000;
+/// Digest of a complete, correct response; the callers have already verified the content.
+const EXPECTED_DIGEST: AnswerDigest = AnswerDigest(1);
+/// Digest of any other response.
+const UNEXPECTED_DIGEST: AnswerDigest = AnswerDigest(0);
 
-/// Everything that one history is made of.
+/// Inputs of a history.
 pub struct Evidence<'a> {
-    /// What the fleet did and saw.
+    /// Fleet events.
     pub events: Vec<Record>,
-    /// What callers saw.
+    /// Caller records.
     pub callers: &'a [HistoryRecord],
-    /// Start of the callers' clock, in Unix microseconds.
+    /// Start of the clock of the callers, in Unix microseconds.
     pub callers_start_micros: u64,
-    /// Lines of the back ends' journals.
+    /// Records of the back end journals.
     pub runs: Vec<RunRecord>,
 }
 
-/// A history, and the requests that could not reach a router because it was down.
-pub struct Judged {
+/// A history, and the number of requests excluded because their router was down.
+pub struct AssembledHistory {
     /// The history.
     pub history: History,
-    /// Requests sent to a router that was stopped or killed and not yet started again.
+    /// Requests sent to a router while it was stopped or killed.
     pub unreached: u64,
 }
 
 impl Evidence<'_> {
-    /// The history, ended now.
-    pub fn history(mut self, layout: &Layout, over_micros: u64) -> Judged {
+    /// Builds the history, ended at `over_micros`.
+    pub fn history(mut self, layout: &Layout, over_micros: u64) -> AssembledHistory {
         let downtimes = downtimes(&self.events);
         let mut records = std::mem::take(&mut self.events);
         let mut unreached = 0;
@@ -64,7 +64,7 @@
             event: Event::RunOver,
         });
         let history = History::new(records);
-        Judged { history, unreached }
+        AssembledHistory { history, unreached }
     }
 
     fn add_request(&self, records: &mut Vec<Record>, record: &HistoryRecord, router: ProcessName) {
@@ -80,7 +80,7 @@
                 tenant: record.tenant.clone(),
                 router,
                 deadline_micros: at(record.deadline_micros),
-                expected: OWN,
+                expected: EXPECTED_DIGEST,
                 key: record.key.as_deref().map(|key| scoped(&record.tenant, key)),
             },
         });
@@ -93,12 +93,12 @@
     }
 }
 
-/// None while no final answer came.
+/// Returns `None` if there was no final response.
 fn answer_outcome(outcome: &Outcome) -> Option<AnswerOutcome> {
     match outcome {
         Outcome::Answered { verdict, .. } => Some(AnswerOutcome::Whole(match verdict {
-            AnswerVerdict::Whole => OWN,
-            _ => NOT_OWN,
+            AnswerVerdict::Whole => EXPECTED_DIGEST,
+            _ => UNEXPECTED_DIGEST,
         })),
         Outcome::Refused { code, executed, .. } => Some(AnswerOutcome::Refused {
             executed: match executed {
@@ -107,7 +107,7 @@
             },
             reason: code.clone(),
         }),
-        // The callers' own summary counts a refusal that lacks something as a breach.
+        // The summary of the callers reports a malformed refusal as a breach.
         Outcome::FaultyRefusal { fault, .. } => Some(AnswerOutcome::Refused {
             executed: StatedExecution::Unknown,
             reason: fault.to_string(),
@@ -152,8 +152,7 @@
     })
 }
 
-/// Number of a request in its identity at a back end: the caller's nonce and number, with what the
-/// router adds after them.
+/// Parses the request number from a request id of the form `nonce.number.suffix`.
 fn request_number(request_id: &str) -> Option<RequestId> {
     let number = request_id.split('.').nth(1)?;
     number.parse().ok().map(RequestId)
@@ -161,8 +160,8 @@
 
 type Downtimes = BTreeMap<ProcessName, Vec<(u64, u64)>>;
 
-/// Stretches in which a process took no new requests: from its planned stop or its kill to its
-/// next start.
+/// Returns the intervals in which a process accepted no requests: from its planned stop or kill to
+/// its next start.
 fn downtimes(events: &[Record]) -> Downtimes {
     let mut downtimes = Downtimes::new();
     for record in events {
@@ -175,7 +174,7 @@
             Event::Started { process } => {
                 let spans = downtimes.entry(process.clone()).or_default();
                 for span in spans.iter_mut().filter(|span| span.1 == u64::MAX) {
-                    span.1 = at + START_MICROS;
+                    span.1 = at + STARTUP_MICROS;
                 }
             }
             _ => {}
@@ -184,15 +183,15 @@
     downtimes
 }
 
-/// Time that a started process takes to listen.
-const START_MICROS: u64 = 1_000_000;
+/// Time until a started process listens.
+const STARTUP_MICROS: u64 = 1_000_000;
 
 fn was_down(downtimes: &Downtimes, process: &ProcessName, at: u64) -> bool {
     let spans = downtimes.get(process);
     spans.is_some_and(|spans| spans.iter().any(|(from, to)| (*from..*to).contains(&at)))
 }
 
-/// Reads all journals of a folder. A last line that a kill cut short is passed over.
+/// Reads all journals of a folder. Skips a truncated last line, as a kill leaves it.
 pub fn read_journals(folder: &Path) -> Result<Vec<RunRecord>> {
     let mut runs = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -205,7 +204,7 @@
                 Err(_) if index + 1 == count => {}
                 Err(error) => {
                     return Err(error).with_context(|| {
-                        format!("{} line {}: not a run", path.display(), index + 1)
+                        format!("{} line {}: not a run record", path.display(), index + 1)
                     });
                 }
             }
@@ -214,10 +213,10 @@
     Ok(runs)
 }
 
-/// The bounds that a fleet is held to.
+/// Returns the limits that the checkers enforce.
 pub fn limits(deployment: &crate::deployment::Deployment) -> Limits {
     Limits {
-        answer_grace_micros: ANSWER_GRACE_MICROS,
+        answer_grace_micros: RESPONSE_GRACE_MICROS,
         store_loads_per_second: deployment.store.loads_per_second as usize,
         store_concurrent_loads: deployment.store.concurrent_loads as usize,
         ..Limits::default()
--- a/crates/millpass-lab/src/fleet/faults.rs
+++ b/crates/millpass-lab/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Fault plans: what is broken, and mended again.
+//! Fault plans: inject a fault and recover from it.
 
 use super::deployed::{Fleet, holds_within};
 use super::layout::SERVICES_ZONE;
@@ -12,31 +12,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest nap, so that a stop of the run is seen soon.
-const LONGEST_NAP: Duration = Duration::from_millis(100);
-/// Time after which the platform notices that a machine is gone.
-const PLATFORM_NOTICE: Duration = Duration::from_secs(2);
-/// Longest planned stop of one process.
-const PLANNED_STOP: Duration = Duration::from_secs(90);
-/// Longest wait for a restarted process to take part again.
-const REJOIN: Duration = Duration::from_secs(30);
-/// Longest wait for a lost member to be replaced.
-const REPAIR: Duration = Duration::from_secs(90);
+/// Interval at which sleeps check for the end of the run.
+const SLEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Time until the platform detects a failed machine.
+const PLATFORM_DETECTION_TIME: Duration = Duration::from_secs(2);
+/// Maximum duration of the planned stop of one process.
+const PLANNED_STOP_TIMEOUT: Duration = Duration::from_secs(90);
+/// Maximum wait for a restarted process to rejoin.
+const REJOIN_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum wait for the replacement of a lost member.
+const REPAIR_TIMEOUT: Duration = Duration::from_secs(90);
 /// Voters of the control group.
 const VOTERS: usize = 5;
 
-/// What a fault did.
+/// Outcome of a fault plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultOutcome {
-    /// What was done, in order.
+    /// Steps, in order.
     pub steps: Vec<String>,
-    /// Zones without the use of their members, engines or routers.
+    /// Zones whose members, engines or routers were unavailable.
     pub unhealthy_zones: Vec<String>,
-    /// What did not come back as it should.
+    /// Processes that did not recover as required.
     pub breaches: Vec<String>,
 }
 
-/// Carries out plans.
+/// Runs a fault plan.
 pub struct FaultRunner<'a> {
     fleet: &'a Fleet,
     length: Duration,
@@ -44,7 +44,7 @@
     outcome: FaultOutcome,
 }
 
-/// Carries out a plan and mends what it broke.
+/// Runs a plan: injects the fault and recovers from it.
 pub fn run(
     fleet: &Fleet,
     plan: FaultPlan,
@@ -70,38 +70,38 @@
 }
 
 impl FaultRunner<'_> {
-    fn step(&mut self, what: String) {
+    fn record_step(&mut self, what: String) {
         log::info!("event=fault step={what:?}");
         self.outcome.steps.push(what);
     }
 
-    fn nap(&self, length: Duration) {
+    fn sleep(&self, length: Duration) {
         let end = Instant::now() + length;
         while !self.stop.load(Ordering::Relaxed) {
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
             }
-            thread::sleep(left.min(LONGEST_NAP));
+            thread::sleep(left.min(SLEEP_INTERVAL));
         }
     }
 
     fn leader_kill(&mut self) -> Result<()> {
         let leader = operator::leader(self.fleet)?;
-        self.step(format!("SIGKILL to leader {leader}"));
+        self.record_step(format!("SIGKILL to leader {leader}"));
         self.fleet.kill(&leader)?;
-        self.nap(self.length);
-        self.step(format!("{leader} starts again"));
+        self.sleep(self.length);
+        self.record_step(format!("{leader} starts again"));
         self.fleet.restart(&leader)
     }
 
     fn zone_cut(&mut self) -> Result<()> {
         let leader = operator::leader(self.fleet)?;
         let zone = self.fleet.place(&leader)?.zone.clone();
-        self.step(format!("zone {zone} of leader {leader} is cut off"));
+        self.record_step(format!("zone {zone} of leader {leader} is cut off"));
         self.outcome.unhealthy_zones.push(zone.clone());
         self.fleet.events.disturbed(format!("cut {zone}"));
-        // Callers beside the zone's routers still reach them.
+        // Clients still reach the routers of the zone.
         let zones = self.fleet.deployment.zones.iter();
         let others = zones.map(|other| other.name.as_str());
         let others = others.filter(|other| **other != *zone);
@@ -109,8 +109,8 @@
             self.fleet.relay.cut(&PathKey::new(&zone, other), false)?;
         }
         self.set_reachable(&zone, false);
-        self.nap(self.length);
-        self.step(format!("zone {zone} is connected again"));
+        self.sleep(self.length);
+        self.record_step(format!("zone {zone} is connected again"));
         self.fleet.relay.heal_all()?;
         self.fleet.events.disturbed(format!("heal {zone}"));
         self.set_reachable(&zone, true);
@@ -129,29 +129,29 @@
 
     fn leader_freeze(&mut self) -> Result<()> {
         let leader = operator::leader(self.fleet)?;
-        self.step(format!("SIGSTOP to leader {leader}"));
+        self.record_step(format!("SIGSTOP to leader {leader}"));
         self.fleet.freeze(&leader)?;
-        self.nap(self.length);
-        self.step(format!("SIGCONT to {leader}"));
-        self.fleet.wake(&leader)
+        self.sleep(self.length);
+        self.record_step(format!("SIGCONT to {leader}"));
+        self.fleet.resume(&leader)
     }
 
     fn two_members_lost(&mut self) -> Result<()> {
         let first = operator::leader(self.fleet)?;
         let before = self.voters()?;
-        self.lose(&first)?;
+        self.destroy_member(&first)?;
         self.fleet.restart(&first)?;
-        self.await_repair(&first, &before);
+        self.wait_for_replacement(&first, &before);
         let second = operator::leader(self.fleet)?;
         let before = self.voters()?;
-        self.lose(&second)?;
+        self.destroy_member(&second)?;
         self.fleet.restart(&second)?;
-        self.await_repair(&second, &before);
+        self.wait_for_replacement(&second, &before);
         Ok(())
     }
 
-    fn lose(&mut self, name: &str) -> Result<()> {
-        self.step(format!("{name} loses process and disk"));
+    fn destroy_member(&mut self, name: &str) -> Result<()> {
+        self.record_step(format!("{name} loses process and disk"));
         self.fleet.kill(name)?;
         self.fleet.wipe(name)
     }
@@ -165,16 +165,16 @@
         Ok(voters.map(|member| member.member).collect())
     }
 
-    /// Waits until as many members vote as before, and not the same ones.
-    fn await_repair(&mut self, name: &str, before: &[u64]) {
+    /// Waits until the group is back to full size with a different set of voters.
+    fn wait_for_replacement(&mut self, name: &str, before: &[u64]) {
         let begin = Instant::now();
-        let repaired = holds_within(REPAIR, || {
+        let repaired = holds_within(REPAIR_TIMEOUT, || {
             let voters = self.voters();
             voters.is_ok_and(|voters| voters.len() == VOTERS && voters != before)
         });
         let seconds = begin.elapsed().as_secs_f64();
         if repaired {
-            self.step(format!("{name} was replaced after {seconds:.1} s"));
+            self.record_step(format!("{name} was replaced after {seconds:.1} s"));
         } else {
             let breach = format!("repair: {name} was not replaced within {seconds:.0} s");
             self.outcome.breaches.push(breach);
@@ -186,21 +186,21 @@
         let loaded = status.replicas.iter().find(|one| one.phase == "loaded");
         let engine = loaded.map(|one| one.backend.clone());
         let engine = engine.context("no engine holds a replica; raise --rate or --seconds")?;
-        self.step(format!("SIGKILL to {engine}, which holds replicas"));
+        self.record_step(format!("SIGKILL to {engine}, which holds replicas"));
         self.fleet.kill(&engine)?;
-        self.nap(PLATFORM_NOTICE);
-        self.take_off_the_list(&engine)?;
-        self.nap(self.length.saturating_sub(PLATFORM_NOTICE));
-        self.step(format!("{engine} starts again, empty"));
+        self.sleep(PLATFORM_DETECTION_TIME);
+        self.remove_from_platform_list(&engine)?;
+        self.sleep(self.length.saturating_sub(PLATFORM_DETECTION_TIME));
+        self.record_step(format!("{engine} starts again, empty"));
         self.fleet.restart(&engine)
     }
 
-    /// What the platform does when a machine is gone.
-    fn take_off_the_list(&self, name: &str) -> Result<()> {
+    /// Removes a machine from the platform list, as the platform does when it fails.
+    fn remove_from_platform_list(&self, name: &str) -> Result<()> {
         let address = self.fleet.layout.platform.listen;
         ureq::delete(format!("http://{address}/machines/{name}"))
             .call()
-            .context("the platform's list does not answer")?;
+            .context("the platform list does not respond")?;
         Ok(())
     }
 
@@ -212,30 +212,30 @@
             if self.stop.load(Ordering::Relaxed) {
                 return Ok(());
             }
-            self.restart_as_planned(&name)?;
+            self.restart_gracefully(&name)?;
         }
         Ok(())
     }
 
-    fn restart_as_planned(&mut self, name: &str) -> Result<()> {
+    fn restart_gracefully(&mut self, name: &str) -> Result<()> {
         let begin = Instant::now();
         self.fleet.events.disturbed(format!("restart {name}"));
-        let ended = self.fleet.stop_planned(name, PLANNED_STOP)?;
-        ensure!(ended, "{name} did not end within {PLANNED_STOP:?}");
+        let ended = self.fleet.stop_planned(name, PLANNED_STOP_TIMEOUT)?;
+        ensure!(ended, "{name} did not stop within {PLANNED_STOP_TIMEOUT:?}");
         let seconds = begin.elapsed().as_secs_f64();
-        self.step(format!("{name} stopped as planned in {seconds:.1} s"));
+        self.record_step(format!("{name} stopped as planned in {seconds:.1} s"));
         self.fleet.restart(name)?;
-        // Changes go on meanwhile: a process is current once it has those from before its start.
+        // Changes continue meanwhile: a process is up to date once it has those made before its start.
         let wanted = operator::status(self.fleet)?.configuration;
-        if !holds_within(REJOIN, || self.takes_part(name, wanted)) {
-            let breach = format!("restart: {name} did not take part within {REJOIN:?}");
+        if !holds_within(REJOIN_TIMEOUT, || self.has_rejoined(name, wanted)) {
+            let breach = format!("restart: {name} did not rejoin within {REJOIN_TIMEOUT:?}");
             self.outcome.breaches.push(breach);
         }
         Ok(())
     }
 
-    /// Whether a restarted process is current in the leader's eyes.
-    fn takes_part(&self, name: &str, wanted: u64) -> bool {
+    /// Returns whether the leader reports a restarted process as up to date.
+    fn has_rejoined(&self, name: &str, wanted: u64) -> bool {
         let Ok(status) = operator::status(self.fleet) else {
             return false;
         };
@@ -252,10 +252,10 @@
                 .is_ok_and(|at| *at == member.peer_address)
         });
         member.is_some_and(|member| {
-            let silent = member
+            let since_contact = member
                 .silent_millis
                 .map_or(Duration::ZERO, Duration::from_millis);
-            silent < Duration::from_secs(1)
+            since_contact < Duration::from_secs(1)
         })
     }
 }
--- a/crates/millpass-lab/src/fleet/figures.rs
+++ b/crates/millpass-lab/src/fleet/figures.rs
@@ -1,4 +1,4 @@
-//! Quantiles, and times without service.
+//! Quantiles and service gaps.
 
 use millpass_load::{HistoryRecord, Outcome};
 use serde::{Deserialize, Serialize};
@@ -9,20 +9,20 @@
 /// Quantiles of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Times counted.
+    /// Number of samples.
     pub count: usize,
-    /// Half are at most this.
+    /// Median.
     pub p50_millis: f64,
-    /// 95 of 100 are at most this.
+    /// 95th percentile.
     pub p95_millis: f64,
-    /// 99 of 100 are at most this.
+    /// 99th percentile.
     pub p99_millis: f64,
-    /// Largest.
+    /// Maximum.
     pub max_millis: f64,
 }
 
 impl Quantiles {
-    /// Quantiles of times in microseconds, by the nearest rank.
+    /// Computes nearest-rank quantiles of times in microseconds.
     pub fn of(mut micros: Vec<u64>) -> Self {
         micros.sort_unstable();
         let at = |percent: usize| {
@@ -40,13 +40,13 @@
     }
 }
 
-/// Time from due to first token, or to the answer's end where it is not streamed.
+/// Returns the time from the due time to the first token, or to the end if not streamed.
 fn wait_micros(record: &HistoryRecord) -> u64 {
     let first = record.first_micros.unwrap_or(record.ended_micros);
     first.saturating_sub(record.due_micros)
 }
 
-/// Figures of the burst for cold models.
+/// Figures of the burst of requests for cold models.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurstFigures {
     /// Requests.
@@ -55,25 +55,25 @@
     pub served: usize,
     /// Refused.
     pub refused: usize,
-    /// Time from due to the first token, or to the whole answer where it is not streamed.
+    /// Time from the due time to the first token, or to the complete response if not streamed.
     pub wait: Quantiles,
 }
 
-/// Figures of the burst.
+/// Computes the figures of the burst.
 pub fn burst(records: &[HistoryRecord]) -> BurstFigures {
-    let of_burst: Vec<&HistoryRecord> = records.iter().filter(|record| record.burst).collect();
-    let whole = of_burst.iter().filter(|record| record.is_whole());
+    let burst_records: Vec<&HistoryRecord> = records.iter().filter(|record| record.burst).collect();
+    let whole = burst_records.iter().filter(|record| record.is_whole());
     let waits: Vec<u64> = whole.map(|record| wait_micros(record)).collect();
     let is_refused = |record: &&&HistoryRecord| matches!(record.outcome, Outcome::Refused { .. });
     BurstFigures {
-        requests: of_burst.len(),
+        requests: burst_records.len(),
         served: waits.len(),
-        refused: of_burst.iter().filter(is_refused).count(),
+        refused: burst_records.iter().filter(is_refused).count(),
         wait: Quantiles::of(waits),
     }
 }
 
-/// Time to the first token of all streamed answers.
+/// Computes the time to the first token of all streamed responses.
 pub fn first_token(records: &[HistoryRecord]) -> Quantiles {
     let streamed = records.iter().filter(|record| {
         record.tokens_asked > 0 && record.first_micros.is_some() && record.is_whole()
@@ -81,28 +81,28 @@
     Quantiles::of(streamed.map(wait_micros).collect())
 }
 
-/// Service to one kind of requests in the healthy zones, from the fault on.
+/// Service figures of one kind of request in the healthy zones, from the fault on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceFigures {
     /// Requests.
     pub requests: usize,
     /// Served.
     pub served: usize,
-    /// Refused as not run.
+    /// Refused without execution.
     pub refused: usize,
-    /// Broken off, without an answer, or answered with an unknown outcome.
+    /// Aborted, without a response, or with an unknown outcome.
     pub failed: usize,
-    /// Longest time in which requests came and none of those was served.
+    /// Longest period in which requests arrived and none was served.
     pub longest_without_service_millis: f64,
 }
 
-/// Service by kind of request (`model`, `read`, `write`) of the requests that `counts` picks.
+/// Service by kind of request (`model`, `read`, `write`) for the requests selected by `is_selected`.
 pub fn service(
     records: &[HistoryRecord],
-    counts: impl Fn(&HistoryRecord) -> bool,
+    is_selected: impl Fn(&HistoryRecord) -> bool,
 ) -> BTreeMap<String, ServiceFigures> {
     let mut by_kind: BTreeMap<String, Vec<&HistoryRecord>> = BTreeMap::new();
-    for record in records.iter().filter(|record| counts(record)) {
+    for record in records.iter().filter(|record| is_selected(record)) {
         let kind = record.target.split('/').next().unwrap_or_default();
         by_kind.entry(kind.to_owned()).or_default().push(record);
     }
@@ -146,7 +146,7 @@
     figures
 }
 
-/// Longest time between two events at these times, the ends of the stretch included.
+/// Returns the longest gap between events, including the gaps to the ends of the interval.
 pub fn longest_gap_millis(times: impl IntoIterator<Item = u64>, from: u64, to: u64) -> f64 {
     let mut last = from;
     let mut longest = 0;
--- a/crates/millpass-lab/src/fleet/folder.rs
+++ b/crates/millpass-lab/src/fleet/folder.rs
@@ -1,24 +1,24 @@
-//! The folder of one run of a fleet.
+//! Folder of one run of a fleet.
 
 use anyhow::{Result, ensure};
 use std::path::{Path, PathBuf};
 
-/// Where the files of a run are.
+/// Paths of the files of a run.
 #[derive(Clone, Debug)]
 pub struct WorkFolder {
-    /// The folder.
+    /// Root folder.
     pub root: PathBuf,
 }
 
 impl WorkFolder {
-    /// Makes the folder; it must not hold an earlier run.
+    /// Creates the folder. Fails if it holds an earlier run.
     pub fn create(root: &Path) -> Result<Self> {
         let folder = WorkFolder {
             root: root.to_owned(),
         };
         ensure!(
             !root.join("settings").exists(),
-            "{} holds an earlier run; give a new folder or remove it",
+            "{} holds an earlier run; use a new folder or remove it",
             root.display()
         );
         for part in ["settings", "data", "logs", "journals"] {
@@ -27,12 +27,12 @@
         Ok(folder)
     }
 
-    /// Settings file of one of the product's processes.
+    /// Settings file of a product process.
     pub fn settings(&self, name: &str) -> PathBuf {
         self.root.join("settings").join(format!("{name}.toml"))
     }
 
-    /// Settings file of one of the lab's processes.
+    /// Settings file of a lab process.
     pub fn lab_settings(&self, name: &str) -> PathBuf {
         self.root.join("settings").join(format!("{name}.json"))
     }
@@ -47,7 +47,7 @@
         self.root.join("logs")
     }
 
-    /// Folder of the back ends' journals.
+    /// Folder of the back end journals.
     pub fn journals(&self) -> PathBuf {
         self.root.join("journals")
     }
@@ -62,7 +62,7 @@
         self.root.join("settings").join("objects.toml")
     }
 
-    /// History of the callers.
+    /// Records of the callers.
     pub fn callers_history(&self) -> PathBuf {
         self.root.join("callers.jsonl")
     }
@@ -72,7 +72,7 @@
         self.root.join("history.jsonl")
     }
 
-    /// The report.
+    /// Report.
     pub fn report(&self) -> PathBuf {
         self.root.join("report.json")
     }
--- a/crates/millpass-lab/src/fleet/lab_files.rs
+++ b/crates/millpass-lab/src/fleet/lab_files.rs
@@ -1,4 +1,4 @@
-//! Settings files of the stand-ins and the relay.
+//! Writes the settings files of the stand-ins and the relay.
 
 use super::folder::WorkFolder;
 use super::layout::{Layout, Place};
@@ -7,7 +7,7 @@
 use anyhow::Result;
 use serde::Serialize;
 
-/// Writes them all.
+/// Writes all files.
 pub fn write_lab_files(
     folder: &WorkFolder,
     deployment: &Deployment,
--- a/crates/millpass-lab/src/fleet/layout.rs
+++ b/crates/millpass-lab/src/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! Names, zones and addresses of every process of a fleet.
+//! Names, zones and addresses of the processes of a fleet.
 
 use super::ports::free_addresses;
 use crate::deployment::Deployment;
@@ -8,25 +8,25 @@
 use anyhow::Result;
 use std::net::SocketAddr;
 
-/// Zone of the weight store and the platform's list, which belong to no zone of the deployment.
+/// Zone of the weight store and the platform list, outside the zones of the deployment.
 pub const SERVICES_ZONE: &str = "services";
 /// Zone of the callers.
 pub const CLIENTS_ZONE: &str = "clients";
-/// Connections that the relay carries at once.
+/// Maximum open connections of the relay.
 const MAXIMUM_RELAYED_CONNECTIONS: usize = 8_192;
 
-/// A process reached at one address of its own and at one through the relay.
+/// Name, zone and addresses of a process behind the relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Name of the process.
     pub name: String,
     /// Zone.
     pub zone: String,
-    /// Address it listens on.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Address at which others reach it, through the relay.
+    /// Address of its link in the relay, used by other processes.
     pub reached_at: SocketAddr,
-    /// Second address it listens on: administration or metrics; unused by back ends.
+    /// Second listen address: administration or metrics; unused by back ends.
     pub second: SocketAddr,
 }
 
@@ -43,14 +43,14 @@
     pub web: Vec<Place>,
     /// Weight store.
     pub store: Place,
-    /// The platform's list.
+    /// Platform list.
     pub platform: Place,
     /// Control port of the relay.
     pub relay_control: SocketAddr,
 }
 
 impl Layout {
-    /// Lays a deployment out over free ports.
+    /// Assigns free ports to the processes of a deployment.
     pub fn new(deployment: &Deployment) -> Result<Self> {
         const ADDRESSES_PER_PLACE: usize = 3;
         let count = deployment.process_count() * ADDRESSES_PER_PLACE;
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Every place behind the relay.
+    /// Returns all places behind the relay.
     pub fn places(&self) -> impl Iterator<Item = &Place> {
         let services = [&self.store, &self.platform];
         let product = self.control.iter().chain(&self.routers);
@@ -98,7 +98,7 @@
         product.chain(backends).chain(services)
     }
 
-    /// What the relay carries.
+    /// Returns the settings of the relay.
     pub fn relay_settings(&self, deployment: &Deployment) -> RelaySettings {
         let delays = deployment.delays;
         let path = |delay_micros| PathSettings {
@@ -138,13 +138,13 @@
         }
     }
 
-    /// Addresses of the routers for callers, in order.
+    /// Returns the addresses of the routers for callers, in order.
     pub fn caller_addresses(&self) -> Vec<String> {
         let addresses = self.routers.iter().map(|place| place.reached_at);
         addresses.map(|address| address.to_string()).collect()
     }
 
-    /// Administration addresses of the control members, in order.
+    /// Returns the administration addresses of the control members, in order.
     pub fn administration_addresses(&self) -> Vec<String> {
         let addresses = self.control.iter().map(|place| place.second);
         addresses.map(|address| address.to_string()).collect()
@@ -158,7 +158,7 @@
 impl Addresses {
     fn take(&mut self) -> Result<SocketAddr> {
         let next = self.free.pop();
-        next.ok_or_else(|| anyhow::anyhow!("the layout needs more addresses than it asked for"))
+        next.ok_or_else(|| anyhow::anyhow!("the layout reserved too few addresses"))
     }
 
     fn place(&mut self, name: &str, zone: &str) -> Result<Place> {
--- a/crates/millpass-lab/src/fleet/mod.rs
+++ b/crates/millpass-lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet: the separate processes of a deployment at its full size, on one machine.
+//! A fleet: all processes of a deployment, run on one machine.
 
 pub mod audits;
 pub mod bounds;
--- a/crates/millpass-lab/src/fleet/observer.rs
+++ b/crates/millpass-lab/src/fleet/observer.rs
@@ -1,5 +1,5 @@
-//! Looks at the fleet while it runs: replicas and memory by the engines' reports, the processes'
-//! own memory, and processes that end by themselves.
+//! Monitors a running fleet: replicas and accelerator memory in engine reports, resident memory, and
+//! unexpected process exits.
 
 use super::bounds;
 use super::deployed::Fleet;
@@ -10,31 +10,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two looks. All reports of one look are read well within the engines' report lag,
-/// so that a replica which moves is not counted twice.
+/// Interval between scans. The reports of one scan are read within the report lag of the engines,
+/// so that a moving replica is not counted twice.
 const INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for one engine.
+/// Request timeout per engine.
 const TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Processes and memory of one kind.
+/// Number of processes and resident bytes, by kind.
 pub type MemoryByKind = BTreeMap<String, (usize, u64)>;
 
-/// What was seen.
+/// Results of the monitoring.
 #[derive(Clone, Debug, Default)]
 pub struct Observation {
-    /// Breaches, each once.
+    /// Distinct breaches.
     pub breaches: BTreeSet<String>,
-    /// Replicas seen, by their slots.
+    /// Observed replicas, by slot.
     pub replicas: BTreeMap<SlotId, ModelName>,
-    /// Memory by kind of process at the look with the largest sum.
+    /// Memory by kind of process, at the peak of the total.
     pub memory: MemoryByKind,
-    /// Largest sum of resident memory.
+    /// Peak of the total resident memory, in bytes.
     pub peak_bytes: u64,
-    /// Looks.
-    pub looks: u64,
+    /// Number of scans.
+    pub scans: u64,
 }
 
-/// Looks until told to stop; tells the run to stop when the fleet outgrows its bound.
+/// Scans the fleet until `stop` is set; sets `abort` when the fleet exceeds its memory bound.
 pub fn observe(fleet: &Fleet, stop: &AtomicBool, abort: &AtomicBool) -> Observation {
     let config = ureq::Agent::config_builder()
         .proxy(None)
@@ -48,20 +48,20 @@
             let url = format!("http://{}/engine/report", place.listen);
             agent.get(&url).call().ok()?.body_mut().read_json().ok()
         });
-        observation.judge(&reports.collect::<Vec<EngineReport>>());
-        observation.look_at_processes(fleet, abort);
+        observation.check_reports(&reports.collect::<Vec<EngineReport>>());
+        observation.check_processes(fleet, abort);
         thread::sleep(next.saturating_duration_since(Instant::now()));
     }
     observation
 }
 
 impl Observation {
-    /// Judges reports taken at about the same time.
-    pub fn judge(&mut self, reports: &[EngineReport]) {
-        self.looks += 1;
+    /// Checks reports that were read at about the same time.
+    pub fn check_reports(&mut self, reports: &[EngineReport]) {
+        self.scans += 1;
         let mut held: BTreeMap<&ModelName, usize> = BTreeMap::new();
         for report in reports {
-            self.judge_memory(report);
+            self.check_accelerator_memory(report);
             for slot in &report.slots {
                 let holds_memory = matches!(
                     slot.phase,
@@ -82,7 +82,7 @@
         }
     }
 
-    fn judge_memory(&mut self, report: &EngineReport) {
+    fn check_accelerator_memory(&mut self, report: &EngineReport) {
         let accelerators = report.used_bytes.iter().zip(&report.accelerator_bytes);
         for (index, (used, capacity)) in accelerators.enumerate() {
             if used > capacity {
@@ -94,11 +94,11 @@
         }
     }
 
-    fn look_at_processes(&mut self, fleet: &Fleet, abort: &AtomicBool) {
+    fn check_processes(&mut self, fleet: &Fleet, abort: &AtomicBool) {
         let mut children = fleet.lock();
         children.reap();
-        for end in children.unexpected_exits() {
-            self.breaches.insert(format!("process: {end}"));
+        for exit in children.unexpected_exits() {
+            self.breaches.insert(format!("process: {exit}"));
         }
         let memory = children.resident_by_kind();
         drop(children);
--- a/crates/millpass-lab/src/fleet/ports.rs
+++ b/crates/millpass-lab/src/fleet/ports.rs
@@ -1,17 +1,17 @@
-//! Free loopback ports for processes that need to know each other's before they start.
+//! Allocates free loopback ports for processes that are configured before they start.
 
 use anyhow::{Result, ensure};
 use rand::RngExt;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// First port considered.
+/// First candidate port.
 const FIRST_PORT: u16 = 12_000;
-/// End of the ports considered: from here on systems take the local ports of outgoing connections,
-/// which could come between the choice of a port and its use.
+/// End of the candidate ports. Excludes the ephemeral range, whose ports the system may assign to
+/// outgoing connections before a process binds them.
 const END_PORT: u16 = 32_000;
 
-/// Finds this many different free ports. They are free when found; a process that takes one
-/// before the fleet does makes the fleet's process fail at its start, with a clear error.
+/// Returns `count` distinct free addresses. They are not reserved: if another process binds one
+/// first, the process it was meant for fails to start.
 pub fn free_addresses(count: usize) -> Result<Vec<SocketAddr>> {
     let span = END_PORT - FIRST_PORT;
     let start = rand::rng().random_range(0..span);
@@ -21,8 +21,8 @@
     let free: Vec<SocketAddr> = addresses.filter(is_free).take(count).collect();
     ensure!(
         free.len() == count,
-        "{count} free loopback ports are needed between {FIRST_PORT} and {END_PORT}; stop what \
-         holds so many"
+        "{count} free loopback ports are needed between {FIRST_PORT} and {END_PORT}; stop the \
+         processes that use them"
     );
     Ok(free)
 }
--- a/crates/millpass-lab/src/fleet/prober.rs
+++ b/crates/millpass-lab/src/fleet/prober.rs
@@ -1,4 +1,4 @@
-//! An operator that submits a change every 100 ms, one after the other.
+//! Submits a catalog change every 100 ms, sequentially.
 
 use super::deployed::Fleet;
 use super::events::unix_micros;
@@ -14,12 +14,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two changes.
+/// Interval between changes.
 const INTERVAL: Duration = Duration::from_millis(100);
-/// Deadline of one change, resends included.
+/// Deadline of one change, including retries.
 const DEADLINE: Duration = Duration::from_secs(2);
-/// Changes of one object; then the next one is created, since the check of a history grows fast
-/// with the operations on one object.
+/// Changes per object. Bounds the cost of the history check, which grows fast with the operations
+/// on one object.
 const CHANGES_PER_OBJECT: u64 = 20;
 
 /// An accepted change.
@@ -27,26 +27,26 @@
 pub struct AcceptedChange {
     /// When it was submitted, in Unix microseconds.
     pub called_micros: u64,
-    /// When its acceptance was known.
+    /// When its acceptance was received, in Unix microseconds.
     pub returned_micros: u64,
     /// Revision of the catalog that holds it.
     pub revision: u64,
 }
 
-/// What became of the changes.
+/// Outcomes of the changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProbedChanges {
     /// Accepted ones, in order.
     pub accepted: Vec<AcceptedChange>,
-    /// Changes that no member took in time; nothing was changed.
+    /// Changes not accepted before the deadline; nothing was changed.
     pub not_taken: u64,
     /// Changes whose outcome is unknown.
     pub unknown: u64,
-    /// Answers that should not be, such as a conflict though nobody else changes the object.
+    /// Unexpected responses, such as a conflict on an object without other writers.
     pub unexpected: Vec<String>,
 }
 
-/// Submits changes until told to stop.
+/// Submits changes until `stop` is set.
 pub fn probe(fleet: &Fleet, stop: &AtomicBool) -> ProbedChanges {
     let mut prober = Prober {
         fleet,
@@ -153,7 +153,7 @@
             }
             ClientError::OutcomeUnknown { .. } => {
                 self.changes.unknown += 1;
-                // The version of this object is not known any more; go on with another.
+                // The version of this object is unknown; continue with another.
                 self.next_object();
             }
             ClientError::Conflict { current_version } => {
--- a/crates/millpass-lab/src/fleet/product_files.rs
+++ b/crates/millpass-lab/src/fleet/product_files.rs
@@ -1,4 +1,4 @@
-//! Settings files of the product's processes and the file of catalog objects.
+//! Writes the settings files of the product processes and the catalog objects file.
 
 use super::folder::WorkFolder;
 use super::layout::{Layout, Place};
@@ -8,21 +8,21 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// Key that counts as administrator while no operator account exists; worth nothing elsewhere.
+/// Administrator key for the bootstrap; valid in lab fleets only.
 pub const BOOTSTRAP_KEY: &str = "lab-bootstrap-key";
-/// Silence after which a member is replaced: shorter than by default, so that a run sees it.
+/// Contact timeout after which a member is replaced; shorter than the default to fit into a run.
 const MEMBER_REPLACEMENT_DELAY_MILLIS: i64 = 5_000;
-/// Replicas that one model may have.
+/// Maximum replicas per model.
 pub const MAXIMUM_REPLICAS: u32 = 2;
-/// Waiting requests that one tenant may have at one router.
+/// Maximum waiting requests per tenant and router.
 const MAXIMUM_WAITING_PER_TENANT: i64 = 1_000;
 
-/// Hash under which a key is stored.
+/// Returns the hash under which a key is stored.
 pub fn key_hash(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Writes them all.
+/// Writes all files.
 pub fn write_product_files(
     folder: &WorkFolder,
     deployment: &Deployment,
@@ -176,7 +176,7 @@
     policy: Vec<PolicyObject>,
 }
 
-/// The catalog of a deployment, as a file for `millpass apply`.
+/// Returns the catalog of a deployment as TOML for `millpass apply`.
 pub fn objects(deployment: &Deployment) -> Result<String> {
     let population = deployment.population();
     let tenants = population.tenants.iter().map(|tenant| TenantObject {
--- a/crates/millpass-lab/src/fleet/report.rs
+++ b/crates/millpass-lab/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: JSON for programs, a table for people.
+//! Report of a run, as JSON and as text.
 
 use super::figures::{BurstFigures, Quantiles, ServiceFigures};
 use millpass_load::Summary;
@@ -17,52 +17,52 @@
     pub seconds: u64,
     /// Processes started.
     pub processes: usize,
-    /// Seconds from the first process to a leader that knows every router and back end.
+    /// Seconds from the first process start until the leader lists every router and back end.
     pub ready_seconds: f64,
-    /// Seconds from there until the catalog was in force at every router.
+    /// Seconds from then until every router had applied the catalog.
     pub catalog_seconds: f64,
-    /// What callers saw.
+    /// Summary of the callers.
     pub callers: Summary,
-    /// Requests to a router that was down as planned or killed; they reached nothing.
+    /// Requests sent to a router while it was stopped or killed.
     pub unreached: u64,
-    /// The burst for cold models.
+    /// Burst of requests for cold models.
     pub burst: BurstFigures,
     /// Time to the first token of all streamed answers.
     pub first_token: Quantiles,
-    /// Models loaded and kept.
+    /// Loads and accelerator time.
     pub loads: LoadFigures,
-    /// Changes of the catalog during the run.
+    /// Catalog changes during the run.
     pub changes: ChangeFigures,
-    /// The fault, if there was one.
+    /// Injected fault, if any.
     pub fault: Option<FaultFigures>,
-    /// Largest resident memory at one time, by kind of process.
+    /// Resident memory by kind of process, at the peak of the total.
     pub memory: BTreeMap<String, KindMemory>,
-    /// Everything that did not hold.
+    /// Failed checks.
     pub breaches: Vec<String>,
 }
 
 /// Loads and accelerator time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadFigures {
-    /// Models asked for.
+    /// Distinct models requested.
     pub models_asked: usize,
-    /// Replicas that the engines' reports showed.
+    /// Distinct replicas in the reports of the engines.
     pub replicas: usize,
-    /// Loads of models that ended well.
+    /// Successful model loads.
     pub model_loads: u64,
-    /// Loads of adapters that ended well.
+    /// Successful adapter loads.
     pub adapter_loads: u64,
-    /// Loads that failed.
+    /// Failed loads.
     pub failed_loads: u64,
-    /// Transfers that the weight store started.
+    /// Transfers started by the weight store.
     pub store_transfers: u64,
-    /// Transfers that the weight store refused at its limit.
+    /// Transfers refused by the weight store at its limit.
     pub store_refusals: u64,
-    /// Most transfers at once.
+    /// Maximum concurrent transfers.
     pub store_most_at_once: u64,
     /// Accelerator hours with weights loaded.
     pub loaded_accelerator_hours: f64,
-    /// Of these, with nothing running.
+    /// Of these, hours without a running request.
     pub idle_accelerator_hours: f64,
 }
 
@@ -71,7 +71,7 @@
 pub struct ChangeFigures {
     /// Accepted.
     pub accepted: usize,
-    /// Not taken in time; nothing was changed.
+    /// Not accepted before the deadline; nothing was changed.
     pub not_taken: u64,
     /// With an unknown outcome.
     pub unknown: u64,
@@ -79,20 +79,20 @@
     pub acceptance: Quantiles,
     /// Longest time without an accepted change.
     pub longest_without_millis: f64,
-    /// Time from acceptance until in force at every reachable router, seen by a look each 50 ms.
+    /// Time from acceptance until every reachable router has applied it, polled every 50 ms.
     pub in_force: Quantiles,
-    /// Changes not seen in force everywhere before the watch ended.
+    /// Changes not applied by every reachable router before observation ended.
     pub not_seen_in_force: u64,
 }
 
-/// What a fault did.
+/// Figures of a fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultFigures {
     /// Plan.
     pub plan: String,
-    /// What was done, in order.
+    /// Steps, in order.
     pub steps: Vec<String>,
-    /// Zones left out of the service figures.
+    /// Zones excluded from the service figures.
     pub unhealthy_zones: Vec<String>,
     /// Service in the healthy zones from the fault on, by kind of request.
     pub service: BTreeMap<String, ServiceFigures>,
@@ -103,7 +103,7 @@
 pub struct KindMemory {
     /// Processes.
     pub processes: usize,
-    /// Sum of their resident memory.
+    /// Total resident memory, in bytes.
     pub bytes: u64,
 }
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// Breaches printed; the JSON report has all.
+/// Maximum number of breaches printed; the JSON report has all.
 const PRINTED_BREACHES: usize = 20;
 
 fn header() -> String {
--- a/crates/millpass-lab/src/fleet/revisions.rs
+++ b/crates/millpass-lab/src/fleet/revisions.rs
@@ -1,4 +1,4 @@
-//! Watches which revision of the catalog each router has in force.
+//! Polls the catalog revision that each router has applied.
 
 use super::deployed::Fleet;
 use super::events::unix_micros;
@@ -11,17 +11,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at all routers.
+/// Polling interval.
 const INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for one router.
+/// Request timeout per router.
 const TIMEOUT: Duration = Duration::from_millis(200);
-/// Line of the router's metrics that has the revision.
+/// Metric with the applied revision.
 const REVISION_METRIC: &str = "millpass_router_core{size=\"configuration_revision\"}";
 
-/// When each router was first seen at each new revision, in Unix microseconds.
+/// By router: time of first observation in Unix microseconds, and revision.
 pub type SeenRevisions = BTreeMap<String, Vec<(u64, u64)>>;
 
-/// Watches until told to stop.
+/// Polls all routers until `stop` is set.
 pub fn watch(fleet: &Fleet, stop: &AtomicBool) -> SeenRevisions {
     let config = ureq::Agent::config_builder()
         .proxy(None)
@@ -32,14 +32,14 @@
     while !stop.load(Ordering::Relaxed) {
         let next = Instant::now() + INTERVAL;
         for place in &fleet.layout.routers {
-            look(fleet, &agent, place, &mut seen);
+            poll_router(fleet, &agent, place, &mut seen);
         }
         thread::sleep(next.saturating_duration_since(Instant::now()));
     }
     seen
 }
 
-fn look(fleet: &Fleet, agent: &ureq::Agent, place: &Place, seen: &mut SeenRevisions) {
+fn poll_router(fleet: &Fleet, agent: &ureq::Agent, place: &Place, seen: &mut SeenRevisions) {
     let Some(process_id) = fleet.lock().process_id(&place.name) else {
         return;
     };
@@ -74,9 +74,8 @@
     Some(value as u64)
 }
 
-/// Time, in microseconds, until each accepted change was in force at every one of these routers.
-/// A change that was not seen in force at one of them before the watch ended is left out and
-/// counted.
+/// Returns the time in microseconds until each accepted change was applied by all these routers,
+/// and the number of changes not observed at all of them.
 pub fn times_in_force(
     accepted: &[AcceptedChange],
     seen: &SeenRevisions,
--- a/crates/millpass-lab/src/fleet/run.rs
+++ b/crates/millpass-lab/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! One run: start, load, fault, stop, judge, report.
+//! Runs a fleet: start, load, fault, stop, check and report.
 
 use super::audits::Audits;
 use super::deployed::{Fleet, Programs};
@@ -26,17 +26,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time after the load in which the last changes come into force.
+/// Wait after the load for the last changes to be applied.
 const SETTLE: Duration = Duration::from_secs(4);
-/// Deadline of the last read of the audit log.
+/// Deadline of the final read of the audit log.
 const AUDIT_DEADLINE: Duration = Duration::from_secs(15);
 const MILLIS_PER_HOUR: f64 = 3_600_000.0;
 
-/// Runs a fleet and prints its report. The exit code tells whether every check held.
+/// Runs a fleet and prints its report. The exit code is a failure if any check failed.
 pub fn run(options: &FleetOptions) -> Result<ExitCode> {
     let deployment = Deployment::named(&options.deployment)?;
-    let programs = Programs::beside_own()?;
-    let abort = abort_on_signals()?;
+    let programs = Programs::beside_current_exe()?;
+    let abort = register_abort_signals()?;
     let (folder, temporary) = work_folder(options)?;
     let report = run_in(options, deployment, folder.clone(), programs, &abort);
     let report = report.inspect_err(|_| keep_folder(&folder))?;
@@ -55,8 +55,8 @@
     println!("logs and histories: {}", folder.root.display());
 }
 
-/// A signal makes the run end early; the children are stopped as ever.
-fn abort_on_signals() -> Result<Arc<AtomicBool>> {
+/// Ends the run early on SIGINT or SIGTERM; the children are still stopped in order.
+fn register_abort_signals() -> Result<Arc<AtomicBool>> {
     let abort = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, abort.clone())?;
@@ -85,8 +85,8 @@
     Ok((folder, Some(TemporaryFolder(root))))
 }
 
-/// Everything that one run gave.
-struct Gathered {
+/// Results of one run.
+struct RunResults {
     ready_seconds: f64,
     catalog_seconds: f64,
     processes: usize,
@@ -123,45 +123,45 @@
     }
     println!("ready; load for {} s", options.seconds);
     let schedule = traffic::schedule(&fleet, options)?;
-    let mut gathered = under_load(&fleet, options, &schedule, abort)?;
-    gathered.ready_seconds = ready.as_secs_f64();
-    gathered.catalog_seconds = catalog.as_secs_f64();
-    read_audit_log(&fleet, &mut gathered.breaches);
-    gathered.audits = Audits::read(&fleet);
+    let mut results = run_load(&fleet, options, &schedule, abort)?;
+    results.ready_seconds = ready.as_secs_f64();
+    results.catalog_seconds = catalog.as_secs_f64();
+    read_audit_log(&fleet, &mut results.breaches);
+    results.audits = Audits::read(&fleet);
     let late = fleet.stop();
     let late = late.iter();
-    let late = late.map(|name| format!("stop: {name} did not end in time and was killed"));
-    gathered.breaches.extend(late);
-    report(options, &fleet, &schedule, gathered)
+    let late = late.map(|name| format!("stop: {name} did not stop in time and was killed"));
+    results.breaches.extend(late);
+    report(options, &fleet, &schedule, results)
 }
 
-/// Runs load, prober, watchers and fault side by side until the load is over.
-fn under_load(
+/// Runs load, prober, watchers and fault concurrently until the load ends.
+fn run_load(
     fleet: &Fleet,
     options: &FleetOptions,
     schedule: &Schedule,
     abort: &AtomicBool,
-) -> Result<Gathered> {
+) -> Result<RunResults> {
     let stop_probing = AtomicBool::new(false);
     let stop_watching = AtomicBool::new(false);
     let load_begin = unix_micros();
     let processes = fleet.lock().process_ids().len();
     thread::scope(|scope| {
-        let traffic = scope.spawn(|| traffic::carry_out(fleet, schedule, abort));
+        let traffic = scope.spawn(|| traffic::run_schedule(fleet, schedule, abort));
         let prober = scope.spawn(|| probe(fleet, &stop_probing));
         let revisions = scope.spawn(|| revisions::watch(fleet, &stop_watching));
         let observer = scope.spawn(|| observe(fleet, &stop_watching, abort));
         let fault = scope.spawn(|| fault(fleet, options, abort));
-        let fault = joined(fault.join());
-        let traffic = joined(traffic.join());
+        let fault = join_result(fault.join());
+        let traffic = join_result(traffic.join());
         stop_probing.store(true, Ordering::Relaxed);
         let changes = prober.join();
         let load_end = unix_micros();
         thread::sleep(SETTLE);
         stop_watching.store(true, Ordering::Relaxed);
         let (seen, observation) = (revisions.join(), observer.join());
-        let panicked = |_| anyhow!("a watcher of the lab panicked");
-        Ok(Gathered {
+        let panicked = |_| anyhow!("a watcher thread panicked");
+        Ok(RunResults {
             ready_seconds: 0.0,
             catalog_seconds: 0.0,
             processes,
@@ -177,11 +177,11 @@
     })
 }
 
-fn joined<T>(result: thread::Result<Result<T>>) -> Result<T> {
-    result.map_err(|_| anyhow!("a thread of the lab panicked"))?
+fn join_result<T>(result: thread::Result<Result<T>>) -> Result<T> {
+    result.map_err(|_| anyhow!("a lab thread panicked"))?
 }
 
-/// Carries out the fault, if one is asked for, after a third of the load.
+/// Injects the requested fault, if any, after a third of the load.
 fn fault(
     fleet: &Fleet,
     options: &FleetOptions,
@@ -197,11 +197,11 @@
     let begin = unix_micros();
     let length = Duration::from_secs(options.fault_seconds);
     let outcome = faults::run(fleet, plan, length, abort)
-        .with_context(|| format!("the fault {} could not be carried out", plan.word()))?;
+        .with_context(|| format!("cannot inject the fault {}", plan.name()))?;
     Ok(Some((outcome, begin)))
 }
 
-/// Notes the audit log for the check that no accepted change is lost.
+/// Records the audit log for the check that no accepted change is lost.
 fn read_audit_log(fleet: &Fleet, breaches: &mut Vec<String>) {
     fleet.events.push(Event::FinalAuditCalled);
     match operator::operator(fleet, AUDIT_DEADLINE).audit(0) {
@@ -214,7 +214,7 @@
             }
             fleet.events.push(Event::FinalAuditRead);
         }
-        Err(error) => breaches.push(format!("the audit log could not be read: {error}")),
+        Err(error) => breaches.push(format!("cannot read the audit log: {error}")),
     }
 }
 
@@ -222,27 +222,27 @@
     options: &FleetOptions,
     fleet: &Fleet,
     schedule: &Schedule,
-    gathered: Gathered,
+    results: RunResults,
 ) -> Result<FleetReport> {
-    let records = &gathered.traffic.run.records;
-    let summary = &gathered.traffic.run.summary;
+    let records = &results.traffic.run.records;
+    let summary = &results.traffic.run.summary;
     let events = fleet.events.records();
     let evidence = Evidence {
         events: events.clone(),
         callers: records,
-        callers_start_micros: gathered.traffic.start_micros,
+        callers_start_micros: results.traffic.start_micros,
         runs: read_journals(&fleet.folder.journals())?,
     };
-    let judged = evidence.history(&fleet.layout, unix_micros());
+    let assembled = evidence.history(&fleet.layout, unix_micros());
     let mut file = std::io::BufWriter::new(std::fs::File::create(fleet.folder.history())?);
-    judged.history.write(&mut file)?;
-    let found = millpass_checkers::check(&judged.history, &limits(&fleet.deployment));
+    assembled.history.write(&mut file)?;
+    let found = millpass_checkers::check(&assembled.history, &limits(&fleet.deployment));
     let mut breaches: Vec<String> = found.iter().map(ToString::to_string).collect();
-    breaches.extend(gathered.observation.breaches.iter().cloned());
-    breaches.extend(gathered.audits.breaches());
-    breaches.extend(gathered.changes.unexpected.iter().cloned());
-    breaches.extend(gathered.breaches.iter().cloned());
-    if let Some((outcome, _)) = &gathered.fault {
+    breaches.extend(results.observation.breaches.iter().cloned());
+    breaches.extend(results.audits.breaches());
+    breaches.extend(results.changes.unexpected.iter().cloned());
+    breaches.extend(results.breaches.iter().cloned());
+    if let Some((outcome, _)) = &results.fault {
         breaches.extend(outcome.breaches.iter().cloned());
     }
     if summary.faulty() > 0 {
@@ -252,23 +252,23 @@
         deployment: fleet.deployment.name.clone(),
         seed: options.seed,
         seconds: options.seconds,
-        processes: gathered.processes,
-        ready_seconds: gathered.ready_seconds,
-        catalog_seconds: gathered.catalog_seconds,
+        processes: results.processes,
+        ready_seconds: results.ready_seconds,
+        catalog_seconds: results.catalog_seconds,
         callers: summary.clone(),
-        unreached: judged.unreached,
+        unreached: assembled.unreached,
         burst: figures::burst(records),
         first_token: figures::first_token(records),
-        loads: loads(schedule, &gathered),
-        changes: changes(fleet, &gathered, &events),
-        fault: fault_figures(options, fleet, &gathered),
-        memory: memory(&gathered.observation),
+        loads: loads(schedule, &results),
+        changes: changes(fleet, &results, &events),
+        fault: fault_figures(options, fleet, &results),
+        memory: memory(&results.observation),
         breaches,
     })
 }
 
-fn loads(schedule: &Schedule, gathered: &Gathered) -> LoadFigures {
-    let audits = &gathered.audits;
+fn loads(schedule: &Schedule, results: &RunResults) -> LoadFigures {
+    let audits = &results.audits;
     let models: BTreeSet<&str> = schedule
         .requests
         .iter()
@@ -281,7 +281,7 @@
     let store = audits.store.as_ref();
     LoadFigures {
         models_asked: models.len(),
-        replicas: gathered.observation.replicas.len(),
+        replicas: results.observation.replicas.len(),
         model_loads: audits.sum(|audit| audit.model_loads),
         adapter_loads: audits.sum(|audit| audit.adapter_loads),
         failed_loads: audits.sum(|audit| audit.failed_loads),
@@ -293,14 +293,14 @@
     }
 }
 
-fn changes(fleet: &Fleet, gathered: &Gathered, events: &[Record]) -> ChangeFigures {
-    let changes = &gathered.changes;
+fn changes(fleet: &Fleet, results: &RunResults, events: &[Record]) -> ChangeFigures {
+    let changes = &results.changes;
     let accepted = &changes.accepted;
     let acceptance = accepted
         .iter()
         .map(|change| change.returned_micros - change.called_micros);
     let returned = accepted.iter().map(|change| change.returned_micros);
-    let (from, to) = gathered.load_span;
+    let (from, to) = results.load_span;
     let unreachable: BTreeSet<&str> = events
         .iter()
         .filter_map(|record| match &record.event {
@@ -315,7 +315,7 @@
     let reachable: Vec<String> = names
         .filter(|name| !unreachable.contains(name.as_str()))
         .collect();
-    let (in_force, not_seen) = revisions::times_in_force(accepted, &gathered.seen, &reachable);
+    let (in_force, not_seen) = revisions::times_in_force(accepted, &results.seen, &reachable);
     ChangeFigures {
         accepted: accepted.len(),
         not_taken: changes.not_taken,
@@ -330,19 +330,19 @@
 fn fault_figures(
     options: &FleetOptions,
     fleet: &Fleet,
-    gathered: &Gathered,
+    results: &RunResults,
 ) -> Option<FaultFigures> {
-    let (outcome, begin) = gathered.fault.as_ref()?;
-    let start = gathered.traffic.start_micros;
+    let (outcome, begin) = results.fault.as_ref()?;
+    let start = results.traffic.start_micros;
     let counts = |record: &millpass_load::HistoryRecord| {
         let zone = &fleet.layout.routers[record.router].zone;
         start + record.due_micros >= *begin && !outcome.unhealthy_zones.contains(zone)
     };
     Some(FaultFigures {
-        plan: options.fault.map_or("", |plan| plan.word()).to_owned(),
+        plan: options.fault.map_or("", |plan| plan.name()).to_owned(),
         steps: outcome.steps.clone(),
         unhealthy_zones: outcome.unhealthy_zones.clone(),
-        service: figures::service(&gathered.traffic.run.records, counts),
+        service: figures::service(&results.traffic.run.records, counts),
     })
 }
 
--- a/crates/millpass-lab/src/fleet/traffic.rs
+++ b/crates/millpass-lab/src/fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! The load of a run: a burst for cold models at all routers at once, then steady traffic.
+//! Load of a run: a burst of requests for cold models at all routers, then steady traffic.
 
 use super::deployed::Fleet;
 use super::events::unix_micros;
@@ -9,30 +9,30 @@
 use millpass_load::{RunSettings, Schedule, Workload, run};
 use std::sync::atomic::AtomicBool;
 
-/// When the burst comes, in seconds from the start.
+/// Time of the burst after the start.
 const BURST_AT_SECONDS: f64 = 1.0;
-/// Requests for each cold model at each router.
+/// Requests per cold model and router.
 const BURST_REQUESTS_PER_ROUTER: usize = 3;
-/// Time over which the burst arrives.
+/// Duration of the burst.
 const BURST_SPREAD_SECONDS: f64 = 0.2;
-/// Most requests at once.
+/// Maximum concurrent requests.
 const CALLERS: usize = 300;
 
-/// What the callers saw.
+/// Results of the callers.
 pub struct TrafficResult {
-    /// Start of the callers' clock, in Unix microseconds.
+    /// Start of the clock of the callers, in Unix microseconds.
     pub start_micros: u64,
     /// Summary and records.
     pub run: RunResult,
 }
 
-/// The plan of a run.
+/// Generates the request schedule of a run.
 pub fn schedule(fleet: &Fleet, options: &FleetOptions) -> Result<Schedule> {
     let deployment = &fleet.deployment;
     let mut workload =
         Workload::named(&deployment.workload, options.seconds as f64).with_context(|| {
             format!(
-                "workload {} is not known; write one of {}",
+                "unknown workload {}; use one of {}",
                 deployment.workload,
                 millpass_load::workload::NAMED_WORKLOADS.join(", ")
             )
@@ -51,8 +51,12 @@
     Ok(Schedule::generate(&workload, &population, options.seed)?)
 }
 
-/// Carries the plan out.
-pub fn carry_out(fleet: &Fleet, schedule: &Schedule, stop: &AtomicBool) -> Result<TrafficResult> {
+/// Sends the scheduled requests.
+pub fn run_schedule(
+    fleet: &Fleet,
+    schedule: &Schedule,
+    stop: &AtomicBool,
+) -> Result<TrafficResult> {
     let settings = RunSettings {
         routers: fleet.layout.caller_addresses(),
         callers: CALLERS,
--- a/crates/millpass-lab/src/lib.rs
+++ b/crates/millpass-lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The emulator and experiment tool: fleets, link relays, fault plans, reports.
+//! Runs whole deployments on one machine: emulated links, fault plans, load and reports.
 
 pub mod deployment;
 pub mod fleet;
--- a/crates/millpass-lab/src/main.rs
+++ b/crates/millpass-lab/src/main.rs
@@ -10,8 +10,10 @@
         Options::Experiment(options) => {
             millpass_experiment::run(&options).map(|()| ExitCode::SUCCESS)
         }
-        Options::StandIn { settings, kind } => logged(|| programs::run_stand_in(kind, &settings)),
-        Options::Relay { settings } => logged(|| programs::run_relay(&settings)),
+        Options::StandIn { settings, kind } => {
+            run_with_logging(|| programs::run_stand_in(kind, &settings))
+        }
+        Options::Relay { settings } => run_with_logging(|| programs::run_relay(&settings)),
     };
     result.unwrap_or_else(|error: anyhow::Error| {
         eprintln!("millpass-lab: {error:#}");
@@ -19,7 +21,7 @@
     })
 }
 
-fn logged(program: impl FnOnce() -> anyhow::Result<()>) -> anyhow::Result<ExitCode> {
+fn run_with_logging(program: impl FnOnce() -> anyhow::Result<()>) -> anyhow::Result<ExitCode> {
     millpass_telemetry::start_logging(&millpass_telemetry::LogSettings {
         level: "info".to_owned(),
         file: String::new(),
--- a/crates/millpass-lab/src/options.rs
+++ b/crates/millpass-lab/src/options.rs
@@ -52,12 +52,12 @@
     millpass_experiment::options().command("experiment")
 }
 
-/// What is broken while a fleet runs.
+/// Fault injected while a fleet runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultPlan {
     /// SIGKILL to the leader of the control group; it is started again later.
     LeaderKill,
-    /// The zone of the leader is cut off from all others, and healed later.
+    /// The zone of the leader is partitioned from all others, and healed later.
     ZoneCut,
     /// SIGSTOP to the leader, SIGCONT later.
     LeaderFreeze,
@@ -65,12 +65,12 @@
     TwoMembersLost,
     /// SIGKILL to an engine that serves; it is started again later.
     EngineKill,
-    /// Each router and each member in turn is stopped as planned and started again.
+    /// Each router and then each member is stopped gracefully and started again.
     RollingRestart,
 }
 
 impl FaultPlan {
-    /// Every plan with its word on the command line.
+    /// Every plan with its name on the command line.
     pub const ALL: [(&str, FaultPlan); 6] = [
         ("leader-kill", FaultPlan::LeaderKill),
         ("zone-cut", FaultPlan::ZoneCut),
@@ -80,10 +80,10 @@
         ("rolling-restart", FaultPlan::RollingRestart),
     ];
 
-    /// The word on the command line.
-    pub fn word(self) -> &'static str {
+    /// Returns the name on the command line.
+    pub fn name(self) -> &'static str {
         let found = Self::ALL.iter().find(|(_, plan)| *plan == self);
-        found.map_or("", |(word, _)| word)
+        found.map_or("", |(name, _)| name)
     }
 }
 
@@ -91,17 +91,17 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let found = Self::ALL.iter().find(|(word, _)| *word == text);
+        let found = Self::ALL.iter().find(|(name, _)| *name == text);
         found.map(|(_, plan)| *plan).ok_or_else(|| {
-            let words = Self::ALL.map(|(word, _)| word).join(", ");
-            format!("{text} is no fault; write one of {words}")
+            let names = Self::ALL.map(|(name, _)| name).join(", ");
+            format!("unknown fault {text}; use one of {names}")
         })
     }
 }
 
-/// Longest run, in seconds.
+/// Longest load phase, in seconds.
 pub const MAXIMUM_SECONDS: u64 = 1_800;
-/// Most steady requests a second.
+/// Highest steady rate, in requests per second.
 pub const MAXIMUM_RATE: u32 = 400;
 
 fn is_run_length(seconds: &u64) -> bool {
--- a/crates/millpass-lab/src/programs/mod.rs
+++ b/crates/millpass-lab/src/programs/mod.rs
@@ -1,5 +1,5 @@
-//! The lab's own long-running programs: stand-ins and the relay, each from a settings file, until
-//! SIGTERM.
+//! Long-running processes of the lab: stand-ins and the relay. Each reads a settings file and runs
+//! until SIGTERM.
 
 mod relay;
 mod stand_in;
@@ -16,16 +16,17 @@
 /// Reads a settings file (JSON) that the fleet wrote.
 fn read_settings<T: DeserializeOwned>(file: &Path) -> Result<T> {
     let name = file.display();
-    let text = std::fs::read(file).with_context(|| format!("{name}: cannot be read"))?;
-    serde_json::from_slice(&text)
-        .with_context(|| format!("{name}: not settings of this program; see docs/LAB.md"))
+    let text = std::fs::read(file).with_context(|| format!("cannot read {name}"))?;
+    serde_json::from_slice(&text).with_context(|| {
+        format!("{name} is not a valid settings file of this program; see docs/LAB.md")
+    })
 }
 
-/// Signal handlers; to be set before anything is served.
+/// Installs the signal handlers; must run before a server starts.
 fn stop_signals() -> Result<Signals> {
-    Signals::new([SIGTERM, SIGINT]).context("signal handlers cannot be set")
+    Signals::new([SIGTERM, SIGINT]).context("cannot install signal handlers")
 }
 
-fn wait(mut signals: Signals) {
+fn wait_for_signal(mut signals: Signals) {
     signals.forever().next();
 }
--- a/crates/millpass-lab/src/programs/relay.rs
+++ b/crates/millpass-lab/src/programs/relay.rs
@@ -1,6 +1,6 @@
 //! The relay process.
 
-use super::{read_settings, stop_signals, wait};
+use super::{read_settings, stop_signals, wait_for_signal};
 use crate::relay::{Relay, RelaySettings};
 use anyhow::Result;
 use millpass_http::{Handler, Request, Responder, Server, ServerSettings};
@@ -11,11 +11,11 @@
 
 impl Handler for ControlPort {
     fn handle(&self, request: Request, responder: Responder) {
-        self.0.answer(&request, responder);
+        self.0.handle_request(&request, responder);
     }
 }
 
-/// Carries links until SIGTERM.
+/// Runs the relay until SIGTERM.
 pub fn run_relay(file: &Path) -> Result<()> {
     let signals = stop_signals()?;
     let settings: RelaySettings = read_settings(file)?;
@@ -27,7 +27,7 @@
     };
     let server = Server::bind(settings.control_listen, server_settings)?;
     let serving = server.serve(Arc::new(ControlPort(relay)));
-    wait(signals);
+    wait_for_signal(signals);
     serving.stop();
     Ok(())
 }
--- a/crates/millpass-lab/src/programs/stand_in.rs
+++ b/crates/millpass-lab/src/programs/stand_in.rs
@@ -1,6 +1,6 @@
 //! A stand-in process: one engine, web back end, weight store or platform list.
 
-use super::{read_settings, stop_signals, wait};
+use super::{read_settings, stop_signals, wait_for_signal};
 use anyhow::{Result, bail};
 use millpass_proto::{Duration, Incarnation};
 use millpass_standin::engine::{
@@ -16,14 +16,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Lines of a journal.
+/// Maximum number of lines of a journal.
 const MAXIMUM_JOURNAL_LINES: u64 = 1_000_000;
-/// Time that a machine which leaves in a planned way serves on for those that have not heard.
+/// Time for which a draining machine keeps serving, until all routers have received its departure.
 const LEAVE_NOTICE: Duration = Duration::from_secs(5);
-/// Longest wait for requests in flight when it leaves.
+/// Maximum wait_for_signal for requests in flight during a planned stop.
 const LEAVE_GRACE: Duration = Duration::from_secs(60);
 
-/// Which stand-in.
+/// Kind of stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StandInKind {
     /// Model engine.
@@ -32,13 +32,13 @@
     Web,
     /// Weight store.
     Store,
-    /// Platform's list.
+    /// Platform list.
     Platform,
 }
 
 impl StandInKind {
-    /// The word on the command line.
-    pub fn word(self) -> &'static str {
+    /// Returns the name on the command line.
+    pub fn name(self) -> &'static str {
         match self {
             StandInKind::Engine => "engine",
             StandInKind::Web => "web",
@@ -51,16 +51,16 @@
 impl std::str::FromStr for StandInKind {
     type Err = anyhow::Error;
 
-    fn from_str(word: &str) -> Result<Self> {
+    fn from_str(name: &str) -> Result<Self> {
         let kinds = [
             StandInKind::Engine,
             StandInKind::Web,
             StandInKind::Store,
             StandInKind::Platform,
         ];
-        match kinds.into_iter().find(|kind| kind.word() == word) {
+        match kinds.into_iter().find(|kind| kind.name() == name) {
             Some(kind) => Ok(kind),
-            None => bail!("{word} is no stand-in; write engine, web, store or platform"),
+            None => bail!("unknown stand-in {name}; use engine, web, store or platform"),
         }
     }
 }
@@ -75,17 +75,17 @@
     pub zone: String,
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Address that others reach it at.
+    /// Advertised address.
     pub advertise: SocketAddr,
     /// Memory of each accelerator.
     pub accelerator_bytes: Vec<u64>,
-    /// Room for checkpoints in host memory.
+    /// Capacity for checkpoints in host memory.
     pub checkpoint_memory_bytes: u64,
-    /// Room for checkpoints on disk.
+    /// Capacity for checkpoints on disk.
     pub checkpoint_disk_bytes: u64,
     /// Weight store.
     pub store: SocketAddr,
-    /// Platform's list.
+    /// Platform list.
     pub platform: SocketAddr,
     /// Journal of runs.
     pub journal: PathBuf,
@@ -101,13 +101,13 @@
     pub zone: String,
     /// Group.
     pub group: String,
-    /// Paths of requests that may not be repeated.
+    /// Path prefixes of non-idempotent requests.
     pub once_prefixes: Vec<String>,
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Address that others reach it at.
+    /// Advertised address.
     pub advertise: SocketAddr,
-    /// Platform's list.
+    /// Platform list.
     pub platform: SocketAddr,
     /// Journal of runs.
     pub journal: PathBuf,
@@ -119,11 +119,11 @@
 pub struct StoreFile {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Loads that may start a second.
+    /// Loads that may start per second.
     pub loads_per_second: u32,
-    /// Loads at once at full speed.
+    /// Concurrent loads at full speed.
     pub full_speed_loads: u32,
-    /// Speed of one load.
+    /// Throughput of one load, in bytes per second.
     pub bytes_per_second: u64,
 }
 
@@ -135,37 +135,37 @@
     pub listen: SocketAddr,
 }
 
-/// Serves as a stand-in until SIGTERM.
+/// Runs a stand-in until SIGTERM.
 pub fn run_stand_in(kind: StandInKind, file: &Path) -> Result<()> {
     let signals = stop_signals()?;
     match kind {
         StandInKind::Engine => {
             let engine = engine(&read_settings(file)?)?;
-            wait(signals);
-            leave(&engine);
+            wait_for_signal(signals);
+            leave_gracefully(&engine);
         }
         StandInKind::Web => {
             let web = web(&read_settings(file)?)?;
-            wait(signals);
-            leave(&web);
+            wait_for_signal(signals);
+            leave_gracefully(&web);
         }
         StandInKind::Store => {
             let store = store(&read_settings(file)?)?;
-            wait(signals);
+            wait_for_signal(signals);
             store.stop();
         }
         StandInKind::Platform => {
             let settings: PlatformFile = read_settings(file)?;
             let list = start_platform(PlatformSettings::default(), &listen_at(settings.listen))?;
-            wait(signals);
+            wait_for_signal(signals);
             list.stop();
         }
     }
     Ok(())
 }
 
-/// A planned stop, as the platform does it.
-fn leave<M: TimedModel>(served: &Served<M>) {
+/// Performs a planned stop as the platform does.
+fn leave_gracefully<M: TimedModel>(served: &Served<M>) {
     served.leave(LEAVE_NOTICE, LEAVE_GRACE);
 }
 
@@ -184,15 +184,15 @@
     })
 }
 
-/// A new run of a back end has a number that none before had.
-fn fresh_incarnation() -> Incarnation {
+/// Returns an incarnation greater than those of earlier process runs.
+fn new_incarnation() -> Incarnation {
     Incarnation(uuid::Uuid::now_v7().as_u64_pair().0)
 }
 
 fn engine(file: &EngineFile) -> Result<EngineHandle> {
     let settings = EngineSettings {
         backend: file.name.as_str().into(),
-        incarnation: fresh_incarnation(),
+        incarnation: new_incarnation(),
         zone: file.zone.as_str().into(),
         accelerator_bytes: file.accelerator_bytes.clone(),
         checkpoints: CheckpointSettings {
@@ -213,7 +213,7 @@
 fn web(file: &WebFile) -> Result<millpass_standin::web::WebHandle> {
     let settings = WebSettings {
         backend: file.name.as_str().into(),
-        incarnation: fresh_incarnation(),
+        incarnation: new_incarnation(),
         zone: file.zone.as_str().into(),
         group: file.group.as_str().into(),
         once_prefixes: file.once_prefixes.clone(),
--- a/crates/millpass-lab/src/relay/client.rs
+++ b/crates/millpass-lab/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! Talks to a relay's control port.
+//! Client of the control port of a relay.
 
 use super::control::{CutRequest, ProcessZone, RelayStatus};
 use super::paths::PathKey;
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for one call.
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Client of one relay's control port.
+/// Client of the control port of one relay.
 #[derive(Clone, Debug)]
 pub struct RelayClient {
     agent: ureq::Agent,
@@ -17,7 +17,7 @@
 }
 
 impl RelayClient {
-    /// A client of the control port at this address.
+    /// Creates a client of the control port at this address.
     pub fn new(address: SocketAddr) -> Self {
         let config = ureq::Agent::config_builder()
             .proxy(None)
@@ -29,23 +29,23 @@
         }
     }
 
-    /// State of the relay.
+    /// Returns the state of the relay.
     pub fn status(&self) -> anyhow::Result<RelayStatus> {
         let mut response = self
             .agent
             .get(format!("{}/status", self.base))
             .call()
-            .context("the relay's control port does not answer")?;
+            .context("the control port of the relay does not respond")?;
         Ok(response.body_mut().read_json()?)
     }
 
-    /// Tells the zone of a process, or that it ended.
-    pub fn tell(&self, process: u32, zone: Option<&str>) -> anyhow::Result<()> {
-        let told = ProcessZone {
+    /// Registers the zone of a process; `None` removes the process.
+    pub fn set_process_zone(&self, process: u32, zone: Option<&str>) -> anyhow::Result<()> {
+        let update = ProcessZone {
             process: i32::try_from(process)?,
             zone: zone.map(str::to_owned),
         };
-        self.post("processes", &told)
+        self.post("processes", &update)
     }
 
     /// Cuts a pair of zones.
@@ -54,7 +54,7 @@
         self.post("cut", &CutRequest { pair, one_way })
     }
 
-    /// Heals a pair of zones.
+    /// Removes the cut of a pair of zones, in both directions.
     pub fn heal(&self, pair: &PathKey) -> anyhow::Result<()> {
         let request = CutRequest {
             pair: pair.clone(),
@@ -63,7 +63,7 @@
         self.post("heal", &request)
     }
 
-    /// Heals all.
+    /// Removes all cuts.
     pub fn heal_all(&self) -> anyhow::Result<()> {
         self.post("heal-all", &())
     }
@@ -72,7 +72,7 @@
         self.agent
             .post(format!("{}/{path}", self.base))
             .send_json(body)
-            .with_context(|| format!("the relay refused {path}"))?;
+            .with_context(|| format!("the relay rejected the request {path}"))?;
         Ok(())
     }
 }
--- a/crates/millpass-lab/src/relay/connection.rs
+++ b/crates/millpass-lab/src/relay/connection.rs
@@ -1,4 +1,4 @@
-//! One relayed connection: two directions, each a reader, a delay line and a writer.
+//! One relayed connection: each direction has a reader, a delay queue and a writer.
 
 use super::paths::{PathKey, PathTable};
 use async_channel::{Receiver, Sender};
@@ -12,34 +12,34 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Bytes read at once.
+/// Maximum size of one read.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Chunks under way in one direction; then reading stops, as with a full TCP window.
-const CHUNKS_UNDER_WAY: usize = 64;
-/// Pause between two looks at a path that is cut.
+/// Chunks in flight per direction; when reached, reading stops as with a full TCP window.
+const MAXIMUM_CHUNKS_IN_FLIGHT: usize = 64;
+/// Interval at which a cut path is polled.
 const CUT_POLL: Duration = Duration::from_millis(5);
 
-/// Bytes carried by a link.
+/// Bytes forwarded by a link.
 #[derive(Default)]
-pub struct Carried {
+pub struct ForwardedBytes {
     /// From the connecting side to the target.
     pub forward: AtomicU64,
-    /// From the target back.
+    /// From the target to the connecting side.
     pub backward: AtomicU64,
 }
 
-struct Piece {
+struct Chunk {
     due: Instant,
     bytes: Bytes,
 }
 
-/// Carries one connection until both directions end.
-pub async fn carry(
+/// Forwards one connection until both directions end.
+pub async fn forward_connection(
     accepted: Async<TcpStream>,
     target: SocketAddr,
     pair: PathKey,
     paths: PathTable,
-    carried: &Carried,
+    forwarded: &ForwardedBytes,
     seed: u64,
 ) -> io::Result<()> {
     let backward = pair.reversed();
@@ -51,36 +51,37 @@
     let connected = Async::<TcpStream>::connect(target).await?;
     connected.get_ref().set_nodelay(true)?;
     accepted.get_ref().set_nodelay(true)?;
-    let line = |pair| Line {
+    let path = |pair| ConnectionPath {
         pair,
         paths: &paths,
         number,
     };
-    let there = direction(&accepted, &connected, line(&pair), &carried.forward, seed);
-    let back = direction(
+    let forward_task =
+        forward_direction(&accepted, &connected, path(&pair), &forwarded.forward, seed);
+    let backward_task = forward_direction(
         &connected,
         &accepted,
-        line(&backward),
-        &carried.backward,
+        path(&backward),
+        &forwarded.backward,
         !seed,
     );
-    future::zip(there, back).await;
+    future::zip(forward_task, backward_task).await;
     Ok(())
 }
 
 /// One direction of a connection.
 #[derive(Clone, Copy)]
-struct Line<'a> {
+struct ConnectionPath<'a> {
     pair: &'a PathKey,
     paths: &'a PathTable,
     /// Number of the connection.
     number: u64,
 }
 
-impl Line<'_> {
-    /// Waits until bytes pass; for ever on a connection that has gone silent.
+impl ConnectionPath<'_> {
+    /// Waits until data may be delivered; forever if the connection is blackholed.
     async fn wait_until_open(self) {
-        if self.paths.is_silent(self.pair, self.number) {
+        if self.paths.is_blackholed(self.pair, self.number) {
             return future::pending().await;
         }
         wait_while_cut(self.paths, self.pair).await;
@@ -93,29 +94,29 @@
     }
 }
 
-/// Carries one direction to its end, then passes the end on.
-async fn direction(
+/// Forwards one direction until end of file, then shuts down the write side of the target.
+async fn forward_direction(
     from: &Async<TcpStream>,
     to: &Async<TcpStream>,
-    line: Line<'_>,
-    carried: &AtomicU64,
+    path: ConnectionPath<'_>,
+    forwarded: &AtomicU64,
     seed: u64,
 ) {
-    let (pieces, received) = async_channel::bounded(CHUNKS_UNDER_WAY);
-    let reading = read_pieces(from, line, pieces, seed);
-    let writing = write_pieces(to, line, received, carried);
+    let (chunks, received) = async_channel::bounded(MAXIMUM_CHUNKS_IN_FLIGHT);
+    let reading = read_chunks(from, path, chunks, seed);
+    let writing = write_chunks(to, path, received, forwarded);
     let (read, written) = future::zip(reading, writing).await;
     if read.is_err() || written.is_err() {
-        // A broken side breaks the other; an error here means that it is broken already.
+        // Fails if the socket is already closed.
         let _ = from.get_ref().shutdown(Shutdown::Both);
         let _ = to.get_ref().shutdown(Shutdown::Both);
     }
 }
 
-async fn read_pieces(
+async fn read_chunks(
     mut from: &Async<TcpStream>,
-    line: Line<'_>,
-    pieces: Sender<Piece>,
+    path: ConnectionPath<'_>,
+    chunks: Sender<Chunk>,
     seed: u64,
 ) -> io::Result<()> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -126,35 +127,35 @@
         if count == 0 {
             return Ok(());
         }
-        let settings = line.paths.settings(line.pair);
+        let settings = path.paths.settings(path.pair);
         let jitter = random.random_range(0..=settings.jitter_micros);
         let due = Instant::now() + settings.delay() + Duration::from_micros(jitter);
-        // Bytes never overtake each other.
+        // Preserves the byte order despite jitter.
         last_due = last_due.max(due);
-        let piece = Piece {
+        let chunk = Chunk {
             due: last_due,
             bytes: Bytes::copy_from_slice(&buffer[..count]),
         };
-        if pieces.send(piece).await.is_err() {
+        if chunks.send(chunk).await.is_err() {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
     }
 }
 
-async fn write_pieces(
+async fn write_chunks(
     mut to: &Async<TcpStream>,
-    line: Line<'_>,
-    received: Receiver<Piece>,
-    carried: &AtomicU64,
+    path: ConnectionPath<'_>,
+    received: Receiver<Chunk>,
+    forwarded: &AtomicU64,
 ) -> io::Result<()> {
-    while let Ok(piece) = received.recv().await {
-        if piece.due > Instant::now() {
-            Timer::at(piece.due).await;
+    while let Ok(chunk) = received.recv().await {
+        if chunk.due > Instant::now() {
+            Timer::at(chunk.due).await;
         }
-        line.wait_until_open().await;
-        to.write_all(&piece.bytes).await?;
-        carried.fetch_add(piece.bytes.len() as u64, Ordering::Relaxed);
+        path.wait_until_open().await;
+        to.write_all(&chunk.bytes).await?;
+        forwarded.fetch_add(chunk.bytes.len() as u64, Ordering::Relaxed);
     }
-    line.wait_until_open().await;
+    path.wait_until_open().await;
     to.get_ref().shutdown(Shutdown::Write)
 }
--- a/crates/millpass-lab/src/relay/control.rs
+++ b/crates/millpass-lab/src/relay/control.rs
@@ -1,4 +1,4 @@
-//! The relay's control port: a small HTTP and JSON interface for the fleet and for people.
+//! Control port of the relay: JSON over HTTP.
 //!
 //! `GET /status`, `POST /processes`, `POST /cut`, `POST /heal`, `POST /heal-all`, `POST /delay`.
 
@@ -11,24 +11,24 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A cut, or the healing of one.
+/// Request to cut or heal a pair of zones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CutRequest {
-    /// Pair of zones; `*` stands for any other zone.
+    /// Pair of zones; `*` matches any other zone.
     pub pair: PathKey,
-    /// Cut only the direction named.
+    /// Cuts only the given direction.
     #[serde(default)]
     pub one_way: bool,
 }
 
-/// The zone of a process; none when it ended.
+/// Registration of the zone of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessZone {
     /// Process id.
     pub process: i32,
-    /// Zone.
+    /// Zone; `None` removes the registration.
     pub zone: Option<String>,
 }
 
@@ -37,15 +37,15 @@
 pub struct LinkStatus {
     /// Name.
     pub name: String,
-    /// Address listened on.
+    /// Listen address.
     pub address: SocketAddr,
     /// Connections accepted.
     pub accepted: u64,
-    /// Connections whose process is not known; they count as coming from another zone.
+    /// Connections from an unknown process; treated as coming from another zone.
     pub unknown_sources: u64,
-    /// Bytes carried to the target.
+    /// Bytes sent to the target.
     pub forward_bytes: u64,
-    /// Bytes carried back.
+    /// Bytes sent back from the target.
     pub backward_bytes: u64,
 }
 
@@ -54,21 +54,23 @@
 pub struct RelayStatus {
     /// Links.
     pub links: Vec<LinkStatus>,
-    /// Cuts in force.
+    /// Active cuts.
     pub cuts: Vec<PathKey>,
-    /// Connections open.
+    /// Open connections.
     pub open_connections: u64,
-    /// Connections closed at once for the bound.
+    /// Connections refused at the connection limit.
     pub refused_connections: u64,
 }
 
 impl Relay {
-    /// Answers one request of the control port.
-    pub fn answer(&self, request: &Request, responder: Responder) {
+    /// Handles one request of the control port.
+    pub fn handle_request(&self, request: &Request, responder: Responder) {
         let path = request.uri.path();
-        let answer = match (&request.method, path) {
+        let result = match (&request.method, path) {
             (&Method::GET, "/status") => Ok(()),
-            (&Method::POST, "/processes") => parse(request).and_then(|told| self.tell(&told)),
+            (&Method::POST, "/processes") => {
+                parse(request).and_then(|update| self.set_process_zone(&update))
+            }
             (&Method::POST, "/cut") => parse(request).map(|cut: CutRequest| {
                 self.paths().cut(&cut.pair, cut.one_way);
             }),
@@ -83,23 +85,23 @@
                 self.paths().set(entry.pair, entry.settings);
             }),
             _ => Err(format!(
-                "{} {path} is not known; see the documentation of the relay",
+                "unknown request {} {path}; see the documentation of the relay",
                 request.method
             )),
         };
-        let response = match answer {
+        let response = match result {
             Ok(()) => json(StatusCode::OK, &self.status()),
             Err(reason) => json(StatusCode::BAD_REQUEST, &reason),
         };
         responder.send(response);
     }
 
-    fn tell(&self, told: &ProcessZone) -> Result<(), String> {
-        match &told.zone {
-            Some(zone) if self.sources().set(told.process, zone) => Ok(()),
-            Some(_) => Err("the table of processes is full; forget ended ones".to_owned()),
+    fn set_process_zone(&self, update: &ProcessZone) -> Result<(), String> {
+        match &update.zone {
+            Some(zone) if self.sources().set(update.process, zone) => Ok(()),
+            Some(_) => Err("the process table is full; remove processes that ended".to_owned()),
             None => {
-                self.sources().forget(told.process);
+                self.sources().remove(update.process);
                 Ok(())
             }
         }
@@ -107,7 +109,7 @@
 }
 
 fn parse<T: DeserializeOwned>(request: &Request) -> Result<T, String> {
-    serde_json::from_slice(&request.body).map_err(|error| format!("the body: {error}"))
+    serde_json::from_slice(&request.body).map_err(|error| format!("invalid request body: {error}"))
 }
 
 fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
--- a/crates/millpass-lab/src/relay/mod.rs
+++ b/crates/millpass-lab/src/relay/mod.rs
@@ -1,12 +1,11 @@
 //! Emulated links between zones: TCP relays with delay, jitter and cuts.
 //!
-//! One process carries many links. A link listens on one address and connects on to one target.
-//! The zone of the target is stated; the zone of the other side is stated too, or is that of the
-//! process that connected, as told to the relay over its control port. Delay and cuts belong to
-//! the ordered pair of zones, so one direction can be cut while the other still works.
+//! A link listens on one address and forwards to one target. Delay and cuts apply to an ordered
+//! pair of zones, so that one direction can be cut while the other works. The zone of the
+//! connecting side is configured or looked up from the connecting process.
 //!
-//! A cut holds bytes back and forgets none, as TCP does: what was sent during a cut arrives after
-//! it heals, unless an end gave up. A new connection costs one round trip before its first byte.
+//! A cut buffers bytes, as TCP retransmission does: they arrive after it heals, unless an end closed
+//! the connection. A new connection takes one round trip before its first byte.
 
 mod client;
 mod connection;
@@ -21,7 +20,7 @@
 pub use server::{LinkSettings, Relay, RelayError, RelaySettings};
 pub use sources::{SourceRule, SourceZones};
 
-/// Name that stands for every zone in a cut.
+/// Wildcard for any zone in a cut.
 pub const ANY_ZONE: &str = "*";
-/// Zone of a process that the relay was not told of.
+/// Zone of a process that is not registered with the relay.
 pub const UNKNOWN_ZONE: &str = "unknown";
