--- a/crates/millpass-lab/src/relay/paths.rs
+++ b/crates/millpass-lab/src/relay/paths.rs
@@ -1,4 +1,4 @@
-//! Delay and cuts of the ordered pairs of zones.
+//! Delays and cuts of ordered pairs of zones.
 
 use super::ANY_ZONE;
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Most ordered pairs of zones that a table holds.
+/// Maximum number of entries of each kind in a table.
 const MAXIMUM_PATHS: usize = 4_096;
 
 /// An ordered pair of zones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PathKey {
-    /// Zone the bytes come from.
+    /// Source zone.
     pub from: String,
-    /// Zone they go to.
+    /// Destination zone.
     pub to: String,
 }
 
 impl PathKey {
-    /// A pair.
+    /// Creates a pair.
     pub fn new(from: &str, to: &str) -> Self {
         PathKey {
             from: from.to_owned(),
@@ -27,13 +27,13 @@
         }
     }
 
-    /// The pair the other way round.
+    /// Returns the pair in the opposite direction.
     pub fn reversed(&self) -> Self {
         PathKey::new(&self.to, &self.from)
     }
 
-    /// Whether this pattern, in which `*` stands for any other zone, covers a pair. Traffic
-    /// inside a zone is covered only by its own name on both sides.
+    /// Returns whether this pattern matches a pair. `*` matches any other zone; traffic inside a
+    /// zone is matched only by its name on both sides.
     pub fn covers(&self, pair: &PathKey) -> bool {
         let is_inside = pair.from == pair.to;
         let from_any = self.from == ANY_ZONE && !is_inside;
@@ -48,12 +48,12 @@
 pub struct PathSettings {
     /// One-way delay, in microseconds.
     pub delay_micros: u64,
-    /// Largest extra delay, in microseconds; drawn evenly for each piece of data.
+    /// Maximum additional delay, in microseconds; uniformly distributed per chunk.
     pub jitter_micros: u64,
 }
 
 impl PathSettings {
-    /// The one-way delay without jitter.
+    /// Returns the one-way delay without jitter.
     pub fn delay(&self) -> Duration {
         Duration::from_micros(self.delay_micros)
     }
@@ -61,30 +61,30 @@
 
 #[derive(Default)]
 struct Inner {
-    within: PathSettings,
-    between: PathSettings,
-    special: BTreeMap<PathKey, PathSettings>,
+    within_zone: PathSettings,
+    between_zones: PathSettings,
+    overrides: BTreeMap<PathKey, PathSettings>,
     cuts: Vec<PathKey>,
     /// Connections opened so far.
     opened: u64,
-    /// Connections opened before a number go silent on what the pattern covers.
-    silences: Vec<(PathKey, u64)>,
+    /// Patterns, each with the number of the last connection that is blackholed.
+    blackholes: Vec<(PathKey, u64)>,
 }
 
-/// Delays and cuts, shared by all connections of a relay. Its one lock is held for look-ups only.
+/// Delays and cuts, shared by all connections of a relay.
 #[derive(Clone, Default)]
 pub struct PathTable {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl PathTable {
-    /// A table with one delay inside a zone and one between zones.
-    pub fn new(within: PathSettings, between: PathSettings) -> Self {
+    /// Creates a table with default delays inside a zone and between zones.
+    pub fn new(within_zone: PathSettings, between_zones: PathSettings) -> Self {
         let table = PathTable::default();
         {
             let mut inner = table.lock();
-            inner.within = within;
-            inner.between = between;
+            inner.within_zone = within_zone;
+            inner.between_zones = between_zones;
         }
         table
     }
@@ -93,27 +93,31 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the delay of one ordered pair. Pairs beyond the bound keep the common delay.
+    /// Sets the delay of one ordered pair. Ignored if the table is full.
     pub fn set(&self, pair: PathKey, settings: PathSettings) {
         let mut inner = self.lock();
-        let has_room = inner.special.len() < MAXIMUM_PATHS;
-        if has_room || inner.special.contains_key(&pair) {
-            inner.special.insert(pair, settings);
+        let has_capacity = inner.overrides.len() < MAXIMUM_PATHS;
+        if has_capacity || inner.overrides.contains_key(&pair) {
+            inner.overrides.insert(pair, settings);
         }
     }
 
-    /// Delay of a pair.
+    /// Returns the delay of a pair.
     pub fn settings(&self, pair: &PathKey) -> PathSettings {
         let inner = self.lock();
-        let common = if pair.from == pair.to {
-            inner.within
+        let default_settings = if pair.from == pair.to {
+            inner.within_zone
         } else {
-            inner.between
+            inner.between_zones
         };
-        inner.special.get(pair).copied().unwrap_or(common)
+        inner
+            .overrides
+            .get(pair)
+            .copied()
+            .unwrap_or(default_settings)
     }
 
-    /// Cuts all pairs that the pattern covers; from the other side too unless `one_way`.
+    /// Cuts all pairs that the pattern matches, in both directions unless `one_way`.
     pub fn cut(&self, pattern: &PathKey, one_way: bool) {
         let mut inner = self.lock();
         let mut add = |pattern: PathKey| {
@@ -127,49 +131,49 @@
         }
     }
 
-    /// Connections of the pairs that the pattern covers, in both directions, that are open now pass nothing on any
-    /// more, and do not end. New ones work.
+    /// Blackholes the open connections of matching pairs, in both directions: they stay open and
+    /// deliver no more data. New connections work.
     pub fn blackhole(&self, pattern: &PathKey) {
         let mut inner = self.lock();
         let opened = inner.opened;
-        if inner.silences.len() + 2 <= MAXIMUM_PATHS {
-            inner.silences.push((pattern.clone(), opened));
-            inner.silences.push((pattern.reversed(), opened));
+        if inner.blackholes.len() + 2 <= MAXIMUM_PATHS {
+            inner.blackholes.push((pattern.clone(), opened));
+            inner.blackholes.push((pattern.reversed(), opened));
         }
     }
 
-    /// Number of a connection that is opened now.
+    /// Registers a new connection and returns its number.
     pub(crate) fn open(&self) -> u64 {
         let mut inner = self.lock();
         inner.opened += 1;
         inner.opened
     }
 
-    /// Whether the connection with this number has gone silent.
-    pub(crate) fn is_silent(&self, pair: &PathKey, number: u64) -> bool {
+    /// Returns whether the connection with this number is blackholed.
+    pub(crate) fn is_blackholed(&self, pair: &PathKey, number: u64) -> bool {
         let inner = self.lock();
-        let mut silences = inner.silences.iter();
-        silences.any(|(pattern, opened)| number <= *opened && pattern.covers(pair))
+        let mut blackholes = inner.blackholes.iter();
+        blackholes.any(|(pattern, opened)| number <= *opened && pattern.covers(pair))
     }
 
-    /// Takes a cut back, in both directions.
+    /// Removes a cut, in both directions.
     pub fn heal(&self, pattern: &PathKey) {
         let reversed = pattern.reversed();
         let mut inner = self.lock();
         inner.cuts.retain(|cut| cut != pattern && *cut != reversed);
     }
 
-    /// Takes all cuts back.
+    /// Removes all cuts.
     pub fn heal_all(&self) {
         self.lock().cuts.clear();
     }
 
-    /// Whether bytes of a pair are held back now.
+    /// Returns whether a pair is cut.
     pub fn is_cut(&self, pair: &PathKey) -> bool {
         self.lock().cuts.iter().any(|cut| cut.covers(pair))
     }
 
-    /// The cuts in force.
+    /// Returns the active cuts.
     pub fn cuts(&self) -> Vec<PathKey> {
         self.lock().cuts.clone()
     }
--- a/crates/millpass-lab/src/relay/server.rs
+++ b/crates/millpass-lab/src/relay/server.rs
@@ -1,6 +1,6 @@
-//! The relay process: links, their listeners and the executor threads.
+//! Relay server: links, their listeners and the executor threads.
 
-use super::connection::{Carried, carry};
+use super::connection::{ForwardedBytes, forward_connection};
 use super::control::{LinkStatus, RelayStatus};
 use super::paths::{PathKey, PathSettings, PathTable};
 use super::sources::{SourceRule, SourceZones};
@@ -15,20 +15,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Threads that carry all connections.
+/// Threads that serve all connections.
 const EXECUTOR_THREADS: usize = 2;
 
-/// One link.
+/// Settings of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSettings {
     /// Name in the status.
     pub name: String,
-    /// Address to listen on; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Address to connect on to.
+    /// Address to forward to.
     pub target: SocketAddr,
     /// Zone of the target.
     pub target_zone: String,
@@ -36,19 +36,19 @@
     pub source: SourceRule,
 }
 
-/// What a relay process carries.
+/// Settings of a relay process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
     /// Address of the control port.
     pub control_listen: SocketAddr,
-    /// Most connections at once over all links; one more is closed at once.
+    /// Maximum open connections over all links; further ones are closed immediately.
     pub maximum_connections: usize,
     /// Delay inside a zone.
     pub within_zone: PathSettings,
     /// Delay between zones.
     pub between_zones: PathSettings,
-    /// Delays of single ordered pairs.
+    /// Delays of individual ordered pairs.
     #[serde(default)]
     pub paths: Vec<PathEntry>,
     /// Links.
@@ -64,10 +64,10 @@
     pub settings: PathSettings,
 }
 
-/// Why a relay could not start.
+/// Reason why a relay cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum RelayError {
-    /// A link's address cannot be listened on.
+    /// The listen address of a link is unavailable.
     #[error("link {name}: cannot listen on {address}: {source}; choose a free address")]
     Listen {
         /// Link.
@@ -78,16 +78,16 @@
         source: io::Error,
     },
     /// A thread cannot be started.
-    #[error("cannot start a relay thread: {0}; raise the limit of threads")]
+    #[error("cannot start a relay thread: {0}; raise the thread limit")]
     Thread(io::Error),
 }
 
 struct Link {
     settings: LinkSettings,
     address: SocketAddr,
-    carried: Carried,
+    forwarded: ForwardedBytes,
     accepted: AtomicU64,
-    unknown: AtomicU64,
+    unknown_sources: AtomicU64,
 }
 
 struct Shared {
@@ -99,7 +99,7 @@
     maximum: usize,
 }
 
-/// A running relay; dropping it ends its threads and connections.
+/// A running relay; dropping it stops its threads and closes its connections.
 pub struct Relay {
     shared: Arc<Shared>,
     stop: Option<async_channel::Sender<()>>,
@@ -107,7 +107,7 @@
 }
 
 impl Relay {
-    /// Listens on all links and starts carrying. The control port is served separately.
+    /// Binds all links and starts forwarding. The control port is served separately.
     pub fn start(settings: &RelaySettings) -> Result<Self, RelayError> {
         let paths = PathTable::new(settings.within_zone, settings.between_zones);
         for entry in &settings.paths {
@@ -123,9 +123,9 @@
             links.push(Arc::new(Link {
                 settings: link.clone(),
                 address,
-                carried: Carried::default(),
+                forwarded: ForwardedBytes::default(),
                 accepted: AtomicU64::new(0),
-                unknown: AtomicU64::new(0),
+                unknown_sources: AtomicU64::new(0),
             }));
         }
         let shared = Arc::new(Shared {
@@ -160,7 +160,7 @@
             let thread = thread::Builder::new()
                 .name(format!("relay-{number}"))
                 .spawn(move || {
-                    // The channel closes when the relay is dropped; that is the only message.
+                    // Returns when the channel closes; nothing is ever sent on it.
                     let _ = future::block_on(executor.run(stopped.recv()));
                 })
                 .map_err(RelayError::Thread)?;
@@ -173,32 +173,32 @@
         })
     }
 
-    /// Address of the link of this name.
+    /// Returns the listen address of a link.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let mut links = self.shared.links.iter();
         let found = links.find(|link| link.settings.name == name)?;
         Some(found.address)
     }
 
-    /// Delays and cuts.
+    /// Returns the table of delays and cuts.
     pub fn paths(&self) -> &PathTable {
         &self.shared.paths
     }
 
-    /// Zones of processes.
+    /// Returns the zones of processes.
     pub fn sources(&self) -> &SourceZones {
         &self.shared.sources
     }
 
-    /// Counters of all links.
+    /// Returns the counters of all links.
     pub fn status(&self) -> RelayStatus {
         let link_status = |link: &Arc<Link>| LinkStatus {
             name: link.settings.name.clone(),
             address: link.address,
             accepted: link.accepted.load(Ordering::Relaxed),
-            unknown_sources: link.unknown.load(Ordering::Relaxed),
-            forward_bytes: link.carried.forward.load(Ordering::Relaxed),
-            backward_bytes: link.carried.backward.load(Ordering::Relaxed),
+            unknown_sources: link.unknown_sources.load(Ordering::Relaxed),
+            forward_bytes: link.forwarded.forward.load(Ordering::Relaxed),
+            backward_bytes: link.forwarded.backward.load(Ordering::Relaxed),
         };
         RelayStatus {
             links: self.shared.links.iter().map(link_status).collect(),
@@ -213,7 +213,7 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         for thread in self.threads.drain(..) {
-            // A relay thread that panicked has nothing left to wait for.
+            // The panic message of the thread is already printed.
             let _ = thread.join();
         }
     }
@@ -252,15 +252,15 @@
         let number = link.accepted.fetch_add(1, Ordering::Relaxed);
         shared.open.fetch_add(1, Ordering::Relaxed);
         let (link, shared) = (link.clone(), shared.clone());
-        let carrying = async move {
-            carry_from(stream, from, &link, &shared, number).await;
+        let connection = async move {
+            handle_connection(stream, from, &link, &shared, number).await;
             shared.open.fetch_sub(1, Ordering::Relaxed);
         };
-        executor.spawn(carrying).detach();
+        executor.spawn(connection).detach();
     }
 }
 
-async fn carry_from(
+async fn handle_connection(
     stream: Async<TcpStream>,
     from: SocketAddr,
     link: &Link,
@@ -272,11 +272,11 @@
         SourceRule::Process => shared.sources.find(from, link.address).await,
     };
     if zone == super::UNKNOWN_ZONE {
-        link.unknown.fetch_add(1, Ordering::Relaxed);
+        link.unknown_sources.fetch_add(1, Ordering::Relaxed);
     }
     let pair = PathKey::new(&zone, &link.settings.target_zone);
     let target = link.settings.target;
     let paths = shared.paths.clone();
-    // A connection that breaks is seen by its two ends; the relay has nothing to add.
-    let _ = carry(stream, target, pair, paths, &link.carried, number).await;
+    // The two ends observe a broken connection themselves.
+    let _ = forward_connection(stream, target, pair, paths, &link.forwarded, number).await;
 }
--- a/crates/millpass-lab/src/relay/sources.rs
+++ b/crates/millpass-lab/src/relay/sources.rs
@@ -1,7 +1,7 @@
-//! Which zone a connection comes from.
+//! Looks up the source zone of a connection through the process that opened it.
 
 use super::UNKNOWN_ZONE;
-use async_channel::Sender as AnswerSender;
+use async_channel::Sender as ResponseSender;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use procfs::net::{TcpNetEntries, TcpNetEntry};
 use procfs::process::{FDTarget, Process};
@@ -13,37 +13,37 @@
 use std::thread;
 use std::time::Duration;
 
-/// Column of a socket's state in the kernel's table, and the state of one whose connection is over.
+/// Column of the socket state in `/proc/net/tcp`, and the value of `TIME_WAIT`.
 const STATE_COLUMN: usize = 3;
 const TIME_WAIT: &str = "06";
-/// Most processes the relay is told of.
+/// Maximum number of registered processes.
 const MAXIMUM_PROCESSES: usize = 1_024;
-/// Connections whose zone is being found.
-const QUEUE: usize = 1_024;
-/// Looks at a connection whose process is not yet known.
+/// Capacity of the query queue.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Lookup attempts per connection.
 const ATTEMPTS: usize = 20;
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// How the zone of a connecting process is found.
+/// How the source zone of a connection is determined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SourceRule {
-    /// All connections of the link come from this zone.
+    /// A fixed zone for all connections of the link.
     Zone(String),
-    /// The zone of the connecting process, as told over the control port.
+    /// The zone registered for the connecting process over the control port.
     Process,
 }
 
 struct Query {
     from: SocketAddr,
     to: SocketAddr,
-    answer: AnswerSender<String>,
+    responder: ResponseSender<String>,
 }
 
-/// Zones of processes, and the thread that finds the process behind a connection.
+/// Zones of registered processes, and a thread that maps connections to them.
 ///
-/// Only the sockets of processes told to the relay are looked at.
+/// Only the sockets of registered processes are inspected.
 #[derive(Clone)]
 pub struct SourceZones {
     processes: Arc<Mutex<BTreeMap<i32, String>>>,
@@ -51,41 +51,45 @@
 }
 
 impl SourceZones {
-    /// Starts the finding thread; it ends with the last clone.
+    /// Starts the lookup thread; it ends when the last clone is dropped.
     pub fn start() -> std::io::Result<Self> {
         let processes: Arc<Mutex<BTreeMap<i32, String>>> = Arc::default();
-        let (queries, received) = bounded(QUEUE);
+        let (queries, received) = bounded(QUEUE_CAPACITY);
         let known = processes.clone();
         thread::Builder::new()
             .name("relay-sources".to_owned())
-            .spawn(move || answer_queries(&known, &received))?;
+            .spawn(move || resolve_queries(&known, &received))?;
         Ok(SourceZones { processes, queries })
     }
 
-    /// Tells the zone of a process. False when the table is full.
+    /// Registers the zone of a process. Returns false if the table is full.
     pub fn set(&self, process: i32, zone: &str) -> bool {
         let mut processes = lock(&self.processes);
-        let has_room = processes.len() < MAXIMUM_PROCESSES;
-        if has_room || processes.contains_key(&process) {
+        let has_capacity = processes.len() < MAXIMUM_PROCESSES;
+        if has_capacity || processes.contains_key(&process) {
             processes.insert(process, zone.to_owned());
             return true;
         }
         false
     }
 
-    /// Forgets a process that ended.
-    pub fn forget(&self, process: i32) {
+    /// Removes a process that ended.
+    pub fn remove(&self, process: i32) {
         lock(&self.processes).remove(&process);
     }
 
-    /// Zone of the process that made a connection.
+    /// Returns the zone of the process that opened a connection, or [`UNKNOWN_ZONE`].
     pub async fn find(&self, from: SocketAddr, to: SocketAddr) -> String {
-        let (answer, answered) = async_channel::bounded(1);
-        let query = Query { from, to, answer };
+        let (responder, response) = async_channel::bounded(1);
+        let query = Query {
+            from,
+            to,
+            responder,
+        };
         if self.queries.try_send(query).is_err() {
             return UNKNOWN_ZONE.to_owned();
         }
-        let zone = answered.recv().await;
+        let zone = response.recv().await;
         zone.unwrap_or_else(|_| UNKNOWN_ZONE.to_owned())
     }
 }
@@ -94,41 +98,41 @@
     processes.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn answer_queries(processes: &Mutex<BTreeMap<i32, String>>, received: &Receiver<Query>) {
+fn resolve_queries(processes: &Mutex<BTreeMap<i32, String>>, received: &Receiver<Query>) {
     while let Ok(first) = received.recv() {
-        let mut open: Vec<Query> = std::iter::once(first).chain(received.try_iter()).collect();
+        let mut pending: Vec<Query> = std::iter::once(first).chain(received.try_iter()).collect();
         for _ in 0..ATTEMPTS {
-            answer_found(processes, &mut open);
-            if open.is_empty() {
+            resolve_found(processes, &mut pending);
+            if pending.is_empty() {
                 break;
             }
-            thread::sleep(PAUSE);
-            open.extend(received.try_iter());
+            thread::sleep(RETRY_DELAY);
+            pending.extend(received.try_iter());
         }
-        // Dropping what is left answers it as unknown.
+        // Dropping the remaining queries resolves them as unknown.
     }
 }
 
-/// Answers the queries whose process is found and leaves the others.
-fn answer_found(processes: &Mutex<BTreeMap<i32, String>>, open: &mut Vec<Query>) {
+/// Resolves the queries whose process is found and keeps the others.
+fn resolve_found(processes: &Mutex<BTreeMap<i32, String>>, pending: &mut Vec<Query>) {
     let known = lock(processes).clone();
-    let inodes = socket_inodes(open);
+    let inodes = socket_inodes(pending);
     let zones = zones_of_inodes(&known, &inodes);
-    open.retain(|query| {
+    pending.retain(|query| {
         let inode = inodes.get(&(query.from, query.to));
         let Some(zone) = inode.and_then(|inode| zones.get(inode)) else {
             return true;
         };
-        // The asking connection may have ended; then nobody needs the answer.
-        let _ = query.answer.try_send(zone.clone());
+        // Fails if the connection has already closed.
+        let _ = query.responder.try_send(zone.clone());
         false
     });
 }
 
-/// Inodes of the sockets at the connecting ends.
-fn socket_inodes(open: &[Query]) -> BTreeMap<(SocketAddr, SocketAddr), u64> {
+/// Returns the inodes of the client sockets.
+fn socket_inodes(pending: &[Query]) -> BTreeMap<(SocketAddr, SocketAddr), u64> {
     let wanted: BTreeSet<(SocketAddr, SocketAddr)> =
-        open.iter().map(|query| (query.from, query.to)).collect();
+        pending.iter().map(|query| (query.from, query.to)).collect();
     open_sockets()
         .unwrap_or_else(|error| {
             log::warn!("event=sockets_unreadable error=\"{error}\"");
@@ -140,8 +144,8 @@
         .collect()
 }
 
-/// Sockets of the machine, without those that only wait for late packets: several soaks side by side leave 60,000 of
-/// them, and looks that read all of these held new connections back for 15 s.
+/// Reads the TCP sockets of the machine. Skips those in `TIME_WAIT`: parsing tens of thousands of
+/// them would delay new connections.
 fn open_sockets() -> ProcResult<Vec<TcpNetEntry>> {
     let text = std::fs::read_to_string("/proc/net/tcp")?;
     let is_open = |line: &&str| line.split_whitespace().nth(STATE_COLUMN) != Some(TIME_WAIT);
--- a/crates/millpass-lab/tests/deployments.rs
+++ b/crates/millpass-lab/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! The descriptions in `examples/` parse and have the users' sizes; wrong ones are refused.
+//! The descriptions in `examples/` parse and have the expected sizes; invalid ones are rejected.
 
 use millpass_lab::deployment::Deployment;
 use std::collections::BTreeSet;
@@ -10,8 +10,8 @@
     Deployment::read(&path).expect("a valid example")
 }
 
-/// Zones, engines, web servers, models, adapters, store loads a second, store loads at once,
-/// and microseconds between zones.
+/// Returns zones, engines, web servers, models, adapters, store loads per second, concurrent store
+/// loads, and microseconds between zones.
 fn sizes(deployment: &Deployment) -> [usize; 8] {
     let adapters = deployment.adapters_by_model();
     [
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn examples_have_the_sizes_of_today() {
+fn examples_have_the_expected_sizes() {
     assert_eq!(sizes(&example("pnw")), [4, 13, 4, 61, 94, 3, 6, 1_500]);
     assert_eq!(sizes(&example("sicilia")), [3, 13, 3, 38, 96, 4, 13, 900]);
 }
 
 #[test]
-fn each_zone_has_two_routers_and_five_members_are_spread() {
+fn each_zone_has_two_routers_and_at_most_two_members() {
     for name in ["pnw", "sicilia"] {
         let deployment = example(name);
         assert_eq!(deployment.control_count(), 5);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_named() {
+fn an_unknown_key_is_named_in_the_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("deployment.toml");
     std::fs::write(&path, "name = \"x\"\nzonez = 3\n").expect("written");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn values_without_sense_are_refused_with_their_key() {
+fn invalid_values_are_rejected_with_their_key() {
     let mut few_members = example("pnw");
     few_members.zones[0].control_members = 0;
     let mut low_bound = example("pnw");
--- a/crates/millpass-lab/tests/evidence.rs
+++ b/crates/millpass-lab/tests/evidence.rs
@@ -1,8 +1,8 @@
-//! The history made of a run: a clean one passes every checker, and each breach is reported.
+//! Histories assembled from a run: a clean one passes every checker, and each breach is reported.
 
 use millpass_checkers::{Event, Limits, ProcessName, Record, check};
 use millpass_lab::deployment::Deployment;
-use millpass_lab::fleet::evidence::{Evidence, Judged, read_journals};
+use millpass_lab::fleet::evidence::{AssembledHistory, Evidence, read_journals};
 use millpass_lab::fleet::layout::Layout;
 use millpass_load::answer::AnswerVerdict;
 use millpass_load::refusal::Executed;
@@ -83,7 +83,11 @@
     ProcessName("router-1".to_owned())
 }
 
-fn judge(events: Vec<Record>, callers: &[HistoryRecord], runs: Vec<RunRecord>) -> Judged {
+fn assemble(
+    events: Vec<Record>,
+    callers: &[HistoryRecord],
+    runs: Vec<RunRecord>,
+) -> AssembledHistory {
     let deployment = Deployment::named("pnw").expect("an example");
     let layout = Layout::new(&deployment).expect("a layout");
     let evidence = Evidence {
@@ -95,8 +99,8 @@
     evidence.history(&layout, OVER_MICROS)
 }
 
-fn breached(judged: &Judged) -> Vec<&'static str> {
-    let breaches = check(&judged.history, &Limits::default());
+fn failed_checkers(assembled: &AssembledHistory) -> Vec<&'static str> {
+    let breaches = check(&assembled.history, &Limits::default());
     breaches.iter().map(|breach| breach.checker).collect()
 }
 
@@ -106,8 +110,8 @@
         record(0, answered(AnswerVerdict::Whole)),
         record(1, refused(Executed::No)),
     ];
-    let judged = judge(Vec::new(), &callers, vec![started(0, "engine-1", None)]);
-    assert_eq!(breached(&judged), Vec::<&str>::new());
+    let assembled = assemble(Vec::new(), &callers, vec![started(0, "engine-1", None)]);
+    assert_eq!(failed_checkers(&assembled), Vec::<&str>::new());
 }
 
 #[rstest]
@@ -115,9 +119,9 @@
 #[case::truncated(answered(AnswerVerdict::Truncated), "integrity")]
 #[case::no_answer(Outcome::NoAnswer, "answers")]
 #[case::connection_lost(lost(), "answers")]
-fn what_a_caller_must_not_see_is_reported(#[case] outcome: Outcome, #[case] checker: &str) {
-    let judged = judge(Vec::new(), &[record(0, outcome)], Vec::new());
-    assert_eq!(breached(&judged), [checker]);
+fn an_invalid_outcome_for_a_caller_is_reported(#[case] outcome: Outcome, #[case] checker: &str) {
+    let assembled = assemble(Vec::new(), &[record(0, outcome)], Vec::new());
+    assert_eq!(failed_checkers(&assembled), [checker]);
 }
 
 #[test]
@@ -125,19 +129,19 @@
     let mut late = record(0, answered(AnswerVerdict::Whole));
     late.ended_micros = late.deadline_micros + 1_000_000;
     assert_eq!(
-        breached(&judge(Vec::new(), &[late], Vec::new())),
+        failed_checkers(&assemble(Vec::new(), &[late], Vec::new())),
         ["answers"]
     );
 }
 
 #[test]
-fn a_refusal_as_not_run_of_a_request_that_ran_is_reported() {
+fn a_refusal_as_not_executed_of_an_executed_request_is_reported() {
     let callers = [record(4, refused(Executed::No))];
-    let judged = judge(Vec::new(), &callers, vec![started(4, "engine-1", None)]);
-    assert_eq!(breached(&judged), ["refusals"]);
+    let assembled = assemble(Vec::new(), &callers, vec![started(4, "engine-1", None)]);
+    assert_eq!(failed_checkers(&assembled), ["refusals"]);
     let callers = [record(4, refused(Executed::Unknown))];
-    let judged = judge(Vec::new(), &callers, vec![started(4, "engine-1", None)]);
-    assert_eq!(breached(&judged), Vec::<&str>::new());
+    let assembled = assemble(Vec::new(), &callers, vec![started(4, "engine-1", None)]);
+    assert_eq!(failed_checkers(&assembled), Vec::<&str>::new());
 }
 
 #[test]
@@ -150,33 +154,36 @@
         record(0, answered(AnswerVerdict::Whole)),
         record(1, answered(AnswerVerdict::Whole)),
     ];
-    assert_eq!(breached(&judge(Vec::new(), &callers, runs)), ["once"]);
+    assert_eq!(
+        failed_checkers(&assemble(Vec::new(), &callers, runs)),
+        ["once"]
+    );
 }
 
 #[test]
-fn a_request_to_a_router_that_is_down_is_counted_apart() {
+fn a_request_to_a_stopped_router_is_counted_as_unreached() {
     let down = vec![
         event(0, Event::StopPlanned { process: router() }),
         event(5, Event::Started { process: router() }),
     ];
-    let judged = judge(down, &[record(0, lost())], Vec::new());
-    assert_eq!(judged.unreached, 1);
-    assert_eq!(breached(&judged), Vec::<&str>::new());
+    let assembled = assemble(down, &[record(0, lost())], Vec::new());
+    assert_eq!(assembled.unreached, 1);
+    assert_eq!(failed_checkers(&assembled), Vec::<&str>::new());
 }
 
 #[test]
-fn a_planned_stop_that_cuts_a_request_off_is_reported() {
-    // The request was sent before the stop was asked for.
+fn a_planned_stop_that_aborts_a_request_is_reported() {
+    // The request was sent before the stop.
     let stop = vec![event(2, Event::StopPlanned { process: router() })];
     let mut cut = record(0, lost());
     cut.ended_micros = 3_000_000;
-    let judged = judge(stop, &[cut], Vec::new());
-    assert_eq!(judged.unreached, 0);
-    assert!(breached(&judged).contains(&"drain"));
+    let assembled = assemble(stop, &[cut], Vec::new());
+    assert_eq!(assembled.unreached, 0);
+    assert!(failed_checkers(&assembled).contains(&"drain"));
 }
 
 #[test]
-fn journals_are_read_up_to_a_line_that_a_kill_cut_short() {
+fn a_truncated_last_journal_line_is_skipped() {
     let folder = tempfile::tempdir().expect("a folder");
     let line = serde_json::to_string(&started(0, "engine-1", None)).expect("a line");
     let half = &line[..line.len() / 2];
--- a/crates/millpass-lab/tests/figures.rs
+++ b/crates/millpass-lab/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Quantiles, times without service, and what the watchers count.
+//! Quantiles, service gaps, and the checks of the observers.
 
 use millpass_lab::fleet::figures::{Quantiles, longest_gap_millis, service};
 use millpass_lab::fleet::observer::Observation;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn quantiles_go_by_the_nearest_rank() {
+fn quantiles_use_the_nearest_rank() {
     let quantiles = Quantiles::of((1..=100).map(|millis| millis * 1_000).collect());
     assert_eq!(quantiles.count, 100);
     assert_eq!(quantiles.p50_millis, 50.0);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn service_that_never_comes_back_lasts_to_the_last_request() {
+fn an_outage_without_recovery_lasts_to_the_last_request() {
     let records = [
         request("read/pages", 0, true),
         request("read/pages", 100, false),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn gaps_count_the_ends_of_the_stretch() {
+fn gaps_include_the_ends_of_the_interval() {
     let times = [1_000_000, 1_100_000, 1_500_000];
     assert_eq!(longest_gap_millis(times, 900_000, 1_600_000), 400.0);
     assert_eq!(longest_gap_millis(times, 900_000, 3_000_000), 1_500.0);
@@ -135,11 +135,11 @@
 #[test]
 fn too_many_replicas_and_too_much_memory_are_breaches() {
     let mut observation = Observation::default();
-    observation.judge(&[report("e1", 100, &[1]), report("e2", 90, &[2])]);
+    observation.check_reports(&[report("e1", 100, &[1]), report("e2", 90, &[2])]);
     assert!(observation.breaches.is_empty());
     assert_eq!(observation.replicas.len(), 2);
-    observation.judge(&[report("e1", 100, &[1, 2]), report("e2", 90, &[3])]);
-    observation.judge(&[report("e1", 101, &[1])]);
+    observation.check_reports(&[report("e1", 100, &[1, 2]), report("e2", 90, &[3])]);
+    observation.check_reports(&[report("e1", 101, &[1])]);
     let breaches: Vec<&String> = observation.breaches.iter().collect();
     assert_eq!(breaches.len(), 2, "{breaches:?}");
     assert!(breaches[0].starts_with("memory"));
--- a/crates/millpass-lab/tests/layout.rs
+++ b/crates/millpass-lab/tests/layout.rs
@@ -1,4 +1,4 @@
-//! Settings files of a fleet are taken by the product's own loader, and its addresses are unique.
+//! Settings files of a fleet load in the product, addresses are unique, and limits are enforced.
 
 use millpass_lab::deployment::Deployment;
 use millpass_lab::fleet::bounds::{BoundsError, MachineMemory, check_before, check_running};
@@ -12,7 +12,7 @@
 #[rstest]
 #[case("pnw")]
 #[case("sicilia")]
-fn settings_files_are_taken_by_the_product(#[case] name: &str) {
+fn settings_files_are_accepted_by_the_product(#[case] name: &str) {
     let deployment = Deployment::named(name).expect("an example");
     let temporary = tempfile::tempdir().expect("a folder");
     let folder = WorkFolder::create(temporary.path()).expect("a work folder");
@@ -37,9 +37,9 @@
 fn addresses_are_unique() {
     let deployment = Deployment::named("pnw").expect("an example");
     let layout = Layout::new(&deployment).expect("a layout");
-    let of_place =
+    let place_addresses =
         |place: &millpass_lab::fleet::layout::Place| [place.listen, place.reached_at, place.second];
-    let addresses: Vec<_> = layout.places().flat_map(of_place).collect();
+    let addresses: Vec<_> = layout.places().flat_map(place_addresses).collect();
     let unique: BTreeSet<_> = addresses.iter().collect();
     assert_eq!(unique.len(), addresses.len());
 }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_fleet_takes_no_more_than_half_of_the_machine_nor_what_is_not_free() {
+fn a_fleet_is_limited_to_half_of_the_machine_and_to_free_memory() {
     let deployment = Deployment::named("pnw").expect("an example");
     let bound = deployment.bounds.resident_bytes;
     let check = |total, available| check_before(&deployment, MachineMemory { total, available });
--- a/crates/millpass-lab/tests/programs.rs
+++ b/crates/millpass-lab/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The lab's programs as processes: started by path, serving, stopped by id.
+//! Lab programs as child processes: start, serve, stop and restart.
 
 use millpass_lab::fleet::children::{Children, Launch};
 use millpass_lab::fleet::deployed::wait_until;
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn platform(folder: &Path) -> (Launch, String) {
     let address = free_addresses(1).expect("a port")[0];
@@ -20,23 +20,23 @@
         arguments: vec![
             "stand-in".to_owned(),
             format!("--settings={}", settings.display()),
-            StandInKind::Platform.word().to_owned(),
+            StandInKind::Platform.name().to_owned(),
         ],
     };
     (launch, format!("http://{address}/machines"))
 }
 
 #[test]
-fn a_stand_in_serves_until_it_is_asked_to_stop() {
+fn a_stand_in_serves_until_sigterm() {
     let folder = tempfile::tempdir().expect("a folder");
     let (launch, url) = platform(folder.path());
     let mut children = Children::new(&folder.path().join("logs"), 1).expect("children");
     children.start(launch.clone()).expect("started");
-    wait_until("it serves", PATIENCE, || ureq::get(&url).call().is_ok()).expect("serving");
+    wait_until("it serves", WAIT_TIMEOUT, || ureq::get(&url).call().is_ok()).expect("serving");
     assert!(children.start(launch).is_err(), "the bound is one process");
     assert!(children.resident_by_kind()["platform"].1 > 0);
     children.request_stop("platform").expect("asked");
-    let ended = wait_until("it ends", PATIENCE, || {
+    let ended = wait_until("it ends", WAIT_TIMEOUT, || {
         children.reap();
         children.process_id("platform").is_none()
     });
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn an_end_that_nobody_asked_for_is_noted() {
+fn an_unexpected_exit_is_recorded() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut launch, _) = platform(folder.path());
     launch.arguments = vec!["no-such-command".to_owned()];
     let mut children = Children::new(&folder.path().join("logs"), 1).expect("children");
     children.start(launch).expect("started");
-    let ended = wait_until("it ends", PATIENCE, || {
+    let ended = wait_until("it ends", WAIT_TIMEOUT, || {
         children.reap();
         children.process_ids().is_empty()
     });
--- a/crates/millpass-lab/tests/relay.rs
+++ b/crates/millpass-lab/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Relays forward, hold back during cuts, and stay bounded. Order and handshakes only, no timing.
+//! Relays forward data, buffer it during cuts, and limit connections. Timing is not tested.
 
 use millpass_lab::relay::{
     LinkSettings, PathKey, PathSettings, PathTable, Relay, RelaySettings, SourceRule, UNKNOWN_ZONE,
@@ -9,10 +9,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Time after which a test gives up on bytes that must come.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Time for which bytes that must not come are waited for.
-const SILENCE: Duration = Duration::from_millis(150);
+/// Read timeout for expected bytes.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time without data after which a connection counts as idle.
+const IDLE_TIME: Duration = Duration::from_millis(150);
 
 fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().expect("an address")
@@ -52,14 +52,14 @@
     let relay = relay_to(target, source, 8);
     let near = connect(&relay);
     let (far, _) = listener.accept().expect("accepted");
-    far.set_read_timeout(Some(PATIENCE)).expect("set");
+    far.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
     Ends { relay, near, far }
 }
 
 fn connect(relay: &Relay) -> TcpStream {
     let address = relay.address("link").expect("the link");
     let stream = TcpStream::connect(address).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
     stream
 }
 
@@ -73,18 +73,18 @@
     bytes
 }
 
-fn assert_silent(stream: &mut TcpStream) {
-    stream.set_read_timeout(Some(SILENCE)).expect("set");
+fn assert_no_data(stream: &mut TcpStream) {
+    stream.set_read_timeout(Some(IDLE_TIME)).expect("set");
     let error = stream.read(&mut [0]).expect_err("nothing may come");
     assert!(matches!(
         error.kind(),
         ErrorKind::WouldBlock | ErrorKind::TimedOut
     ));
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
 }
 
 #[test]
-fn bytes_go_both_ways_in_order_and_the_end_is_passed_on() {
+fn bytes_are_forwarded_in_order_with_end_of_file() {
     let mut ends = connected(zone_a());
     let sent: Vec<u8> = (0..200_000_u32)
         .map(|number| (number % 251) as u8)
@@ -106,33 +106,33 @@
 }
 
 #[test]
-fn a_cut_holds_bytes_back_and_healing_lets_them_go() {
+fn bytes_sent_during_a_cut_arrive_after_it_heals() {
     let mut ends = connected(zone_a());
     let pair = PathKey::new("a", "*");
     ends.relay.paths().cut(&pair, false);
     ends.near.write_all(b"held").expect("written");
     ends.far.write_all(b"also").expect("written");
-    assert_silent(&mut ends.far);
-    assert_silent(&mut ends.near);
+    assert_no_data(&mut ends.far);
+    assert_no_data(&mut ends.near);
     ends.relay.paths().heal(&pair);
     assert_eq!(read_exactly(&mut ends.far, 4), b"held");
     assert_eq!(read_exactly(&mut ends.near, 4), b"also");
 }
 
 #[test]
-fn a_one_way_cut_leaves_the_other_way_open() {
+fn a_one_way_cut_keeps_the_other_direction_open() {
     let mut ends = connected(zone_a());
     ends.relay.paths().cut(&PathKey::new("a", "b"), true);
     ends.near.write_all(b"held").expect("written");
     ends.far.write_all(b"open").expect("written");
     assert_eq!(read_exactly(&mut ends.near, 4), b"open");
-    assert_silent(&mut ends.far);
+    assert_no_data(&mut ends.far);
     ends.relay.paths().heal_all();
     assert_eq!(read_exactly(&mut ends.far, 4), b"held");
 }
 
 #[test]
-fn a_new_connection_during_a_cut_is_made_when_it_heals() {
+fn a_new_connection_during_a_cut_is_established_after_it_heals() {
     let listener = TcpListener::bind(any_port()).expect("a listener");
     let relay = relay_to(listener.local_addr().expect("an address"), zone_a(), 8);
     relay.paths().cut(&PathKey::new("a", "b"), false);
@@ -141,12 +141,12 @@
     assert_eq!(relay.status().links[0].forward_bytes, 0);
     relay.paths().heal_all();
     let (mut far, _) = listener.accept().expect("accepted");
-    far.set_read_timeout(Some(PATIENCE)).expect("set");
+    far.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
     assert_eq!(read_exactly(&mut far, 5), b"first");
 }
 
 #[test]
-fn connections_beyond_the_bound_are_closed_and_counted() {
+fn connections_beyond_the_limit_are_closed_and_counted() {
     let listener = TcpListener::bind(any_port()).expect("a listener");
     let relay = relay_to(listener.local_addr().expect("an address"), zone_a(), 1);
     let _first = connect(&relay);
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn a_target_that_is_gone_ends_the_connection() {
-    // The port is held and not listened on: a port given back may be another test's a moment later.
+fn an_unreachable_target_closes_the_connection() {
+    // The port stays bound without listening, so that no other test can reuse it.
     let gone = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     gone.bind(&any_port().into()).expect("bound");
     let target = gone.local_addr().ok().and_then(|local| local.as_socket());
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn the_zone_of_a_told_process_is_found() {
+fn the_zone_of_a_registered_process_is_found() {
     let listener = TcpListener::bind(any_port()).expect("a listener");
     let target = listener.local_addr().expect("an address");
     let relay = relay_to(target, SourceRule::Process, 8);
@@ -182,15 +182,15 @@
     let (mut far, _) = listener.accept().expect("accepted");
     relay.paths().cut(&PathKey::new("a", "b"), true);
     near.write_all(b"held").expect("written");
-    assert_silent(&mut far);
+    assert_no_data(&mut far);
     relay.paths().heal_all();
-    far.set_read_timeout(Some(PATIENCE)).expect("set");
+    far.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
     assert_eq!(read_exactly(&mut far, 4), b"held");
     assert_eq!(relay.status().links[0].unknown_sources, 0);
 }
 
 #[test]
-fn an_untold_process_counts_as_unknown() {
+fn an_unregistered_process_counts_as_unknown() {
     let listener = TcpListener::bind(any_port()).expect("a listener");
     let target = listener.local_addr().expect("an address");
     let relay = relay_to(target, SourceRule::Process, 8);
@@ -207,7 +207,7 @@
 #[case::not_inside("a", "*", "a", "a", false)]
 #[case::inside_by_name("a", "a", "a", "a", true)]
 #[case::unknown_is_outside("a", "*", "a", UNKNOWN_ZONE, true)]
-fn patterns_cover_the_pairs_they_name(
+fn patterns_match_pairs(
     #[case] from: &str,
     #[case] to: &str,
     #[case] pair_from: &str,
