--- a/crates/millpass-hollow/src/group.rs
+++ b/crates/millpass-hollow/src/group.rs
@@ -21,7 +21,7 @@
 
 /// A control group with one process per member.
 pub struct Group {
-    places: Vec<MemberProcess>,
+    members: Vec<MemberProcess>,
     platform: String,
     store_loads: u32,
     // Deleted when the group is dropped.
@@ -32,7 +32,7 @@
     /// Starts a new group.
     pub fn start(options: &MeasureOptions, platform: String) -> Result<Self> {
         let folder = tempfile::tempdir()?;
-        let places: Result<Vec<MemberProcess>> = (0..options.members)
+        let members: Result<Vec<MemberProcess>> = (0..options.members)
             .map(|place| {
                 Ok(MemberProcess {
                     peer: free_address()?,
@@ -43,7 +43,7 @@
             })
             .collect();
         let mut group = Group {
-            places: places?,
+            members: members?,
             platform,
             store_loads: options.store_loads,
             folder,
@@ -60,11 +60,11 @@
         command
             .arg("member")
             .arg("--folder")
-            .arg(&self.places[place].folder)
+            .arg(&self.members[place].folder)
             .args(["--place", &place.to_string()])
             .args(["--platform", &self.platform])
             .args(["--store-loads", &self.store_loads.to_string()]);
-        for other in &self.places {
+        for other in &self.members {
             command.arg("--initial");
             command.arg(format!("{},{}", other.peer, other.administration));
         }
@@ -72,13 +72,13 @@
             command.arg("--initialize");
         }
         let child = command.stdin(Stdio::piped()).spawn()?;
-        self.places[place].child = Some(child);
+        self.members[place].child = Some(child);
         Ok(())
     }
 
     /// Kills a member process.
     pub fn kill(&mut self, place: usize) -> Result<()> {
-        if let Some(mut child) = self.places[place].child.take() {
+        if let Some(mut child) = self.members[place].child.take() {
             child.kill()?;
             child.wait()?;
         }
@@ -87,12 +87,12 @@
 
     /// Removes the data folder of a member.
     pub fn wipe(&self, place: usize) -> Result<()> {
-        Ok(std::fs::remove_dir_all(&self.places[place].folder)?)
+        Ok(std::fs::remove_dir_all(&self.members[place].folder)?)
     }
 
     /// Returns the resource usage of each member.
     pub fn usage(&self) -> Result<Vec<Usage>> {
-        let children = self.places.iter().map(|place| place.child.as_ref());
+        let children = self.members.iter().map(|place| place.child.as_ref());
         children
             .map(|child| usage::read(child.context("member is not running")?.id()))
             .collect()
@@ -100,20 +100,20 @@
 
     /// Returns the peer addresses.
     pub fn peers(&self) -> Result<Vec<SocketAddr>> {
-        let places = self.places.iter();
-        places.map(|place| Ok(place.peer.parse()?)).collect()
+        let members = self.members.iter();
+        members.map(|place| Ok(place.peer.parse()?)).collect()
     }
 
     /// Returns the administration addresses.
     pub fn administration(&self) -> Vec<String> {
-        let places = self.places.iter();
-        places.map(|place| place.administration.clone()).collect()
+        let members = self.members.iter();
+        members.map(|place| place.administration.clone()).collect()
     }
 
     /// Waits for a leader and returns its index.
     pub fn leader(&self) -> Result<usize> {
         wait_for("a leader", || {
-            (0..self.places.len())
+            (0..self.members.len())
                 .find(|place| self.metric(*place, "millpass_control_leads") == Some(1))
         })
     }
@@ -134,14 +134,14 @@
 
     /// Reads the metrics of a member; `None` if it does not respond.
     pub fn metrics(&self, place: usize) -> Option<String> {
-        self.places[place].child.as_ref()?;
-        let url = format!("http://{}/metrics", self.places[place].administration);
+        self.members[place].child.as_ref()?;
+        let url = format!("http://{}/metrics", self.members[place].administration);
         ureq::get(url).call().ok()?.body_mut().read_to_string().ok()
     }
 
     /// Returns the size of the data folder of a member, in bytes.
     pub fn folder_bytes(&self, place: usize) -> u64 {
-        let entries = std::fs::read_dir(&self.places[place].folder);
+        let entries = std::fs::read_dir(&self.members[place].folder);
         let entries = entries.into_iter().flatten().flatten();
         let sizes = entries.filter_map(|entry| entry.metadata().ok());
         sizes.map(|metadata| metadata.len()).sum()
@@ -155,7 +155,7 @@
 
 impl Drop for Group {
     fn drop(&mut self) {
-        for place in 0..self.places.len() {
+        for place in 0..self.members.len() {
             if let Err(error) = self.kill(place) {
                 eprintln!("cannot kill member {place}: {error}");
             }
--- a/crates/millpass-hollow/src/measure.rs
+++ b/crates/millpass-hollow/src/measure.rs
@@ -19,7 +19,8 @@
 const LOADS_PER_SECOND: u64 = 5;
 /// Wait for the last deltas, loads or claims of a phase.
 const SETTLE_TIME: StdDuration = StdDuration::from_secs(2);
-/// Routers that join before the initial placement, whose load burst does not occur at full size.
+/// Routers that join before the initial placement, so that its burst of loads does not involve all
+/// routers.
 const INITIAL_ROUTERS: usize = 25;
 /// Percentage of replicas that must be ordered before the steady phase.
 const PLACED_PERCENT: usize = 98;
--- a/crates/millpass-hollow/src/router.rs
+++ b/crates/millpass-hollow/src/router.rs
@@ -47,7 +47,7 @@
     configuration: u64,
     placement: u64,
     watched: Vec<BackendName>,
-    target: BTreeMap<RequestTarget, Instant>,
+    waiting: BTreeMap<RequestTarget, Instant>,
     claims: BTreeMap<u64, (Instant, ClaimKey)>,
     next_claim: u64,
 }
@@ -64,7 +64,7 @@
 
     /// Adds a request that waits until a replica has loaded its target.
     pub fn add_waiting(&self, target: RequestTarget) {
-        self.state().target.insert(target, Instant::now());
+        self.state().waiting.insert(target, Instant::now());
     }
 
     /// Returns the number of watched back ends.
@@ -184,7 +184,7 @@
             let model = crate::catalog::model_name(model).into();
             demand_of((model, None), 5, 0, state.sequence * 3)
         });
-        let waiting = state.target.iter().map(|(target, since)| {
+        let waiting = state.waiting.iter().map(|(target, since)| {
             let waited = since.elapsed().as_millis() as u64;
             demand_of(target.clone(), 0, waited.max(1), 1)
         });
@@ -246,13 +246,13 @@
     }
 
     fn apply_route(&self, routers: &Routers, state: &mut RouterState, route: &ReplicaRoute) {
-        if route.phase != ReplicaPhase::Loaded || state.target.is_empty() {
+        if route.phase != ReplicaPhase::Loaded || state.waiting.is_empty() {
             return;
         }
         let adapters = route.adapters.iter().cloned().map(Some);
         for adapter in adapters.chain([None]) {
             let target = (route.model.clone(), adapter);
-            if let Some(since) = state.target.remove(&target) {
+            if let Some(since) = state.waiting.remove(&target) {
                 routers.loaded(since.elapsed());
             }
         }
--- a/crates/millpass-hollow/src/routers.rs
+++ b/crates/millpass-hollow/src/routers.rs
@@ -151,16 +151,13 @@
     pub fn responded_above_term(&self, term: u64, count: usize) -> Option<Vec<Instant>> {
         let first_responses = self.first_responses.iter().take(count).map(lock);
         first_responses
-            .map(|first_responses| first_responses.1.filter(|_| first_responses.0 > term))
+            .map(|first| first.1.filter(|_| first.0 > term))
             .collect()
     }
 
     /// Returns the highest term in which a router received a response.
     pub fn term(&self) -> u64 {
-        let terms = self
-            .first_responses
-            .iter()
-            .map(|first_responses| lock(first_responses).0);
+        let terms = self.first_responses.iter().map(|first| lock(first).0);
         terms.max().unwrap_or(0)
     }
 
@@ -234,9 +231,9 @@
 
     /// Records the first response in each term.
     fn record_term(&self, router: usize, term: u64, at: Instant) {
-        let mut first_responses = lock(&self.first_responses[router]);
-        if term > first_responses.0 {
-            *first_responses = (term, Some(at));
+        let mut first = lock(&self.first_responses[router]);
+        if term > first.0 {
+            *first = (term, Some(at));
         }
     }
 
--- a/crates/millpass-lab/src/fleet/audits.rs
+++ b/crates/millpass-lab/src/fleet/audits.rs
@@ -78,7 +78,9 @@
     }
     if audit.conflicting_fences > 0 {
         let count = audit.conflicting_fences;
-        breaches.push(format!("{backend}: {count} fences came with two orders"));
+        breaches.push(format!(
+            "{backend}: {count} fences were used for two orders"
+        ));
     }
     for run in &audit.repeated_keys {
         breaches.push(format!("{backend}: key {} ran {} times", run.key, run.runs));
--- a/crates/millpass-lab/src/programs/stand_in.rs
+++ b/crates/millpass-lab/src/programs/stand_in.rs
@@ -20,7 +20,7 @@
 const MAXIMUM_JOURNAL_LINES: u64 = 1_000_000;
 /// Time for which a draining machine keeps serving, until all routers have received its departure.
 const LEAVE_NOTICE: Duration = Duration::from_secs(5);
-/// Maximum wait_for_signal for requests in flight during a planned stop.
+/// Maximum wait for requests in flight during a planned stop.
 const LEAVE_GRACE: Duration = Duration::from_secs(60);
 
 /// Kind of stand-in.
