--- a/crates/millpass-hollow/src/group.rs
+++ b/crates/millpass-hollow/src/group.rs
@@ -1,4 +1,4 @@
-//! The members' processes: started, ended and read by their ids.
+//! Starts, stops and inspects the member processes.
 
 use crate::options::MeasureOptions;
 use crate::usage::{self, Usage};
@@ -6,25 +6,25 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use std::time::{Duration as Length, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Longest wait for a member's answer.
-const PATIENCE: Length = Length::from_secs(60);
+/// Maximum wait for a condition of the group.
+const WAIT_TIMEOUT: StdDuration = StdDuration::from_secs(60);
 
-/// One member.
-struct Place {
+/// Addresses, data folder and process of a member.
+struct MemberProcess {
     peer: String,
     administration: String,
     folder: PathBuf,
     child: Option<Child>,
 }
 
-/// A group of members, each in a process of its own.
+/// A control group with one process per member.
 pub struct Group {
-    places: Vec<Place>,
+    members: Vec<MemberProcess>,
     platform: String,
     store_loads: u32,
-    // Removed with everything in it when the group is dropped.
+    // Deleted when the group is dropped.
     folder: tempfile::TempDir,
 }
 
@@ -32,9 +32,9 @@
     /// Starts a new group.
     pub fn start(options: &MeasureOptions, platform: String) -> Result<Self> {
         let folder = tempfile::tempdir()?;
-        let places: Result<Vec<Place>> = (0..options.members)
+        let members: Result<Vec<MemberProcess>> = (0..options.members)
             .map(|place| {
-                Ok(Place {
+                Ok(MemberProcess {
                     peer: free_address()?,
                     administration: free_address()?,
                     folder: folder.path().join(place.to_string()),
@@ -43,7 +43,7 @@
             })
             .collect();
         let mut group = Group {
-            places: places?,
+            members: members?,
             platform,
             store_loads: options.store_loads,
             folder,
@@ -54,17 +54,17 @@
         Ok(group)
     }
 
-    /// Starts a member's process; `initialize` makes its folder that of an initial member.
+    /// Starts a member process; `initialize` first initializes its folder as an initial member.
     pub fn start_member(&mut self, place: usize, initialize: bool) -> Result<()> {
         let mut command = Command::new(std::env::current_exe()?);
         command
             .arg("member")
             .arg("--folder")
-            .arg(&self.places[place].folder)
+            .arg(&self.members[place].folder)
             .args(["--place", &place.to_string()])
             .args(["--platform", &self.platform])
             .args(["--store-loads", &self.store_loads.to_string()]);
-        for other in &self.places {
+        for other in &self.members {
             command.arg("--initial");
             command.arg(format!("{},{}", other.peer, other.administration));
         }
@@ -72,53 +72,53 @@
             command.arg("--initialize");
         }
         let child = command.stdin(Stdio::piped()).spawn()?;
-        self.places[place].child = Some(child);
+        self.members[place].child = Some(child);
         Ok(())
     }
 
-    /// Kills a member's process.
+    /// Kills a member process.
     pub fn kill(&mut self, place: usize) -> Result<()> {
-        if let Some(mut child) = self.places[place].child.take() {
+        if let Some(mut child) = self.members[place].child.take() {
             child.kill()?;
             child.wait()?;
         }
         Ok(())
     }
 
-    /// Removes a member's data folder.
+    /// Removes the data folder of a member.
     pub fn wipe(&self, place: usize) -> Result<()> {
-        Ok(std::fs::remove_dir_all(&self.places[place].folder)?)
+        Ok(std::fs::remove_dir_all(&self.members[place].folder)?)
     }
 
-    /// What each member has used.
+    /// Returns the resource usage of each member.
     pub fn usage(&self) -> Result<Vec<Usage>> {
-        let children = self.places.iter().map(|place| place.child.as_ref());
+        let children = self.members.iter().map(|place| place.child.as_ref());
         children
-            .map(|child| usage::read(child.context("not running")?.id()))
+            .map(|child| usage::read(child.context("member is not running")?.id()))
             .collect()
     }
 
-    /// Peer addresses.
+    /// Returns the peer addresses.
     pub fn peers(&self) -> Result<Vec<SocketAddr>> {
-        let places = self.places.iter();
-        places.map(|place| Ok(place.peer.parse()?)).collect()
+        let members = self.members.iter();
+        members.map(|place| Ok(place.peer.parse()?)).collect()
     }
 
-    /// Administration addresses.
+    /// Returns the administration addresses.
     pub fn administration(&self) -> Vec<String> {
-        let places = self.places.iter();
-        places.map(|place| place.administration.clone()).collect()
+        let members = self.members.iter();
+        members.map(|place| place.administration.clone()).collect()
     }
 
-    /// The member that leads, once one does.
+    /// Waits for a leader and returns its index.
     pub fn leader(&self) -> Result<usize> {
         wait_for("a leader", || {
-            (0..self.places.len())
+            (0..self.members.len())
                 .find(|place| self.metric(*place, "millpass_control_leads") == Some(1))
         })
     }
 
-    /// A number from a member's metrics; none when it does not answer.
+    /// Reads a metric of a member; `None` if the member does not respond.
     pub fn metric(&self, place: usize, name: &str) -> Option<u64> {
         let text = self.metrics(place)?;
         let line = text.lines().find(|line| {
@@ -132,22 +132,22 @@
             .map(|value| value as u64)
     }
 
-    /// A member's metrics.
+    /// Reads the metrics of a member; `None` if it does not respond.
     pub fn metrics(&self, place: usize) -> Option<String> {
-        self.places[place].child.as_ref()?;
-        let url = format!("http://{}/metrics", self.places[place].administration);
+        self.members[place].child.as_ref()?;
+        let url = format!("http://{}/metrics", self.members[place].administration);
         ureq::get(url).call().ok()?.body_mut().read_to_string().ok()
     }
 
-    /// Size of a member's data folder, in bytes.
+    /// Returns the size of the data folder of a member, in bytes.
     pub fn folder_bytes(&self, place: usize) -> u64 {
-        let entries = std::fs::read_dir(&self.places[place].folder);
+        let entries = std::fs::read_dir(&self.members[place].folder);
         let entries = entries.into_iter().flatten().flatten();
         let sizes = entries.filter_map(|entry| entry.metadata().ok());
         sizes.map(|metadata| metadata.len()).sum()
     }
 
-    /// Folder of the whole group.
+    /// Returns the folder of the group.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
@@ -155,23 +155,23 @@
 
 impl Drop for Group {
     fn drop(&mut self) {
-        for place in 0..self.places.len() {
+        for place in 0..self.members.len() {
             if let Err(error) = self.kill(place) {
-                eprintln!("member {place} did not end: {error}");
+                eprintln!("cannot kill member {place}: {error}");
             }
         }
     }
 }
 
-/// Repeats until something is there.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> Result<T> {
-    let end = Instant::now() + PATIENCE;
+/// Polls until a value is available.
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> Result<T> {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return Ok(found);
         }
-        anyhow::ensure!(Instant::now() < end, "no {what} within {PATIENCE:?}");
-        std::thread::sleep(Length::from_millis(10));
+        anyhow::ensure!(Instant::now() < end, "no {what} within {WAIT_TIMEOUT:?}");
+        std::thread::sleep(StdDuration::from_millis(10));
     }
 }
 
