--- a/crates/millpass-standin/src/engine/fences.rs
+++ b/crates/millpass-standin/src/engine/fences.rs
@@ -1,37 +1,37 @@
-//! Fences of orders: the highest seen, and the answers given, for resends.
+//! Order fences: the highest one accepted, and past responses for resends.
 
 use millpass_proto::{EngineOrder, LogPosition, OrderResponse};
 use std::collections::BTreeMap;
 
-/// What the ledger says of an arriving order.
+/// Classification of a received order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceVerdict {
-    /// Not seen before and not stale: carry it out.
+    /// Neither seen before nor stale: execute it.
     New,
-    /// Seen before: the answer given then.
+    /// Seen before, with this response.
     Resent(OrderResponse),
-    /// The same fence with another order: a defect of the sender.
+    /// The fence was used by another order: a defect of the sender.
     Conflict,
-    /// Below the highest fence.
+    /// Not above this highest accepted fence.
     Stale(LogPosition),
 }
 
-/// Ledger of fences. A fence counts as accepted as soon as its order was examined, also when the
-/// order was rejected: so a late copy of a rejected order can never take effect.
+/// Ledger of fences. A fence counts as accepted even if its order was rejected, so that a delayed copy of a
+/// rejected order can never take effect.
 #[derive(Clone, Debug)]
 pub struct FenceLedger {
     highest: LogPosition,
-    answers: BTreeMap<LogPosition, (EngineOrder, OrderResponse)>,
-    bound: usize,
+    responses: BTreeMap<LogPosition, (EngineOrder, OrderResponse)>,
+    capacity: usize,
 }
 
 impl FenceLedger {
-    /// Empty; remembers the answers of the `bound` highest fences.
-    pub fn new(bound: usize) -> Self {
+    /// Creates a ledger that retains the responses of the `capacity` highest fences.
+    pub fn new(capacity: usize) -> Self {
         FenceLedger {
             highest: LogPosition::ZERO,
-            answers: BTreeMap::new(),
-            bound: bound.max(1),
+            responses: BTreeMap::new(),
+            capacity: capacity.max(1),
         }
     }
 
@@ -40,11 +40,11 @@
         self.highest
     }
 
-    /// Judges an arriving order.
-    pub fn judge(&self, order: &EngineOrder) -> FenceVerdict {
-        if let Some((first, answer)) = self.answers.get(&order.fence) {
+    /// Classifies a received order.
+    pub fn check(&self, order: &EngineOrder) -> FenceVerdict {
+        if let Some((first, response)) = self.responses.get(&order.fence) {
             return if first == order {
-                FenceVerdict::Resent(answer.clone())
+                FenceVerdict::Resent(response.clone())
             } else {
                 FenceVerdict::Conflict
             };
@@ -55,12 +55,12 @@
         FenceVerdict::New
     }
 
-    /// Records the answer to a new order.
-    pub fn record(&mut self, order: EngineOrder, answer: OrderResponse) {
+    /// Records the response to a new order.
+    pub fn record(&mut self, order: EngineOrder, response: OrderResponse) {
         self.highest = self.highest.max(order.fence);
-        self.answers.insert(order.fence, (order, answer));
-        while self.answers.len() > self.bound {
-            self.answers.pop_first();
+        self.responses.insert(order.fence, (order, response));
+        while self.responses.len() > self.capacity {
+            self.responses.pop_first();
         }
     }
 }
--- a/crates/millpass-standin/src/weight_store/model.rs
+++ b/crates/millpass-standin/src/weight_store/model.rs
@@ -1,22 +1,22 @@
-//! The weight store as a state machine.
+//! State machine of the weight store.
 
 use millpass_proto::{Duration, StoreAudit, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Normal speed, as a slow factor in thousandths.
+/// Slow factor of normal speed, in thousandths.
 const NORMAL_SLOW_FACTOR: u64 = 1_000;
 
 /// Limits of a weight store, in simulated time.
 #[derive(Clone, Debug)]
 pub struct WeightStoreSettings {
-    /// Transfers that may start in a second.
+    /// Maximum number of transfers started per second.
     pub loads_per_second: u32,
-    /// Transfers at once that run at full speed; more share the same total bandwidth.
+    /// Number of concurrent transfers that run at full speed; more share the same total bandwidth.
     pub full_speed_loads: u32,
-    /// Full speed of one transfer, in bytes a second.
+    /// Full speed of one transfer, in bytes per second.
     pub bytes_per_second: u64,
-    /// Transfers that may wait for their start; one more is refused.
+    /// Maximum number of queued transfers; more are refused.
     pub waiting_loads: usize,
 }
 
@@ -31,36 +31,36 @@
     }
 }
 
-/// Number that the driver gives a transfer; unique within the run.
+/// Transfer id assigned by the driver; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferId(pub u64);
 
-/// What happens to the store.
+/// Input of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreInput {
-    /// Only time went on.
+    /// Time advanced.
     Tick,
-    /// A checkpoint of this size is asked for.
+    /// A checkpoint of this size in bytes is requested.
     Request(TransferId, u64),
-    /// The caller went away.
+    /// The caller disconnected.
     Abandon(TransferId),
-    /// Fault: transfers take this many times as long, in thousandths (1000 is normal).
+    /// Fault: multiplies transfer times by this factor, in thousandths (1000 is normal).
     SlowFactor(u64),
 }
 
-/// What the store does.
+/// Output of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreOutput {
-    /// The queue is full; come back after this time.
+    /// The queue is full; retry after this time.
     Refused(TransferId, Duration),
-    /// The transfer is over.
+    /// The transfer completed.
     Done(TransferId),
 }
 
-/// One weight store. Same inputs give the same outputs.
+/// Deterministic model of a weight store.
 ///
-/// What a transfer still needs is counted in byte-microseconds: bytes times a million, so that a
-/// rate in bytes a second times microseconds needs no division.
+/// Remaining work of a transfer is in bytes times a million, so that a rate in bytes per second multiplied by
+/// microseconds needs no division.
 #[derive(Clone, Debug)]
 pub struct WeightStoreModel {
     settings: WeightStoreSettings,
@@ -75,11 +75,11 @@
 #[derive(Clone, Copy, Debug)]
 struct ActiveTransfer {
     bytes: u64,
-    needed: u128,
+    remaining: u128,
 }
 
 impl WeightStoreModel {
-    /// An idle store.
+    /// Creates an idle store.
     pub fn new(settings: WeightStoreSettings, now: Timestamp) -> Self {
         WeightStoreModel {
             settings,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Brings the store to `now`, then takes the input.
+    /// Advances the store to `now`, then applies the input.
     pub fn step(&mut self, now: Timestamp, input: StoreInput) -> Vec<StoreOutput> {
         let mut outputs = Vec::new();
         self.advance(now, &mut outputs);
@@ -113,18 +113,18 @@
         outputs
     }
 
-    /// When the store next does something by itself.
+    /// Time at which the store must be advanced next without an input.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let start = self.waiting.front().map(|_| self.next_start.max(self.last));
-        start.into_iter().chain(self.next_end()).min()
+        start.into_iter().chain(self.next_completion()).min()
     }
 
-    /// What was counted.
+    /// Returns the counters.
     pub fn audit(&self) -> StoreAudit {
         self.audit.clone()
     }
 
-    /// Transfers that go on.
+    /// Number of active transfers.
     pub fn active_count(&self) -> usize {
         self.active.len()
     }
@@ -132,7 +132,7 @@
     fn request(&mut self, transfer: TransferId, bytes: u64, outputs: &mut Vec<StoreOutput>) {
         if self.waiting.len() >= self.settings.waiting_loads {
             self.audit.refused += 1;
-            outputs.push(StoreOutput::Refused(transfer, self.time_to_drain()));
+            outputs.push(StoreOutput::Refused(transfer, self.queue_drain_time()));
             return;
         }
         self.waiting.push_back((transfer, bytes));
@@ -147,27 +147,27 @@
         }
     }
 
-    /// Runs everything that happens by itself up to `now`, in the order of time.
+    /// Processes completions and starts up to `now`, in order of time.
     fn advance(&mut self, now: Timestamp, outputs: &mut Vec<StoreOutput>) {
         while let Some(at) = self.next_wake().filter(|at| *at <= now) {
             self.progress(at);
-            self.end_complete(outputs);
+            self.finish_complete(outputs);
             self.start_next(at);
         }
         self.progress(now);
     }
 
     fn progress(&mut self, now: Timestamp) {
-        let passed = now.as_micros().saturating_sub(self.last.as_micros());
-        let moved = u128::from(passed) * u128::from(self.rate());
+        let elapsed = now.as_micros().saturating_sub(self.last.as_micros());
+        let transferred = u128::from(elapsed) * u128::from(self.rate());
         for transfer in self.active.values_mut() {
-            transfer.needed = transfer.needed.saturating_sub(moved);
+            transfer.remaining = transfer.remaining.saturating_sub(transferred);
         }
         self.last = self.last.max(now);
     }
 
-    fn end_complete(&mut self, outputs: &mut Vec<StoreOutput>) {
-        let complete = self.active.iter().filter(|(_, one)| one.needed == 0);
+    fn finish_complete(&mut self, outputs: &mut Vec<StoreOutput>) {
+        let complete = self.active.iter().filter(|(_, one)| one.remaining == 0);
         let complete: Vec<TransferId> = complete.map(|(transfer, _)| *transfer).collect();
         for transfer in complete {
             if let Some(ended) = self.active.remove(&transfer) {
@@ -185,22 +185,22 @@
         let Some((transfer, bytes)) = self.waiting.pop_front() else {
             return;
         };
-        let needed = u128::from(bytes) * u128::from(MICROS_PER_SECOND);
+        let remaining = u128::from(bytes) * u128::from(MICROS_PER_SECOND);
         self.active
-            .insert(transfer, ActiveTransfer { bytes, needed });
+            .insert(transfer, ActiveTransfer { bytes, remaining });
         self.next_start = now + self.start_interval();
         self.audit.started += 1;
         self.audit.most_at_once = self.audit.most_at_once.max(self.active.len() as u64);
     }
 
-    fn next_end(&self) -> Option<Timestamp> {
-        let least = self.active.values().map(|one| one.needed).min()?;
+    fn next_completion(&self) -> Option<Timestamp> {
+        let least = self.active.values().map(|one| one.remaining).min()?;
         let micros = least.div_ceil(u128::from(self.rate()));
         let micros = u64::try_from(micros).unwrap_or(u64::MAX);
         Some(self.last + Duration::from_micros(micros))
     }
 
-    /// Bytes a second of each transfer.
+    /// Bytes per second of each active transfer.
     fn rate(&self) -> u64 {
         let full_speed = u64::from(self.settings.full_speed_loads.max(1));
         let sharing = (self.active.len() as u64).max(full_speed);
@@ -215,7 +215,7 @@
         Duration::from_micros(MICROS_PER_SECOND / u64::from(self.settings.loads_per_second.max(1)))
     }
 
-    fn time_to_drain(&self) -> Duration {
+    fn queue_drain_time(&self) -> Duration {
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
         self.start_interval().saturating_mul(waiting.max(1))
     }
