--- a/crates/millpass-control-plane/src/addresses.rs
+++ b/crates/millpass-control-plane/src/addresses.rs
@@ -8,7 +8,7 @@
 
 /// Addresses of the current membership and of processes that sent a hello.
 ///
-/// A process that asks to join has an empty membership until it receives the log, so it can only
+/// A process that requests to join has an empty membership until it receives the log, so it can only
 /// respond to the leader at the address in the leader's hello.
 pub(crate) struct AddressBook {
     members: BTreeMap<MemberId, MemberAddress>,
--- a/crates/millpass-control-plane/src/interface.rs
+++ b/crates/millpass-control-plane/src/interface.rs
@@ -55,7 +55,7 @@
     Peer(PeerEnvelope),
     /// First message on a member's connection, with its address.
     MemberHello(MemberAddress),
-    /// A process asks to become a member.
+    /// A process requests to become a member.
     Join(MemberAddress),
     /// A message from a router.
     Router {
--- a/crates/millpass-control-plane/src/plane.rs
+++ b/crates/millpass-control-plane/src/plane.rs
@@ -359,7 +359,6 @@
         self.run_fleet(now, out);
     }
 
-    /// Returns true if a notification is due.
     pub(crate) fn is_notification_due(&mut self, now: Timestamp) -> bool {
         due(
             now,
--- a/crates/millpass-control-plane/src/proposals.rs
+++ b/crates/millpass-control-plane/src/proposals.rs
@@ -81,7 +81,6 @@
 }
 
 impl Proposals {
-    /// Returns true if another proposal may be added.
     pub(crate) fn has_capacity(&self) -> bool {
         self.pending.len() < MAXIMUM_PROPOSALS
     }
@@ -95,7 +94,6 @@
         self.internal.contains(key)
     }
 
-    /// Returns true if a repair of the membership is pending.
     pub(crate) fn is_repair_pending(&self) -> bool {
         self.pending
             .values()
--- a/crates/millpass-control-plane/src/repair.rs
+++ b/crates/millpass-control-plane/src/repair.rs
@@ -1,4 +1,4 @@
-//! Replaces dead members with processes that ask to join, one at a time.
+//! Replaces dead members with processes that request to join, one at a time.
 //!
 //! A joiner is first added as a learner. Once it has caught up, it is promoted in place of a voter
 //! without contact for longer than `member_replacement_delay`. The number of voters never decreases
@@ -29,9 +29,9 @@
     pub(crate) target_voters: usize,
 }
 
-/// Processes that ask to join and are not in the membership. An added joiner is removed: if it is
-/// replaced later, its machine has returned under another identity, and nobody responds under this
-/// one.
+/// Processes that request to join and are not members yet. A joiner that was added is removed from
+/// this list: if it is replaced later, its machine has returned under another identity, and no
+/// process responds under this one.
 #[derive(Default)]
 pub(crate) struct Repair {
     joiners: BTreeMap<MemberId, (MemberAddress, Timestamp)>,
--- a/crates/millpass-control-plane/src/replication.rs
+++ b/crates/millpass-control-plane/src/replication.rs
@@ -336,7 +336,7 @@
         {
             return Some(stated.clone());
         }
-        // A leader without a valid lease knows of no other leader.
+        // Not this member, which may be the leader without a valid lease.
         let own = self.settings.address.member;
         let leader = self.consensus.leader().filter(|leader| *leader != own)?;
         self.addresses.get(leader).cloned()
--- a/crates/millpass-control-plane/src/sessions.rs
+++ b/crates/millpass-control-plane/src/sessions.rs
@@ -1,8 +1,7 @@
-//! Routers connected to this member, and their leases.
-//!
-//! A connection's [`RouterHello`] is kept for the lifetime of the connection, also on followers,
-//! and identifies the router. A session is soft state of the leader: it begins with a report and
-//! ends when its lease expires or leadership changes.
+//! Routers connected to this member, and their leases. A connection's [`RouterHello`] identifies
+//! the router and is kept for the lifetime of the connection, also on followers. A session is soft
+//! state of the leader: it begins with a report and ends when its lease expires or leadership
+//! changes.
 
 use crate::interface::{ConnectionId, RouterStatus};
 use millpass_proto::{
--- a/crates/millpass-control-plane/src/watch.rs
+++ b/crates/millpass-control-plane/src/watch.rs
@@ -1,9 +1,7 @@
-//! Assignment of back ends to the routers that watch them.
-//!
-//! Uses rendezvous hashing: each back end is assigned to the router of its zone with the highest
-//! hash of the pair, or to a router of another zone if its own has none. A router that joins or
-//! leaves moves only its own back ends. Only the leader computes assignments, so processes need not
-//! agree on the hash.
+//! Assignment of back ends to the routers that watch them, by rendezvous hashing among the routers
+//! of the back end's zone, or among all if the zone has none. A router that joins or leaves moves
+//! only its own back ends. Only the leader computes assignments, so processes need not agree on the
+//! hash.
 
 use millpass_proto::{
     BackendKind, BackendName, Duration, RouterName, Timestamp, WatchedBackend, ZoneName,
@@ -79,7 +77,6 @@
         self.assignments.get(router).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the router that watches a back end.
     pub(crate) fn watcher(&self, backend: &BackendName) -> Option<&RouterName> {
         self.watcher.get(backend)
     }
--- a/crates/millpass-control-plane/tests/harness/mod.rs
+++ b/crates/millpass-control-plane/tests/harness/mod.rs
@@ -323,7 +323,7 @@
         self.settle();
     }
 
-    /// Lets processes ask to join once per second, for this long.
+    /// Lets processes request to join once per second, for this long.
     pub fn join(&mut self, joiners: &[u64], seconds: u64) {
         for _ in 0..seconds {
             for joiner in joiners {
--- a/crates/millpass-control-plane/tests/losses.rs
+++ b/crates/millpass-control-plane/tests/losses.rs
@@ -1,8 +1,7 @@
 //! Successive disk losses: time until the group tolerates the next loss, and reads afterwards.
-//!
-//! Guards against adding a learner for an outdated identity: a machine that loses its disk twice
-//! leaves a join request behind, and the promotion of a learner that never responds would block the
-//! repair of other members until the majority is lost.
+//! Guards against adding a learner for a stale join request, left by a machine that lost its disk
+//! twice: it never responds, and repair of other members would wait for it until the majority is
+//! lost.
 
 mod harness;
 
@@ -15,9 +14,9 @@
 use serde_bytes::ByteBuf;
 use std::collections::BTreeMap;
 
-/// Interval at which a process decides whether to ask to join, as in the host.
+/// Interval at which a process decides whether to request to join, as in the host.
 const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a leader after which a member asks to join, as in the host.
+/// Time without a leader after which a member requests to join, as in the host.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval at which the tests check the group.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -50,7 +49,7 @@
     Duration::from_millis(value.unwrap_or_else(|| panic!("{name} is not set")))
 }
 
-/// A group with documents, whose processes ask to join as the host's do.
+/// A group with documents, whose processes request to join as the host's do.
 struct Group {
     world: World,
     /// For each process, its next check whether to join and since when it has had no leader.
@@ -86,7 +85,7 @@
         group
     }
 
-    /// Advances time; processes that are not members or have no leader ask to join.
+    /// Advances time; processes that are not members or have no leader request to join.
     fn run(&mut self, length: Duration) {
         let end = self.world.now + length;
         while self.world.now < end {
@@ -200,7 +199,7 @@
         self.next_identity += 1;
         let new = MemberId(self.next_identity);
         self.world.restart_wiped(lost, new);
-        // The process asks to join as soon as it starts.
+        // The process requests to join as soon as it starts.
         self.join_if_needed(new);
         new
     }
--- a/crates/millpass-control-plane/tests/shares.rs
+++ b/crates/millpass-control-plane/tests/shares.rs
@@ -119,7 +119,7 @@
     assert_eq!(listed_instances(&mut world, next).len(), 40);
 }
 
-/// A process that asks to join also accepts announcements, and names the leader.
+/// A process that requests to join also accepts announcements, and names the leader.
 #[test]
 fn process_outside_the_group_accepts_announcements() {
     let mut world = announcing_world(3);
--- a/crates/millpass-dispatch/src/crashes.rs
+++ b/crates/millpass-dispatch/src/crashes.rs
@@ -1,10 +1,7 @@
 //! Crashes attributed to this gateway's requests, and requests quarantined for them.
 //!
-//! A broken connection is no proof of a crash. A process run has ended when its address refuses
-//! connections or another run responds there; the gateway probes the instance after each broken
-//! connection. Requests in flight at that time are reported to the leader, which combines the
-//! reports of all gateways. Without a leader the gateway uses the last decision it received and its
-//! own observations.
+//! A broken connection is no proof of a crash: a process run has ended when its address refuses
+//! connections or another run responds there, so the gateway probes after each broken connection.
 
 use millpass_proto::{
     CrashReport, CrashUpdate, Duration, InstanceCrash, InstanceId, RequestFingerprint, Timestamp,
--- a/crates/millpass-dispatch/src/freshness.rs
+++ b/crates/millpass-dispatch/src/freshness.rs
@@ -99,7 +99,7 @@
 pub enum Leadership {
     /// No member has responded recently.
     Unknown,
-    /// The members that responded know of no leader.
+    /// The members that responded reported no leader.
     NoLeader,
     /// The member at this peer address leads.
     Leader(SocketAddr),
@@ -154,7 +154,6 @@
         }
     }
 
-    /// Records that a report is sent.
     pub(crate) fn record_report(&mut self, now: Timestamp, report: &GatewayReport) {
         let last = self.reports.back().map(|(_, at)| *at);
         if last.is_none_or(|at| now.since(at) >= REPORT_KEEP_INTERVAL) {
@@ -288,7 +287,6 @@
         times.get(voters.len() / 2).copied()
     }
 
-    /// Records contact with a member.
     pub(crate) fn record_contact(&mut self, now: Timestamp, address: SocketAddr) {
         if self.last_contact.len() < MAX_MEMBERS || self.last_contact.contains_key(&address) {
             self.last_contact.insert(address, now);
--- a/crates/millpass-dispatch/src/instances.rs
+++ b/crates/millpass-dispatch/src/instances.rs
@@ -204,7 +204,6 @@
         self.failures * (-age / FAILURE_DECAY_SECONDS).exp()
     }
 
-    /// Records how a send ended.
     pub(crate) fn record_send_outcome(&mut self, now: Timestamp, outcome: SendOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let failed = match outcome {
--- a/crates/millpass-dispatch/src/statements.rs
+++ b/crates/millpass-dispatch/src/statements.rs
@@ -1,8 +1,7 @@
-//! Statements of instances in the heads of their responses: a request limit (see
-//! `millpass-limits`), a backoff, and a departure.
+//! Limits, backoffs and departures that instances state in the heads of their responses.
 //!
-//! They are kept apart from the instances' records, which come and go with the leader's updates: a
-//! statement holds for the whole process run, also if the instance is announced again.
+//! Backoffs and departures are kept apart from the instances' records: they hold for the whole
+//! process run, also if its record is removed and added again. Limits are in `millpass-limits`.
 
 use millpass_limits::RequestRate;
 use millpass_proto::{Duration, InstanceId, Timestamp};
--- a/crates/millpass-dispatch/tests/freshness.rs
+++ b/crates/millpass-dispatch/tests/freshness.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// A gateway that knows three members.
+/// A gateway with three known members.
 fn gateway() -> Dispatcher {
     let mut gateway = Dispatcher::new(DispatchSettings {
         name: "g".to_owned(),
--- a/crates/millpass-fleet/src/activation.rs
+++ b/crates/millpass-fleet/src/activation.rs
@@ -1,10 +1,6 @@
 //! Selects the active instances of each service: those sent to gateways and, for engines, read and
-//! instructed.
-//!
-//! Small services keep all instances active. In larger ones, active instances follow demand: each
-//! model keeps replicas in several zones, and each zone keeps spare instances. The others stay on
-//! standby and are activated on demand, so updates and planning do not grow with the number of
-//! instances.
+//! instructed. Small services keep all instances active. In larger ones the others stay on standby
+//! until there is demand, so updates and planning do not grow with the number of instances.
 
 use crate::demand::Load;
 use crate::fleet::Fleet;
@@ -92,7 +88,7 @@
     }
 }
 
-/// Number of instances a service needs active.
+/// Number of active instances that a service requires.
 struct ActivationTarget {
     /// Over all models.
     total: usize,
--- a/crates/millpass-fleet/src/contact_clock.rs
+++ b/crates/millpass-fleet/src/contact_clock.rs
@@ -1,8 +1,6 @@
-//! Clock of the time for which this member could receive announcements.
-//!
-//! Instances expire after a time without announcements. Periods in which this member was not
-//! leading, had no CPU time or refused announcements must not count, or live instances would
-//! expire.
+//! Clock of the time for which this member could receive announcements. Instances expire after a
+//! time without announcements; periods in which this member was not leading, had no CPU time or
+//! refused announcements must not count, or live instances would expire.
 
 use millpass_proto::{Duration, Timestamp};
 
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -1,8 +1,6 @@
-//! Quarantine of requests and loads that crash instances.
-//!
-//! Gateways report ended process runs and the requests in flight there; the leader sums them up
-//! over all gateways. Quarantined requests are sent to every gateway and, once confirmed, recorded
-//! in the log.
+//! Quarantine of requests and loads that crash instances. Gateways report ended process runs and
+//! the requests in flight there, and the leader combines the reports. Quarantined requests are sent
+//! to every gateway and, once confirmed, recorded in the log.
 
 use crate::demand::ModelKey;
 use crate::fleet::Fleet;
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -67,7 +67,7 @@
     leading_since: Option<Timestamp>,
     /// Time for which this member could receive announcements since then.
     pub(crate) contact_clock: ContactClock,
-    /// That time is long enough to have received every instance.
+    /// Whether that time is long enough for every live instance to have been announced.
     pub(crate) complete: bool,
     /// Factor by which planning and update intervals are extended when this member lacks CPU time.
     pub(crate) slowdown: u32,
@@ -293,8 +293,8 @@
         self.event("gateway-lost", vec![("gateway", session.name)]);
     }
 
-    /// Records that announcements were refused here due to overload, so that missing announcements
-    /// do not count as expired.
+    /// Records that announcements were refused here due to overload, so that the
+    /// instances do not expire for lack of announcements.
     pub fn record_refused_announcements(&mut self, now: Timestamp) {
         self.local_share.record_refusal(now);
         self.contact_clock.record_refusal(now);
--- a/crates/millpass-fleet/src/instruction_history.rs
+++ b/crates/millpass-fleet/src/instruction_history.rs
@@ -1,14 +1,12 @@
-//! Instructions of earlier leaders, from the replicated log.
-//!
-//! Engines must not receive instructions from two leaders within a handover period. Each
-//! instruction is recorded in the log before it is sent, so a new leader knows which engines it may
-//! instruct at once.
+//! Instructions of earlier leaders, from the replicated log. Engines must not receive instructions
+//! from two leaders within a handover period, so each instruction is recorded in the log before it
+//! is sent: a new leader finds there which engines it may instruct at once.
 
 use millpass_proto::{Duration, InstanceId, InstructionIntent, Timestamp};
 use std::collections::BTreeMap;
 
 /// Instructions recorded in the replicated log, by the clock of this member. A record is applied
-/// after it was committed, so an instruction may be older than assumed, never younger.
+/// after it was committed, so an instruction may be older than assumed, never newer.
 #[derive(Clone, Debug)]
 pub struct InstructionHistory {
     /// Instructions recorded before this time may be missing.
--- a/crates/millpass-fleet/src/local_share.rs
+++ b/crates/millpass-fleet/src/local_share.rs
@@ -1,9 +1,7 @@
-//! Instances that announce themselves at this member, and how much of them the leader has
-//! confirmed.
+//! Instances that announce themselves at this member, and the revision that the leader confirmed.
 //!
-//! Any member accepts announcements, and unchanged ones are not forwarded. The leader is sent
-//! changes since the last confirmed revision, and keepalives. Its work follows the number of
-//! changes, not the number of instances.
+//! The leader is sent changes since that revision, and keepalives; unchanged announcements are not
+//! forwarded. Its work follows the number of changes, not of instances.
 
 use crate::contact_clock::ContactClock;
 use crate::registry::{AnnouncementOutcome, equal_except_sequence};
@@ -220,13 +218,11 @@
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Returns whether the last report timed out.
     pub(crate) fn is_report_timed_out(&self, now: Timestamp) -> bool {
         let pending = self.pending_report.as_ref();
         pending.is_some_and(|report| now.since(report.sent_at) >= RESPONSE_TIMEOUT)
     }
 
-    /// Returns whether a report is due.
     pub(crate) fn is_report_due(&self, now: Timestamp) -> bool {
         if self.pending_report.is_some() && !self.is_report_timed_out(now) {
             return false;
@@ -241,7 +237,7 @@
     }
 
     /// Returns the next report. `run` identifies this process run. A report that is not sent to a
-    /// known leader only asks who leads.
+    /// known leader only requests the address of the leader.
     pub(crate) fn next_report(
         &mut self,
         now: Timestamp,
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -242,7 +242,7 @@
     }
 
     /// Loads a model that no engine holds. If it is already incoming, a second load must be much
-    /// faster and worth its cost.
+    /// faster and cost less than waiting for the first.
     fn load_missing_model(
         &mut self,
         demand: &UnmetDemand,
--- a/crates/millpass-fleet/src/registry.rs
+++ b/crates/millpass-fleet/src/registry.rs
@@ -3,7 +3,7 @@
 use millpass_proto::{HeldModel, InstanceId, InstanceRecord, ServiceName};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Removals kept for gateways that have not received them. Gateways that lack older ones are sent a
+/// Removals kept for gateways that have not received them. Gateways that miss older ones are sent a
 /// full update.
 const MAX_REMOVALS: usize = 1_024;
 
--- a/crates/millpass-fleet/src/rollout.rs
+++ b/crates/millpass-fleet/src/rollout.rs
@@ -29,7 +29,7 @@
 #[derive(Default)]
 pub(crate) struct Rollout {
     version: u64,
-    /// When the version was committed, as far as this member knows.
+    /// When this member applied the version, or else when it began to track it.
     since: Timestamp,
     /// Whether all connected gateways have reported the version at some point.
     is_complete: bool,
@@ -50,7 +50,6 @@
         }
     }
 
-    /// Records that a gateway's connection ended.
     pub(crate) fn record_disconnect(&mut self, now: Timestamp, session: &GatewaySession) {
         if self.disconnected.len() >= MAX_DISCONNECTED {
             return;
@@ -70,7 +69,6 @@
             .map(|gateway| gateway.reported_version)
     }
 
-    /// Records that a gateway has connected.
     pub(crate) fn record_connect(&mut self, name: &str) {
         self.disconnected.remove(name);
     }
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -528,8 +528,8 @@
     reading.max(running)
 }
 
-/// Returns the time until an engine can be instructed; none if unknown. Only accepted loads that
-/// are not overdue are worth waiting for.
+/// Returns the time until an engine can be instructed; none if unknown, or if its pending
+/// instruction is overdue or not accepted yet.
 fn available_in(
     view: &ServiceView<'_>,
     instance: &InstanceId,
--- a/crates/millpass-fleet/src/share_reports.rs
+++ b/crates/millpass-fleet/src/share_reports.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns the next report. `run` identifies this process run; without `to_leader`, the report
-    /// only asks who leads.
+    /// only requests the address of the leader.
     pub fn next_share_report(
         &mut self,
         now: Timestamp,
--- a/crates/millpass-fleet/src/shares.rs
+++ b/crates/millpass-fleet/src/shares.rs
@@ -120,12 +120,10 @@
         true
     }
 
-    /// Records an instance without a holder.
     pub(crate) fn record_unheld(&mut self, now: Timestamp, instance: &InstanceId) {
         self.unheld.insert(instance.clone(), now);
     }
 
-    /// Returns whether no member holds an instance.
     pub(crate) fn is_unheld(&self, instance: &InstanceId) -> bool {
         !self.holders.contains_key(instance)
     }
--- a/crates/millpass-fleet/tests/incarnations.rs
+++ b/crates/millpass-fleet/tests/incarnations.rs
@@ -1,8 +1,6 @@
-//! Whatever order the announcements of several incarnations of an instance arrive in, leader and
-//! gateways end with the newest incarnation, in the state it announced.
-//!
-//! Guards against a restarted server that gets no requests or is drained by messages of its
-//! predecessor.
+//! Guards against a restarted instance that gets no requests, or is drained, because of messages of
+//! its predecessor. In whatever order the announcements of its incarnations arrive, leader and
+//! gateways must end with the newest one, in the state it announced.
 
 mod harness;
 
--- a/crates/millpass-fleet/tests/room.rs
+++ b/crates/millpass-fleet/tests/room.rs
@@ -1,8 +1,6 @@
-//! Which messages may free memory or adapter slots of an engine in the recorded state.
-//!
-//! Guards against orders beyond an engine's capacity, which crash it. Causes: a response matched to
-//! another call of the same engine, a late acceptance of an abandoned order, a stale announcement,
-//! or elapsed time.
+//! Guards against orders beyond an engine's capacity, which crash it: memory and adapter slots must
+//! not be recorded as free because of a response to another call, a late acceptance of an abandoned
+//! order, a stale announcement, or elapsed time.
 
 mod harness;
 
--- a/crates/millpass-fleet/tests/room_under_faults.rs
+++ b/crates/millpass-fleet/tests/room_under_faults.rs
@@ -1,9 +1,7 @@
-//! No engine is ordered beyond its capacity, whatever is delayed, reordered, lost or duplicated,
-//! over restarts, changes of leader and of the document; and engines are still used.
-//!
-//! The seeds are fixed and include those that found faults. To run others:
-//! `MILLPASS_ROOM_SEEDS=10000..20000 cargo test --release -p millpass-fleet --test
-//! room_under_faults`.
+//! Guards against orders beyond an engine's capacity, and against engines left unused, whatever is
+//! delayed, reordered, lost or duplicated, over restarts and changes of leader and document.
+//! For other seeds than the fixed ones:
+//! `MILLPASS_ROOM_SEEDS=10000..20000 cargo test --release -p millpass-fleet --test room_under_faults`
 
 mod engine_model;
 mod harness;
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -1,8 +1,6 @@
-//! The size of an update depends on what has changed, and only what the gateway reports counts as
-//! arrived.
-//!
-//! Guards against leader changes caused by load: full updates to all reconnecting gateways delayed
-//! the renewal of the leader lease, so that the next leader failed the same way.
+//! Guards against updates that grow with the fleet instead of with what changed: full updates to
+//! all reconnecting gateways delayed the renewal of the leader lease and so caused further leader
+//! changes. Also tests that only what a gateway reports counts as received.
 
 mod harness;
 
--- a/crates/millpass-limits/src/ledger.rs
+++ b/crates/millpass-limits/src/ledger.rs
@@ -36,7 +36,7 @@
     /// Requests that may be sent now.
     level: f64,
     filled_at: Timestamp,
-    /// Time up to which future permits are reserved for callers that were asked to retry.
+    /// Time up to which future permits are reserved for refused callers that retry.
     reserved_until: Timestamp,
     denied: u64,
     event_at: Option<Timestamp>,
--- a/crates/millpass-limits/src/pool.rs
+++ b/crates/millpass-limits/src/pool.rs
@@ -31,7 +31,7 @@
 /// When a request may be sent to a limited instance that has no permit now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// The leader has been asked for a permit; its response is awaited until this time.
+    /// A permit has been requested from the leader; its response is awaited until this time.
     AwaitingResponse(Timestamp),
     /// Not before this time.
     At(Timestamp),
--- a/crates/millpass-limits/src/slots.rs
+++ b/crates/millpass-limits/src/slots.rs
@@ -1,8 +1,7 @@
 //! Time slots in which a gateway may send to a limited instance while the leader is unreachable.
 //!
-//! Gateways that do not know of each other's requests share half of the limit by time. Each has one
-//! slot, at its own offset, in a period of as many intervals as there are gateways. Unused slots
-//! expire, so that idle gateways do not accumulate a burst.
+//! Gateways share half of the limit by time: each has one slot in a period of as many intervals as
+//! there are gateways. Unused slots expire, so that idle gateways do not accumulate a burst.
 
 use crate::rate::RequestRate;
 use millpass_proto::{Duration, InstanceId, Timestamp};
--- a/crates/millpass-quarantine/src/crashes.rs
+++ b/crates/millpass-quarantine/src/crashes.rs
@@ -1,8 +1,6 @@
-//! Crashes of instances, and the items that were in flight at each.
-//!
-//! A crash is attributed to an item that was in flight, unless something else explains it: several
-//! other instances crashed at about the same time without the item (power loss, a kill, a network
-//! partition), or an item that is known to crash instances was in flight there too.
+//! Crashes of instances, and the items that were in flight at each. A crash is attributed to such
+//! an item unless several other instances crashed at about the same time without it (power loss, a
+//! kill, a network partition), or an item that is known to crash instances was in flight there too.
 
 use millpass_proto::{Duration, InstanceId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
