--- a/crates/millpass-control-plane/src/freshness.rs
+++ b/crates/millpass-control-plane/src/freshness.rs
@@ -29,7 +29,7 @@
 }
 
 impl RequiredIndex {
-    /// Takes over the index of a restored snapshot without changing the replicated state.
+    /// Assumes the index of a restored snapshot whose state holds a document but no required index.
     pub(crate) fn snapshot_restored(&mut self, state: &State, snapshot_index: u64) {
         if state.required_index() == 0 && state.document().is_some() {
             self.assumed = snapshot_index;
--- a/crates/millpass-control-plane/src/platform.rs
+++ b/crates/millpass-control-plane/src/platform.rs
@@ -12,8 +12,8 @@
 
 /// Interval between reads of the list.
 pub(crate) const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum time for which a new leader that cannot read the list withholds leases. Without a bound,
-/// routers would lose all back ends while the platform is unavailable.
+/// Maximum time for which a new leader withholds leases until it has read the list and marked leaving
+/// back ends. Without a bound, routers would lose all back ends while the platform is unavailable.
 const MAXIMUM_LIST_WAIT: Duration = Duration::from_millis(500);
 /// Maximum number of machines read from a list. The rest of a longer list is ignored, and no
 /// machine counts as missing.
--- a/crates/millpass-control-plane/src/reports.rs
+++ b/crates/millpass-control-plane/src/reports.rs
@@ -78,7 +78,7 @@
 
     /// Handles a message that requires leadership. A leader whose lease has expired does not
     /// redirect gateways, since all of them would reconnect to it; their credit and permit requests
-    /// stay unanswered.
+    /// stay unanswered, and their crash reports are recorded.
     fn handle_without_leadership(
         &mut self,
         now: Timestamp,
--- a/crates/millpass-control-plane/src/shares.rs
+++ b/crates/millpass-control-plane/src/shares.rs
@@ -26,7 +26,7 @@
     }
 
     /// Returns the destination of the next report and whether it is a known leader. After a failed
-    /// report the seeds are tried in turn.
+    /// report the seeds are tried in turn, alternating with the leader if one is known.
     fn target(&self, leader: Option<String>, seeds: &[String]) -> Option<(String, bool)> {
         if let Some(leader) = leader.filter(|_| self.failed_reports.is_multiple_of(2)) {
             return Some((leader, true));
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Handles another member's report. A leader with an expired lease accepts it too, as it
-    /// promises nothing.
+    /// Handles another member's report. A leader with an expired lease accepts it too, since
+    /// it changes only soft state.
     pub(crate) fn handle_share_report(
         &mut self,
         now: Timestamp,
--- a/crates/millpass-dispatch/src/freshness.rs
+++ b/crates/millpass-dispatch/src/freshness.rs
@@ -357,7 +357,7 @@
     }
 
     /// Returns true if members have been queried for some time by a running process, and there was
-    /// no contact with a majority of them within `recent`.
+    /// no contact with a majority of the voters, nor with a leader, within `recent`.
     fn is_majority_unreachable(&self, now: Timestamp, recent: Duration) -> bool {
         let queried = self
             .querying_since
--- a/crates/millpass-dispatch/src/instances.rs
+++ b/crates/millpass-dispatch/src/instances.rs
@@ -193,7 +193,6 @@
         self.ejected_until = now + MAX_EJECTION_TIME;
     }
 
-    /// Returns true while it is ejected.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         now < self.ejected_until
     }
--- a/crates/millpass-dispatch/src/selection.rs
+++ b/crates/millpass-dispatch/src/selection.rs
@@ -285,8 +285,9 @@
         }
     }
 
-    /// Waits if the load is expected to end within the objective. Otherwise refuses early if the
-    /// caller has time to retry; else waits as long as the caller may be served.
+    /// Waits for a load that is expected to end before the caller's deadline and before this gateway
+    /// stops; otherwise refuses. Also refuses early if the load is expected to miss the objective
+    /// and the caller has time to retry.
     pub(crate) fn wait_for_load(&self, now: Timestamp, ticket: &Ticket) -> Choice {
         let ready = self.ready_at(now, ticket) + READY_MARGIN;
         let retry_after = ready.since(now);
--- a/crates/millpass-dispatch/src/unavailable.rs
+++ b/crates/millpass-dispatch/src/unavailable.rs
@@ -25,7 +25,7 @@
     }
 
     /// All eligible instances are in backoff or at their limit: waits if one becomes available
-    /// soon, otherwise refuses at once.
+    /// or another engine loads the model soon, otherwise refuses at once.
     pub(crate) fn wait_or_refuse_unavailable(
         &mut self,
         now: Timestamp,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Returns true if the request's model or adapter is being loaded.
+    /// Returns true if the request's model, or an adapter of it, is loading or waiting to load.
     pub(crate) fn is_loading(&self, ticket: &Ticket) -> bool {
         let model = ticket.description.model.as_ref();
         self.ready_estimates.iter().any(|(estimate, _)| {
--- a/crates/millpass-fleet/src/contact_clock.rs
+++ b/crates/millpass-fleet/src/contact_clock.rs
@@ -14,8 +14,8 @@
 /// must expire eventually.
 const REFUSAL_DIVISOR: u32 = 4;
 
-/// A clock that stops while this member receives nothing and slows down while it refuses
-/// announcements.
+/// A clock that counts at most [`MAX_COUNTED_GAP`] between two runs of the core and slows down while
+/// announcements are refused.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ContactClock {
     elapsed: Timestamp,
--- a/crates/millpass-fleet/src/permits.rs
+++ b/crates/millpass-fleet/src/permits.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the fraction of the window's permits in use, from 0 to 1.
+    /// Returns the fraction of the window's permits in use or reserved; may exceed 1.
     pub fn used_fraction(&mut self, now: Timestamp, milliloads_per_second: u64) -> f64 {
         self.drop_expired(now);
         let used = self.acquired_at.len() as f64 / allowed(milliloads_per_second) as f64;
--- a/crates/millpass-fleet/src/store_capacity.rs
+++ b/crates/millpass-fleet/src/store_capacity.rs
@@ -16,7 +16,7 @@
 
 /// Limit before the first sample; large enough for loads to overlap.
 const INITIAL_LIMIT: f64 = 3.0;
-/// Growth after a load that was not slowed.
+/// Limit after a load that was not slowed, as a multiple of its mean concurrency.
 const GROWTH_FACTOR: f64 = 1.5;
 /// Fraction of the nominal time by which a load at full speed may take longer.
 const SLOWDOWN_TOLERANCE: f64 = 0.15;
@@ -107,8 +107,8 @@
     }
 
     /// Updates the estimate from the pending loads and the number of `unknown_loads` that this
-    /// leader did not start. `ended` returns whether a load that is no longer pending has
-    /// completed. Returns true if the limit changed.
+    /// leader did not start. `has_completed` returns whether a load that is no longer
+    /// pending has completed. Returns true if the limit changed.
     pub fn observe(
         &mut self,
         now: Timestamp,
--- a/crates/millpass-limits/src/pool.rs
+++ b/crates/millpass-limits/src/pool.rs
@@ -28,10 +28,10 @@
 /// leader estimated, as permits that others did not use may become available.
 const DENIAL_DIVISOR: u32 = 8;
 
-/// When a request may be sent to a limited instance that has no permit now.
+/// When a request may be sent to a limited instance for which there is no permit now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// A permit has been requested from the leader; its response is awaited until this time.
+    /// A permit is being requested from the leader; its response is awaited until this time.
     AwaitingResponse(Timestamp),
     /// Not before this time.
     At(Timestamp),
@@ -61,7 +61,7 @@
     denied_until: Timestamp,
     /// Requests refused since the last message to the leader.
     refused: u32,
-    /// Since when a request for permits has been pending.
+    /// Since when requests have been waiting without a response from the leader.
     pending_since: Option<Timestamp>,
     /// Requests sent within `PREFETCH_WINDOW`.
     recent_sends: VecDeque<Timestamp>,
--- a/crates/millpass-quarantine/src/quarantine.rs
+++ b/crates/millpass-quarantine/src/quarantine.rs
@@ -147,7 +147,7 @@
         self.quarantined.iter()
     }
 
-    /// Items that are suspected and not quarantined.
+    /// Suspected items, and those whose quarantine has expired.
     pub fn suspects(&self) -> impl Iterator<Item = &K> {
         let expired = self.quarantined.iter().filter(|(_, entry)| entry.expired);
         self.suspects.keys().chain(expired.map(|(item, _)| item))
