--- a/crates/millpass-control-plane/src/administration.rs
+++ b/crates/millpass-control-plane/src/administration.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns true if this member is the leader and has held the lease in this term, even if the
-    /// lease has expired since. Earlier, committed departures may not be applied yet, and a late
+    /// lease has expired since. Before that, committed departures may not be applied here, and a late
     /// announcement would bring a departed instance back.
     pub(crate) fn is_established_leader(&self) -> bool {
         let has_started_leading = self.fleet.as_ref().is_some_and(Fleet::has_started_leading);
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Releases a request on an operator's behalf. Returns false if no crash is attributed to it.
+    /// Releases a request on an operator's behalf. Returns false if it was neither quarantined nor
+    /// suspected.
     pub fn lift_quarantine(&mut self, request: &RequestFingerprint) -> bool {
         let was_quarantined = self.crashes.requests.release(request);
         if was_quarantined {
@@ -171,7 +172,7 @@
     }
 
     /// Returns the quarantined requests with the number of attributed crashes and the remaining
-    /// time.
+    /// time, which is zero after the quarantine has expired.
     pub fn quarantined_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
         let quarantined = self.crashes.requests.quarantined();
         quarantined
--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -147,7 +147,7 @@
         is_sent || reservation || self.has_unknown_order(now)
     }
 
-    /// Returns whether it is carrying out an unknown order.
+    /// Returns whether a recent read showed it carrying out an unknown order.
     pub(crate) fn has_unknown_order(&self, now: Timestamp) -> bool {
         self.unknown_order_seen_at
             .is_some_and(|seen_at| now.since(seen_at) < CALL_TIMEOUT)
@@ -181,7 +181,7 @@
     }
 
     /// Returns the adapter slots in use over all models, including adapters that are loading, not
-    /// confirmed as unloaded, or may still be loaded by a late order.
+    /// confirmed as unloaded, or may still be loaded by a late order for an earlier incarnation.
     pub(crate) fn adapter_count(&self) -> usize {
         let held: usize = self.held.iter().map(|held| held.adapters.len()).sum();
         let inherited = self
--- a/crates/millpass-fleet/src/fleet.rs
+++ b/crates/millpass-fleet/src/fleet.rs
@@ -293,8 +293,8 @@
         self.event("gateway-lost", vec![("gateway", session.name)]);
     }
 
-    /// Records that announcements were refused here due to overload, so that the
-    /// instances do not expire for lack of announcements.
+    /// Records that announcements were refused here due to overload, so that instances do
+    /// not expire for lack of announcements.
     pub fn record_refused_announcements(&mut self, now: Timestamp) {
         self.local_share.record_refusal(now);
         self.contact_clock.record_refusal(now);
--- a/crates/millpass-fleet/src/gateways.rs
+++ b/crates/millpass-fleet/src/gateways.rs
@@ -138,7 +138,7 @@
 
 /// Time after which a document version that was sent and not reported is resent whole.
 const RESEND_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Updates a second over all gateways. Bounds the leader's CPU time; several changes share one
+/// Maximum updates a second over all gateways. Bounds the leader's CPU time; several changes share one
 /// update.
 const MAX_UPDATES_PER_SECOND: u32 = 1_000;
 /// Upper bound of the update interval under a slowdown, so that gateways keep receiving
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -281,7 +281,8 @@
             .push(ready_estimate(self.service, model, None, ready_in));
     }
 
-    /// Starts the load, or evicts a model and reserves the freed memory.
+    /// Starts the load, or evicts a model and reserves the freed memory, or records that the load waits
+    /// for the weight store.
     fn start_load(
         &mut self,
         placement: &Placement,
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -318,7 +318,7 @@
     }
 
     /// Returns the cheapest placement of a model for `waiting` requests, among the sites accepted
-    /// by `fit`, which receives the source of the weights. Evictions may cost at most `limit`.
+    /// by `accepts`, which receives the source of the weights. Evictions may cost at most `limit`.
     pub(crate) fn cheapest_placement(
         &self,
         specification: &EngineSpec,
