--- a/crates/millpass-dispatch/tests/tenants.rs
+++ b/crates/millpass-dispatch/tests/tenants.rs
@@ -207,8 +207,8 @@
     assert_eq!(found, Ok(Some("one".to_owned())));
 }
 
-/// Without a leader, gateways share the overage by their number. An update of a new leader that
-/// does not know the number must not make a gateway take the whole overage.
+/// Without a leader, gateways share the overage by their number. An update of a new leader
+/// without the number must not make a gateway take the whole overage.
 #[test]
 fn unknown_gateway_count_keeps_previous_count() {
     const UNITS: u64 = 200;
--- a/crates/millpass-fleet/src/adapters.rs
+++ b/crates/millpass-fleet/src/adapters.rs
@@ -67,7 +67,8 @@
         });
     }
 
-    /// Returns the load of the adapter, or the unload of the least used one if no slot is free.
+    /// Returns the load of the adapter. Without a free slot or memory, returns the unload of a model
+    /// missing from the configuration, or else of the least used adapter.
     fn adapter_instruction(
         &self,
         round: &PlanningRound,
--- a/crates/millpass-fleet/src/instances.rs
+++ b/crates/millpass-fleet/src/instances.rs
@@ -178,7 +178,7 @@
     }
 
     /// Applies a departure: the instance drains or has ended. Without recorded state, as on
-    /// followers, there is nothing to update: a new leader starts from the log.
+    /// followers, only this member's share is updated: a new leader starts from the log.
     pub fn handle_departure(&mut self, instance: &InstanceId, ended: bool) {
         if ended {
             self.local_share.remove_ended(instance);
--- a/crates/millpass-fleet/tests/fleet.rs
+++ b/crates/millpass-fleet/tests/fleet.rs
@@ -1079,8 +1079,8 @@
     );
 }
 
-/// A new leader does not know all gateways yet, and the reported ones would take over the others'
-/// portions of shared limits.
+/// Not all gateways have connected to a new leader yet, and those that have would take over the
+/// others' portions of shared limits.
 #[test]
 fn gateway_count_is_sent_only_when_complete() {
     let mut leader = TestLeader::new();
--- a/crates/millpass-fleet/tests/shares.rs
+++ b/crates/millpass-fleet/tests/shares.rs
@@ -104,7 +104,7 @@
     assert_eq!(cluster.known_count(), 5_000);
 }
 
-/// After faults on the way between members, the leader knows exactly the live instances.
+/// After faults on the way between members, the leader has recorded exactly the live instances.
 #[rstest]
 fn fleet_converges_after_lost_late_and_duplicated_messages(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)] seed: u64,
--- a/crates/millpass-fleet/tests/updates.rs
+++ b/crates/millpass-fleet/tests/updates.rs
@@ -58,7 +58,7 @@
     );
 }
 
-/// An incomplete leader sends departures only to gateways that hold instances it does not know.
+/// An incomplete leader sends departures only to gateways that hold instances unknown to it.
 #[test]
 fn incomplete_leader_sends_departures_only_if_needed() {
     let mut leader = Leader::new(INSTANCES, DEPARTED);
--- a/crates/millpass-limits/src/slots.rs
+++ b/crates/millpass-limits/src/slots.rs
@@ -1,7 +1,7 @@
 //! Time slots in which a gateway may send to a limited instance while the leader is unreachable.
 //!
-//! Gateways share half of the limit by time: each has one slot in a period of as many intervals as
-//! there are gateways. Unused slots expire, so that idle gateways do not accumulate a burst.
+//! Gateways share half of the limit by time: each has one slot in a period of two request intervals
+//! per gateway. Unused slots expire, so that idle gateways do not accumulate a burst.
 
 use crate::rate::RequestRate;
 use millpass_proto::{Duration, InstanceId, Timestamp};
