--- a/crates/millpass-control-plane/src/orders.rs
+++ b/crates/millpass-control-plane/src/orders.rs
@@ -1,10 +1,9 @@
 //! Delivery of orders to engines.
 //!
 //! Each engine is sent its first outstanding order, with backoff, until the order is settled in the
-//! replicated state. Delivery is idempotent: an engine answers a repeated fence as it did the first
-//! time. Loads of models and adapters are limited to the weight store's rate on delivery, since
-//! orders queued behind others at their engines can become due together. The caller checks the
-//! leader lease in the same step.
+//! replicated state. Delivery is idempotent: an engine repeats its response to a known fence. Loads
+//! are limited to the weight store's rate on delivery, since orders of several engines can become
+//! due together. The caller checks the leader lease in the same step.
 
 use millpass_proto::{
     BackendName, Duration, EngineOrder, LogPosition, OrderAction, OrderResponse, Timestamp,
--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -303,8 +303,8 @@
 }
 
 /// Applies announced weight copies: removes copies that are gone and adds those of held models.
-/// Other copies may be stale, and their loads would be counted as loads from the weight store as
-/// well.
+/// Other announced copies may be stale: a load planned from one takes no permit, although it may
+/// come from the weight store.
 fn update_weight_copies(
     copies: &mut Vec<ModelName>,
     announced: &[ModelName],
--- a/crates/millpass-fleet/tests/crashes.rs
+++ b/crates/millpass-fleet/tests/crashes.rs
@@ -177,7 +177,7 @@
     );
 }
 
-/// Guards a leader elected before the log recorded a quarantined request.
+/// The new leader was elected before the log recorded the quarantined request.
 #[test]
 fn new_leader_rebuilds_quarantine_from_gateway_reports() {
     let mut leader = Leader::new(Vec::new());
