--- a/crates/millpass-dispatch/src/instances.rs
+++ b/crates/millpass-dispatch/src/instances.rs
@@ -193,7 +193,6 @@
         self.ejected_until = now + MAX_EJECTION_TIME;
     }
 
-    /// Returns true while it is ejected.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         now < self.ejected_until
     }
@@ -204,7 +203,6 @@
         self.failures * (-age / FAILURE_DECAY_SECONDS).exp()
     }
 
-    /// Records how a send ended.
     pub(crate) fn record_send_outcome(&mut self, now: Timestamp, outcome: SendOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let failed = match outcome {
--- a/crates/millpass-fleet/src/contact_clock.rs
+++ b/crates/millpass-fleet/src/contact_clock.rs
@@ -1,8 +1,6 @@
-//! Clock of the time for which this member could receive announcements.
-//!
-//! Instances expire after a time without announcements. Periods in which this member was not
-//! leading, had no CPU time or refused announcements must not count, or live instances would
-//! expire.
+//! Clock of the time for which this member could receive announcements. Instances expire after a
+//! time without announcements; periods in which this member was not leading, had no CPU time or
+//! refused announcements must not count, or live instances would expire.
 
 use millpass_proto::{Duration, Timestamp};
 
@@ -16,8 +14,8 @@
 /// must expire eventually.
 const REFUSAL_DIVISOR: u32 = 4;
 
-/// A clock that stops while this member receives nothing and slows down while it refuses
-/// announcements.
+/// A clock that counts at most [`MAX_COUNTED_GAP`] between two runs of the core and slows down while
+/// announcements are refused.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ContactClock {
     elapsed: Timestamp,
--- a/crates/millpass-fleet/src/crashes.rs
+++ b/crates/millpass-fleet/src/crashes.rs
@@ -1,8 +1,6 @@
-//! Quarantine of requests and loads that crash instances.
-//!
-//! Gateways report ended process runs and the requests in flight there; the leader sums them up
-//! over all gateways. Quarantined requests are sent to every gateway and, once confirmed, recorded
-//! in the log.
+//! Quarantine of requests and loads that crash instances. Gateways report ended process runs and
+//! the requests in flight there, and the leader combines the reports. Quarantined requests are sent
+//! to every gateway and, once confirmed, recorded in the log.
 
 use crate::demand::ModelKey;
 use crate::fleet::Fleet;
@@ -163,7 +161,8 @@
         }
     }
 
-    /// Releases a request on an operator's behalf. Returns false if no crash is attributed to it.
+    /// Releases a request on an operator's behalf. Returns false if it was neither quarantined nor
+    /// suspected.
     pub fn lift_quarantine(&mut self, request: &RequestFingerprint) -> bool {
         let was_quarantined = self.crashes.requests.release(request);
         if was_quarantined {
@@ -173,7 +172,7 @@
     }
 
     /// Returns the quarantined requests with the number of attributed crashes and the remaining
-    /// time.
+    /// time, which is zero after the quarantine has expired.
     pub fn quarantined_requests(&self, now: Timestamp) -> Vec<(RequestFingerprint, u32, Duration)> {
         let quarantined = self.crashes.requests.quarantined();
         quarantined
--- a/crates/millpass-fleet/src/engines/mod.rs
+++ b/crates/millpass-fleet/src/engines/mod.rs
@@ -147,7 +147,7 @@
         is_sent || reservation || self.has_unknown_order(now)
     }
 
-    /// Returns whether it is carrying out an unknown order.
+    /// Returns whether a recent read showed it carrying out an unknown order.
     pub(crate) fn has_unknown_order(&self, now: Timestamp) -> bool {
         self.unknown_order_seen_at
             .is_some_and(|seen_at| now.since(seen_at) < CALL_TIMEOUT)
@@ -181,7 +181,7 @@
     }
 
     /// Returns the adapter slots in use over all models, including adapters that are loading, not
-    /// confirmed as unloaded, or may still be loaded by a late order.
+    /// confirmed as unloaded, or may still be loaded by a late order for an earlier incarnation.
     pub(crate) fn adapter_count(&self) -> usize {
         let held: usize = self.held.iter().map(|held| held.adapters.len()).sum();
         let inherited = self
@@ -303,8 +303,8 @@
 }
 
 /// Applies announced weight copies: removes copies that are gone and adds those of held models.
-/// Other copies may be stale, and their loads would be counted as loads from the weight store as
-/// well.
+/// Other announced copies may be stale: a load planned from one takes no permit, although it may
+/// come from the weight store.
 fn update_weight_copies(
     copies: &mut Vec<ModelName>,
     announced: &[ModelName],
--- a/crates/millpass-fleet/src/planner.rs
+++ b/crates/millpass-fleet/src/planner.rs
@@ -242,7 +242,7 @@
     }
 
     /// Loads a model that no engine holds. If it is already incoming, a second load must be much
-    /// faster and worth its cost.
+    /// faster and cost less than waiting for the first.
     fn load_missing_model(
         &mut self,
         demand: &UnmetDemand,
@@ -281,7 +281,8 @@
             .push(ready_estimate(self.service, model, None, ready_in));
     }
 
-    /// Starts the load, or evicts a model and reserves the freed memory.
+    /// Starts the load, or evicts a model and reserves the freed memory, or records that the load waits
+    /// for the weight store.
     fn start_load(
         &mut self,
         placement: &Placement,
--- a/crates/millpass-fleet/src/round.rs
+++ b/crates/millpass-fleet/src/round.rs
@@ -318,7 +318,7 @@
     }
 
     /// Returns the cheapest placement of a model for `waiting` requests, among the sites accepted
-    /// by `fit`, which receives the source of the weights. Evictions may cost at most `limit`.
+    /// by `accepts`, which receives the source of the weights. Evictions may cost at most `limit`.
     pub(crate) fn cheapest_placement(
         &self,
         specification: &EngineSpec,
@@ -528,8 +528,8 @@
     reading.max(running)
 }
 
-/// Returns the time until an engine can be instructed; none if unknown. Only accepted loads that
-/// are not overdue are worth waiting for.
+/// Returns the time until an engine can be instructed; none if unknown, or if its pending
+/// instruction is overdue or not accepted yet.
 fn available_in(
     view: &ServiceView<'_>,
     instance: &InstanceId,
