--- a/crates/millpass-control/src/administration/mod.rs
+++ b/crates/millpass-control/src/administration/mod.rs
@@ -1,13 +1,4 @@
 //! HTTP server of the administration API.
-//!
-//! | module | job |
-//! |---|---|
-//! | `server` | listens and handles requests |
-//! | `routes` | maps method and path to a route |
-//! | `authentication` | authentication by key, authorization by role |
-//! | `admission` | validates objects |
-//! | `operations` | calls the core and builds response bodies |
-//! | `failure` | error responses |
 
 mod admission;
 mod authentication;
--- a/crates/millpass-control/src/call_schedule.rs
+++ b/crates/millpass-control/src/call_schedule.rs
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Keeps peers with a call in progress, as `finish` decrements their count.
+    /// Forgets unreachable peers, except those with a call in progress: `finish` still decrements
+    /// their count.
     fn forget_unreachable(&mut self) {
         let queues = &self.queues;
         self.unreachable
--- a/crates/millpass-control/src/deliveries.rs
+++ b/crates/millpass-control/src/deliveries.rs
@@ -1,11 +1,8 @@
-//! Calls to engines and the platform, on a bounded pool of threads.
+//! Calls to engines and the platform, in the order of [`CallSchedule`], on a bounded pool of
+//! threads.
 //!
-//! Engines of announced instances are called through [`EngineCalls`](crate::EngineCalls).
-//!
-//! [`CallSchedule`] determines the order of calls. Threads are started on demand and end after an
-//! idle timeout. An order may be lost or delivered twice; its fence makes that harmless. A call
-//! that cannot be queued or expires while waiting is reported as not sent, and the core decides
-//! anew.
+//! An order may be lost or delivered twice; its fence makes that harmless. A call that cannot be
+//! queued or expires while waiting is reported to the core as not sent, and the core decides anew.
 
 use crate::call_schedule::{CallOutcome, CallSchedule};
 use crate::inputs::Inputs;
--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -144,7 +144,6 @@
         self.shared.filled.notify_one();
     }
 
-    /// Requests a snapshot.
     pub(crate) fn request_snapshot(&self) {
         self.shared.lock().snapshot_requested = true;
         self.shared.filled.notify_one();
--- a/crates/millpass-control/src/priority.rs
+++ b/crates/millpass-control/src/priority.rs
@@ -1,8 +1,8 @@
 //! Priority classes of the core's inputs.
 //!
-//! Classes are ordered by the cost of a delay: late votes and heartbeats cost the leadership, late
-//! changes and departures are not in force, requests wait for credit, while reports and
-//! announcements are repeated.
+//! Classes are ordered by the cost of a delay: late votes and heartbeats can lose the leadership,
+//! changes and departures take effect late, requests wait for credit. Reports and announcements
+//! are repeated by their senders.
 
 use millpass_control_plane::{AdministrationRequest, ControlInput};
 use millpass_proto::{ObjectKind, RouterToControl};
--- a/crates/millpass-gateway/src/forward.rs
+++ b/crates/millpass-gateway/src/forward.rs
@@ -463,7 +463,6 @@
     active.end(end);
 }
 
-/// Logs a failed send.
 fn log_send_failure(
     shared: &Shared,
     ticket: &Ticket,
--- a/crates/millpass-policy/src/lib.rs
+++ b/crates/millpass-policy/src/lib.rs
@@ -3,10 +3,6 @@
 //! A policy consists of up to four programs over the attributes of a request. Programs are total
 //! and free of side effects, and their cost is bounded statically before they are accepted, so that
 //! no submitted policy can stall a router. Requests are denied unless a policy allows them.
-//!
-//! * [`validate`] checks a policy when it is submitted.
-//! * [`CompiledPolicies`] evaluates requests against the current policies.
-//! * [`VerdictCache`] caches verdicts until the catalog changes.
 
 mod attributes;
 mod cache;
--- a/crates/millpass-router/src/member_selector.rs
+++ b/crates/millpass-router/src/member_selector.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-/// Returns members in rotation, a stated leader first. Skips the member that was last marked
-/// unreachable for one rotation, as the others state it as leader until they elect another. The
-/// skip is temporary because the member may be reachable again and still lead.
+/// Returns members in rotation, a stated leader first. For one rotation, skips the member that was
+/// last marked unreachable, as the others state it as leader until they elect another. Afterwards
+/// it is tried again, because it may be reachable and still lead.
 #[derive(Clone, Debug)]
 pub struct MemberSelector {
     members: Vec<SocketAddr>,
--- a/crates/millpass-routing/src/catalog.rs
+++ b/crates/millpass-routing/src/catalog.rs
@@ -54,7 +54,6 @@
         }
     }
 
-    /// Current revision.
     pub fn revision(&self) -> ConfigurationRevision {
         self.revision
     }
@@ -161,7 +160,6 @@
         self.keys.tenant(&KeyHash::of(api_key.as_bytes()))
     }
 
-    /// Returns the specification of a tenant.
     pub fn tenant(&self, tenant: &TenantName) -> Option<&TenantSpec> {
         self.tenants.get(tenant)
     }
@@ -180,7 +178,6 @@
         }
     }
 
-    /// Returns true if the web group exists.
     pub fn has_group(&self, group: &GroupName) -> bool {
         self.groups.contains_key(group)
     }
--- a/crates/millpass-routing/src/claims.rs
+++ b/crates/millpass-routing/src/claims.rs
@@ -1,7 +1,7 @@
 //! Claims of requests that run at most once, with their timeouts and resends.
 //!
 //! A claim outlives its request: it is kept until its conclusion is committed or until the decision
-//! shows that it was not granted. Every message is resent until it is answered, always with the
+//! shows that it was not granted. Every message is resent until a response arrives, always with the
 //! same attempt number, so that the control group can distinguish a resend from a second attempt.
 
 use crate::interface::{Executed, RequestNumber, RoutingOutput};
@@ -63,7 +63,6 @@
         }
     }
 
-    /// Number of open claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -214,7 +213,7 @@
 }
 
 impl Claim {
-    /// Returns the message that is not answered yet.
+    /// Returns the message that awaits a response.
     fn message(&self) -> Option<RoutingOutput> {
         match &self.phase {
             ClaimPhase::Requested | ClaimPhase::Abandoned => {
--- a/crates/millpass-routing/src/decisions.rs
+++ b/crates/millpass-routing/src/decisions.rs
@@ -6,8 +6,8 @@
 use millpass_proto::{ConfigurationRevision, Duration, PlacementRevision, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of failed requests whose explanations are kept, and of other requests. They are kept
-/// separately so that successful requests do not evict failed ones.
+/// Number of explanations kept of failed requests, and again of all others, which thus do not evict
+/// those of failed ones.
 pub const EXPLANATION_CAPACITY: usize = 4_096;
 
 /// Counters since the start, and current sizes, for metrics.
--- a/crates/millpass-routing/src/demand.rs
+++ b/crates/millpass-routing/src/demand.rs
@@ -14,7 +14,6 @@
 /// Counts that are compared with the last acknowledged report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DemandCounts {
-    /// Waiting requests.
     pub waiting: u32,
     /// Requests in flight.
     pub in_flight: u32,
--- a/crates/millpass-routing/src/dispatch.rs
+++ b/crates/millpass-routing/src/dispatch.rs
@@ -1,9 +1,9 @@
 //! Backend selection and dispatch of attempts.
 //!
-//! Backends are ranked by: not tried yet by this request, same zone, prefix locality, least load.
-//! Prefix locality is rendezvous hashing of the prompt's start over the replicas whose load is
-//! within [`LOCALITY_SLACK`] of the least loaded one, so that a popular prefix uses a warm cache
-//! without overloading one replica.
+//! Backends that the request has not tried yet are preferred, then those in the same zone. Among
+//! the replicas whose load is within [`LOCALITY_SLACK`] of the least load, rendezvous hashing of
+//! the prompt's start selects one, so that a popular prefix uses a warm cache without overloading
+//! one replica.
 
 use crate::circuit::CircuitState;
 use crate::explain::AttemptRecord;
--- a/crates/millpass-routing/src/load.rs
+++ b/crates/millpass-routing/src/load.rs
@@ -1,10 +1,8 @@
 //! Load of each replica and web backend, as observed by this router.
 //!
-//! The number of routers that share a replica is unknown, so its concurrency cannot be divided
-//! among them. A router counts its own attempts and, for backends it watches, adds the requests of
-//! others: the reported count minus its own. That estimate lags and is ignored after
-//! [`OBSERVATION_VALIDITY`]. Engines queue requests beyond their batch size, so a wrong estimate
-//! costs waiting time, not correctness.
+//! The load is the number of own attempts plus, for watched backends, the last reported count less
+//! the own attempts at that time. Engines queue requests beyond their batch size, so a wrong
+//! estimate costs waiting time, not correctness.
 
 use crate::request::Endpoint;
 use millpass_proto::{BackendObservation, Duration, Timestamp};
@@ -43,7 +41,6 @@
         }
     }
 
-    /// Total attempts of this router in flight.
     pub fn total(&self) -> usize {
         self.total
     }
--- a/crates/millpass-routing/src/queues.rs
+++ b/crates/millpass-routing/src/queues.rs
@@ -16,15 +16,13 @@
 const DISPATCH_COST: u64 = 1 << 20;
 /// Idle tenants that are always kept per urgency level.
 const MINIMUM_IDLE_TENANTS: usize = 16;
-/// Number of urgency levels.
 const LEVELS: usize = 3;
 
-/// What the requests of a queue need.
+/// Model or web group that serves the requests of a queue.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueKey {
     /// A replica of a model.
     Model {
-        /// Model.
         model: ModelName,
         /// Adapter that must be loaded.
         adapter: Option<AdapterName>,
@@ -187,7 +185,6 @@
         }
     }
 
-    /// Returns true if no request waits in the queue.
     pub fn is_empty(&self, key: &QueueKey) -> bool {
         !self.queues.contains_key(key)
     }
@@ -240,7 +237,6 @@
         queue.flat_map(|queue| queue.members.iter().copied())
     }
 
-    /// Number of requests in a queue.
     pub fn len(&self, key: &QueueKey) -> usize {
         self.queues.get(key).map_or(0, |queue| queue.members.len())
     }
--- a/crates/millpass-routing/src/readiness.rs
+++ b/crates/millpass-routing/src/readiness.rs
@@ -27,7 +27,7 @@
     },
     /// The web group has no backend.
     NoBackend,
-    /// No replica of the version that a stream needs is left.
+    /// No replica is left of the version on which a stream must resume.
     VersionUnavailable,
     /// The leader has sent no estimate yet.
     Unknown,
--- a/crates/millpass-routing/src/refusals.rs
+++ b/crates/millpass-routing/src/refusals.rs
@@ -15,7 +15,6 @@
 /// Why a request is refused; whether the request may have run is added later.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Rejection {
-    /// Reason.
     pub reason: RefusalReason,
     /// When to retry; `None` if a retry cannot succeed.
     pub retry_after: Option<Duration>,
--- a/crates/millpass-routing/src/request.rs
+++ b/crates/millpass-routing/src/request.rs
@@ -19,11 +19,8 @@
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
-    /// Endpoint.
     pub endpoint: Endpoint,
-    /// Backend.
     pub backend: BackendName,
-    /// Incarnation of the backend.
     pub incarnation: Incarnation,
     /// Version of the model; `None` for web backends.
     pub version: Option<VersionLabel>,
@@ -45,13 +42,10 @@
 /// A live request. It leaves the table with its single final output.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// Number.
     pub number: RequestNumber,
     /// Request id as sent to the caller.
     pub request_id: String,
-    /// Tenant.
     pub tenant: TenantName,
-    /// Queue.
     pub queue: QueueKey,
     /// `completion`, `chat` or `web`.
     pub kind: &'static str,
@@ -71,7 +65,6 @@
     pub claim: Option<IdempotencyKey>,
     /// It may be retried even if an earlier attempt may have run.
     pub repeatable: bool,
-    /// Stage.
     pub stage: Stage,
     /// Dispatched attempts, oldest first; bounded by the settings.
     pub attempts: Vec<AttemptRecord>,
@@ -127,7 +120,6 @@
         }
     }
 
-    /// Returns true while an attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         matches!(self.stage, Stage::InFlight(_))
     }
--- a/crates/millpass-routing/src/routes.rs
+++ b/crates/millpass-routing/src/routes.rs
@@ -28,7 +28,6 @@
         }
     }
 
-    /// Current revision.
     pub fn revision(&self) -> PlacementRevision {
         self.revision
     }
--- a/crates/millpass-routing/src/table.rs
+++ b/crates/millpass-routing/src/table.rs
@@ -81,7 +81,6 @@
         self.waiting_batch.remove(&request.number);
     }
 
-    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
--- a/crates/millpass-scheduler/src/loads.rs
+++ b/crates/millpass-scheduler/src/loads.rs
@@ -32,7 +32,7 @@
 pub struct LoadTracker {
     slots: BTreeMap<SlotId, SlotRecord>,
     /// Moving average of measured over expected time of loads from the store; `None` before the
-    /// first load.
+    /// first measured load.
     store_ratio: Option<f64>,
 }
 
--- a/crates/millpass-scheduler/src/prewarming.rs
+++ b/crates/millpass-scheduler/src/prewarming.rs
@@ -14,7 +14,7 @@
 const MAXIMUM_PREWARMS_PER_ROUND: usize = 1;
 
 impl Scheduler {
-    /// Proposes loads ahead of demand, unless another load is required.
+    /// Proposes loads ahead of demand, unless current demand or a minimum requires a load.
     pub(crate) fn prewarm<'a>(&mut self, round: &mut Round<'a>, views: &[ModelView<'a>]) {
         let adaptive = self.settings.keep_alive == KeepAlive::Adaptive;
         let waiting = views.iter().any(|view| view.should_load_another());
--- a/crates/millpass-scheduler/src/view.rs
+++ b/crates/millpass-scheduler/src/view.rs
@@ -9,8 +9,8 @@
 use millpass_state::State;
 use std::collections::BTreeSet;
 
-/// Multiple of the replicas' concurrency from which another load starts before the previous one has
-/// completed.
+/// Another load starts before the previous one has completed if demand is at least this multiple of
+/// the replicas' concurrency.
 const BACKLOG_FACTOR: u64 = 4;
 
 /// Replicas of a model by status.
--- a/crates/millpass-storage/tests/faults.rs
+++ b/crates/millpass-storage/tests/faults.rs
@@ -1,10 +1,5 @@
-//! Random failures of file system calls, once or until the disk recovers. Writes may be partial,
-//! and failed renames or removals may have taken effect.
-//!
-//! Checks that successful writes persist, that the folder opens once the disk has recovered, and
-//! that its size stays within the limit.
-//!
-//! Manual run with more seeds:
+//! Random failures of file system calls: successful writes must persist, the folder must open once
+//! the disk has recovered, and its size must stay within the limit. Run with more seeds:
 //! `MILLPASS_FAULT_SEEDS=0..20000 cargo test --release -p millpass-storage --test faults`
 
 mod common;
@@ -206,8 +201,9 @@
     disk: Arc<FaultyDisk>,
     folder: PathBuf,
     options: StorageOptions,
-    /// Result of the successful writes, and of the failed write if it had succeeded.
+    /// Content after the successful writes.
     written: Summary,
+    /// Content if the failed write took effect.
     attempted: Option<Summary>,
 }
 
--- a/crates/millpass-tenancy/src/account.rs
+++ b/crates/millpass-tenancy/src/account.rs
@@ -18,7 +18,7 @@
 /// How long a gateway without contact to the leader may continue at the usual rate for a tenant
 /// with surplus quota. Longer than an election, shorter than a window.
 const FALLBACK_LIFETIME: Duration = Duration::from_millis(2_500);
-/// Factor on the usual rate during that time.
+/// Multiple of the usual rate that is allowed during [`FALLBACK_LIFETIME`].
 const FALLBACK_RATE_FACTOR: f64 = 1.5;
 /// Time constant of the moving average of a tenant's use.
 const USE_AVERAGE_SECONDS: f64 = 3.0;
@@ -67,7 +67,7 @@
     until: Timestamp,
 }
 
-/// Response of the leader that a tenant's quota is exhausted.
+/// An exhausted quota, as reported by the leader.
 #[derive(Clone, Copy, Debug)]
 struct Exhaustion {
     /// When units are available again.
@@ -92,7 +92,7 @@
     exhausted: Option<Exhaustion>,
     /// When the leader last reported surplus quota.
     surplus_at: Option<Timestamp>,
-    /// Units used without a grant since then.
+    /// Units used without a grant since the leader's last response.
     fallback_used: u64,
     /// Exponentially decaying sum of used units, as of `used_at`.
     used: f64,
@@ -128,7 +128,6 @@
         true
     }
 
-    /// Adds units to the reserve.
     pub(crate) fn add_reserve(&mut self, now: Timestamp, units: u64) {
         if units > 0 {
             let until = now + RESERVE_LIFETIME;
@@ -153,7 +152,6 @@
         (expected.max(self.mean_cost) as u64).saturating_sub(self.reserve())
     }
 
-    /// Records an arriving request.
     pub(crate) fn record_request(&mut self, now: Timestamp, units: u64) {
         let cost = units as f64;
         self.mean_cost = if self.mean_cost == 0.0 {
@@ -164,7 +162,6 @@
         self.last_request = now;
     }
 
-    /// Records used units.
     pub(crate) fn record_use(&mut self, now: Timestamp, units: u64) {
         let age = now.since(self.used_at).as_secs_f64();
         self.used = self.used * (-age / USE_AVERAGE_SECONDS).exp() + units as f64;
--- a/crates/millpass-tenancy/src/ledger.rs
+++ b/crates/millpass-tenancy/src/ledger.rs
@@ -1,10 +1,9 @@
 //! Ledger of the leader: units granted from each tenant's quota.
 //!
-//! Every unit that a gateway uses was granted before or is charged with its next request, so the
-//! sum over all gateways stays within the limit, whichever process fails. A new leader does not
-//! know the grants of its predecessor. It starts with only a fraction of the tolerance in each
-//! bucket, which is safe because the predecessor granted no more than the limit until its lease
-//! expired.
+//! Every unit that a gateway uses was granted before or is charged with its next request, so total
+//! use stays within the limit whichever process fails. A new leader has no record of earlier
+//! grants: its buckets start with a fraction of the tolerance only, as its predecessor may have
+//! granted up to the limit until its lease expired.
 
 use crate::account::QuotaTolerance;
 use crate::limit::{TenantLimit, UnitBucket};
--- a/crates/millpass-tenancy/src/lib.rs
+++ b/crates/millpass-tenancy/src/lib.rs
@@ -1,14 +1,7 @@
 //! Tenants: API keys and quotas shared by all gateways, without I/O, clock or threads.
 //!
-//! | module | contents |
-//!
-//! |---|---|
-//!
-//! | `keys` | hashes of API keys and the tenants that own them |
-//! | `limit` | limit of a tenant and its token bucket |
-//! | `ledger` | units that the leader grants from each tenant's quota |
-//! | `account` | credit of one tenant at a gateway, with overdraft while the leader is unreachable |
-//! | `pool` | credit of all tenants at a gateway, and the requests that wait for more |
+//! The leader grants units of each tenant's quota from its [`CreditLedger`]; a gateway keeps them
+//! for its requests in its [`CreditPool`].
 
 mod account;
 mod keys;
--- a/crates/millpass-tenancy/src/pool.rs
+++ b/crates/millpass-tenancy/src/pool.rs
@@ -11,13 +11,12 @@
 
 /// Minimum time without a response after which the leader counts as unresponsive.
 const MINIMUM_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same as a multiple of the average response time, so that gateways do not leave a busy
-/// leader.
+/// Multiple of the average response time after which the leader counts as unresponsive, if that is
+/// longer, so that gateways do not disconnect from a busy leader.
 const RESPONSE_TIMEOUT_FACTOR: u32 = 8;
 /// Weight of the newest response in the moving average of response times.
 const RESPONSE_TIME_SMOOTHING: f64 = 0.2;
-/// Time without a response after which a request may use ungranted units; several usual response
-/// times.
+/// Age of a claim without a response from which its request may use ungranted units.
 const OVERDRAFT_AFTER: Duration = Duration::from_millis(60);
 /// Interval between checks of a waiting request.
 const CHECK_INTERVAL: Duration = Duration::from_millis(30);
