--- a/crates/millpass-control/src/client/mod.rs
+++ b/crates/millpass-control/src/client/mod.rs
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Sends a call until it succeeds, fails for good, or the deadline passes.
+    /// Sends a call until it succeeds, fails permanently, or the deadline passes.
     fn call<T: DeserializeOwned>(&mut self, call: Call) -> Result<T, ClientError> {
         if self.addresses.is_empty() {
             return Err(ClientError::NoAddress);
--- a/crates/millpass-control/src/inputs.rs
+++ b/crates/millpass-control/src/inputs.rs
@@ -1,7 +1,8 @@
 //! Bounded queues to the core, by priority.
 //!
-//! Inputs of one class keep their order. Credit requests and crash reports may overtake other
-//! messages of their connection, and may be processed after its end, as they do not depend on them.
+//! Inputs of one class keep their order. Credit requests, permit requests and crash reports may
+//! overtake other messages of their connection, and may be processed after its end, as they do not
+//! depend on them.
 //! The end of a connection never overtakes its reports or claims.
 
 use crate::backlog::{Backlog, Next};
--- a/crates/millpass-control/src/member.rs
+++ b/crates/millpass-control/src/member.rs
@@ -258,8 +258,8 @@
         false
     }
 
-    /// The queue is bounded by the writes that consensus has in flight. Sending fails only after
-    /// the disk has failed, which is already reported to the input queue.
+    /// Queues work for the disk thread; consensus bounds the writes in flight. Sending fails only
+    /// after the disk has failed, which is already reported to the input queue.
     fn write(&self, work: DiskWork) {
         let _ = self.disk.send(work);
     }
--- a/crates/millpass-gateway/src/forward.rs
+++ b/crates/millpass-gateway/src/forward.rs
@@ -394,7 +394,8 @@
         response.map(|()| relay(relayed))
     }
 
-    /// Responds to a request that no instance served: with the buffered error response, if any.
+    /// Ends a request that no instance served: responds with the buffered error response of an
+    /// instance, if any, or else with this status and reason.
     fn fail(
         mut self,
         status: StatusCode,
@@ -576,7 +577,8 @@
     }
 }
 
-/// Reads the body of an error response; `None` if it is incomplete or too large.
+/// Reads the body of an error response; `None` if it is incomplete, too large or not received in
+/// time.
 async fn read_error_body(body: Incoming) -> Option<Bytes> {
     let read = async {
         let collected = Limited::new(body, MAXIMUM_ERROR_BODY_BYTES).collect().await;
--- a/crates/millpass-gateway/src/freshness.rs
+++ b/crates/millpass-gateway/src/freshness.rs
@@ -23,8 +23,8 @@
 const URGENT_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two checks while no query is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(350);
-/// Most doublings of the time between rounds while no member responds, so that many gateways do not
-/// overload members.
+/// Maximum number of doublings of the time between rounds while no member responds, so that many
+/// gateways do not overload members.
 const MAXIMUM_BACKOFF_DOUBLINGS: u32 = 2;
 /// Maximum size of a response.
 const MAXIMUM_RESPONSE_BYTES: usize = 4 * 1024;
--- a/crates/millpass-router/src/backend.rs
+++ b/crates/millpass-router/src/backend.rs
@@ -20,7 +20,7 @@
 
 /// Buffer size per direction. Small, because each streaming request holds a pair of buffers.
 const BUFFER_BYTES: usize = 8 * 1024;
-/// Hop-by-hop headers, which are not forwarded.
+/// Headers that are not forwarded: hop-by-hop headers, `Host` and `Expect`.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     HOST,
--- a/crates/millpass-scheduler/src/adapters.rs
+++ b/crates/millpass-scheduler/src/adapters.rs
@@ -12,7 +12,7 @@
 use millpass_state::{adapter_bytes_each, replica_bytes_each};
 
 impl Scheduler {
-    /// Adapters with waiting requests that no replica has loaded or is loading.
+    /// Adapters with waiting requests that no loaded replica has in any phase.
     pub(crate) fn missing_adapters<'v, 'a>(
         &self,
         views: &'v [ModelView<'a>],
@@ -286,7 +286,7 @@
     trial.fits_after_unloads(&kept.accelerators, each)
 }
 
-/// Returns true if some loaded replica has the adapter or is loading it.
+/// Returns true if some loaded replica has the adapter in any phase.
 fn has_adapter(view: &ModelView<'_>, name: &AdapterName) -> bool {
     let replicas = view.replicas.loaded.iter();
     let mut adapters = replicas.flat_map(|replica| &replica.adapters);
--- a/crates/millpass-scheduler/src/ready_estimates.rs
+++ b/crates/millpass-scheduler/src/ready_estimates.rs
@@ -75,7 +75,7 @@
         if let Some(estimate) = self.ready_estimates.estimates.get(model) {
             return (estimate.ready.since(now), estimate.placeable);
         }
-        // No round has considered the model yet; assume an immediate load from the fastest tier.
+        // No recent round has considered the model; assume an immediate load from the fastest tier.
         let tier = self.engines.best_tier(&version.checkpoint);
         let bytes = version.weights_bytes;
         (self.loads.expected_time(&self.settings, tier, bytes), true)
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Remaining time of this load and of those that its engine was ordered to do earlier.
+    /// Remaining time of this load and of the loads ordered earlier on its engine.
     fn loading_time(&self, now: Timestamp, state: &State, replica: &Replica) -> Duration {
         let on_engine = state.replicas_on(&replica.backend).into_iter();
         let before = on_engine
--- a/crates/millpass-scheduler/src/view.rs
+++ b/crates/millpass-scheduler/src/view.rs
@@ -18,7 +18,7 @@
 pub struct ReplicaSets<'a> {
     /// Loaded on a live engine, current version.
     pub loaded: Vec<&'a Replica>,
-    /// Loading on a live engine, current version, within its expected time.
+    /// Loading on a live engine, current version, not overdue.
     pub loading: Vec<&'a Replica>,
     /// Loaded or loading on a live engine, another version.
     pub stale: Vec<&'a Replica>,
