--- a/crates/millpass-router/src/metrics.rs
+++ b/crates/millpass-router/src/metrics.rs
@@ -10,8 +10,8 @@
 
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Completed requests by outcome: `answered`, `replayed`, `caller_gone`, `broken_off`, `panicked`,
-    /// or the code of an error.
+    /// Completed requests by outcome: `answered`, `replayed`, `caller_gone`, `broken_off`,
+    /// `panicked`, or the code of an error.
     pub(crate) requests: IntCounterVec,
     /// Completed attempts at backends by result.
     pub(crate) attempts: IntCounterVec,
--- a/crates/millpass-routing/src/retry.rs
+++ b/crates/millpass-routing/src/retry.rs
@@ -92,8 +92,8 @@
         let Some(request) = self.table.get(number) else {
             return;
         };
-        // After the deadline or the lease the host does not send the attempt; that is no backend
-        // failure.
+        // The host does not send an attempt after the deadline or the end of the lease; that is not
+        // a failure of the backend.
         let in_time = request.deadline > step.now && self.lease.is_valid(step.now);
         if in_time || failure != AttemptFailure::NotSent {
             self.count_failure(&attempt, step);
--- a/crates/millpass-scheduler/src/candidates.rs
+++ b/crates/millpass-scheduler/src/candidates.rs
@@ -1,5 +1,5 @@
-//! Engine selection for a replica: engines without a replica of the model first, then by ready time,
-//! zone of the demand and tightness of fit.
+//! Engine selection for a replica: engines without a replica of the model first, then by ready
+//! time, zone of the demand and tightness of fit.
 
 use crate::Scheduler;
 use crate::memory::{Fit, MemoryTable};
--- a/crates/millpass-tenancy/src/ledger.rs
+++ b/crates/millpass-tenancy/src/ledger.rs
@@ -1,9 +1,9 @@
 //! Ledger of the leader: units granted from each tenant's quota.
 //!
-//! Every unit that a gateway uses was granted before or is charged with its next request, so total
-//! use stays within the limit and its tolerance whichever process fails. A new leader has no record
-//! of earlier grants: its buckets start with a fraction of the tolerance only, as its predecessor
-//! may have granted up to the limit until its lease expired.
+//! Every unit that a gateway uses was granted before or is charged with its next request to the
+//! same leader, so total use stays within the limit and its tolerance whichever process fails. A
+//! new leader has no record of earlier grants: its buckets start with a fraction of the tolerance
+//! only, as its predecessor may have granted up to the limit until its lease expired.
 
 use crate::account::QuotaTolerance;
 use crate::limit::{TenantLimit, UnitBucket};
--- a/crates/millpass-tenancy/src/limit.rs
+++ b/crates/millpass-tenancy/src/limit.rs
@@ -20,7 +20,7 @@
         })
     }
 
-    /// Capacity of the bucket; at least one unit, since an empty bucket could never refill.
+    /// Capacity of the bucket; at least one unit, as otherwise no request would be admitted.
     pub(crate) fn capacity(&self) -> f64 {
         self.burst_units.max(1) as f64
     }
