--- a/crates/millpass-control/src/call_schedule.rs
+++ b/crates/millpass-control/src/call_schedule.rs
@@ -2,8 +2,8 @@
 //!
 //! A peer gets one call at a time, in order. A peer whose last call got no response counts as
 //! unreachable. Unreachable peers together may use only a fraction of the concurrent calls, so that
-//! their timeouts do not delay calls to others. Calls that have waited past their expiry are never
-//! made.
+//! their timeouts do not delay calls to others. Callers remove expired calls with
+//! [`CallSchedule::take_expired`] before each [`CallSchedule::take`], so that none is made late.
 
 use millpass_proto::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/millpass-control/src/peers.rs
+++ b/crates/millpass-control/src/peers.rs
@@ -99,8 +99,8 @@
 }
 
 impl Peers {
-    /// Creates the connections. `own` is sent as hello on each; `queue_length` bounds the queue of
-    /// each address.
+    /// Starts without connections; they are opened on demand. `own` is sent as hello on each;
+    /// `queue_length` bounds the queue of each address.
     pub(crate) fn new(own: MemberAddress, queue_length: usize, metrics: Arc<Metrics>) -> Self {
         Peers {
             peers: BTreeMap::new(),
--- a/crates/millpass-routing/src/demand.rs
+++ b/crates/millpass-routing/src/demand.rs
@@ -15,7 +15,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DemandCounts {
     pub waiting: u32,
-    /// Requests in flight.
     pub in_flight: u32,
     /// Requests admitted since the start.
     pub arrivals: u64,
@@ -24,7 +23,6 @@
 /// Demand of one model.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DemandEntry {
-    /// Requests in flight.
     pub in_flight: u32,
     /// Requests admitted since the start.
     pub arrivals: u64,
--- a/crates/millpass-routing/src/observations.rs
+++ b/crates/millpass-routing/src/observations.rs
@@ -1,4 +1,4 @@
-//! Observations of watched backends that the leader has not acknowledged yet.
+//! Latest observations of watched backends, reported until the leader acknowledges them.
 
 use millpass_proto::{
     BackendName, BackendObservation, EngineAdapterReport, EngineSlotPhase, EngineSlotReport,
@@ -20,7 +20,6 @@
 /// Latest observation of each watched backend.
 #[derive(Debug, Default)]
 pub(crate) struct ObservationTable {
-    /// Watched backends with their latest observation.
     watched: BTreeMap<BackendName, Option<Observed>>,
 }
 
