--- a/crates/millpass-router/tests/deadlines.rs
+++ b/crates/millpass-router/tests/deadlines.rs
@@ -40,8 +40,8 @@
     assert!(slack > tick * 4);
 }
 
-/// An unreachable engine accepts requests and cancellations but responds to neither. Guards against
-/// a refusal that is delayed by the cancellation or a read timeout.
+/// The engine accepts requests and cancellations but responds to neither. Guards against a refusal
+/// that is delayed by the cancellation or a read timeout.
 #[rstest]
 #[case::whole(false)]
 #[case::streamed(true)]
--- a/crates/millpass-storage/tests/lost_power.rs
+++ b/crates/millpass-storage/tests/lost_power.rs
@@ -266,8 +266,8 @@
     Box::new(TrackedFile(file))
 }
 
-/// A process is killed between a write and its sync. After a restart it may acknowledge the entry,
-/// which must then survive a power loss.
+/// A process is killed between a write and its sync. After the restart, the member may acknowledge
+/// the restored entry, which must then survive a power loss.
 #[test]
 fn restored_entries_survive_the_next_power_loss() {
     let (_root, folder) = new_folder();
