--- a/crates/millpass-routing/src/demand.rs
+++ b/crates/millpass-routing/src/demand.rs
@@ -14,9 +14,7 @@
 /// Counts that are compared with the last acknowledged report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DemandCounts {
-    /// Waiting requests.
     pub waiting: u32,
-    /// Requests in flight.
     pub in_flight: u32,
     /// Requests admitted since the start.
     pub arrivals: u64,
@@ -25,7 +23,6 @@
 /// Demand of one model.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DemandEntry {
-    /// Requests in flight.
     pub in_flight: u32,
     /// Requests admitted since the start.
     pub arrivals: u64,
--- a/crates/millpass-scheduler/src/view.rs
+++ b/crates/millpass-scheduler/src/view.rs
@@ -9,8 +9,8 @@
 use millpass_state::State;
 use std::collections::BTreeSet;
 
-/// Multiple of the replicas' concurrency from which another load starts before the previous one has
-/// completed.
+/// Another load starts before the previous one has completed if demand is at least this multiple of
+/// the replicas' concurrency.
 const BACKLOG_FACTOR: u64 = 4;
 
 /// Replicas of a model by status.
@@ -18,7 +18,7 @@
 pub struct ReplicaSets<'a> {
     /// Loaded on a live engine, current version.
     pub loaded: Vec<&'a Replica>,
-    /// Loading on a live engine, current version, within its expected time.
+    /// Loading on a live engine, current version, not overdue.
     pub loading: Vec<&'a Replica>,
     /// Loaded or loading on a live engine, another version.
     pub stale: Vec<&'a Replica>,
